--- a/choice/api.go
+++ b/choice/api.go
@@ -40,8 +40,8 @@
 
 // Kind describes one kind of destination.
 type Kind struct {
-	Apart   bool // endpoints are routes apart, each with limits and health of its own
-	PerCall int  // messages that one call carries at most
+	SeparateRoutes bool // endpoints are routes apart, each with limits and health of its own
+	PerCall        int  // messages that one call carries at most
 }
 
 // Rules are the figures of the operating rules.
@@ -49,36 +49,36 @@
 	AnswerGrace    time.Duration // how long past its deadline a final answer still counts
 	DrainGrace     time.Duration // how long a draining endpoint may still be sent to
 	OverloadFactor float64       // a cold destination falls over above this multiple ...
-	Fall           time.Duration // ... of its present capacity, kept up for this long
-	ColdFrom       float64       // share of its capacity with which a destination returns
-	Cold           time.Duration // time until it has all of its capacity again
+	OverloadWindow time.Duration // ... of its present capacity, kept up for this long
+	ColdShare      float64       // share of its capacity with which a destination returns
+	WarmUp         time.Duration // time until it has all of its capacity again
 	OrderSettle    time.Duration // rest of a key after an attempt whose end is unsure
 }
 
 // Settings configure a Chooser.
 type Settings struct {
-	Index       int // this relay's number, from 0
-	Fleet       int // relays in all
-	Workers     int // calls that may be out at once
-	MaxHeld     int // messages held at most, sent or not
-	MaxAttempts int // attempts for one message, those never sent included
-	Tick        time.Duration
-	Classes     []Class
-	Kinds       []Kind
-	ZoneFee     []float64 // points for each message a route apart takes on, by zone
-	Halving     bool      // after the aim worth falls by half with each further aim; else evenly
-	Listed      bool      // Host.Rate is the rate that a destination takes from all relays
-	Cancels     bool      // Cancel is allowed
-	Subscribe   bool      // list changes come only after Subscribe
+	Index         int // this relay's number, from 0
+	Fleet         int // relays in all
+	Workers       int // calls that may be out at once
+	MaxPending    int // messages held at most, sent or not
+	MaxAttempts   int // attempts for one message, those never sent included
+	Tick          time.Duration
+	Classes       []Class
+	Kinds         []Kind
+	ZoneFee       []float64 // points for each message a route apart takes on, by zone
+	WorthHalves   bool      // after the aim worth falls by half with each further aim; else evenly
+	RatesListed   bool      // Host.Rate is the rate that a destination takes from all relays
+	CanCancel     bool      // Cancel is allowed
+	MustSubscribe bool      // list changes come only after Subscribe
 	// ReportLimit is the place in Result.Report of the limit in calls a second;
 	// below 0 where it is not reported.
-	ReportLimit int
+	ReportLimitIndex int
 	// ReportLeft is the place of the share of the allowance that is left; below 0 likewise.
-	ReportLeft int
-	Rules      Rules
-	Tenants    []Tenant
+	ReportLeftIndex int
+	Rules           Rules
+	Tenants         []Tenant
 	// OverShare is the worth of a message past its tenant's share, as a part of its class's.
-	OverShare float64
+	OverShareFactor float64
 }
 
 // Tenant is one of those that share the service.
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -14,7 +14,7 @@
 
 func settings() Settings {
 	return Settings{
-		Fleet: 2, Workers: 4, MaxHeld: 50, MaxAttempts: 4, Tick: 5 * ms, Cancels: true, Listed: true,
+		Fleet: 2, Workers: 4, MaxPending: 50, MaxAttempts: 4, Tick: 5 * ms, CanCancel: true, RatesListed: true,
 		Classes: []Class{
 			{Name: "safe", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Safe},
 			{Name: "keyed", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Keyed,
@@ -23,44 +23,44 @@
 			{Name: "ordered", Aim: 2 * time.Second, Deadline: 10 * time.Second, Worth: 1, LateShare: 0.5, Effect: Unsafe,
 				Ordered: true},
 		},
-		Kinds:   []Kind{{PerCall: 1}, {PerCall: 3}, {PerCall: 1, Apart: true}},
+		Kinds:   []Kind{{PerCall: 1}, {PerCall: 3}, {PerCall: 1, SeparateRoutes: true}},
 		ZoneFee: []float64{0, 0.05},
-		Rules: Rules{AnswerGrace: 20 * ms, DrainGrace: time.Second, OverloadFactor: 2, Fall: 2 * time.Second,
-			ColdFrom: 0.2, Cold: 10 * time.Second, OrderSettle: 100 * ms},
+		Rules: Rules{AnswerGrace: 20 * ms, DrainGrace: time.Second, OverloadFactor: 2, OverloadWindow: 2 * time.Second,
+			ColdShare: 0.2, WarmUp: 10 * time.Second, OrderSettle: 100 * ms},
 	}
 }
 
 // rig drives one Chooser and keeps what it did.
-type rig struct {
-	t   *testing.T
-	c   *Chooser
-	now time.Duration
-	try map[string]int
+type harness struct {
+	t        *testing.T
+	chooser  *Chooser
+	now      time.Duration
+	attempts map[string]int
 }
 
-func newRig(t *testing.T, s Settings, hosts ...Host) *rig {
+func newHarness(t *testing.T, s Settings, hosts ...Host) *harness {
 	t.Helper()
 	c, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, c: c, now: time.Hour, try: map[string]int{}}
-	r.step(Listing{Whole: true, Hosts: hosts})
+	r := &harness{t: t, chooser: c, now: time.Hour, attempts: map[string]int{}}
+	r.step(ListUpdate{Complete: true, Hosts: hosts})
 	return r
 }
 
-func (r *rig) step(events ...Event) []Action {
-	acts := r.c.Step(r.now, events)
+func (r *harness) step(events ...Event) []Action {
+	acts := r.chooser.Step(r.now, events)
 	for _, a := range acts {
 		if s, ok := a.(Send); ok {
-			r.try[s.ID]++
+			r.attempts[s.ID]++
 		}
 	}
 	return acts
 }
 
 // after lets time pass in ticks, waking the Chooser, and returns all actions.
-func (r *rig) after(d time.Duration) []Action {
+func (r *harness) advance(d time.Duration) []Action {
 	var acts []Action
 	for end := r.now + d; r.now < end; {
 		r.now += 5 * ms
@@ -69,8 +69,8 @@
 	return acts
 }
 
-func (r *rig) end(id, host string, o Outcome, more ...func(*Result)) Result {
-	e := Result{ID: id, Host: host, Attempt: r.try[id] - 1, Outcome: o, Took: 50 * ms, Done: o == Served}
+func (r *harness) result(id, host string, o Outcome, more ...func(*Result)) Result {
+	e := Result{ID: id, Host: host, Attempt: r.attempts[id] - 1, Outcome: o, Took: 50 * ms, Done: o == Served}
 	for _, m := range more {
 		m(&e)
 	}
@@ -86,7 +86,7 @@
 	return out
 }
 
-func answers(acts []Action) string {
+func finalAnswers(acts []Action) string {
 	out := ""
 	for _, a := range acts {
 		switch a := a.(type) {
@@ -107,54 +107,54 @@
 	return Arrival{ID: id, Class: class, Dest: 1, Left: 10 * time.Second}
 }
 
-func TestOracleByHand(t *testing.T) {
-	tab := table{width: 10 * ms, weight: 1}
+func TestTimeoutFromKnownLatencies(t *testing.T) {
+	tab := latencyTable{width: 10 * ms, weight: 1}
 	for range 90 {
-		tab.add(15 * ms)
+		tab.addServed(15 * ms)
 	}
 	for range 10 {
-		tab.add(905 * ms)
+		tab.addServed(905 * ms)
 	}
-	tab.look()
-	if tab.edge != 20*ms {
-		t.Errorf("edge %v with a tenth of the answers 60 times slower, want the bucket of the fast ones, 20ms", tab.edge)
+	tab.refresh()
+	if tab.bestTimeout != 20*ms {
+		t.Errorf("edge %v with a tenth of the answers 60 times slower, want the bucket of the fast ones, 20ms", tab.bestTimeout)
 	}
-	same := table{width: 10 * ms, weight: 1}
+	same := latencyTable{width: 10 * ms, weight: 1}
 	for i := range 100 {
-		same.add(time.Duration(100+i%10) * ms)
+		same.addServed(time.Duration(100+i%10) * ms)
 	}
-	same.look()
-	if same.edge != 110*ms {
-		t.Errorf("edge %v for like answers, want 110ms, the end of their bucket", same.edge)
+	same.refresh()
+	if same.bestTimeout != 110*ms {
+		t.Errorf("edge %v for like answers, want 110ms, the end of their bucket", same.bestTimeout)
 	}
-	few := table{width: 10 * ms, weight: 1}
+	few := latencyTable{width: 10 * ms, weight: 1}
 	for range minSamples - 1 {
-		few.add(15 * ms)
+		few.addServed(15 * ms)
 	}
-	few.look()
-	if few.edge != 0 {
-		t.Errorf("edge %v from %d samples, want none", few.edge, minSamples-1)
+	few.refresh()
+	if few.bestTimeout != 0 {
+		t.Errorf("edge %v from %d samples, want none", few.bestTimeout, minSamples-1)
 	}
-	few.add(5 * time.Second) // beyond the bound
-	if few.beyond < 1 || few.total != minSamples {
-		t.Errorf("beyond %v, total %v after a sample over the bound", few.beyond, few.total)
+	few.addServed(5 * time.Second) // beyond the bound
+	if few.overBound < 1 || few.samples != minSamples {
+		t.Errorf("beyond %v, total %v after a sample over the bound", few.overBound, few.samples)
 	}
 }
 
-func TestTableFades(t *testing.T) {
-	tab := table{width: 10 * ms, weight: 1}
+func TestLatencyTableRelearns(t *testing.T) {
+	tab := latencyTable{width: 10 * ms, weight: 1}
 	for range 1000 {
-		tab.add(15 * ms)
+		tab.addServed(15 * ms)
 	}
-	for range 2 * memory {
-		tab.add(505 * ms)
+	for range 2 * sampleMemory {
+		tab.addServed(505 * ms)
 	}
-	tab.look()
-	if tab.edge < 510*ms {
-		t.Errorf("edge %v after the destination slowed, want it relearned to 510ms", tab.edge)
+	tab.refresh()
+	if tab.bestTimeout < 510*ms {
+		t.Errorf("edge %v after the destination slowed, want it relearned to 510ms", tab.bestTimeout)
 	}
 	for range 10000 {
-		tab.add(505 * ms)
+		tab.addServed(505 * ms)
 	}
 	if math.IsInf(tab.weight, 0) || tab.weight > 1e7 {
 		t.Errorf("weight %v grows without bound", tab.weight)
@@ -162,7 +162,7 @@
 }
 
 // TestAnswers has one row for each outcome and effect: what becomes of the message.
-func TestAnswers(t *testing.T) {
+func TestOutcomeByEffect(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
 		outcome Outcome
@@ -174,16 +174,16 @@
 		{2, NoConnection, "again"}, {2, Refused, "again"}, {2, NotSent, "again"},
 	} {
 		t.Run(fmt.Sprintf("class%d-outcome%d", tc.class, tc.outcome), func(t *testing.T) {
-			r := newRig(t, settings(), ready("a", 1, 0, 0))
+			r := newHarness(t, settings(), ready("a", 1, 0, 0))
 			if n := len(sends(r.step(arrival("m", tc.class)))); n != 1 {
 				t.Fatalf("%d sends for an arrival, want 1", n)
 			}
 			r.now += 50 * ms
-			acts := r.step(r.end("m", "a", tc.outcome))
-			got := answers(acts)
+			acts := r.step(r.result("m", "a", tc.outcome))
+			got := finalAnswers(acts)
 			if tc.want == "again" {
-				acts = append(acts, r.after(3*time.Second)...)
-				if got = answers(acts); got != "" || len(sends(acts)) != 1 {
+				acts = append(acts, r.advance(3*time.Second)...)
+				if got = finalAnswers(acts); got != "" || len(sends(acts)) != 1 {
 					t.Errorf("answers %q, %d sends, want one more send", got, len(sends(acts)))
 				}
 			} else if got != tc.want || len(sends(acts)) != 0 {
@@ -193,26 +193,26 @@
 	}
 }
 
-func TestHeldIsAnsweredInTime(t *testing.T) {
-	r := newRig(t, settings()) // no host at all
+func TestPendingMessageIsAnsweredByItsDeadline(t *testing.T) {
+	r := newHarness(t, settings()) // no host at all
 	r.step(arrival("m", 2))
-	if got := answers(r.after(9900 * ms)); got != "" {
+	if got := finalAnswers(r.advance(9900 * ms)); got != "" {
 		t.Fatalf("answered early: %q", got)
 	}
-	if got := answers(r.after(100 * ms)); got != "refuse m;" {
+	if got := finalAnswers(r.advance(100 * ms)); got != "refuse m;" {
 		t.Errorf("at the deadline %q, want a refusal", got)
 	}
-	if len(r.c.msgs) != 0 || r.c.held != 0 {
-		t.Errorf("%d messages kept, %d held after the answer", len(r.c.msgs), r.c.held)
+	if len(r.chooser.messages) != 0 || r.chooser.pending != 0 {
+		t.Errorf("%d messages kept, %d held after the answer", len(r.chooser.messages), r.chooser.pending)
 	}
 }
 
 func TestKeyedStaysInZoneAndWindow(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 2, 0), ready("b", 1, 2, 1))
+	r := newHarness(t, settings(), ready("a", 1, 2, 0), ready("b", 1, 2, 1))
 	first := sends(r.step(arrival("m", 1)))[0].Host
 	r.now += 50 * ms
-	acts := r.step(r.end("m", first, Error))
-	acts = append(acts, r.after(2800*ms)...)
+	acts := r.step(r.result("m", first, Error))
+	acts = append(acts, r.advance(2800*ms)...)
 	for _, s := range sends(acts) {
 		if s.Host != first {
 			t.Errorf("resent to %s, outside the zone of %s", s.Host, first)
@@ -225,66 +225,66 @@
 		t.Fatalf("%d sends within the window, want 1", len(sends(acts)))
 	}
 	r.now += 100 * ms
-	acts = r.step(r.end("m", first, Error))
-	if got := answers(append(acts, r.after(time.Second)...)); got != "fail m;" {
+	acts = r.step(r.result("m", first, Error))
+	if got := finalAnswers(append(acts, r.advance(time.Second)...)); got != "fail m;" {
 		t.Errorf("after its window %q, want it failed", got)
 	}
 }
 
-func TestDrainingGetsNothingNew(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestDrainingEndpointGetsNoNewCalls(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	h := ready("a", 1, 0, 0)
 	h.State = Draining
-	if n := len(sends(r.step(Listing{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
+	if n := len(sends(r.step(ListUpdate{Hosts: []Host{h}}, arrival("m", 0)))); n != 0 {
 		t.Errorf("%d sends to a draining host", n)
 	}
-	if n := len(sends(r.step(Listing{Whole: true}))); n != 0 {
+	if n := len(sends(r.step(ListUpdate{Complete: true}))); n != 0 {
 		t.Errorf("%d sends to a host that is gone", n)
 	}
 }
 
-func TestToldWaitIsKept(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestRetryAfterIsHonoured(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	r.step(arrival("m", 0))
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Refused, func(e *Result) { e.Wait = 700 * ms }), arrival("n", 2))
-	if acts = append(acts, r.after(695*ms)...); len(sends(acts)) != 0 {
+	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.RetryAfter = 700 * ms }), arrival("n", 2))
+	if acts = append(acts, r.advance(695*ms)...); len(sends(acts)) != 0 {
 		t.Errorf("%d sends within the wait", len(sends(acts)))
 	}
-	if len(sends(r.after(2*time.Second))) == 0 {
+	if len(sends(r.advance(2*time.Second))) == 0 {
 		t.Errorf("nothing sent after the wait")
 	}
 }
 
-func TestOrderOfAKey(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestMessagesOfAKeyGoInOrder(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	m, n := arrival("m", 3), arrival("n", 3)
 	m.Key, n.Key = "k", "k"
 	if got := sends(r.step(m, n)); len(got) != 1 || got[0].ID != "m" {
 		t.Fatalf("sent %v, want m alone", got)
 	}
 	r.now += 50 * ms
-	acts := r.step(r.end("m", "a", Reset))
-	if acts = append(acts, r.after(95*ms)...); len(sends(acts)) != 0 {
+	acts := r.step(r.result("m", "a", Reset))
+	if acts = append(acts, r.advance(95*ms)...); len(sends(acts)) != 0 {
 		t.Errorf("sent %v while the key rests", sends(acts))
 	}
-	if got := sends(r.after(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
+	if got := sends(r.advance(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
 		t.Errorf("sent %v after the rest, want n", got)
 	}
-	r.step(r.end("n", "a", Served))
-	r.after(200 * ms)
-	if len(r.c.lines) != 0 {
-		t.Errorf("%d keys kept", len(r.c.lines))
+	r.step(r.result("n", "a", Served))
+	r.advance(200 * ms)
+	if len(r.chooser.keyQueues) != 0 {
+		t.Errorf("%d keys kept", len(r.chooser.keyQueues))
 	}
 }
 
-func TestEachFurtherTryWaitsLonger(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestTimeoutGrowsWithEachAttempt(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	for i := range 2 * minSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served))
+		r.step(r.result(id, "a", Served))
 	}
 	got := sends(r.step(arrival("m", 0)))
 	last := got[0].Timeout
@@ -293,22 +293,22 @@
 	}
 	for range 2 {
 		r.now += last
-		acts := r.step(r.end("m", "a", Timeout))
-		if got = append(sends(acts), sends(r.after(3*time.Second))...); len(got) != 1 {
+		acts := r.step(r.result("m", "a", Timeout))
+		if got = append(sends(acts), sends(r.advance(3*time.Second))...); len(got) != 1 {
 			t.Fatalf("%d sends after a time-out", len(got))
 		}
-		if got[0].Timeout < last+r.c.bound/buckets {
+		if got[0].Timeout < last+r.chooser.maxTimeout/buckets {
 			t.Errorf("time-out %v after %v, want a bucket more", got[0].Timeout, last)
 		}
 		last = got[0].Timeout
 	}
 }
 
-func TestOneDestinationStaysUnderThreeQuarters(t *testing.T) {
+func TestOneDestinationLeavesSlotsFree(t *testing.T) {
 	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
 		s := settings()
 		s.Workers = tc.workers
-		r := newRig(t, s, ready("a", 1, 0, 0))
+		r := newHarness(t, s, ready("a", 1, 0, 0))
 		var events []Event
 		for i := range 20 {
 			events = append(events, arrival(fmt.Sprint(i), 0))
@@ -319,54 +319,54 @@
 	}
 }
 
-func TestCallsAreShared(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 1, 0))
-	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.c.busy != 1 {
-		t.Errorf("%d sends in %d calls, want 3 in one", n, r.c.busy)
+func TestMessagesShareACall(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 1, 0))
+	if n := len(sends(r.step(arrival("1", 0), arrival("2", 0), arrival("3", 0)))); n != 3 || r.chooser.inFlight != 1 {
+		t.Errorf("%d sends in %d calls, want 3 in one", n, r.chooser.inFlight)
 	}
 }
 
 // TestColdReturn: two failures make a unit suspect; after it answers again, the relay stays within
 // its share of the rule's budget.
-func TestColdReturn(t *testing.T) {
+func TestColdDestinationStaysWithinBudget(t *testing.T) {
 	s := settings()
 	s.Workers = 100
 	h := ready("a", 1, 0, 0)
 	h.Rate = 10
-	r := newRig(t, s, h)
+	r := newHarness(t, s, h)
 	for _, id := range []string{"x", "y"} {
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 60 {
 		events = append(events, arrival(fmt.Sprint(i), 0))
 	}
-	trial := append(sends(r.step(events...)), sends(r.after(time.Second))...)
+	trial := append(sends(r.step(events...)), sends(r.advance(time.Second))...)
 	if len(trial) != 1 {
 		t.Fatalf("%d calls to a suspect unit, want a single trial", len(trial))
 	}
-	acts := r.step(r.end(trial[0].ID, "a", Served))
-	acts = append(acts, r.after(s.Rules.Fall)...)
-	share := s.Rules.ColdFrom + (1-s.Rules.ColdFrom)*s.Rules.Fall.Seconds()/s.Rules.Cold.Seconds()
-	most := s.Rules.OverloadFactor * share * 10 * s.Rules.Fall.Seconds() / 2
+	acts := r.step(r.result(trial[0].ID, "a", Served))
+	acts = append(acts, r.advance(s.Rules.OverloadWindow)...)
+	share := s.Rules.ColdShare + (1-s.Rules.ColdShare)*s.Rules.OverloadWindow.Seconds()/s.Rules.WarmUp.Seconds()
+	most := s.Rules.OverloadFactor * share * 10 * s.Rules.OverloadWindow.Seconds() / 2
 	if n := float64(len(sends(acts))); n < 1 || n > most {
 		t.Errorf("%v calls in the first window after an outage, want 1 to %v", n, most)
 	}
 }
 
 // TestStuckCallsAreCalledOff guards the slots: calls nobody answers may not hold them all.
-func TestStuckCallsAreCalledOff(t *testing.T) {
+func TestStuckCallsAreCancelled(t *testing.T) {
 	s := settings()
 	s.Workers = 2
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
 	for i := 1; i <= 3; i++ {
 		m := arrival(fmt.Sprint(i), 2)
 		m.Dest = i
 		r.step(m)
 	}
-	for _, a := range r.after(4 * time.Second) {
+	for _, a := range r.advance(4 * time.Second) {
 		if _, ok := a.(Cancel); ok {
 			return
 		}
@@ -375,34 +375,34 @@
 }
 
 // TestOneHostDownLeavesItsDestinationWell: the loss of one machine is not that of the destination.
-func TestOneHostDownLeavesItsDestinationWell(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 1, 0, 0))
+func TestOneFailedHostLeavesDestinationHealthy(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0), ready("b", 1, 0, 0))
 	for i := range 6 {
 		id := fmt.Sprint(i)
 		for _, s := range sends(r.step(arrival(id, 0))) {
 			r.now += 50 * ms
 			for s.Host == "a" {
-				again := sends(r.step(r.end(id, "a", NoConnection)))
+				again := sends(r.step(r.result(id, "a", NoConnection)))
 				if len(again) != 1 {
 					t.Fatalf("%d sends after a failed connection, want one to the other host", len(again))
 				}
 				s = again[0]
 			}
-			r.step(r.end(id, s.Host, Served))
+			r.step(r.result(id, s.Host, Served))
 		}
 	}
-	if u := r.c.dests[1].units[0]; u.state != healthy {
+	if u := r.chooser.dests[1].units[0]; u.state != healthy {
 		t.Errorf("unit is in state %d", u.state)
 	}
 }
 
 // Guards against a destination that cuts its limit for a while and is then sent little for long, and the same
 // after a list with a rough rate that is too low.
-func TestPaceFollowsTheLimitTold(t *testing.T) {
+func TestPaceFollowsReportedLimit(t *testing.T) {
 	s := settings()
-	s.ReportLimit = 0
+	s.ReportLimitIndex = 0
 	host := ready("a", 1, 0, 0)
-	r := newRig(t, s, host)
+	r := newHarness(t, s, host)
 	n := 0
 	served := func(limit float64) int { // in a second, by a host that tells that limit
 		count := 0
@@ -414,7 +414,7 @@
 				acts = nil
 				for _, o := range out {
 					count++
-					acts = append(acts, r.step(r.end(o.ID, o.Host, Served, func(e *Result) { e.Report = []float64{limit} }))...)
+					acts = append(acts, r.step(r.result(o.ID, o.Host, Served, func(e *Result) { e.Report = []float64{limit} }))...)
 				}
 			}
 		}
@@ -426,7 +426,7 @@
 	}
 	served(50)
 	host.Rate = 10
-	r.step(Listing{Hosts: []Host{host}})
+	r.step(ListUpdate{Hosts: []Host{host}})
 	if after := served(50); after < 40 {
 		t.Errorf("%d a second after the cut, want 40 at least", after)
 	}
@@ -435,16 +435,16 @@
 // Guards against an outage seen where only kept connections broke, which their machine had given up.
 func TestStaleConnectionsAreNoOutage(t *testing.T) {
 	for _, stale := range []bool{true, false} {
-		r := newRig(t, settings(), ready("a", 1, 0, 0))
+		r := newHarness(t, settings(), ready("a", 1, 0, 0))
 		healthy := true
 		for i := range 4 {
 			id := fmt.Sprint("m", i)
 			r.step(arrival(id, 0))
-			for _, a := range r.step(r.end(id, "a", Reset, func(e *Result) { e.Stale = stale })) {
+			for _, a := range r.step(r.result(id, "a", Reset, func(e *Result) { e.StaleConn = stale })) {
 				h, ok := a.(Health)
 				healthy = healthy && !(ok && h.Unwell)
 			}
-			r.after(time.Second)
+			r.advance(time.Second)
 		}
 		if healthy != stale {
 			t.Errorf("resets with Stale %v: healthy is %v", stale, healthy)
@@ -454,27 +454,27 @@
 
 // Guards against a tenant that floods the relay and so takes the place of those within their shares: a
 // message of theirs goes before what waits beyond a share, and that is given back first.
-func TestPastItsShareATenantComesLast(t *testing.T) {
+func TestMessagesOverTenantShareGoLast(t *testing.T) {
 	s := settings()
-	s.Workers, s.MaxHeld = 1, 20
-	s.Tenants, s.OverShare = []Tenant{{Quota: 4}, {Quota: 4}}, 0.05
-	r := newRig(t, s, ready("a", 1, 0, 0))
+	s.Workers, s.MaxPending = 1, 20
+	s.Tenants, s.OverShareFactor = []Tenant{{Quota: 4}, {Quota: 4}}, 0.05
+	r := newHarness(t, s, ready("a", 1, 0, 0))
 	var events []Event
 	for i := range 18 {
 		events = append(events, arrival(fmt.Sprint("flood", i), 0))
 	}
 	r.step(events...)
-	r.after(3 * time.Second) // the flood is worth less by now than when it was fresh
+	r.advance(3 * time.Second) // the flood is worth less by now than when it was fresh
 	var acts []Action
 	for i := range 3 {
 		m := arrival(fmt.Sprint("m", i), 0)
 		m.Tenant = 1
 		acts = append(acts, r.step(m)...)
 	}
-	if got := answers(acts); got == "" || strings.Contains(got, "refuse m") {
+	if got := finalAnswers(acts); got == "" || strings.Contains(got, "refuse m") {
 		t.Errorf("answers in the crowd are %q, want some of the flood", got)
 	}
-	acts = append(r.step(r.end("flood0", "a", Served)), r.after(time.Second)...)
+	acts = append(r.step(r.result("flood0", "a", Served)), r.advance(time.Second)...)
 	next := sends(acts)
 	// Three more of the flood are within its share; the rest is not.
 	for i := range 6 {
@@ -484,7 +484,7 @@
 		if id := next[0].ID; strings.HasPrefix(id, "flood") && !slices.Contains([]string{"flood1", "flood2", "flood3"}, id) {
 			t.Fatalf("%s went out as number %d, before what is within its share", id, i)
 		}
-		acts = append(r.step(r.end(next[0].ID, "a", Served)), r.after(time.Second)...)
+		acts = append(r.step(r.result(next[0].ID, "a", Served)), r.advance(time.Second)...)
 		next = sends(acts)
 	}
 }
@@ -493,7 +493,7 @@
 	for name, spoil := range map[string]func(*Settings){
 		"workers": func(s *Settings) { s.Workers = 0 }, "fleet": func(s *Settings) { s.Fleet = 0 },
 		"classes": func(s *Settings) { s.Classes = nil }, "aim": func(s *Settings) { s.Classes[0].Aim = 0 },
-		"tick": func(s *Settings) { s.Tick = 0 }, "fall": func(s *Settings) { s.Rules.Fall = 0 },
+		"tick": func(s *Settings) { s.Tick = 0 }, "fall": func(s *Settings) { s.Rules.OverloadWindow = 0 },
 	} {
 		s := settings()
 		spoil(&s)
@@ -505,17 +505,17 @@
 
 // TestLargeFleetSpacesItsCalls: where this relay's share of the budget is under one call in the
 // rule's window, it sends less than one call in it.
-func TestLargeFleetSpacesItsCalls(t *testing.T) {
+func TestLargeFleetSpacesTrials(t *testing.T) {
 	s := settings()
 	s.Fleet, s.Workers = 12, 100
 	h := ready("a", 1, 0, 0)
 	h.Rate = 4
-	r := newRig(t, s, h)
+	r := newHarness(t, s, h)
 	for _, id := range []string{"x", "y"} {
-		r.after(time.Second)
+		r.advance(time.Second)
 		r.step(arrival(id, 2))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Error))
+		r.step(r.result(id, "a", Error))
 	}
 	var events []Event
 	for i := range 20 {
@@ -527,7 +527,7 @@
 		var ends []Event
 		for _, o := range out {
 			trials++
-			ends = append(ends, r.end(o.ID, "a", NoConnection))
+			ends = append(ends, r.result(o.ID, "a", NoConnection))
 		}
 		r.now += 5 * ms
 		out = sends(r.step(append(ends, Woken{})...))
@@ -541,13 +541,13 @@
 
 // TestBacklogHoldsRestartsBack: while a message waits for the destination,
 // a call is given up only when it is very likely lost.
-func TestBacklogHoldsRestartsBack(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestWaitingMessagesRaiseTimeout(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	for i := range 4 * minSamples {
 		id := fmt.Sprint("w", i)
 		r.step(arrival(id, 0))
 		r.now += 50 * ms
-		r.step(r.end(id, "a", Served, func(e *Result) {
+		r.step(r.result(id, "a", Served, func(e *Result) {
 			if e.Took = 100 * ms; i%8 == 0 {
 				e.Took = 1900 * ms // a tail that restarts would cut
 			}
@@ -566,16 +566,16 @@
 
 // TestLostCallsAreCalledOff: a call that nobody answers is given up for want of a slot even where
 // its destination goes on serving others.
-func TestLostCallsAreCalledOff(t *testing.T) {
+func TestLostCallIsCancelled(t *testing.T) {
 	s := settings()
 	s.Workers = 3
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	r := newHarness(t, s, ready("a", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
 	r.step(arrival("lost", 2))
 	var out []Send
 	for i := range 200 {
 		var events []Event
 		for _, x := range out {
-			events = append(events, r.end(x.ID, x.Host, Served))
+			events = append(events, r.result(x.ID, x.Host, Served))
 		}
 		for dest := 1; dest <= 3; dest++ {
 			for k := range 2 {
@@ -598,23 +598,23 @@
 
 // TestRefusalsInALargeFleet: relays that meet a destination seldom come back after growing pauses, and
 // not in step, so that together they get under its limit.
-func TestRefusalsInALargeFleet(t *testing.T) {
+func TestLargeFleetSpreadsRetriesAfterRefusals(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
 	h := ready("a", 1, 0, 0)
 	h.Rate = 4
 	var first []time.Duration
 	for seed := range uint64(5) {
-		r := newRig(t, s, h)
-		r.c.rand = rand.New(rand.NewPCG(seed, 0))
+		r := newHarness(t, s, h)
+		r.chooser.rand = rand.New(rand.NewPCG(seed, 0))
 		r.step(arrival("m", 0))
 		start, tries := r.now, 0
 		for r.now < start+9*time.Second {
-			if r.c.msgs["m"] != nil && r.c.msgs["m"].call != nil {
-				r.step(r.end("m", "a", Refused))
+			if r.chooser.messages["m"] != nil && r.chooser.messages["m"].call != nil {
+				r.step(r.result("m", "a", Refused))
 				tries++
 			}
-			if r.after(5 * ms); tries == 1 && r.c.msgs["m"].call != nil {
+			if r.advance(5 * ms); tries == 1 && r.chooser.messages["m"].call != nil {
 				first = append(first, r.now-start)
 			}
 		}
@@ -628,7 +628,7 @@
 }
 
 // TestRelaysDoNotAllLikeOneHost: relays of a large fleet spread over the hosts of a destination.
-func TestRelaysDoNotAllLikeOneHost(t *testing.T) {
+func TestRelaysSpreadOverHosts(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
 	used := map[string]int{}
@@ -639,7 +639,7 @@
 		}
 		a, b := ready("a", 1, 0, 0), ready("b", 1, 0, 0)
 		a.Rate, b.Rate = 4, 4
-		acts := c.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{a, b}}, arrival("m", 0)})
+		acts := c.Step(time.Hour, []Event{ListUpdate{Complete: true, Hosts: []Host{a, b}}, arrival("m", 0)})
 		used[sends(acts)[0].Host]++
 	}
 	if used["a"] < 4 || used["b"] < 4 {
@@ -655,12 +655,12 @@
 	h := ready("a", 1, 0, 0)
 	h.Rate = 4
 	pause := func(luck float64) time.Duration {
-		r := newRig(t, s, h)
-		r.c.luck[0] = luck
+		r := newHarness(t, s, h)
+		r.chooser.retrySuccess[0] = luck
 		r.step(arrival("m", 0))
 		r.now += 50 * ms
-		r.step(r.end("m", "a", Refused))
-		return r.c.dests[1].units[0].pauseUntil - r.now
+		r.step(r.result("m", "a", Refused))
+		return r.chooser.dests[1].units[0].pauseUntil - r.now
 	}
 	if often, never := pause(0.5), pause(0.05); often > 2*time.Second || never < 5*time.Second {
 		t.Errorf("pauses %v where retries are served and %v where not, want under 2s and over 5s", often, never)
@@ -668,10 +668,10 @@
 }
 
 // TestSlowCallsAreServedInTheEnd: each further try of a message is called off later than the one before.
-func TestSlowCallsAreServedInTheEnd(t *testing.T) {
+func TestCancelLimitGrowsWithAttempts(t *testing.T) {
 	s := settings()
-	s.Workers, s.MaxHeld = 2, 1000
-	r := newRig(t, s, ready("slow", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
+	s.Workers, s.MaxPending = 2, 1000
+	r := newHarness(t, s, ready("slow", 1, 0, 0), ready("b", 2, 0, 0), ready("c", 3, 0, 0))
 	var took []time.Duration
 	var events []Event
 	events = append(events, arrival("m", 0))
@@ -690,11 +690,11 @@
 				if a.ID == "m" {
 					sent = r.now
 				} else {
-					events = append(events, r.end(a.ID, a.Host, Served))
+					events = append(events, r.result(a.ID, a.Host, Served))
 				}
 			case Cancel:
 				took = append(took, r.now-sent)
-				events = append(events, r.end(a.ID, "slow", Cancelled))
+				events = append(events, r.result(a.ID, "slow", Cancelled))
 			}
 		}
 		r.now += 50 * ms
@@ -706,20 +706,20 @@
 
 // TestFirstFailureWhereSeldomMet: a relay of a large fleet that has nothing served lately to speak against
 // an outage takes the first failure for one, and does not try again at once; a small fleet's relay goes on.
-func TestFirstFailureWhereSeldomMet(t *testing.T) {
+func TestFirstFailureInALargeFleetIsAnOutage(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
 		s := settings()
 		s.Fleet = fleet
 		h := ready("a", 1, 0, 0)
 		h.Rate = 4
-		r := newRig(t, s, h)
-		r.after(5 * time.Second)
+		r := newHarness(t, s, h)
+		r.advance(5 * time.Second)
 		r.step(arrival("m", 0))
-		r.step(r.end("m", "a", NoConnection))
-		if got := r.c.dests[1].units[0].state; got != want {
+		r.step(r.result("m", "a", NoConnection))
+		if got := r.chooser.dests[1].units[0].state; got != want {
 			t.Errorf("fleet of %d: health %v after the first failure, want %v", fleet, got, want)
 		}
-		if n := len(sends(r.after(5 * time.Second))); want == suspect && n > 0 {
+		if n := len(sends(r.advance(5 * time.Second))); want == suspect && n > 0 {
 			t.Errorf("fleet of %d: %d calls within 5s of the first failure, want none", fleet, n)
 		}
 	}
@@ -727,14 +727,14 @@
 
 // TestARelayThatStoodStill: outcomes that come all at once after a gap are taken in before anything is
 // judged, so that the relay's own stall is no silence of a destination.
-func TestARelayThatStoodStill(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0), ready("b", 2, 0, 0))
+func TestStalledRelaySuspectsNoDestination(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0), ready("b", 2, 0, 0))
 	other := arrival("n", 0)
 	other.Dest = 2
 	r.step(arrival("m", 0), other)
 	r.now += 5 * time.Second
-	r.step(Woken{}, r.end("m", "a", Served), r.end("n", "b", Served))
-	for id, d := range r.c.dests {
+	r.step(Woken{}, r.result("m", "a", Served), r.result("n", "b", Served))
+	for id, d := range r.chooser.dests {
 		if got := d.units[0].state; got != healthy {
 			t.Errorf("destination %d: health %v after the relay's own stall, want healthy", id, got)
 		}
@@ -743,55 +743,55 @@
 
 // TestALongList: thousands of hosts at once, listed twice, cost no table
 // each and leave the relay able to send; hosts that leave are forgotten.
-func TestALongList(t *testing.T) {
+func TestListOfThousandsOfHosts(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
 		h := ready(fmt.Sprint("h", i), i, 0, 0)
 		hosts = append(hosts, h)
-		h.State = Gone
+		h.State = Removed
 		gone = append(gone, h)
 	}
-	r := newRig(t, settings(), hosts...)
-	r.step(Listing{Whole: true, Hosts: hosts})
+	r := newHarness(t, settings(), hosts...)
+	r.step(ListUpdate{Complete: true, Hosts: hosts})
 	m := arrival("m", 0)
 	m.Dest = 4999
 	if got := sends(r.step(m)); len(got) != 1 || got[0].Host != "h4999" {
 		t.Fatalf("sends %v, want one to h4999", got)
 	}
-	for id, d := range r.c.dests {
-		if d.table.count != nil {
+	for id, d := range r.chooser.dests {
+		if d.latencies.counts != nil {
 			t.Fatalf("destination %d has a table before its first answer", id)
 		}
 	}
-	r.step(r.end("m", "h4999", Served))
-	r.step(Listing{Hosts: gone})
-	if len(r.c.dests) != 0 || len(r.c.hosts) != 0 {
-		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.c.dests), len(r.c.hosts))
+	r.step(r.result("m", "h4999", Served))
+	r.step(ListUpdate{Hosts: gone})
+	if len(r.chooser.dests) != 0 || len(r.chooser.hosts) != 0 {
+		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.chooser.dests), len(r.chooser.hosts))
 	}
 }
 
 // Guards against a shut destination that is pushed over as it opens, cold: the answer of a call that went
 // out before it shut, and comes while the told wait runs, is no sign that it is well.
-func TestAnswerFromBeforeAWaitIsNoRecovery(t *testing.T) {
+func TestAnswerFromBeforeRetryAfterIsNoRecovery(t *testing.T) {
 	s := settings()
-	s.Workers, s.MaxHeld = 100, 1000
-	r := newRig(t, s, ready("a", 1, 0, 0))
+	s.Workers, s.MaxPending = 100, 1000
+	r := newHarness(t, s, ready("a", 1, 0, 0))
 	if n := len(sends(r.step(arrival("before", 0), arrival("refused", 0)))); n != 2 {
 		t.Fatalf("%d sends, want 2", n)
 	}
 	r.now += 50 * ms
-	r.step(r.end("refused", "a", Refused, func(e *Result) { e.Wait = 5 * time.Second }))
+	r.step(r.result("refused", "a", Refused, func(e *Result) { e.RetryAfter = 5 * time.Second }))
 	r.now += 50 * ms
-	r.step(r.end("before", "a", Served))
+	r.step(r.result("before", "a", Served))
 	for i := range 300 {
 		r.step(arrival(fmt.Sprint("m", i), 0))
 	}
-	r.after(4800 * ms)
+	r.advance(4800 * ms)
 	var sent int
 	for range 400 { // 2 s: its share of the cold budget is 0.9 x 2 x 0.36 x 100 x 2 s / 2 at most
-		for _, a := range sends(r.after(5 * ms)) {
+		for _, a := range sends(r.advance(5 * ms)) {
 			sent++
-			r.step(r.end(a.ID, "a", Served))
+			r.step(r.result(a.ID, "a", Served))
 		}
 	}
 	if sent == 0 || sent > 65 {
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -9,23 +9,23 @@
 )
 
 // coldPlay is a fleet of Choosers that share one destination, which is out for a while and returns cold.
-type coldPlay struct {
-	fleet    int
-	rate     float64 // listed, calls a second
-	skew     float64 // of the traffic: 0 for equal
-	load     float64 // messages a second of all, in shares of the rate
-	restarts int     // relays restarted within the ramp, in percent
-	together bool    // these at once, at any moment from 2 s before the return to 2 s after it
-	byHand   bool    // taken out and given back by operators, instead of an outage
-	fall     time.Duration
-	draw     uint64
+type coldReturn struct {
+	fleet           int
+	rate            float64 // listed, calls a second
+	skew            float64 // of the traffic: 0 for equal
+	load            float64 // messages a second of all, in shares of the rate
+	restartPercent  int     // relays restarted within the ramp, in percent
+	restartTogether bool    // these at once, at any moment from 2 s before the return to 2 s after it
+	manual          bool    // taken out and given back by operators, instead of an outage
+	window          time.Duration
+	seed            uint64
 }
 
-func (p coldPlay) settings() Settings {
+func (p coldReturn) settings() Settings {
 	s := settings()
-	s.Fleet, s.Listed, s.Workers, s.MaxHeld = p.fleet, true, 8, 0
+	s.Fleet, s.RatesListed, s.Workers, s.MaxPending = p.fleet, true, 8, 0
 	s.Kinds = []Kind{{PerCall: 1}}
-	s.Rules.Fall, s.Rules.Cold, s.Rules.ColdFrom, s.Rules.OverloadFactor = p.fall, 12*time.Second, 0.29, 1.5
+	s.Rules.OverloadWindow, s.Rules.WarmUp, s.Rules.ColdShare, s.Rules.OverloadFactor = p.window, 12*time.Second, 0.29, 1.5
 	s.Classes = []Class{{Name: "a", Aim: 3 * time.Second, Deadline: 12 * time.Second, Worth: 1, Effect: Safe}}
 	return s
 }
@@ -33,8 +33,8 @@
 // play runs the fleet on one clock, in steps of 20 ms. It returns when each call came after the return that was of a relay
 // which knew of the outage, also through a restart, and how many others came. Where a relay meets the destination seldom many
 // have not heard of the outage; in a small fleet their calls are held to the sum, too.
-func (p coldPlay) play(t testing.TB) (calls []time.Duration, untold int) {
-	r := rand.New(rand.NewPCG(p.draw, 77))
+func (p coldReturn) play(t testing.TB) (calls []time.Duration, untold int) {
+	r := rand.New(rand.NewPCG(p.seed, 77))
 	set := p.settings()
 	type relay struct {
 		c      *Chooser
@@ -52,11 +52,11 @@
 	for i := range p.fleet {
 		s := set
 		s.Index = i
-		c, err := New(s, p.draw*1000+uint64(i))
+		c, err := New(s, p.seed*1000+uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(0, []Event{Listing{Whole: true, Hosts: []Host{{Addr: "h", Dest: 1, State: Ready, Rate: p.rate}}}})
+		c.Step(0, []Event{ListUpdate{Complete: true, Hosts: []Host{{Addr: "h", Dest: 1, State: Ready, Rate: p.rate}}}})
 		re := &relay{c: c, share: math.Exp(p.skew * r.NormFloat64()), unwell: map[string]float64{}}
 		sum += re.share
 		all = append(all, re)
@@ -64,41 +64,41 @@
 	const warm, tick = 8 * time.Second, 20 * time.Millisecond
 	out := time.Duration((5 + 8*r.Float64()) * float64(time.Second))
 	back := warm + out
-	end := back + set.Rules.Cold
-	atOnce := time.Duration(float64(p.draw%9)*0.5*float64(time.Second)) - 2*time.Second
+	end := back + set.Rules.WarmUp
+	atOnce := time.Duration(float64(p.seed%9)*0.5*float64(time.Second)) - 2*time.Second
 	for _, re := range all {
-		if r.IntN(100) < p.restarts {
-			re.restartAt = back + time.Duration(r.Float64()*float64(set.Rules.Cold))
-			if p.together {
+		if r.IntN(100) < p.restartPercent {
+			re.restartAt = back + time.Duration(r.Float64()*float64(set.Rules.WarmUp))
+			if p.restartTogether {
 				re.restartAt = back + atOnce
 			}
 		}
-		if p.byHand {
+		if p.manual {
 			re.next = append(re.next, struct {
 				at time.Duration
 				e  Event
-			}{warm + time.Duration(r.IntN(200))*time.Millisecond, ByHand{Host: "h", Out: true}}, struct {
+			}{warm + time.Duration(r.IntN(200))*time.Millisecond, ManualChange{Host: "h", Disabled: true}}, struct {
 				at time.Duration
 				e  Event
-			}{back + time.Duration(r.IntN(200))*time.Millisecond, ByHand{Host: "h", Out: false}})
+			}{back + time.Duration(r.IntN(200))*time.Millisecond, ManualChange{Host: "h", Disabled: false}})
 		}
 	}
 	ids := 0
 	for now := time.Duration(0); now < end; now += tick {
 		for i, re := range all {
-			re.told = re.told || p.byHand && now >= back
+			re.told = re.told || p.manual && now >= back
 			var events []Event
 			if re.restartAt > 0 && now >= re.restartAt {
 				s := set
 				s.Index = i
-				re.c, _ = New(s, p.draw*1000+uint64(i)+500)
+				re.c, _ = New(s, p.seed*1000+uint64(i)+500)
 				re.restartAt, re.next = 0, nil
-				events = append(events, Listing{Whole: true, Hosts: []Host{{Addr: "h", Dest: 1, State: Ready, Rate: p.rate}}})
+				events = append(events, ListUpdate{Complete: true, Hosts: []Host{{Addr: "h", Dest: 1, State: Ready, Rate: p.rate}}})
 				for h, base := range re.unwell {
-					events = append(events, Unwell{Host: h, Base: base})
+					events = append(events, KnownOutage{Host: h, BaseRate: base})
 				}
-				if p.byHand && now > back {
-					events = append(events, ByHand{Host: "h", Ago: now - back})
+				if p.manual && now > back {
+					events = append(events, ManualChange{Host: "h", Ago: now - back})
 				}
 			}
 			keep := re.next[:0]
@@ -145,16 +145,16 @@
 
 // over returns the worst window beside N plus 2 root N plus 2, and the calls as a share of the budget of all windows. Under 30
 // calls the rule allows a little more (slowStartBound); these plays keep to the stricter form.
-func (p coldPlay) over(calls []time.Duration) (worst, bound, part float64) {
+func (p coldReturn) worstWindow(calls []time.Duration) (worst, bound, part float64) {
 	s := p.settings()
 	n := func(at time.Duration) float64 { // what the destination takes in a window that ends then
-		share := min(1, s.Rules.ColdFrom+(1-s.Rules.ColdFrom)*at.Seconds()/s.Rules.Cold.Seconds())
-		return s.Rules.OverloadFactor * share * p.rate * p.fall.Seconds()
+		share := min(1, s.Rules.ColdShare+(1-s.Rules.ColdShare)*at.Seconds()/s.Rules.WarmUp.Seconds())
+		return s.Rules.OverloadFactor * share * p.rate * p.window.Seconds()
 	}
 	excess := math.Inf(-1)
 	from := 0
 	for i, at := range calls {
-		for at-calls[from] > p.fall {
+		for at-calls[from] > p.window {
 			from++
 		}
 		got, most := float64(i-from+1), n(at)
@@ -163,8 +163,8 @@
 		}
 	}
 	budget := 0.0
-	for at := time.Duration(0); at < s.Rules.Cold; at += p.fall {
-		budget += n(at + p.fall/2)
+	for at := time.Duration(0); at < s.Rules.WarmUp; at += p.window {
+		budget += n(at + p.window/2)
 	}
 	return worst, bound, float64(len(calls)) / budget
 }
@@ -181,21 +181,21 @@
 		rate  float64
 		draws uint64
 	}{{2, 5, draws}, {20, 5, draws}, {30, 5, draws}, {300, 5, draws / 4}, {2, 40, draws}, {5, 60, draws}, {20, 30, draws / 4}, {30, 60, draws / 8}, {100, 60, draws / 20}, {300, 200, draws / 40}} {
-		for _, p := range []coldPlay{
-			{load: 1}, {load: 1, skew: 1}, {load: 2, skew: 1}, {load: 1, restarts: 40}, {load: 2, byHand: true}, {load: 2, byHand: true, restarts: 40, skew: 1},
-			{load: 2, restarts: 70, together: true},
+		for _, p := range []coldReturn{
+			{load: 1}, {load: 1, skew: 1}, {load: 2, skew: 1}, {load: 1, restartPercent: 40}, {load: 2, manual: true}, {load: 2, manual: true, restartPercent: 40, skew: 1},
+			{load: 2, restartPercent: 70, restartTogether: true},
 		} {
-			p.fleet, p.rate, p.fall = of.fleet, of.rate, 2*time.Second
-			t.Run(fmt.Sprintf("%d rate %g load %g skew %g restarts %d by hand %v", of.fleet, of.rate, p.load, p.skew, p.restarts, p.byHand), func(t *testing.T) {
+			p.fleet, p.rate, p.window = of.fleet, of.rate, 2*time.Second
+			t.Run(fmt.Sprintf("%d rate %g load %g skew %g restarts %d by hand %v", of.fleet, of.rate, p.load, p.skew, p.restartPercent, p.manual), func(t *testing.T) {
 				draws := max(1, of.draws)
 				broken, most, bound, part, others := 0, math.Inf(-1), 0.0, 0.0, 0
-				for p.draw = range draws {
+				for p.seed = range draws {
 					calls, untold := p.play(t)
 					others += untold
 					if len(calls) == 0 {
 						continue
 					}
-					w, b, share := p.over(calls)
+					w, b, share := p.worstWindow(calls)
 					if part += share / float64(draws); w > b {
 						broken++
 					}
--- a/choice/cost_test.go
+++ b/choice/cost_test.go
@@ -7,24 +7,24 @@
 )
 
 // flow is a Chooser with so many endpoints listed and messages held, and time that the caller moves on.
-type flow struct {
-	c    *Chooser
-	now  time.Duration
-	n    int
-	acts []Action
+type stepBench struct {
+	chooser *Chooser
+	now     time.Duration
+	count   int
+	actions []Action
 }
 
 // newFlow lists endpoints of destinations with two each. The messages held go to the first of these, whose
 // endpoints drain, so that they wait; what comes later goes to others.
-func newFlow(tb testing.TB, fleet, endpoints, held int) *flow {
+func newStepBench(tb testing.TB, fleet, endpoints, held int) *stepBench {
 	tb.Helper()
 	s := settings()
-	s.Fleet, s.Workers, s.MaxHeld, s.ReportLeft, s.ReportLimit = fleet, 8, 2*held+16, 0, 1
+	s.Fleet, s.Workers, s.MaxPending, s.ReportLeftIndex, s.ReportLimitIndex = fleet, 8, 2*held+16, 0, 1
 	c, err := New(s, 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	f := &flow{c: c, now: time.Hour}
+	f := &stepBench{chooser: c, now: time.Hour}
 	hosts := make([]Host, endpoints)
 	for i := range hosts {
 		hosts[i] = ready(fmt.Sprint("e", i), i/2, 0, i%2)
@@ -33,29 +33,29 @@
 			hosts[i].State = Draining
 		}
 	}
-	f.step(Listing{Whole: true, Hosts: hosts})
+	f.step(ListUpdate{Complete: true, Hosts: hosts})
 	for i := range held {
 		f.step(Arrival{ID: fmt.Sprint("held", i), Class: 1, Dest: 0, Left: s.Classes[1].Deadline, Tenant: -1})
 	}
 	return f
 }
 
-func (f *flow) step(events ...Event) { f.acts = f.c.Step(f.now, events) }
+func (f *stepBench) step(events ...Event) { f.actions = f.chooser.Step(f.now, events) }
 
 // message has one message come, go and be served, as three Steps of a relay; one of them a wake-up for nothing.
-func (f *flow) message(tb testing.TB) {
-	f.n++
+func (f *stepBench) serveNext(tb testing.TB) {
+	f.count++
 	f.now += 100 * time.Microsecond // what is held stays far from its time
-	id := fmt.Sprint("m", f.n)
-	f.step(Arrival{ID: id, Class: 1, Dest: 1 + f.n%14, Left: 10 * time.Second, Tenant: -1})
+	id := fmt.Sprint("m", f.count)
+	f.step(Arrival{ID: id, Class: 1, Dest: 1 + f.count%14, Left: 10 * time.Second, Tenant: -1})
 	var sent Send
-	for _, a := range f.acts {
+	for _, a := range f.actions {
 		if s, ok := a.(Send); ok {
 			sent = s
 		}
 	}
 	if sent.ID != id {
-		tb.Fatalf("message %s was not sent: %v", id, f.acts)
+		tb.Fatalf("message %s was not sent: %v", id, f.actions)
 	}
 	f.step(Woken{})
 	f.step(Result{ID: id, Host: sent.Host, Outcome: Served, Took: 20 * time.Millisecond, Done: true, Report: []float64{0.9, 1e6}})
@@ -67,15 +67,15 @@
 		for _, endpoints := range []int{30, 1000} {
 			for _, held := range []int{10, 1000} {
 				b.Run(fmt.Sprintf("fleet=%d/endpoints=%d/held=%d", fleet, endpoints, held), func(b *testing.B) {
-					f := newFlow(b, fleet, endpoints, held)
+					f := newStepBench(b, fleet, endpoints, held)
 					b.ReportAllocs()
 					for i := 0; b.Loop(); i++ {
 						if i%20000 == 19999 { // before the messages held run out of time
 							b.StopTimer()
-							f = newFlow(b, fleet, endpoints, held)
+							f = newStepBench(b, fleet, endpoints, held)
 							b.StartTimer()
 						}
-						f.message(b)
+						f.serveNext(b)
 					}
 				})
 			}
@@ -87,14 +87,14 @@
 func BenchmarkList(b *testing.B) {
 	for _, endpoints := range []int{30, 1000} {
 		b.Run(fmt.Sprint("endpoints=", endpoints), func(b *testing.B) {
-			f := newFlow(b, 300, endpoints, 0)
+			f := newStepBench(b, 300, endpoints, 0)
 			hosts := make([]Host, 0, endpoints)
-			for _, h := range f.c.hosts {
+			for _, h := range f.chooser.hosts {
 				hosts = append(hosts, h.Host)
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				f.step(Listing{Whole: true, Hosts: hosts})
+				f.step(ListUpdate{Complete: true, Hosts: hosts})
 			}
 		})
 	}
@@ -102,13 +102,13 @@
 
 // Guards against a message that costs more the more endpoints are listed, or the more others wait elsewhere:
 // a relay looks at what has messages, not at all that it knows.
-func TestAllocationsDoNotGrowWithWhatIsKnown(t *testing.T) {
+func TestAllocationsDoNotGrowWithListOrPending(t *testing.T) {
 	per := func(endpoints, held int) float64 {
-		f := newFlow(t, 300, endpoints, held)
+		f := newStepBench(t, 300, endpoints, held)
 		for range 200 {
-			f.message(t)
+			f.serveNext(t)
 		}
-		return testing.AllocsPerRun(500, func() { f.message(t) })
+		return testing.AllocsPerRun(500, func() { f.serveNext(t) })
 	}
 	few := per(30, 10)
 	if few > 26 {
--- a/choice/events.go
+++ b/choice/events.go
@@ -19,17 +19,17 @@
 
 // Result ends one attempt.
 type Result struct {
-	ID      string
-	Host    string
-	Attempt int
-	Outcome Outcome
-	Took    time.Duration // since the attempt went out
-	Wait    time.Duration // told with Refused: send nothing there for so long; 0 if none was told
-	Done    bool          // the message is finished; no answer is owed any more
+	ID         string
+	Host       string
+	Attempt    int
+	Outcome    Outcome
+	Took       time.Duration // since the attempt went out
+	RetryAfter time.Duration // told with Refused: send nothing there for so long; 0 if none was told
+	Done       bool          // the message is finished; no answer is owed any more
 	// Stale says, with Reset, that a connection kept from before broke as soon as it was
 	// written to: the machine at its other end had given it up, which says nothing of the host.
-	Stale  bool
-	Report []float64 // load report, if any
+	StaleConn bool
+	Report    []float64 // load report, if any
 }
 
 // Withdrawn says that nobody wants a message any more.
@@ -40,7 +40,7 @@
 
 // The states; none tells of health.
 const (
-	Gone State = iota
+	Removed State = iota
 	Ready
 	Draining
 )
@@ -56,10 +56,10 @@
 }
 
 // Listing is news of the endpoint list.
-type Listing struct {
-	Whole  bool // replaces the old list; else only changed entries
-	Failed bool // asking for the list failed; the old one stands
-	Hosts  []Host
+type ListUpdate struct {
+	Complete bool // replaces the old list; else only changed entries
+	Failed   bool // asking for the list failed; the old one stands
+	Hosts    []Host
 }
 
 // ListExpiry says whether the endpoint list may be acted on. While it may not, nothing is sent: endpoints of it may drain or be
@@ -71,34 +71,34 @@
 // recorded counts as one that may have run.
 type Restored struct {
 	Arrival
-	Attempts int           // used up
-	Timeout  time.Duration // of the last of them
-	Ran      bool          // one of them may have run
-	RanAgo   time.Duration // since the first such attempt went out
-	RanZone  int           // zone of its host
-	Out      *Running      // the last of them still runs, in the process that hands over; nil if none does
+	Attempts     int           // used up
+	Timeout      time.Duration // of the last of them
+	MayHaveRun   bool          // one of them may have run
+	FirstRunAgo  time.Duration // since the first such attempt went out
+	FirstRunZone int           // zone of its host
+	InFlight     *InFlightCall // the last of them still runs, in the process that hands over; nil if none does
 }
 
 // Unwell says that an earlier process of this relay saw an outage at a host whose
 // end it did not see. It follows the first Listing.
-type Unwell struct {
-	Host string
-	Base float64 // as Health told it
+type KnownOutage struct {
+	Host     string
+	BaseRate float64 // as Health told it
 }
 
 // Waits says that an earlier process of this relay, or one whose messages it took up, was told to send a host nothing for
 // so long from now.
-type Waits struct {
-	Host string
-	Left time.Duration
+type RetryAfter struct {
+	Host      string
+	Remaining time.Duration
 }
 
 // ByHand says that operators took an endpoint out, or gave it back. It holds whatever the list says
 // of that endpoint, before and after.
-type ByHand struct {
-	Host string
-	Out  bool
-	Ago  time.Duration // since they said so
+type ManualChange struct {
+	Host     string
+	Disabled bool
+	Ago      time.Duration // since they said so
 }
 
 // Reconfigured replaces the settings as a whole. What is open keeps the class and the number of
@@ -116,14 +116,14 @@
 
 func (Arrival) event()      {}
 func (Restored) event()     {}
-func (Unwell) event()       {}
-func (ByHand) event()       {}
-func (Waits) event()        {}
+func (KnownOutage) event()  {}
+func (ManualChange) event() {}
+func (RetryAfter) event()   {}
 func (Reconfigured) event() {}
-func (Memory) event()       {}
+func (Snapshot) event()     {}
 func (Result) event()       {}
 func (Withdrawn) event()    {}
-func (Listing) event()      {}
+func (ListUpdate) event()   {}
 func (ListExpiry) event()   {}
 func (Woken) event()        {}
 
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -10,11 +10,11 @@
 // A relay's own loop: hand in what happened, carry out what comes back.
 func Example() {
 	c, err := choice.New(choice.Settings{
-		Fleet: 1, Workers: 8, MaxHeld: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond,
+		Fleet: 1, Workers: 8, MaxPending: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond,
 		Classes: []choice.Class{{Name: "status", Aim: 2 * time.Second, Deadline: 10 * time.Second,
 			Worth: 1, LateShare: 0.5, Effect: choice.Safe}},
 		Kinds: []choice.Kind{{PerCall: 1}},
-		Rules: choice.Rules{OverloadFactor: 2, Fall: 2 * time.Second, ColdFrom: 0.2, Cold: 10 * time.Second},
+		Rules: choice.Rules{OverloadFactor: 2, OverloadWindow: 2 * time.Second, ColdShare: 0.2, WarmUp: 10 * time.Second},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -22,7 +22,7 @@
 	}
 	now := time.Duration(0)
 	inbox := []choice.Event{
-		choice.Listing{Whole: true, Hosts: []choice.Host{{Addr: "10.0.0.1:80", Dest: 7, State: choice.Ready}}},
+		choice.ListUpdate{Complete: true, Hosts: []choice.Host{{Addr: "10.0.0.1:80", Dest: 7, State: choice.Ready}}},
 		choice.Arrival{ID: "m1", Class: 0, Dest: 7, Left: 10 * time.Second},
 	}
 	for len(inbox) > 0 {
--- a/choice/expiry_test.go
+++ b/choice/expiry_test.go
@@ -7,22 +7,22 @@
 
 // Guards against messages sent by a list that may be too old, and against ones that nobody looks at any more once it is
 // renewed: they wait, end within their time, and go as soon as a list may be acted on again.
-func TestNothingIsSentByAnExpiredList(t *testing.T) {
+func TestExpiredListStopsSending(t *testing.T) {
 	all := settings()
 	all.Workers = 40
-	r := newRig(t, all, Host{Addr: "a", Dest: 1, Rate: 100, State: Ready})
+	r := newHarness(t, all, Host{Addr: "a", Dest: 1, Rate: 100, State: Ready})
 	first := r.step(arrival("m1", 0))
 	if len(sends(first)) != 1 {
 		t.Fatalf("%v sent at first, want one", sends(first))
 	}
-	r.step(ListExpiry{Expired: true}, r.end("m1", "a", Served))
+	r.step(ListExpiry{Expired: true}, r.result("m1", "a", Served))
 	for i := range 5 {
 		r.now += time.Second / 5
 		if acts := r.step(Woken{}, arrival(string(rune('p'+i)), 0)); len(sends(acts)) > 0 {
 			t.Errorf("%v sent by an expired list", sends(acts))
 		}
 	}
-	if acts := r.step(Listing{Hosts: []Host{{Addr: "b", Dest: 1, Rate: 100, State: Ready}}}); len(sends(acts)) > 0 {
+	if acts := r.step(ListUpdate{Hosts: []Host{{Addr: "b", Dest: 1, Rate: 100, State: Ready}}}); len(sends(acts)) > 0 {
 		t.Errorf("%v sent by an expired list that changed", sends(acts))
 	}
 	if acts := r.step(ListExpiry{}); len(sends(acts)) != 5 {
@@ -36,11 +36,11 @@
 
 // Guards against messages that are handed back for others that cannot be sent either: what comes is turned away, and only what has
 // been kept for most of its time gives way.
-func TestWhatIsHeldIsKeptWhileTheListHasExpired(t *testing.T) {
+func TestPendingMessagesStayWhileListIsExpired(t *testing.T) {
 	all := settings()
-	all.MaxHeld = 10
+	all.MaxPending = 10
 	deadline := all.Classes[0].Deadline
-	r := newRig(t, all, Host{Addr: "a", Dest: 1, Rate: 100, State: Ready})
+	r := newHarness(t, all, Host{Addr: "a", Dest: 1, Rate: 100, State: Ready})
 	r.step(ListExpiry{Expired: true})
 	refusedOf := func(acts []Action) (ids []string) {
 		for _, a := range acts {
--- a/choice/due_test.go
+++ b/choice/final_answer_test.go
@@ -8,49 +8,49 @@
 
 // Guards against messages brought in too late, or far too soon, by a part that holds them elsewhere until their last
 // look: no final answer comes before it, and one comes with the first Step in it, also by settings that changed meanwhile.
-func TestLastLookIsWhenAMessageGetsItsFinalAnswer(t *testing.T) {
+func TestFinalAnswerComesAtItsMargin(t *testing.T) {
 	s := settings()
 	gone := ready("e", 1, 0, 0)
 	gone.State = Draining
-	r := newRig(t, s, gone)
+	r := newHarness(t, s, gone)
 	r.step(Arrival{ID: "first", Class: 0, Dest: 1, Left: 3 * time.Second})
 	r.step(Arrival{ID: "second", Class: 0, Dest: 1, Left: 9 * time.Second})
 	end := r.now + 3*time.Second
-	look := r.c.LastLook()
+	look := r.chooser.FinalAnswerMargin()
 	r.now = end - look - 1
-	if acts := finals(r.step(Woken{})); len(acts) != 0 {
+	if acts := finalActions(r.step(Woken{})); len(acts) != 0 {
 		t.Errorf("answered %v before the last look: %v", look, acts)
 	}
 	r.now = end - look
-	if acts := finals(r.step(Woken{})); len(acts) != 1 {
+	if acts := finalActions(r.step(Woken{})); len(acts) != 1 {
 		t.Errorf("%v before its end a message got %v, want one final answer", look, acts)
 	}
 	s.Tick *= 20
 	r.step(Reconfigured{s})
-	if was := look; r.c.LastLook() <= was {
-		t.Fatalf("the last look is %v before the end by ticks 20 times as long, %v before", r.c.LastLook(), was)
+	if was := look; r.chooser.FinalAnswerMargin() <= was {
+		t.Fatalf("the last look is %v before the end by ticks 20 times as long, %v before", r.chooser.FinalAnswerMargin(), was)
 	}
-	look, end = r.c.LastLook(), end+6*time.Second
+	look, end = r.chooser.FinalAnswerMargin(), end+6*time.Second
 	r.now = end - look - 1
-	if acts := finals(r.step(Woken{})); len(acts) != 0 {
+	if acts := finalActions(r.step(Woken{})); len(acts) != 0 {
 		t.Errorf("answered %v before the new last look: %v", look, acts)
 	}
 	r.now = end - look
-	if acts := finals(r.step(Woken{})); len(acts) != 1 {
+	if acts := finalActions(r.step(Woken{})); len(acts) != 1 {
 		t.Errorf("%v before its end, by the new settings, a message got %v, want one final answer", look, acts)
 	}
 }
 
 // Guards against successors of outages that are told in the order of the news: it is that in which destinations were first
 // heard of, and a unit is renamed also when the endpoint it is named for has gone to another destination, and goes there.
-func TestOutagesAreRenamedInTheOrderOfTheirDestinations(t *testing.T) {
+func TestOutagesAreRenamedInDestinationOrder(t *testing.T) {
 	in := func(addr string, dest int, s State) Host {
 		h := ready(addr, dest, 0, 0)
 		h.State = s
 		return h
 	}
-	r := newRig(t, settings(), in("a1", 1, Ready), in("a2", 1, Draining), in("b1", 2, Ready))
-	r.step(Unwell{"a1", 1}, Unwell{"b1", 1})
+	r := newHarness(t, settings(), in("a1", 1, Ready), in("a2", 1, Draining), in("b1", 2, Ready))
+	r.step(KnownOutage{"a1", 1}, KnownOutage{"b1", 1})
 	named := func(acts []Action) (out []string) {
 		for _, a := range acts {
 			if h, ok := a.(Health); ok && h.Unwell {
@@ -59,22 +59,22 @@
 		}
 		return out
 	}
-	acts := r.step(Listing{Hosts: []Host{in("b2", 2, Ready), in("b1", 2, Gone), in("a3", 1, Ready), in("a1", 1, Gone)}})
+	acts := r.step(ListUpdate{Hosts: []Host{in("b2", 2, Ready), in("b1", 2, Removed), in("a3", 1, Ready), in("a1", 1, Removed)}})
 	if got := named(acts); !slices.Equal(got, []string{"a3", "b2"}) {
 		t.Errorf("outages go on under %v, want a3 and b2", got)
 	}
-	r.step(Listing{Hosts: []Host{in("a3", 1, Gone)}})
+	r.step(ListUpdate{Hosts: []Host{in("a3", 1, Removed)}})
 	r.now += 30 * time.Second
-	r.step(Listing{}) // a3 is no longer remembered
-	r.step(Listing{Hosts: []Host{in("a3", 3, Ready)}})
-	r.step(Listing{Hosts: []Host{in("a2", 1, Ready)}})
-	if got := named(r.step(Listing{Hosts: []Host{in("a3", 3, Gone)}})); !slices.Equal(got, []string{"a2"}) {
+	r.step(ListUpdate{}) // a3 is no longer remembered
+	r.step(ListUpdate{Hosts: []Host{in("a3", 3, Ready)}})
+	r.step(ListUpdate{Hosts: []Host{in("a2", 1, Ready)}})
+	if got := named(r.step(ListUpdate{Hosts: []Host{in("a3", 3, Removed)}})); !slices.Equal(got, []string{"a2"}) {
 		t.Errorf("an outage goes on under %v, want a2", got)
 	}
 }
 
 // finals are the final answers among actions.
-func finals(acts []Action) (out []Action) {
+func finalActions(acts []Action) (out []Action) {
 	for _, a := range acts {
 		switch a.(type) {
 		case Refuse, Fail:
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -10,35 +10,35 @@
 )
 
 // gate is a destination with a limit that refused calls use up as well.
-type gate struct {
-	limit func(now time.Duration) float64 // calls a second from all relays
-	open  func(now time.Duration) bool    // nil: always
-	used  float64                         // calls not yet made up for
-	at    time.Duration
+type limitedDest struct {
+	limit     func(now time.Duration) float64 // calls a second from all relays
+	isOpen    func(now time.Duration) bool    // nil: always
+	used      float64                         // calls not yet made up for
+	updatedAt time.Duration
 }
 
 // call returns the outcome of a call, and the report that its answer bears.
-func (g *gate) call(now time.Duration) (Outcome, []float64) {
+func (g *limitedDest) call(now time.Duration) (Outcome, []float64) {
 	limit := g.limit(now)
-	g.used = max(0, g.used-limit*(now-g.at).Seconds())
-	g.at = now
+	g.used = max(0, g.used-limit*(now-g.updatedAt).Seconds())
+	g.updatedAt = now
 	left := max(0, 1-g.used/limit)
 	g.used++
 	report := []float64{left, limit}
-	if left == 0 || g.open != nil && !g.open(now) {
+	if left == 0 || g.isOpen != nil && !g.isOpen(now) {
 		return Refused, report
 	}
 	return Served, report
 }
 
 // tally counts by the second a fleet's calls, and the messages served.
-type tally struct{ calls, served []int }
+type callCounts struct{ calls, served []int }
 
 // playFleet has a fleet deliver to one destination: so many messages a second come to relays by chance.
-func playFleet(t *testing.T, fleet int, host Host, g *gate, perSecond float64, span time.Duration) (sum tally) {
+func simulateFleet(t *testing.T, fleet int, host Host, g *limitedDest, perSecond float64, span time.Duration) (sum callCounts) {
 	t.Helper()
 	s := settings()
-	s.Fleet, s.Workers, s.ReportLeft, s.ReportLimit = fleet, 5, 0, 1
+	s.Fleet, s.Workers, s.ReportLeftIndex, s.ReportLimitIndex = fleet, 5, 0, 1
 	s.Classes[0].Aim = 3 * time.Second
 	all := make([]*Chooser, fleet)
 	for i := range all {
@@ -46,7 +46,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(0, []Event{Listing{Whole: true, Hosts: []Host{host}}})
+		c.Step(0, []Event{ListUpdate{Complete: true, Hosts: []Host{host}}})
 		all[i] = c
 	}
 	type answer struct {
@@ -112,7 +112,7 @@
 		}
 		return 26
 	}
-	sum := playFleet(t, 80, ready("a", 1, 0, 0), &gate{limit: limit}, 16, 20*time.Second)
+	sum := simulateFleet(t, 80, ready("a", 1, 0, 0), &limitedDest{limit: limit}, 16, 20*time.Second)
 	if served := total(sum.served[7:15]); served < 8*12/2 {
 		t.Errorf("%d served in 8 s at 12 a second, want half of that at least; calls by the second %v, served %v",
 			served, sum.calls, sum.served)
@@ -136,7 +136,7 @@
 			host := ready("a", 1, kind, 0)
 			host.Rate = 250
 			each := float64(settings().Kinds[kind].PerCall) // messages that a call takes
-			sum := playFleet(t, 300, host, &gate{limit: limit}, 200*each, 20*time.Second)
+			sum := simulateFleet(t, 300, host, &limitedDest{limit: limit}, 200*each, 20*time.Second)
 			if served := float64(total(sum.served[8:14])); served < 6*100*each/4 {
 				t.Errorf("%.0f messages served in 6 s at 100 calls a second, want a quarter of what those take; calls by the second %v, served %v",
 					served, sum.calls, sum.served)
@@ -155,12 +155,12 @@
 	host := ready("a", 1, 0, 0)
 	host.Rate = 250
 	s := settings()
-	s.Fleet, s.ReportLeft, s.ReportLimit = 300, 0, 1
+	s.Fleet, s.ReportLeftIndex, s.ReportLimitIndex = 300, 0, 1
 	c, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.Step(0, []Event{Listing{Whole: true, Hosts: []Host{host}}})
+	c.Step(0, []Event{ListUpdate{Complete: true, Hosts: []Host{host}}})
 	if n := len(sends(c.Step(50*ms, []Event{arrival("m", 0)}))); n != 1 {
 		t.Errorf("%d sends of the first message, 50 ms after the start, want it sent", n)
 	}
@@ -168,29 +168,29 @@
 
 // Guards against a clump of messages for one destination that hundreds of relays send on in the same moment:
 // each spreads what it has of it over part of an aim.
-func TestAClumpIsSpread(t *testing.T) {
+func TestBurstIsSpreadOverTime(t *testing.T) {
 	host := ready("a", 1, 0, 0)
 	host.Rate = 250
 	s := settings()
-	s.Fleet, s.ReportLeft, s.ReportLimit = 300, 0, 1
-	r := newRig(t, s, host)
+	s.Fleet, s.ReportLeftIndex, s.ReportLimitIndex = 300, 0, 1
+	r := newHarness(t, s, host)
 	r.now += 10 * time.Second
 	out := len(sends(r.step(arrival("m0", 0), arrival("m1", 0), arrival("m2", 0))))
 	if out != 1 {
 		t.Errorf("%d of three messages go at once where the even share is one in 1.2 s, want one", out)
 	}
-	if out += len(sends(r.after(s.Classes[0].Aim * 3 / 4))); out < 2 {
+	if out += len(sends(r.advance(s.Classes[0].Aim * 3 / 4))); out < 2 {
 		t.Errorf("%d of three messages have gone after three quarters of the aim, want more", out)
 	}
 }
 
 // Guards against a fleet that sends each message by itself to a destination that takes many with one call:
 // the calls are too many, the messages are not.
-func TestFleetSharesItsCalls(t *testing.T) {
+func TestFleetPutsMessagesInSharedCalls(t *testing.T) {
 	limit := func(time.Duration) float64 { return 30 }
 	host := ready("a", 1, 1, 0)
 	host.Rate = 30
-	sum := playFleet(t, 80, host, &gate{limit: limit}, 40, 30*time.Second)
+	sum := simulateFleet(t, 80, host, &limitedDest{limit: limit}, 40, 30*time.Second)
 	if served := total(sum.served[10:]); served < 20*40*15/16 {
 		t.Errorf("%d messages served in 20 s, want fifteen in sixteen of the 800 that come; calls by the second %v, served %v",
 			served, sum.calls, sum.served)
@@ -198,11 +198,11 @@
 }
 
 // Guards against a fleet that starts together and then calls in step: none at first, then all at once.
-func TestFleetStartsSpreadOut(t *testing.T) {
+func TestFirstCallsOfAFleetAreSpread(t *testing.T) {
 	limit := func(time.Duration) float64 { return 60 }
 	host := ready("a", 1, 1, 0)
 	host.Rate = 60
-	sum := playFleet(t, 80, host, &gate{limit: limit}, 80, 3*time.Second)
+	sum := simulateFleet(t, 80, host, &limitedDest{limit: limit}, 80, 3*time.Second)
 	if sum.calls[0] < 10 || sum.calls[1] > 80 {
 		t.Errorf("calls by the second after a start are %v, want some in the first and not all in the second", sum.calls)
 	}
@@ -210,7 +210,7 @@
 
 // Guards against a tenant within its share whose messages pass for beyond it, because each relay of a large
 // fleet gets few of them, by chance; and against one far beyond its share that passes for within.
-func TestSharesInALargeFleet(t *testing.T) {
+func TestTenantSharesInALargeFleet(t *testing.T) {
 	s := settings()
 	s.Fleet, s.Tenants = 80, []Tenant{{Quota: 40}, {Quota: 40}}
 	all := make([]*Chooser, s.Fleet)
@@ -230,7 +230,7 @@
 			}
 			c := all[chance.IntN(s.Fleet)]
 			come, c.now = come+1, now
-			if !c.within(tenant) {
+			if !c.withinShare(tenant) {
 				past++
 			}
 		}
@@ -242,30 +242,30 @@
 
 // Guards against a list that comes again and undoes what answers have told of a limit, and against answers
 // whose word stops a unit for good or lifts its limit.
-func TestWhatAnswersReport(t *testing.T) {
+func TestLoadReports(t *testing.T) {
 	s := settings()
-	s.ReportLimit = 0
-	s.ReportLeft = 1
-	r := newRig(t, s, ready("a", 1, 0, 0))
-	u := r.c.hosts["a"].unit
+	s.ReportLimitIndex = 0
+	s.ReportLeftIndex = 1
+	r := newHarness(t, s, ready("a", 1, 0, 0))
+	u := r.chooser.hosts["a"].unit
 	report := func(values ...float64) {
 		r.step(arrival("m", 0))
-		r.step(r.end("m", "a", Served, func(e *Result) { e.Report = values }))
+		r.step(r.result("m", "a", Served, func(e *Result) { e.Report = values }))
 		r.now += time.Second
 	}
 	report(40, 0.5)
-	r.step(Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0)}})
-	if u.listed != 40 {
-		t.Errorf("after the same list again the unit takes %v a second, want the 40 that it reported", u.listed)
+	r.step(ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0)}})
+	if u.knownRate != 40 {
+		t.Errorf("after the same list again the unit takes %v a second, want the 40 that it reported", u.knownRate)
 	}
 	for _, odd := range [][]float64{{}, {0, 0}, {-5, -5}, {math.NaN(), math.NaN()}, {math.Inf(-1), 0}} {
-		if report(odd...); u.listed != 40 || !(u.limit > 0 && u.limit <= 40) {
-			t.Errorf("after the report %v the unit takes %v a second, and the pace is %v", odd, u.listed, u.limit)
+		if report(odd...); u.knownRate != 40 || !(u.pace > 0 && u.pace <= 40) {
+			t.Errorf("after the report %v the unit takes %v a second, and the pace is %v", odd, u.knownRate, u.pace)
 		}
 	}
 	for _, odd := range []float64{1e-300, 1e300, math.Inf(1)} {
-		if report(odd, odd); u.listed < 1 || u.listed > 2000 || !(u.limit > 0 && u.limit <= 2000) {
-			t.Errorf("after the report %v the unit takes %v a second, and the pace is %v", odd, u.listed, u.limit)
+		if report(odd, odd); u.knownRate < 1 || u.knownRate > 2000 || !(u.pace > 0 && u.pace <= 2000) {
+			t.Errorf("after the report %v the unit takes %v a second, and the pace is %v", odd, u.knownRate, u.pace)
 		}
 	}
 }
@@ -274,13 +274,13 @@
 // limit: the endpoint that takes its place would start with long pauses.
 func TestRefusalOfADrainingEndpoint(t *testing.T) {
 	s := settings()
-	s.Fleet, s.ReportLimit, s.ReportLeft = 80, 0, 1
+	s.Fleet, s.ReportLimitIndex, s.ReportLeftIndex = 80, 0, 1
 	old, next := ready("old", 1, 0, 0), ready("next", 1, 0, 0)
 	old.Rate, next.Rate = 30, 30
-	r := newRig(t, s, old)
+	r := newHarness(t, s, old)
 	r.now += time.Second
 	r.step(arrival("a", 0))
-	r.step(r.end("a", "old", Served, func(e *Result) { e.Report = []float64{30, 0.9} }))
+	r.step(r.result("a", "old", Served, func(e *Result) { e.Report = []float64{30, 0.9} }))
 	for i := range 2 {
 		r.now += 4 * time.Second
 		id := fmt.Sprint("b", i)
@@ -289,13 +289,13 @@
 			t.Fatalf("message %s was not sent: the refusals are taken for those of a limit", id)
 		}
 		for _, one := range out {
-			if again := sends(r.step(r.end(one.ID, "old", Refused))); len(again) > 0 {
+			if again := sends(r.step(r.result(one.ID, "old", Refused))); len(again) > 0 {
 				t.Errorf("%v goes at once to an endpoint that drains", again)
 			}
 		}
 	}
-	out := sends(r.step(Listing{Hosts: []Host{next, {Addr: "old", Dest: 1, State: Draining}}}))
-	out = append(out, sends(r.after(600*ms))...) // at the first pace
+	out := sends(r.step(ListUpdate{Hosts: []Host{next, {Addr: "old", Dest: 1, State: Draining}}}))
+	out = append(out, sends(r.advance(600*ms))...) // at the first pace
 	if len(out) < 2 {
 		t.Errorf("%d of the 2 messages sent once the next endpoint is listed: %v", len(out), out)
 	}
@@ -305,14 +305,14 @@
 // report came garbled for that of an endpoint that drains, and do not lower their pace.
 func TestRefusalWithoutReportInASmallFleet(t *testing.T) {
 	s := settings()
-	s.ReportLimit = 0
-	r := newRig(t, s, ready("a", 1, 0, 0))
+	s.ReportLimitIndex = 0
+	r := newHarness(t, s, ready("a", 1, 0, 0))
 	r.now += time.Second
 	r.step(arrival("m", 0))
-	r.step(r.end("m", "a", Served, func(e *Result) { e.Report = []float64{30} }))
+	r.step(r.result("m", "a", Served, func(e *Result) { e.Report = []float64{30} }))
 	r.step(arrival("n", 0))
-	before := r.c.hosts["a"].unit.limit
-	if r.step(r.end("n", "a", Refused)); r.c.hosts["a"].unit.limit >= before {
-		t.Errorf("the pace is %v after a refusal, %v before", r.c.hosts["a"].unit.limit, before)
+	before := r.chooser.hosts["a"].unit.pace
+	if r.step(r.result("n", "a", Refused)); r.chooser.hosts["a"].unit.pace >= before {
+		t.Errorf("the pace is %v after a refusal, %v before", r.chooser.hosts["a"].unit.pace, before)
 	}
 }
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -8,23 +8,23 @@
 )
 
 // life is what the rules need to know of one message.
-type life struct {
-	class    int
-	due      time.Duration
-	key      string
-	seq      int
-	tries    int
-	out      string
-	ran      bool
-	ranAt    time.Duration
-	ranZone  int
-	over     bool
-	unsureAt time.Duration
+type messageState struct {
+	class        int
+	deadline     time.Duration
+	key          string
+	sequence     int
+	attempts     int
+	host         string
+	mayHaveRun   bool
+	firstRunAt   time.Duration
+	firstRunZone int
+	ended        bool
+	uncertainAt  time.Duration
 }
 
 // lawful plays bytes as lawful events, asserts the rules on every action and returns them all. It
 // models no server: outcomes come as the bytes say.
-func lawful(t *testing.T, data []byte) [][]Action {
+func playAndCheckRules(t *testing.T, data []byte) [][]Action {
 	s := settings()
 	s.Kinds[0].PerCall = 2
 	c, err := New(s, 7)
@@ -38,7 +38,7 @@
 	}
 	now := time.Hour
 	out := map[string]bool{}
-	lives, wait, settled := map[string]*life{}, map[string]time.Duration{}, map[string]time.Duration{}
+	lives, wait, settled := map[string]*messageState{}, map[string]time.Duration{}, map[string]time.Duration{}
 	var ids []string
 	var all [][]Action
 	play := func(events ...Event) {
@@ -54,107 +54,107 @@
 				}
 				class := s.Classes[l.class]
 				switch {
-				case l.over:
+				case l.ended:
 					t.Fatalf("sent %s after its end", a.ID)
-				case l.out != "":
+				case l.host != "":
 					t.Fatalf("two attempts of %s out at once", a.ID)
-				case l.tries >= s.MaxAttempts:
-					t.Fatalf("attempt %d of %s", l.tries+1, a.ID)
+				case l.attempts >= s.MaxAttempts:
+					t.Fatalf("attempt %d of %s", l.attempts+1, a.ID)
 				case h.State != Ready:
 					t.Fatalf("sent to %s in state %d", a.Host, h.State)
 				case out[a.Host]:
 					t.Fatalf("sent to %s, which is out by hand", a.Host)
 				case now < wait[unit]:
 					t.Fatalf("sent to %s within a told wait", a.Host)
-				case l.ran && class.Effect == Unsafe:
+				case l.mayHaveRun && class.Effect == Unsafe:
 					t.Fatalf("repeated unsafe %s", a.ID)
-				case l.ran && class.Effect == Keyed && (now > l.ranAt+class.Window || h.Zone != l.ranZone):
+				case l.mayHaveRun && class.Effect == Keyed && (now > l.firstRunAt+class.Window || h.Zone != l.firstRunZone):
 					t.Fatalf("repeated keyed %s outside its window or zone", a.ID)
-				case a.Timeout <= 0 || now+a.Timeout > l.due:
-					t.Fatalf("time-out %v of %s with %v left", a.Timeout, a.ID, l.due-now)
+				case a.Timeout <= 0 || now+a.Timeout > l.deadline:
+					t.Fatalf("time-out %v of %s with %v left", a.Timeout, a.ID, l.deadline-now)
 				}
 				if class.Ordered && l.key != "" {
 					if now < settled[l.key] {
 						t.Fatalf("key %s sent while it rests", l.key)
 					}
 					for _, id := range ids {
-						if o := lives[id]; o.key == l.key && o.seq < l.seq && (!o.over || o.out != "") {
+						if o := lives[id]; o.key == l.key && o.sequence < l.sequence && (!o.ended || o.host != "") {
 							t.Fatalf("%s overtook %s", a.ID, id)
 						}
 					}
 				}
-				l.tries++
-				l.out = a.Host
-				if !l.ran {
-					l.ranAt, l.ranZone = now, h.Zone
+				l.attempts++
+				l.host = a.Host
+				if !l.mayHaveRun {
+					l.firstRunAt, l.firstRunZone = now, h.Zone
 				}
 			case Refuse:
 				l := lives[a.ID]
-				if l.over || l.out != "" || l.ran && s.Classes[l.class].Effect != Safe || now > l.due {
+				if l.ended || l.host != "" || l.mayHaveRun && s.Classes[l.class].Effect != Safe || now > l.deadline {
 					t.Fatalf("refused %s unlawfully", a.ID)
 				}
-				l.over = true
+				l.ended = true
 			case Fail:
 				l := lives[a.ID]
-				if l.over || now > l.due+s.Rules.AnswerGrace {
+				if l.ended || now > l.deadline+s.Rules.AnswerGrace {
 					t.Fatalf("failed %s twice or late", a.ID)
 				}
-				l.over = true
+				l.ended = true
 			}
 		}
 		for _, id := range ids {
-			if l := lives[id]; !l.over && now > l.due+s.Rules.AnswerGrace {
+			if l := lives[id]; !l.ended && now > l.deadline+s.Rules.AnswerGrace {
 				t.Fatalf("%s was lost", id)
 			}
 		}
-		if out := c.busy; out > s.Workers {
+		if out := c.inFlight; out > s.Workers {
 			t.Fatalf("%d calls out with %d slots", out, s.Workers)
 		}
 	}
 	finish := func(id string, o Outcome, told time.Duration) Event {
 		l := lives[id]
-		h := where[l.out]
-		e := Result{ID: id, Host: l.out, Attempt: l.tries - 1, Outcome: o, Took: 30 * ms, Done: o == Served || l.over}
+		h := where[l.host]
+		e := Result{ID: id, Host: l.host, Attempt: l.attempts - 1, Outcome: o, Took: 30 * ms, Done: o == Served || l.ended}
 		switch o {
 		case Served:
-			l.over = true
+			l.ended = true
 		case Refused:
-			e.Wait = told
+			e.RetryAfter = told
 			unit := fmt.Sprint(h.Dest)
 			if h.Dest == 2 {
-				unit = l.out
+				unit = l.host
 			}
 			wait[unit] = max(wait[unit], now+told)
 		case Timeout, Reset, Cancelled, Error:
-			l.ran = true
+			l.mayHaveRun = true
 			if o != Error && l.key != "" {
-				l.unsureAt = now
+				l.uncertainAt = now
 			}
 		}
-		l.out = ""
+		l.host = ""
 		return e
 	}
-	play(Listing{Whole: true, Hosts: hosts})
+	play(ListUpdate{Complete: true, Hosts: hosts})
 	for i := 0; i+1 < len(data); i += 2 {
 		op, arg := data[i], int(data[i+1])
 		switch op % 6 {
 		case 0:
 			id := fmt.Sprint("m", len(ids))
-			l := &life{class: arg % 4, due: now + time.Duration(1+arg/32)*time.Second, seq: len(ids)}
+			l := &messageState{class: arg % 4, deadline: now + time.Duration(1+arg/32)*time.Second, sequence: len(ids)}
 			if l.class == 3 {
 				l.key = fmt.Sprint("k", arg/16%3)
 			}
 			lives[id] = l
 			ids = append(ids, id)
-			play(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.due - now, Key: l.key})
+			play(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.deadline - now, Key: l.key})
 		case 1:
 			for _, id := range ids {
-				if lives[id].out != "" {
+				if lives[id].host != "" {
 					o := Outcome(arg % int(NotSent+1))
 					play(finish(id, o, time.Duration(arg/8)*50*ms))
-					if l := lives[id]; l.over || o == Timeout || o == Reset || o == Cancelled {
-						if l.key != "" && l.over && l.unsureAt > 0 {
-							settled[l.key] = max(settled[l.key], l.unsureAt+s.Rules.OrderSettle)
+					if l := lives[id]; l.ended || o == Timeout || o == Reset || o == Cancelled {
+						if l.key != "" && l.ended && l.uncertainAt > 0 {
+							settled[l.key] = max(settled[l.key], l.uncertainAt+s.Rules.OrderSettle)
 						}
 					}
 					break
@@ -163,20 +163,20 @@
 		case 2:
 			h := &hosts[arg%4]
 			h.State = State(arg / 4 % 3)
-			play(Listing{Hosts: []Host{*h}})
-			if h.State == Gone {
+			play(ListUpdate{Hosts: []Host{*h}})
+			if h.State == Removed {
 				h.State = Draining // still named by calls out; nothing new may go there
 			}
 		case 3:
 			id := hosts[arg%4].Addr
 			out[id] = arg/4%2 == 0
-			play(ByHand{Host: id, Out: out[id]})
+			play(ManualChange{Host: id, Disabled: out[id]})
 		default:
 			for range 1 + arg/8 {
 				now += 5 * ms
 				var due []Event
 				for _, id := range ids {
-					if l := lives[id]; l.out != "" && now >= l.due {
+					if l := lives[id]; l.host != "" && now >= l.deadline {
 						due = append(due, finish(id, Timeout, 0))
 					}
 				}
@@ -209,13 +209,13 @@
 		if len(data) > 4000 {
 			t.Skip("longer inputs only take longer")
 		}
-		lawful(t, data)
+		playAndCheckRules(t, data)
 	})
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	for i, s := range seeds() {
-		if a, b := lawful(t, s), lawful(t, s); !reflect.DeepEqual(a, b) {
+		if a, b := playAndCheckRules(t, s), playAndCheckRules(t, s); !reflect.DeepEqual(a, b) {
 			t.Errorf("seed %d: two runs differ", i)
 		}
 	}
--- a/choice/health.go
+++ b/choice/health.go
@@ -11,170 +11,170 @@
 // Health, pacing and waits.
 
 // bad takes in a failure or a refusal.
-func (c *Chooser) bad(u *unit) {
-	u.streak = 0
-	u.bad++
+func (c *Chooser) recordBadOutcome(u *unit) {
+	u.servedStreak = 0
+	u.badStreak++
 	if u.state == suspect {
-		u.trials++
-		u.trialAt = c.now + c.gap(u)
+		u.failedTrials++
+		u.trialAt = c.now + c.trialDelay(u)
 	}
 }
 
 // failed takes in a failure: of its host alone, one machine or building, while another of its unit is well.
-func (c *Chooser) failed(h *host, o Outcome) {
+func (c *Chooser) recordFailure(h *host, o Outcome) {
 	u, d := h.unit, h.dest
-	h.fails++
-	h.retryAt = c.now + min(c.set.Rules.Fall/8<<min(h.fails, 3), c.set.Rules.Fall/3)
-	well := func(g *host) bool { return g.unit == u && c.open(g) && g.fails == 0 }
-	if slices.ContainsFunc(d.hosts, well) {
+	h.failures++
+	h.retryAt = c.now + min(c.settings.Rules.OverloadWindow/8<<min(h.failures, 3), c.settings.Rules.OverloadWindow/3)
+	working := func(other *host) bool { return other.unit == u && c.usable(other) && other.failures == 0 }
+	if slices.ContainsFunc(d.hosts, working) {
 		return
 	}
-	c.bad(u)
-	u.risky, u.errors = u.risky || o != NoConnection, u.errors || o == Error
-	u.note(true)
+	c.recordBadOutcome(u)
+	u.mayHaveRun, u.sawErrors = u.mayHaveRun || o != NoConnection, u.sawErrors || o == Error
+	u.recordOutcome(true)
 	// Nothing here speaks against an outage, or it refuses connections in its ramp: it went down again.
-	enough := c.thin(u) && c.now-u.lastServed > c.set.Rules.Fall || u.state == recovering && o == NoConnection
-	if u.state != suspect && (enough || bits.OnesCount(u.recent) >= outage) {
-		c.suspect(u, d, "failures")
+	enough := c.seldomCalls(u) && c.now-u.lastServed > c.settings.Rules.OverloadWindow || u.state == recovering && o == NoConnection
+	if u.state != suspect && (enough || bits.OnesCount(u.recentFailures) >= outageFailures) {
+		c.markSuspect(u, d, "failures")
 	}
 }
 
 // gap between trials, drawn by chance: it doubles up to a third of the rule's window, or to what leaves the
 // trials of all relays within the budget of a unit just back and, in a small fleet, twice its root. In a
 // large one those that failed just before the return would come at once: there it is long from the start.
-func (c *Chooser) gap(u *unit) time.Duration {
-	fall := c.set.Rules.Fall
-	n, _ := c.budget(u, 0)
-	chance := 1.0 // to spare: none where parts are less than half a call, and come together by chance alone
-	if n >= 0.5 {
-		chance += 2 / math.Sqrt(n*float64(c.set.Fleet))
-	}
-	longest := max(fall/3, min(2*c.set.Rules.Cold, time.Duration(float64(fall)/(n*chance))))
-	gap := min(fall/8<<min(u.trials, 6), longest)
-	if c.thin(u) {
+func (c *Chooser) trialDelay(u *unit) time.Duration {
+	window := c.settings.Rules.OverloadWindow
+	budget, _ := c.coldBudget(u, 0)
+	spread := 1.0 // to spare: none where parts are less than half a call, and come together by chance alone
+	if budget >= 0.5 {
+		spread += 2 / math.Sqrt(budget*float64(c.settings.Fleet))
+	}
+	longest := max(window/3, min(2*c.settings.Rules.WarmUp, time.Duration(float64(window)/(budget*spread))))
+	gap := min(window/8<<min(u.failedTrials, 6), longest)
+	if c.seldomCalls(u) {
 		gap = longest
 	}
 	return gap/2 + time.Duration(c.rand.Float64()*float64(gap))
 }
 
-func (c *Chooser) suspect(u *unit, d *dest, why string) {
+func (c *Chooser) markSuspect(u *unit, d *dest, reason string) {
 	if u.state == healthy {
-		u.base = max(u.served, 1/c.set.Rules.Cold.Seconds())
-	}
-	u.errors = u.errors || u.state == recovering // one answer does not prove such a one well
-	c.touch(d)
-	c.log("destination %d unit %s suspect: %s", d.id, u.name, why)
-	u.state, u.since, u.trials, u.streak = suspect, c.now, 0, 0
-	u.trialAt = c.now + c.gap(u)
-	c.act(Health{u.name, true, u.base})
+		u.baseRate = max(u.servedRate, 1/c.settings.Rules.WarmUp.Seconds())
+	}
+	u.sawErrors = u.sawErrors || u.state == recovering // one answer does not prove such a one well
+	c.markChanged(d)
+	c.log("destination %d unit %s suspect: %s", d.id, u.name, reason)
+	u.state, u.stateSince, u.failedTrials, u.servedStreak = suspect, c.now, 0, 0
+	u.trialAt = c.now + c.trialDelay(u)
+	c.emit(Health{u.name, true, u.baseRate})
 }
 
 // refused takes in a refusal: a wait if one was told, a pause of its own and a lower pace if not.
-func (c *Chooser) refused(u *unit, d *dest, wait time.Duration) {
-	c.bad(u)
-	u.waitUntil = max(u.waitUntil, c.now+wait)
-	u.pauseUntil = max(c.now, u.waitUntil)
+func (c *Chooser) recordRefusal(u *unit, d *dest, retryAfter time.Duration) {
+	c.recordBadOutcome(u)
+	u.retryAfter = max(u.retryAfter, c.now+retryAfter)
+	u.pauseUntil = max(c.now, u.retryAfter)
 	if c.metered(u) {
-		c.yield(u)
+		c.slowMetered(u)
 	} else {
-		c.slow(u, d, wait)
+		c.slowDown(u, d, retryAfter)
 	}
 	// Refusals alone, for longer than a limit explains, are those of a shut destination.
-	fall, longest := c.set.Rules.Fall, 2*c.set.Rules.Fall/3
+	window, longestWait := c.settings.Rules.OverloadWindow, 2*c.settings.Rules.OverloadWindow/3
 	if c.metered(u) || u.state == recovering { // which is told waits of what is left of its limit
-		longest = fall
+		longestWait = window
 	}
-	if u.state != suspect && (wait > longest || u.bad > 6 && c.now-u.lastServed >= fall) {
-		c.suspect(u, d, "refusals only")
+	if u.state != suspect && (retryAfter > longestWait || u.badStreak > 6 && c.now-u.lastServed >= window) {
+		c.markSuspect(u, d, "refusals only")
 	}
 }
 
 // slow takes a pause of its own where no wait was told, and lowers the pace.
-func (c *Chooser) slow(u *unit, d *dest, wait time.Duration) {
-	if wait <= 0 || c.thin(u) {
-		u.pauseUntil += c.spread(u, d, u.bad-1)
+func (c *Chooser) slowDown(u *unit, d *dest, retryAfter time.Duration) {
+	if retryAfter <= 0 || c.seldomCalls(u) {
+		u.pauseUntil += c.randomPause(u, d, u.badStreak-1)
 	}
-	if d.refused > 0 {
-		*d.luck -= *d.luck / 16
+	if d.refusalStreak > 0 {
+		*d.retrySuccess -= *d.retrySuccess / 16
 	}
-	if d.refused++; d.refused >= len(d.units) && c.thin(u) {
-		d.pauseUntil = c.now + 2*c.spread(u, d, d.refused-len(d.units))
+	if d.refusalStreak++; d.refusalStreak >= len(d.units) && c.seldomCalls(u) {
+		d.pauseUntil = c.now + 2*c.randomPause(u, d, d.refusalStreak-len(d.units))
 	}
-	if c.thin(u) && u.listed > 0 { // one call at a time, at the pace that all relays can keep together
-		u.limit, u.tokens = min(u.limit, 1/c.even(u).Seconds()), min(u.tokens, 0)
+	if c.seldomCalls(u) && u.knownRate > 0 { // one call at a time, at the pace that all relays can keep together
+		u.pace, u.tokens = min(u.pace, 1/c.evenInterval(u).Seconds()), min(u.tokens, 0)
 	}
-	if c.now-u.cutAt >= time.Second && !c.thin(u) {
+	if c.now-u.paceCutAt >= time.Second && !c.seldomCalls(u) {
 		// Over at least the even share of a call, or the refused call alone counts as more than its share.
-		span := min(max(time.Second, c.even(u)), c.set.Rules.Cold)
-		pace := min(cmp.Or(u.limit, math.Inf(1)), c.sent(u.sends, span)/span.Seconds())
-		u.limit = max(pace*cut, 1/c.set.Rules.Cold.Seconds(), u.listed/float64(c.set.Fleet)/2)
-		u.cutAt, u.tokens = c.now, min(u.tokens, 0)
+		span := min(max(time.Second, c.evenInterval(u)), c.settings.Rules.WarmUp)
+		pace := min(cmp.Or(u.pace, math.Inf(1)), c.countWithin(u.recentSends, span)/span.Seconds())
+		u.pace = max(pace*paceCut, 1/c.settings.Rules.WarmUp.Seconds(), u.knownRate/float64(c.settings.Fleet)/2)
+		u.paceCutAt, u.tokens = c.now, min(u.tokens, 0)
 	}
 }
 
-func (c *Chooser) served(u *unit, d *dest, took time.Duration) {
-	u.pace = cmp.Or(u.pace, took.Seconds())
-	u.pace += (took.Seconds() - u.pace) / 8
-	cold := c.set.Rules.Cold.Seconds()
-	u.served = u.served*math.Exp(-(c.now-u.lastServed).Seconds()/cold) + 1/cold
-	short := u.bad == 0 || !u.errors && c.now-u.lastServed < c.set.Rules.Fall
+func (c *Chooser) recordServed(u *unit, d *dest, took time.Duration) {
+	u.latencySec = cmp.Or(u.latencySec, took.Seconds())
+	u.latencySec += (took.Seconds() - u.latencySec) / 8
+	warmUp := c.settings.Rules.WarmUp.Seconds()
+	u.servedRate = u.servedRate*math.Exp(-(c.now-u.lastServed).Seconds()/warmUp) + 1/warmUp
+	shortOutage := u.badStreak == 0 || !u.sawErrors && c.now-u.lastServed < c.settings.Rules.OverloadWindow
 	u.lastServed = c.now
-	if u.state == suspect && (c.now-took < u.downAt || c.now+c.set.Rules.Fall < u.waitUntil) {
+	if u.state == suspect && (c.now-took < u.connRefusedAt || c.now+c.settings.Rules.OverloadWindow < u.retryAfter) {
 		return // sent before it went down, or before a wait longer than a limit's: no news of what comes back
 	}
-	u.bad = 0
-	u.streak++
-	u.note(false)
+	u.badStreak = 0
+	u.servedStreak++
+	u.recordOutcome(false)
 	switch {
-	case u.state == healthy && u.recent == 0:
-		u.risky, u.errors = false, false
-	case u.state == suspect && short:
-		u.state, u.since, u.risky, u.recent = healthy, c.now, false, 0
-		c.act(Health{u.name, false, 0})
+	case u.state == healthy && u.recentFailures == 0:
+		u.mayHaveRun, u.sawErrors = false, false
+	case u.state == suspect && shortOutage:
+		u.state, u.stateSince, u.mayHaveRun, u.recentFailures = healthy, c.now, false, 0
+		c.emit(Health{u.name, false, 0})
 	case u.state == suspect:
-		u.state, u.since, u.recent = recovering, c.now, 0
+		u.state, u.stateSince, u.recentFailures = recovering, c.now, 0
 		c.log("destination %d unit %s recovering", d.id, u.name)
-	case u.state == recovering && c.now-u.since >= c.set.Rules.Cold:
-		u.state, u.since, u.risky, u.errors = healthy, c.now, false, false
+	case u.state == recovering && c.now-u.stateSince >= c.settings.Rules.WarmUp:
+		u.state, u.stateSince, u.mayHaveRun, u.sawErrors = healthy, c.now, false, false
 		c.log("destination %d unit %s healthy", d.id, u.name)
-		c.act(Health{u.name, false, 0})
+		c.emit(Health{u.name, false, 0})
 	}
 }
 
 // watch makes units suspect that leave calls unanswered: a guard against any silence, before a
 // time-out tells. It holds as well against calls that unsafe messages leave out for long.
-func (c *Chooser) watch() {
-	for d := range c.callers {
+func (c *Chooser) suspectSilent() {
+	for d := range c.calledDests {
 		for _, u := range d.units {
-			waits := u.state == healthy && len(u.outs) > 0
-			if waits && c.now-max(u.outs[0].sent, u.lastServed) > c.patience(d) {
-				u.risky = true
-				c.suspect(u, d, "silent")
+			awaiting := u.state == healthy && len(u.calls) > 0
+			if awaiting && c.now-max(u.calls[0].sentAt, u.lastServed) > c.silenceLimit(d) {
+				u.mayHaveRun = true
+				c.markSuspect(u, d, "silent")
 			}
 		}
 	}
 }
 
 // room tells whether a unit may be sent a call now.
-func (c *Chooser) room(u *unit) bool {
-	if c.now < u.waitUntil || c.now < u.pauseUntil {
+func (c *Chooser) canCall(u *unit) bool {
+	if c.now < u.retryAfter || c.now < u.pauseUntil {
 		return false
 	}
 	if u.state == suspect {
-		return len(u.outs) <= 1 && c.now >= u.trialAt
+		return len(u.calls) <= 1 && c.now >= u.trialAt
 	}
-	affords := u.state != recovering || c.affords(u.sends, u, u.since, 1)
-	return affords && (u.limit == 0 || u.tokens >= 1)
+	affords := u.state != recovering || c.withinBudget(u.recentSends, u, u.stateSince, 1)
+	return affords && (u.pace == 0 || u.tokens >= 1)
 }
 
 // refill brings pace and tokens up to a time.
-func (c *Chooser) refill(u *unit, now time.Duration) {
-	dt := (now - u.limitAt).Seconds()
-	u.limitAt = now
-	if u.listed > 0 {
-		u.limit = min(u.limit*(1+grow*min(dt, 1)), c.most(u))
+func (c *Chooser) refillTokens(u *unit, now time.Duration) {
+	elapsed := (now - u.paceAt).Seconds()
+	u.paceAt = now
+	if u.knownRate > 0 {
+		u.pace = min(u.pace*(1+paceRegain*min(elapsed, 1)), c.maxPace(u))
 	} else {
-		u.limit *= 1 + search*min(dt, 1)
+		u.pace *= 1 + paceSearch*min(elapsed, 1)
 	}
-	u.tokens = min(u.tokens+u.limit*dt, max(1, u.limit*c.minAim.Seconds()/8))
+	u.tokens = min(u.tokens+u.pace*elapsed, max(1, u.pace*c.minAim.Seconds()/8))
 }
--- a/choice/index.go
+++ b/choice/index.go
@@ -1,154 +1,195 @@
 package choice
 
-import "container/heap"
-
-// Plain containers, without decisions: what leaves them does so without a walk.
-
-// links are the neighbours of an element of a chain.
-type links[T any] struct {
-	prev, next *T
-	in         bool
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// What a Step has to look at, kept as things happen: what is due, and what has changed. No decisions.
+
+// index is what tells a Step where to look.
+type index struct {
+	destOrder     chain[dest]            // as first heard of
+	liveDests     chain[dest]            // with messages waiting or out, as they came to have any
+	callingDests  []*dest                // whose units have calls out
+	activeDests   []*dest                // with messages waiting, not parked
+	deferredDests indexedHeap[*dest]     // by time
+	byAnswerTime  indexedHeap[*message]  // that wait, by the time of their final answer
+	pausedKeys    indexedHeap[*keyQueue] // with nothing queued, by the end of their rest
+	maybeIdle     []*dest                // that came to have nothing waiting or out since the last Step
+	changedDests  []*dest                // to which something happened in this Step
+	listChecks    []*dest                // that the next news of the list look at
+	// turns are counted; times are of the last of them.
+	stepCount, queueCount, liveCount, destCount int
+	stepTimes                                   []time.Duration
+	excluded                                    int
+}
+
+func newIndex() index {
+	return index{destOrder: chain[dest]{links: func(d *dest) *chainLinks[dest] { return &d.orderLinks }},
+		liveDests: chain[dest]{links: func(d *dest) *chainLinks[dest] { return &d.liveLinks }},
+		deferredDests: indexedHeap[*dest]{before: func(a, b *dest) bool { return a.deferredUntil < b.deferredUntil },
+			index: func(d *dest) *int { return &d.heapIndex }},
+		byAnswerTime: indexedHeap[*message]{before: func(a, b *message) bool { return a.answerAt < b.answerAt },
+			index: func(m *message) *int { return &m.heapIndex }},
+		pausedKeys: indexedHeap[*keyQueue]{before: func(a, b *keyQueue) bool { return a.pauseUntil < b.pauseUntil },
+			index: func(l *keyQueue) *int { return &l.heapIndex }}}
+}
+
+func compareLive(a, b *dest) int { return cmp.Compare(a.liveNumber, b.liveNumber) }
+
+// wait has a message wait for its destination, last of all.
+func (c *Chooser) enqueue(m *message) {
+	d := m.dest
+	c.queueCount++
+	m.queueNumber = c.queueCount
+	d.waiting.add(m)
+	c.updateAnswerTime(m)
+	if !d.liveLinks.in {
+		c.liveCount++
+		d.liveNumber = c.liveCount
+		c.liveDests.add(d)
+	}
+	if d.schedule == destIdle {
+		d.schedule, c.activeDests = destActive, append(c.activeDests, d)
+	}
 }
 
-// chain is a linked list whose elements hold their own links. What is left keeps its order.
-type chain[T any] struct {
-	first, last *T
-	n           int
-	of          func(*T) *links[T]
+// retime finds a message that waits its place among those that have an end.
+func (c *Chooser) updateAnswerTime(m *message) {
+	m.answerAt = c.finalAnswerAt(m)
+	c.byAnswerTime.update(m)
 }
 
-func (c *chain[T]) add(x *T) {
-	l := c.of(x)
-	if *l = (links[T]{prev: c.last, in: true}); c.last == nil {
-		c.first = x
-	} else {
-		c.of(c.last).next = x
+// unwait takes a message from those that wait.
+func (c *Chooser) dequeue(m *message) {
+	if m.dest.waiting.drop(m); m.dest.waiting.count == 0 {
+		c.markChanged(m.dest)
 	}
-	c.last, c.n = x, c.n+1
+	c.byAnswerTime.drop(m)
+	c.noteIfIdle(m.dest)
 }
 
-// drop takes an element out; one that is not in stays out.
-func (c *chain[T]) drop(x *T) {
-	l := c.of(x)
-	if !l.in {
-		return
-	}
-	if l.prev == nil {
-		c.first = l.next
-	} else {
-		c.of(l.prev).next = l.next
-	}
-	if l.next == nil {
-		c.last = l.prev
-	} else {
-		c.of(l.next).prev = l.prev
-	}
-	*l = links[T]{}
-	c.n--
-}
-
-// each ranges over a chain from which the element at hand may be taken.
-func (c *chain[T]) each(yield func(*T) bool) {
-	for x := c.first; x != nil; {
-		next := c.of(x).next
-		if !yield(x) {
-			return
+// left notes a destination that has come to have nothing waiting or out.
+func (c *Chooser) noteIfIdle(d *dest) {
+	if d.idle() {
+		if c.maybeIdle = append(c.maybeIdle, d); len(d.hosts) == 0 {
+			c.scheduleListCheck(d)
 		}
-		x = next
 	}
 }
 
-// row is a slice whose elements know their places in it, counted from 1; 0 is outside. What leaves is nil until more than
-// half is: it is faster to walk than a chain.
-type row[T any] struct {
-	all   []*T
-	n     int
-	place func(*T) *int
-}
+func (d *dest) idle() bool { return d.waiting.count == 0 && d.inFlight == 0 }
 
-func (r *row[T]) add(x *T) {
-	r.all, r.n = append(r.all, x), r.n+1
-	*r.place(x) = len(r.all)
-}
-
-// drop takes an element out; one that is not in stays out.
-func (r *row[T]) drop(x *T) {
-	p := r.place(x)
-	if *p == 0 {
-		return
-	}
-	r.all[*p-1], *p, r.n = nil, 0, r.n-1
-	if len(r.all) > 2*r.n {
-		left := r.all[:0]
-		for _, x := range r.all {
-			if x != nil {
-				left = append(left, x)
-				*r.place(x) = len(left)
-			}
-		}
-		clear(r.all[len(left):])
-		if r.all = left; cap(left) > 64 && cap(left) > 8*len(left) { // or what was needed once stays
-			r.all = append([]*T(nil), left...)
+// settle ends the life of what has nothing waiting or out.
+func (c *Chooser) dropIdle() {
+	for _, d := range c.maybeIdle {
+		if d.idle() {
+			c.liveDests.drop(d)
 		}
 	}
+	clear(c.maybeIdle)
+	c.maybeIdle = c.maybeIdle[:0]
 }
 
-// sorted is a binary heap whose elements know their places in it, counted from 1; 0 is outside.
-type sorted[T any] struct {
-	all    []T
-	before func(a, b T) bool
-	place  func(T) *int
+// line has a message wait for its turn by the order of its key.
+func (c *Chooser) enqueueKey(m *message) {
+	l := c.keyQueues[m.Key]
+	if l == nil {
+		l = &keyQueue{key: m.Key, messages: chain[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}}
+		c.keyQueues[m.Key] = l
+	}
+	c.pausedKeys.drop(l)
+	l.messages.add(m)
 }
 
-func (s *sorted[T]) Len() int           { return len(s.all) }
-func (s *sorted[T]) Less(i, j int) bool { return s.before(s.all[i], s.all[j]) }
-
-func (s *sorted[T]) Swap(i, j int) {
-	s.all[i], s.all[j] = s.all[j], s.all[i]
-	*s.place(s.all[i]), *s.place(s.all[j]) = i+1, j+1
+// freeLines forgets the keys that have rested.
+func (c *Chooser) releaseKeys() {
+	for _, l := range c.pausedKeys.popWhile(func(l *keyQueue) bool { return l.pauseUntil <= c.now }) {
+		delete(c.keyQueues, l.key)
+	}
 }
 
-func (s *sorted[T]) Push(x any) {
-	s.all = append(s.all, x.(T))
-	*s.place(x.(T)) = len(s.all)
+// ended takes out those that wait whose time has come, those of a destination from the last one on.
+func (c *Chooser) takeDue() []*message {
+	due := c.byAnswerTime.popWhile(func(m *message) bool { return m.answerAt <= c.now })
+	slices.SortFunc(due, func(a, b *message) int {
+		return cmp.Or(cmp.Compare(a.dest.liveNumber, b.dest.liveNumber), cmp.Compare(b.queueNumber, a.queueNumber))
+	})
+	return due
+}
+
+// back takes a message from its call, and frees the slots of that with the last one.
+func (c *Chooser) detachFromCall(m *message) {
+	k, h := m.call, m.call.host
+	m.call, m.lastHost = nil, h
+	if k.messages = without(k.messages, m); len(k.messages) == 0 {
+		c.inFlight, m.dest.inFlight, h.inFlight = c.inFlight-1, m.dest.inFlight-1, h.inFlight-1
+		h.unit.calls = without(h.unit.calls, k)
+		c.countUnitCalls(h.dest, -1)
+		c.noteIfIdle(m.dest)
+	}
 }
 
-func (s *sorted[T]) Pop() any {
-	var none T
-	x := s.all[len(s.all)-1]
-	s.all[len(s.all)-1] = none // or the memory of what has left stays
-	s.all = s.all[:len(s.all)-1]
-	*s.place(x) = 0
-	return x
+// calls counts those out at the units of a destination.
+func (c *Chooser) countUnitCalls(d *dest, n int) {
+	switch d.unitCalls += n; {
+	case d.unitCalls == 1 && n > 0:
+		c.callingDests = append(c.callingDests, d)
+	case d.unitCalls == 0:
+		c.callingDests = without(c.callingDests, d)
+	}
 }
 
-// queueOf is a heap of what is there already; its elements learn no places.
-func queueOf[T any](all []T, before func(a, b T) bool) *sorted[T] {
-	none := 0
-	s := &sorted[T]{all: all, before: before, place: func(T) *int { return &none }}
-	heap.Init(s)
-	return s
+// callers ranges over the destinations with calls out, as they came to have messages.
+func (c *Chooser) calledDests(yield func(*dest) bool) {
+	slices.SortFunc(c.callingDests, compareLive)
+	for _, d := range c.callingDests {
+		if d.liveLinks.in && !yield(d) {
+			return
+		}
+	}
 }
 
-// put takes an element in, or to its new place.
-func (s *sorted[T]) put(x T) {
-	if i := *s.place(x); i > 0 {
-		heap.Fix(s, i-1)
-		return
+// close ends a Step: it notes its time, and counts the endpoints avoided where something happened.
+func (c *Chooser) finishStep() {
+	c.stepTimes, c.stepCount = append(c.stepTimes, c.now), c.stepCount+1
+	if c.stepTimes[0] < c.now-2*recheckAfter { // not in each Step: the rest is moved
+		i, _ := slices.BinarySearch(c.stepTimes, c.now-recheckAfter+1)
+		c.stepTimes = slices.Delete(c.stepTimes, 0, i)
 	}
-	heap.Push(s, x)
+	for _, d := range c.changedDests {
+		n := 0
+		for _, h := range d.hosts {
+			if h.State != Removed && (c.disabled[h.Addr] || h.unit.state == suspect) {
+				n++
+			}
+		}
+		c.excluded += n - d.excluded
+		d.excluded, d.changed = n, false
+	}
+	clear(c.changedDests)
+	c.changedDests = c.changedDests[:0]
 }
 
-func (s *sorted[T]) drop(x T) {
-	if i := *s.place(x); i > 0 {
-		heap.Remove(s, i-1)
+// Excluded counts the endpoints on the list that get no messages, by hand or by choice; those that
+// get single trials are among them. The count is that of the last Step.
+func (c *Chooser) Excluded() int { return c.excluded }
+
+// check has the next news of the list look at a destination, also if they don't name it.
+func (c *Chooser) scheduleListCheck(d *dest) {
+	if !d.listCheckDue {
+		d.listCheckDue, c.listChecks = true, append(c.listChecks, d)
 	}
 }
 
-// upTo takes out all for which a test holds, that holds for all before them as well.
-func (s *sorted[T]) upTo(due func(T) bool) (out []T) {
-	for len(s.all) > 0 && due(s.all[0]) {
-		out = append(out, heap.Pop(s).(T))
-	}
-	return out
+// checks goes through those to check, as they were first heard of, and keeps those that a test finds to have
+// to be checked again.
+func (c *Chooser) runListChecks(again func(*dest) bool) {
+	slices.SortFunc(c.listChecks, func(a, b *dest) int { return cmp.Compare(a.knownNumber, b.knownNumber) })
+	c.listChecks = slices.DeleteFunc(c.listChecks, func(d *dest) bool {
+		d.listCheckDue = again(d)
+		return !d.listCheckDue
+	})
 }
--- /dev/null
+++ b/choice/manual.go
@@ -0,0 +1,101 @@
+package choice
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+	"time"
+)
+
+// Endpoints that operators take out by hand, how they come back, and the budget of what comes back cold.
+
+// byHand takes operators at their word. They restart what they take out, so it comes back cold.
+func (c *Chooser) manualChange(e ManualChange) {
+	h := c.hosts[e.Host]
+	if h != nil {
+		c.markChanged(h.dest)
+	}
+	switch {
+	case e.Disabled:
+		c.disabled[e.Host] = true
+		if h != nil && h.unit.state == healthy {
+			h.unit.baseRate = h.unit.servedRate // what the budget goes by where no rate is listed
+		}
+		c.log("endpoint %s is out by hand", e.Host)
+	case c.disabled[e.Host] || e.Ago > 0:
+		delete(c.disabled, e.Host)
+		maps.DeleteFunc(c.enabledAt, func(_ string, at time.Duration) bool { return c.now-at >= c.settings.Rules.WarmUp })
+		c.enabledAt[e.Host] = c.now - e.Ago
+		if h != nil {
+			h.failures, h.retryAt = 0, 0
+			c.resetShare(h)
+		}
+		c.log("endpoint %s is back", e.Host)
+	}
+}
+
+// open tells whether list and operators let messages go to a host.
+func (c *Chooser) usable(h *host) bool { return h.State == Ready && !c.disabled[h.Addr] }
+
+// warm tells whether a host that was given back by hand may get one more call. It has its part of the
+// budget of its unit; the other hosts of that are as warm as before.
+func (c *Chooser) withinWarmUp(h *host) bool {
+	returnedAt, warming := c.enabledAt[h.Addr]
+	if !warming {
+		return true
+	}
+	if c.now-returnedAt >= c.settings.Rules.WarmUp {
+		delete(c.enabledAt, h.Addr)
+		h.recentSends = nil
+		return true
+	}
+	if h.recentSends == nil {
+		h.recentSends = c.assumedSends(h, c.now-returnedAt)
+	}
+	return c.withinBudget(h.recentSends, h.unit, returnedAt, h.unitShare())
+}
+
+// redraw has a part of less than one call start anew, or those of all relays may come in step.
+func (c *Chooser) resetShare(h *host) {
+	if window, _ := c.coldBudget(h.unit, c.now-c.enabledAt[h.Addr]); window*h.unitShare() < 1 {
+		h.recentSends = nil
+	}
+}
+
+// firstSends stands for the calls since a return, where none are known. If it was before this relay's start,
+// a window counts as spent; a part of less than one call is partly used, by chance, lest relays call in step.
+func (c *Chooser) assumedSends(h *host, sinceReturn time.Duration) []time.Duration {
+	window, sum := c.coldBudget(h.unit, sinceReturn)
+	started := h.unit.createdAt + time.Second
+	if window*h.unitShare() >= 1 && c.now-sinceReturn < started {
+		return slices.Repeat([]time.Duration{started}, int(window*h.unitShare())+1)
+	}
+	ago, unused := time.Duration(0), c.rand.Float64()*max(window, 1/h.unitShare())
+	for range 8 { // Newton's method, for when so much less had come of the sum
+		window, sumBefore := c.coldBudget(h.unit, sinceReturn-ago)
+		ago += time.Duration((unused - sum + sumBefore) / window * float64(c.settings.Rules.OverloadWindow))
+	}
+	return []time.Duration{c.now - ago}
+}
+
+// affords tells whether one more call keeps to a part of the budget of what returned at a time: to that of the rule's
+// window or, where that is less than one call, to what has come of it since the last one.
+func (c *Chooser) withinBudget(sends []time.Duration, u *unit, returnedAt time.Duration, share float64) bool {
+	window, sum := c.coldBudget(u, c.now-returnedAt)
+	if window*share >= 1 || len(sends) == 0 {
+		return c.countWithin(sends, c.settings.Rules.OverloadWindow)+1 <= max(window*share, 1)
+	}
+	last := sends[len(sends)-1]
+	_, sumAtLast := c.coldBudget(u, last-returnedAt)
+	return (sum-sumAtLast)*share >= c.countWithin(sends, c.now-last)
+}
+
+// budget is this relay's share of the calls that the rule allows in its window, a while after a return, and of all from
+// the return to then; before it, of a window just after it.
+func (c *Chooser) coldBudget(u *unit, sinceReturn time.Duration) (window, sum float64) {
+	rate := cmp.Or(u.knownRate, max(u.baseRate, 1/c.settings.Rules.WarmUp.Seconds())*float64(c.settings.Fleet))
+	rules, elapsed, warmUp := c.settings.Rules, sinceReturn.Seconds(), c.settings.Rules.WarmUp.Seconds()
+	fullRate, progress := coldBudgetShare*rules.OverloadFactor*rate/float64(c.settings.Fleet), min(max(0, elapsed/warmUp), 1)
+	capacitySeconds := max(0, elapsed-warmUp) + (1-rules.ColdShare)*progress*progress/2*warmUp + rules.ColdShare*min(elapsed, warmUp)
+	return max(1e-6, fullRate*(rules.ColdShare+(1-rules.ColdShare)*progress)*rules.OverloadWindow.Seconds()), fullRate * capacitySeconds
+}
--- a/choice/hand_test.go
+++ b/choice/manual_test.go
@@ -7,37 +7,37 @@
 )
 
 // Guards against messages for an endpoint that operators took out, whatever the list says meanwhile.
-func TestOutByHandOutlastsTheList(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestDisabledEndpointStaysDisabledAcrossLists(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	gone := ready("a", 1, 0, 0)
-	gone.State = Gone
-	acts := r.step(ByHand{Host: "a", Out: true}, arrival("m", 0))
-	acts = append(acts, r.after(time.Second)...)
-	acts = append(acts, r.step(Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0)}})...)
-	acts = append(acts, r.step(Listing{Hosts: []Host{gone}})...)
-	acts = append(acts, r.after(time.Second)...)
-	acts = append(acts, r.step(Listing{Hosts: []Host{ready("a", 1, 0, 0)}})...)
-	acts = append(acts, r.after(time.Second)...)
+	gone.State = Removed
+	acts := r.step(ManualChange{Host: "a", Disabled: true}, arrival("m", 0))
+	acts = append(acts, r.advance(time.Second)...)
+	acts = append(acts, r.step(ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0)}})...)
+	acts = append(acts, r.step(ListUpdate{Hosts: []Host{gone}})...)
+	acts = append(acts, r.advance(time.Second)...)
+	acts = append(acts, r.step(ListUpdate{Hosts: []Host{ready("a", 1, 0, 0)}})...)
+	acts = append(acts, r.advance(time.Second)...)
 	if n := len(sends(acts)); n != 0 {
 		t.Fatalf("%d sends to an endpoint that is out", n)
 	}
-	if n := r.c.Excluded(); n != 1 {
+	if n := r.chooser.Excluded(); n != 1 {
 		t.Errorf("%d endpoints excluded, want 1", n)
 	}
-	r.step(ByHand{Host: "a", Out: true}) // one call back answers two calls out
-	if n := len(sends(append(r.step(ByHand{Host: "a"}), r.after(time.Second)...))); n != 1 {
+	r.step(ManualChange{Host: "a", Disabled: true}) // one call back answers two calls out
+	if n := len(sends(append(r.step(ManualChange{Host: "a"}), r.advance(time.Second)...))); n != 1 {
 		t.Errorf("%d sends once it is back, want 1", n)
 	}
-	if n := r.c.Excluded(); n != 0 {
+	if n := r.chooser.Excluded(); n != 0 {
 		t.Errorf("%d endpoints excluded once it is back, want none", n)
 	}
 }
 
 // Guards against a restarted endpoint that is pushed over as operators give it back, and against
 // the other endpoints of its destination being held back with it.
-func TestBackByHandIsCold(t *testing.T) {
+func TestEnabledEndpointIsCold(t *testing.T) {
 	s := settings()
-	s.Workers, s.MaxHeld = 400, 1000
+	s.Workers, s.MaxPending = 400, 1000
 	for name, c := range map[string]struct {
 		back  []Event
 		spent bool // a window, for what the process before this one may have sent in it
@@ -45,13 +45,13 @@
 	}{
 		// Of 100 calls a second each of two relays may send a cold half 0.9 x 2 x 0.2 x 100 x 2 s / 2 / 2
 		// calls in 2 s at first, and 0.36 in place of 0.2 after 2 s.
-		"as operators say so": {[]Event{ByHand{Host: "a", Out: true}, ByHand{Host: "a"}}, false, func(a, b int) bool { return a > 5 && a < 36 && b > 60 }},
+		"as operators say so": {[]Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 5 && a < 36 && b > 60 }},
 		// In the first 2 s what 0.44 is more than 0.28, a second after the return; in the next 2 s 0.6 in place of 0.36.
-		"as the record says so":     {[]Event{ByHand{Host: "a", Ago: time.Second}}, true, func(a, b int) bool { return a > 5 && a < 54 && b > 60 }},
-		"back long since":           {[]Event{ByHand{Host: "a", Ago: time.Minute}}, false, func(a, b int) bool { return a > 60 }},
-		"called back but never out": {[]Event{ByHand{Host: "a"}}, false, func(a, b int) bool { return a > 60 }},
+		"as the record says so":     {[]Event{ManualChange{Host: "a", Ago: time.Second}}, true, func(a, b int) bool { return a > 5 && a < 54 && b > 60 }},
+		"back long since":           {[]Event{ManualChange{Host: "a", Ago: time.Minute}}, false, func(a, b int) bool { return a > 60 }},
+		"called back but never out": {[]Event{ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 60 }},
 	} {
-		r := newRig(t, s, ready("a", 1, 0, 0), ready("b", 1, 0, 0))
+		r := newHarness(t, s, ready("a", 1, 0, 0), ready("b", 1, 0, 0))
 		r.step(c.back...)
 		window := func() map[string]int { // calls in 2 s
 			sent := map[string]int{}
@@ -59,7 +59,7 @@
 				r.now += 5 * ms
 				for _, a := range sends(r.step(arrival(fmt.Sprint("m", r.now), 0))) {
 					sent[a.Host]++
-					r.step(r.end(a.ID, a.Host, Served))
+					r.step(r.result(a.ID, a.Host, Served))
 				}
 			}
 			return sent
@@ -79,7 +79,7 @@
 
 // Guards against relays with parts of less than one call that come to it in step: after a restart in the ramp, as an endpoint
 // is given back once more, and as the list's rate changes, what they have of it must be spread evenly, from none to all.
-func TestSmallPartsAreSpread(t *testing.T) {
+func TestSmallBudgetSharesAreSpread(t *testing.T) {
 	const relays = 400
 	s := settings()
 	s.Fleet = relays
@@ -87,11 +87,11 @@
 	host.Rate = 30
 	faster := host
 	faster.Rate = 90
-	back := []Event{ByHand{Host: "a", Out: true}, ByHand{Host: "a"}}
+	back := []Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}
 	for name, then := range map[string][]Event{
-		"restart":       {ByHand{Host: "a", Ago: 7 * time.Second}},
+		"restart":       {ManualChange{Host: "a", Ago: 7 * time.Second}},
 		"back again":    back,
-		"a higher rate": {Listing{Hosts: []Host{faster}}},
+		"a higher rate": {ListUpdate{Hosts: []Host{faster}}},
 	} {
 		var parts [4]int
 		for seed := range uint64(relays) {
@@ -99,15 +99,15 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			h := Listing{Whole: true, Hosts: []Host{host}}
+			h := ListUpdate{Complete: true, Hosts: []Host{host}}
 			c.Step(time.Hour, []Event{h})
 			if name != "restart" {
 				c.Step(time.Hour, append(back, arrival("first", 0))) // it draws its part
 			}
 			c.Step(time.Hour+7*time.Second, append(then, arrival("m", 0)))
 			a := c.hosts["a"]
-			_, sum := c.budget(a.unit, c.now-c.cold["a"])
-			_, was := c.budget(a.unit, a.sends[len(a.sends)-1]-c.cold["a"])
+			_, sum := c.coldBudget(a.unit, c.now-c.enabledAt["a"])
+			_, was := c.coldBudget(a.unit, a.recentSends[len(a.recentSends)-1]-c.enabledAt["a"])
 			parts[min(3, int(4*(sum-was)))]++
 		}
 		for _, n := range parts {
--- a/choice/oracle.go
+++ b/choice/oracle.go
@@ -8,105 +8,105 @@
 // The time-out oracle.
 
 // add enters one served latency; cutShort one attempt that was given up at the bound.
-func (t *table) add(took time.Duration) {
-	i := int(took / t.width)
-	if i < 0 || i >= buckets {
-		t.cutShort()
+func (t *latencyTable) addServed(took time.Duration) {
+	bucket := int(took / t.width)
+	if bucket < 0 || bucket >= buckets {
+		t.addCutShort()
 		return
 	}
-	t.fade()
-	if t.count == nil {
-		t.count, t.sum = make([]float64, buckets), make([]float64, buckets)
+	t.fadeSamples()
+	if t.counts == nil {
+		t.counts, t.sums = make([]float64, buckets), make([]float64, buckets)
 	}
-	t.count[i] += t.weight
-	t.sum[i] += t.weight * took.Seconds()
+	t.counts[bucket] += t.weight
+	t.sums[bucket] += t.weight * took.Seconds()
 }
 
-func (t *table) cutShort() { t.fade(); t.beyond += t.weight }
+func (t *latencyTable) addCutShort() { t.fadeSamples(); t.overBound += t.weight }
 
-func (t *table) fade() {
-	t.total++
-	t.stale = true
-	if t.weight *= 1 + 1.0/memory; t.weight > 1e6 {
-		for i := range t.count {
-			t.count[i] /= t.weight
-			t.sum[i] /= t.weight
+func (t *latencyTable) fadeSamples() {
+	t.samples++
+	t.outdated = true
+	if t.weight *= 1 + 1.0/sampleMemory; t.weight > 1e6 {
+		for i := range t.counts {
+			t.counts[i] /= t.weight
+			t.sums[i] /= t.weight
 		}
-		t.beyond, t.weight = t.beyond/t.weight, 1
+		t.overBound, t.weight = t.overBound/t.weight, 1
 	}
 }
 
 // look brings edge and high up to date.
-func (t *table) look() {
-	if !t.stale || t.total < minSamples {
+func (t *latencyTable) refresh() {
+	if !t.outdated || t.samples < minSamples {
 		return
 	}
-	t.stale = false
+	t.outdated = false
 	served := 0.0
-	for _, n := range t.count {
-		served += n
+	for _, count := range t.counts {
+		served += count
 	}
-	all, cost := served+t.beyond, t.width.Seconds()
+	total, lossCost := served+t.overBound, t.width.Seconds()
 	if served > 0 {
-		for _, s := range t.sum {
-			cost += wasted * s / served
+		for _, sum := range t.sums {
+			lossCost += restartCost * sum / served
 		}
 	}
-	f, m, best := 0.0, 0.0, math.Inf(1)
-	t.edge, t.high = 0, 0
-	for i := range t.count {
-		f += t.count[i] / all
-		m += t.sum[i] / all
+	servedShare, latencySum, least := 0.0, 0.0, math.Inf(1)
+	t.bestTimeout, t.p98 = 0, 0
+	for i := range t.counts {
+		servedShare += t.counts[i] / total
+		latencySum += t.sums[i] / total
 		edge := time.Duration(i+1) * t.width
-		if f <= 0 {
+		if servedShare <= 0 {
 			continue
 		}
-		if e := m/f + (1-f)/f*(edge.Seconds()+cost); e < best {
-			best, t.edge = e, edge
+		if expected := latencySum/servedShare + (1-servedShare)/servedShare*(edge.Seconds()+lossCost); expected < least {
+			least, t.bestTimeout = expected, edge
 		}
-		if t.high == 0 && f*all >= 0.98*served {
-			t.high = edge
+		if t.p98 == 0 && servedShare*total >= 0.98*served {
+			t.p98 = edge
 		}
 	}
 }
 
 // patience is how long a call to a destination may stay unanswered before its silence means something.
-func (c *Chooser) patience(d *dest) time.Duration {
-	t, least := &d.table, c.minAim/8
-	if t.total < minSamples {
-		t, least = &c.pool, c.minAim/2
+func (c *Chooser) silenceLimit(d *dest) time.Duration {
+	table, lowest := &d.latencies, c.minAim/8
+	if table.samples < minSamples {
+		table, lowest = &c.pooledLatencies, c.minAim/2
 	}
-	if t.look(); t.high == 0 {
+	if table.refresh(); table.p98 == 0 {
 		return c.minAim / 2
 	}
-	return min(max(2*t.high, least), c.bound)
+	return min(max(2*table.p98, lowest), c.maxTimeout)
 }
 
 // timeout for the next try of a message at a unit.
 func (c *Chooser) timeout(m *message, u *unit) time.Duration {
-	left := m.due - c.now
-	if !c.repeatable(m) || m.attempts+1 >= m.most {
-		return left
+	remaining := m.deadline - c.now
+	if !c.mayRepeat(m) || m.attempts+1 >= m.maxAttempts {
+		return remaining
 	}
 	d := m.dest
-	d.table.look()
-	t := d.table.edge
+	d.latencies.refresh()
+	timeout := d.latencies.bestTimeout
 	switch {
 	case u.state == suspect:
-		t = c.patience(d) << min(u.trials, 4)
-	case t > 0 && d.waiting.n > 1:
+		timeout = c.silenceLimit(d) << min(u.failedTrials, 4)
+	case timeout > 0 && d.waiting.count > 1:
 		// With a message waiting here a restart takes its place, and feeds an overload:
 		// only calls that are very likely lost are given up.
-		t = max(t, c.patience(d))
+		timeout = max(timeout, c.silenceLimit(d))
 	}
-	t <<= min(d.backoff, 4)
-	if t == 0 {
-		return left
+	timeout <<= min(d.timeoutStreak, 4)
+	if timeout == 0 {
+		return remaining
 	}
-	t = max(t, m.timeout+d.table.width)
-	restart := c.now + t + time.Duration(u.pace*float64(time.Second))
-	if restart >= m.due || m.class.Effect == Keyed && restart >= c.windowEnd(m) {
-		return left
+	timeout = max(timeout, m.timeout+d.latencies.width)
+	restartAt := c.now + timeout + time.Duration(u.latencySec*float64(time.Second))
+	if restartAt >= m.deadline || m.class.Effect == Keyed && restartAt >= c.windowEnd(m) {
+		return remaining
 	}
-	return t
+	return timeout
 }
--- a/choice/outage_test.go
+++ b/choice/outage_test.go
@@ -14,9 +14,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(time.Hour, []Event{Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0)}}, Unwell{Host: "a", Base: 5}})
+		c.Step(time.Hour, []Event{ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0)}}, KnownOutage{Host: "a", BaseRate: 5}})
 		u := c.hosts["a"].unit
-		u.state, u.since = recovering, time.Hour // one of its trials was served
+		u.state, u.stateSince = recovering, time.Hour // one of its trials was served
 		var sent Send
 		for _, a := range c.Step(time.Hour+time.Second, []Event{Arrival{ID: "m", Dest: 1, Left: 9 * time.Second}}) {
 			if s, ok := a.(Send); ok {
@@ -27,7 +27,7 @@
 			t.Fatal("nothing is sent while it recovers")
 		}
 		unwell := false
-		for _, a := range c.Step(time.Hour+1100*time.Millisecond, []Event{Result{ID: "m", Host: "a", Outcome: Refused, Took: time.Millisecond, Wait: wait}}) {
+		for _, a := range c.Step(time.Hour+1100*time.Millisecond, []Event{Result{ID: "m", Host: "a", Outcome: Refused, Took: time.Millisecond, RetryAfter: wait}}) {
 			if h, ok := a.(Health); ok {
 				unwell = h.Unwell
 			}
@@ -41,24 +41,24 @@
 // Guards against a destination that goes out again while it still warms up: one answer after that was taken for health, since
 // the last one was less than a rule's window ago, and it got all that waited.
 func TestShortOutageWhileRecovering(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	u := r.c.hosts["a"].unit
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
+	u := r.chooser.hosts["a"].unit
 	r.step(arrival("well", 0))
-	r.step(r.end("well", "a", Served))
-	u.state, u.since = recovering, r.now
+	r.step(r.result("well", "a", Served))
+	u.state, u.stateSince = recovering, r.now
 	r.now += 500 * ms
 	for u.state == recovering {
 		for _, a := range sends(r.step(arrival(fmt.Sprint("m", r.now), 0))) {
-			r.step(r.end(a.ID, "a", NoConnection))
+			r.step(r.result(a.ID, "a", NoConnection))
 		}
 		r.now += 20 * ms
 	}
-	if u.state != suspect || r.now-u.lastServed >= r.c.set.Rules.Fall {
+	if u.state != suspect || r.now-u.lastServed >= r.chooser.settings.Rules.OverloadWindow {
 		t.Fatalf("state %d %v after an answer, want an outage that soon", u.state, r.now-u.lastServed)
 	}
 	for u.state == suspect {
-		for _, a := range sends(r.after(20 * ms)) {
-			r.step(r.end(a.ID, "a", Served))
+		for _, a := range sends(r.advance(20 * ms)) {
+			r.step(r.result(a.ID, "a", Served))
 		}
 	}
 	if u.state != recovering {
@@ -67,20 +67,20 @@
 }
 
 // The same by the calls that come of it, of one relay.
-func TestShortOutageInTheRampOfOneRelay(t *testing.T) {
-	p := slowStart{fleet: 1, rate: 40, load: 1.5, again: 3 * time.Second, outAgain: time.Second}
-	for p.draw = range 5 {
+func TestShortOutageDuringWarmUpOfOneRelay(t *testing.T) {
+	p := slowStartCase{fleet: 1, rate: 40, load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second}
+	for p.seed = range 5 {
 		if got, most := p.play(t).worst(); got > most || got == 0 {
-			t.Errorf("draw %d: %.0f calls in a window of %.1f", p.draw, got, most)
+			t.Errorf("draw %d: %.0f calls in a window of %.1f", p.seed, got, most)
 		}
 	}
 }
 
 // Guards against relays that went on with their ramp after one refused connection, for that was no outage to those that met
 // no more of it: at the ramp's end, as they counted it, they sent all that waited.
-func TestShortOutageInTheRampOfManyRelays(t *testing.T) {
+func TestShortOutageDuringWarmUpOfManyRelays(t *testing.T) {
 	for _, fleet := range []int{6, 20} {
-		p := slowStart{fleet: fleet, rate: 40, load: 1.5, again: 3 * time.Second, outAgain: time.Second}
+		p := slowStartCase{fleet: fleet, rate: 40, load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second}
 		if got, most := p.play(t).worst(); got > most || got == 0 {
 			t.Errorf("%d relays: %.0f calls in a window of %.1f", fleet, got, most)
 		}
@@ -89,12 +89,12 @@
 
 // Guards against an answer to a call from before a destination went down, which came after the first refused connection and
 // was taken for its return: the ramp began too early.
-func TestAnswerFromBeforeItWentDown(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	u := r.c.hosts["a"].unit
+func TestAnswerFromBeforeOutageIsNoRecovery(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
+	u := r.chooser.hosts["a"].unit
 	r.step(arrival("well", 0))
-	r.step(r.end("well", "a", Served))
-	u.state, u.since = recovering, r.now
+	r.step(r.result("well", "a", Served))
+	u.state, u.stateSince = recovering, r.now
 	sentBefore := sends(r.step(arrival("before", 0)))
 	r.now += 10 * ms
 	refused := sends(r.step(arrival("refused", 0)))
@@ -102,7 +102,7 @@
 		t.Fatalf("%d and %d calls in the ramp, want one each", len(sentBefore), len(refused))
 	}
 	r.now += 10 * ms
-	r.step(r.end("refused", "a", NoConnection))
+	r.step(r.result("refused", "a", NoConnection))
 	if u.state != suspect {
 		t.Fatalf("state %d after a refused connection in the ramp, want an outage", u.state)
 	}
--- a/choice/due_scale_test.go
+++ b/choice/pending_scale_test.go
@@ -9,14 +9,14 @@
 // What decisions cost by what is held and listed. Destinations from 0 on are down and hold messages, the others take them.
 
 // served are the destinations that take messages in these benchmarks.
-const serving = 14
+const healthyDests = 14
 
 // sized is a flow with so many destinations listed, of two endpoints each, beyond the first of which `serving` are up.
 // Each of those that are down holds so many messages, with far more time than a benchmark takes.
-func sized(tb testing.TB, down, held, listed int, how string) *flow {
+func newPendingBench(tb testing.TB, down, held, listed int, how string) *stepBench {
 	tb.Helper()
 	s := settings()
-	s.Fleet, s.Workers, s.MaxHeld, s.ReportLeft, s.ReportLimit = 300, 8, 2*down*held+200000, 0, 1
+	s.Fleet, s.Workers, s.MaxPending, s.ReportLeftIndex, s.ReportLimitIndex = 300, 8, 2*down*held+200000, 0, 1
 	s.Classes[1].Deadline, s.Classes[2].Deadline = 1000*time.Hour, 1000*time.Hour
 	class := 1
 	if how == "unsafe" {
@@ -26,10 +26,10 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	f := &flow{c: c, now: time.Hour}
-	hosts := make([]Host, 0, 2*(down+serving+listed))
+	f := &stepBench{chooser: c, now: time.Hour}
+	hosts := make([]Host, 0, 2*(down+healthyDests+listed))
 	var said []Event
-	for d := range down + serving + listed {
+	for d := range down + healthyDests + listed {
 		for i := range 2 {
 			h := ready(fmt.Sprint("e", d, "-", i), d, 0, i)
 			h.Rate = 1e6
@@ -44,12 +44,12 @@
 		switch {
 		case d >= down:
 		case how == "told":
-			said = append(said, Waits{hosts[2*d].Addr, time.Hour})
+			said = append(said, RetryAfter{hosts[2*d].Addr, time.Hour})
 		case how == "suspect" || how == "slow" || how == "unsafe":
-			said = append(said, Unwell{hosts[2*d].Addr, 1})
+			said = append(said, KnownOutage{hosts[2*d].Addr, 1})
 		}
 	}
-	f.step(Listing{Whole: true, Hosts: hosts})
+	f.step(ListUpdate{Complete: true, Hosts: hosts})
 	f.step(said...)
 	var come []Event
 	for d := range down {
@@ -64,17 +64,17 @@
 }
 
 // one has a message come, go and be served, in three Steps, one of them a wake-up.
-func (f *flow) one(tb testing.TB, down int) {
-	f.n++
+func (f *stepBench) serveHealthy(tb testing.TB, down int) {
+	f.count++
 	f.now += time.Microsecond // no trial falls due
-	id := fmt.Sprint("m", f.n)
-	f.step(Arrival{ID: id, Class: 0, Dest: down + f.n%serving, Left: 10 * time.Second, Tenant: -1})
-	if len(f.acts) == 0 {
+	id := fmt.Sprint("m", f.count)
+	f.step(Arrival{ID: id, Class: 0, Dest: down + f.count%healthyDests, Left: 10 * time.Second, Tenant: -1})
+	if len(f.actions) == 0 {
 		tb.Fatalf("message %s was not sent", id)
 	}
-	sent, ok := f.acts[0].(Send)
+	sent, ok := f.actions[0].(Send)
 	if !ok || sent.ID != id {
-		tb.Fatalf("message %s was not sent: %v", id, f.acts)
+		tb.Fatalf("message %s was not sent: %v", id, f.actions)
 	}
 	f.step(Woken{})
 	f.step(Result{ID: id, Host: sent.Host, Outcome: Served, Took: 20 * ms, Done: true, Report: []float64{0.9, 1e6}})
@@ -96,13 +96,13 @@
 					down, each, at = held, 1, "many"
 				}
 				b.Run(fmt.Sprintf("%s/at=%s/held=%d", how, at, held), func(b *testing.B) {
-					f := sized(b, down, each, 0, how)
+					f := newPendingBench(b, down, each, 0, how)
 					for range 200 {
-						f.one(b, down)
+						f.serveHealthy(b, down)
 					}
 					b.ReportAllocs()
 					for b.Loop() {
-						f.one(b, down)
+						f.serveHealthy(b, down)
 					}
 				})
 			}
@@ -115,15 +115,15 @@
 func BenchmarkScaleQueue(b *testing.B) {
 	for _, held := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
-			f := sized(b, 1, held, 0, "up")
+			f := newPendingBench(b, 1, held, 0, "up")
 			for b.Loop() {
 				f.now += 10 * ms
 				var come []Event
-				for _, a := range f.acts {
+				for _, a := range f.actions {
 					if s, ok := a.(Send); ok {
-						f.n++
+						f.count++
 						come = append(come, Result{ID: s.ID, Host: s.Host, Outcome: Served, Took: 5 * ms, Done: true},
-							Arrival{ID: fmt.Sprint("m", f.n), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1})
+							Arrival{ID: fmt.Sprint("m", f.count), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1})
 					}
 				}
 				if len(come) == 0 {
@@ -139,12 +139,12 @@
 func BenchmarkScaleCrowded(b *testing.B) {
 	for _, held := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
-			f := sized(b, 1, held, 0, "told")
-			f.c.set.MaxHeld = held * 10 / 9 // each that comes has one turned away
+			f := newPendingBench(b, 1, held, 0, "told")
+			f.chooser.settings.MaxPending = held * 10 / 9 // each that comes has one turned away
 			for b.Loop() {
-				f.n++
+				f.count++
 				f.now += time.Microsecond
-				f.step(Arrival{ID: fmt.Sprint("m", f.n), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1})
+				f.step(Arrival{ID: fmt.Sprint("m", f.count), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1})
 			}
 		})
 	}
@@ -154,15 +154,15 @@
 func BenchmarkScaleChange(b *testing.B) {
 	for _, listed := range []int{1000, 10000, 100000, 380000} {
 		b.Run(fmt.Sprint("destinations=", listed), func(b *testing.B) {
-			f := sized(b, 0, 0, listed, "")
+			f := newPendingBench(b, 0, 0, listed, "")
 			h := ready("changes", listed/2, 0, 0)
 			h.Rate = 1e6
 			b.ReportAllocs()
 			for b.Loop() {
 				h.State = Ready
-				f.step(Listing{Hosts: []Host{h}})
-				h.State = Gone
-				f.step(Listing{Hosts: []Host{h}})
+				f.step(ListUpdate{Hosts: []Host{h}})
+				h.State = Removed
+				f.step(ListUpdate{Hosts: []Host{h}})
 			}
 		})
 	}
@@ -175,7 +175,7 @@
 		b.Run(fmt.Sprint("messages=", held), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				f := sized(b, 1, 0, 0, "suspect")
+				f := newPendingBench(b, 1, 0, 0, "suspect")
 				for i := range held {
 					f.step(Arrival{ID: fmt.Sprint("m", i), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1})
 				}
@@ -185,14 +185,14 @@
 }
 
 // Guards against a benchmark that no longer does what it is named for.
-func TestScaleOfDecisions(t *testing.T) {
+func TestScaleBenchmarkSetup(t *testing.T) {
 	for _, how := range []string{"draining", "told", "suspect", "slow", "unsafe"} {
-		f := sized(t, 3, 20, 5, how)
+		f := newPendingBench(t, 3, 20, 5, how)
 		for range 50 {
-			f.one(t, 3)
+			f.serveHealthy(t, 3)
 		}
-		if f.c.held != 60 {
-			t.Errorf("%s: %d held, want the 60 of those that are down", how, f.c.held)
+		if f.chooser.pending != 60 {
+			t.Errorf("%s: %d held, want the 60 of those that are down", how, f.chooser.pending)
 		}
 	}
 }
--- a/choice/pick.go
+++ b/choice/pick.go
@@ -9,42 +9,42 @@
 // Which message of a destination goes, and where; the order of keys.
 
 // fits tells whether a message may go to a host now, room in its unit apart.
-func (c *Chooser) fits(m *message, h *host) bool {
-	if !c.open(h) || !c.repeatable(m) || m.attempts >= m.most {
+func (c *Chooser) maySend(m *message, h *host) bool {
+	if !c.usable(h) || !c.mayRepeat(m) || m.attempts >= m.maxAttempts {
 		return false
 	}
-	if m.class.Effect == Keyed && m.class.SameZone && m.ran && h.Zone != m.ranZone {
+	if m.class.Effect == Keyed && m.class.SameZone && m.mayHaveRun && h.Zone != m.firstRunZone {
 		return false
 	}
 	// What cannot be repeated is kept from a unit whose failures may have run until it has served
 	// a few, unless its own time runs short.
 	u := h.unit
-	proven := u.state == healthy || !u.risky || u.state == recovering && (!u.errors || u.streak >= history)
-	return proven || m.class.Effect != Unsafe || m.due-c.now < m.class.Deadline/4
+	proven := u.state == healthy || !u.mayHaveRun || u.state == recovering && (!u.sawErrors || u.servedStreak >= outcomeHistory)
+	return proven || m.class.Effect != Unsafe || m.deadline-c.now < m.class.Deadline/4
 }
 
 // best is the message that loses most by waiting, among those that a test lets through; what is
 // past its tenant's share comes after all that is not. It looks at some of those that wait.
-func (c *Chooser) best(d *dest, among []*message, test func(*message) bool) *message {
+func (c *Chooser) mostUrgent(d *dest, candidates []*message, allowed func(*message) bool) *message {
 	rate := 0.0
 	for _, u := range d.units {
-		rate += u.served
+		rate += u.servedRate
 	}
 	wait := c.minAim
 	if rate > 0 {
-		wait = time.Duration(float64(d.waiting.n) / rate * float64(time.Second))
+		wait = time.Duration(float64(d.waiting.count) / rate * float64(time.Second))
 	}
-	wait = min(max(wait, c.minAim/8), 4*c.bound)
+	wait = min(max(wait, c.minAim/8), 4*c.maxTimeout)
 	var best *message
-	most := math.Inf(-1)
-	for _, m := range among {
-		if m == nil || best != nil && m.past && !best.past {
+	highest := math.Inf(-1)
+	for _, m := range candidates {
+		if m == nil || best != nil && m.overShare && !best.overShare {
 			continue
 		}
 		loss := c.worth(m, c.now) - c.worth(m, c.now+wait)
-		less := best != nil && m.past == best.past && (loss < most || loss == most && m.due >= best.due)
-		if !less && c.hasTurn(m) && test(m) {
-			best, most = m, loss
+		lessUrgent := best != nil && m.overShare == best.overShare && (loss < highest || loss == highest && m.deadline >= best.deadline)
+		if !lessUrgent && c.keyAllows(m) && allowed(m) {
+			best, highest = m, loss
 		}
 	}
 	return best
@@ -52,45 +52,45 @@
 
 // pick chooses a message of a destination and a host for it.
 func (c *Chooser) pick(d *dest) (*message, *host) {
-	var open []*host
+	var hosts []*host
 	for _, h := range d.hosts {
-		if c.open(h) && c.room(h.unit) && c.warm(h) && c.now >= h.restUntil {
-			open = append(open, h)
+		if c.usable(h) && c.canCall(h.unit) && c.withinWarmUp(h) && c.now >= h.pauseUntil {
+			hosts = append(hosts, h)
 		}
 	}
-	if len(open) == 0 {
+	if len(hosts) == 0 {
 		return nil, nil
 	}
-	m := c.best(d, c.unblocked(d, open), func(m *message) bool {
-		return slices.ContainsFunc(open, func(h *host) bool { return c.fits(m, h) })
+	m := c.mostUrgent(d, c.unblockedMessages(d, hosts), func(m *message) bool {
+		return slices.ContainsFunc(hosts, func(h *host) bool { return c.maySend(m, h) })
 	})
 	if m == nil {
-		c.block(d, open)
+		c.noteBlocked(d, hosts)
 	}
 	var best *host
 	least := math.Inf(1)
-	for _, h := range open {
-		if m != nil && c.fits(m, h) && c.cost(m, h) < least {
-			best, least = h, c.cost(m, h)
+	for _, h := range hosts {
+		if m != nil && c.maySend(m, h) && c.routeCost(m, h) < least {
+			best, least = h, c.routeCost(m, h)
 		}
 	}
 	return m, best
 }
 
 // cost of a route in shares of worth: its fee, and what its pace and its calls out take of the aim.
-func (c *Chooser) cost(m *message, h *host) float64 {
+func (c *Chooser) routeCost(m *message, h *host) float64 {
 	u := h.unit
 	cost := 0.0
-	if m.dest.kind.Apart && h.Zone < len(c.set.ZoneFee) {
-		cost += c.set.ZoneFee[h.Zone]
+	if m.dest.kind.SeparateRoutes && h.Zone < len(c.settings.ZoneFee) {
+		cost += c.settings.ZoneFee[h.Zone]
 	}
-	if c.thin(u) {
-		cost = cost/10 + h.liking/20
+	if c.seldomCalls(u) {
+		cost = cost/10 + h.preference/20
 	}
-	finish := u.pace * float64(h.out+1) / m.class.Aim.Seconds()
+	finish := u.latencySec * float64(h.inFlight+1) / m.class.Aim.Seconds()
 	cost += max(0, finish-0.25) + finish/100
-	if h == m.last || u.state != healthy || h.fails > 0 {
-		cost += aside
+	if h == m.lastHost || u.state != healthy || h.failures > 0 {
+		cost += unsteadyHostCost
 	}
 	if c.now < h.retryAt {
 		cost++
@@ -99,10 +99,10 @@
 }
 
 // hasTurn tells whether the order of its key lets a message go.
-func (c *Chooser) hasTurn(m *message) bool {
+func (c *Chooser) keyAllows(m *message) bool {
 	if !m.class.Ordered || m.Key == "" {
 		return true
 	}
-	l := c.lines[m.Key]
-	return l.queue.first == m && c.now >= l.rest
+	queue := c.keyQueues[m.Key]
+	return queue.messages.first == m && c.now >= queue.pauseUntil
 }
--- a/choice/recorded_events_test.go
+++ b/choice/recorded_events_test.go
@@ -12,106 +12,106 @@
 
 // play runs one, with all that it does written down.
 func play(t testing.TB, w io.Writer, seed uint64, steps int) {
-	p := &world{t: t, w: w, chance: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, mode: map[string]int{}, msgs: map[string]*played{}}
-	p.set = p.setting()
-	p.set.Subscribe = seed%7 == 0
-	c, err := New(p.set, seed)
+	p := &randomPlay{t: t, out: w, random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, hostModes: map[string]int{}, messages: map[string]*playedMessage{}}
+	p.settings = p.randomSettings()
+	p.settings.MustSubscribe = seed%7 == 0
+	c, err := New(p.settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.c = c
-	for d := range pickOf(p.chance, 1, 2, 5, 14) {
-		for range 1 + p.chance.IntN(3) {
+	p.chooser = c
+	for d := range oneOf(p.random, 1, 2, 5, 14) {
+		for range 1 + p.random.IntN(3) {
 			p.hosts = append(p.hosts, p.newHost(d))
 		}
 	}
-	p.step(Listing{Whole: true, Hosts: p.hosts})
-	rush := pickOf(p.chance, 0, 1, 2) // arrivals in a step
+	p.step(ListUpdate{Complete: true, Hosts: p.hosts})
+	rush := oneOf(p.random, 0, 1, 2) // arrivals in a step
 	for range steps {
-		p.pass()
-		events := p.ended()
-		for range p.chance.IntN(rush + 1) {
+		p.advance()
+		events := p.takeDue()
+		for range p.random.IntN(rush + 1) {
 			events = append(events, p.arrival())
 		}
-		switch p.chance.IntN(60) {
+		switch p.random.IntN(60) {
 		case 0:
-			for range p.chance.IntN(30) {
+			for range p.random.IntN(30) {
 				events = append(events, p.arrival())
 			}
 		case 1:
-			rush = pickOf(p.chance, 0, 0, 1, 1, 3)
+			rush = oneOf(p.random, 0, 0, 1, 1, 3)
 		case 2, 3, 4, 5:
-			p.mode[pickOf(p.chance, p.hosts...).Addr] = p.chance.IntN(13)
+			p.hostModes[oneOf(p.random, p.hosts...).Addr] = p.random.IntN(13)
 		case 6: // a whole destination
-			d, mode := pickOf(p.chance, p.hosts...).Dest, p.chance.IntN(10)
+			d, mode := oneOf(p.random, p.hosts...).Dest, p.random.IntN(10)
 			for _, h := range p.hosts {
 				if h.Dest == d {
-					p.mode[h.Addr] = mode
+					p.hostModes[h.Addr] = mode
 				}
 			}
 		case 7, 8, 9:
-			events = append(events, p.listing())
+			events = append(events, p.listUpdate())
 		case 10, 11:
-			events = append(events, p.said())
+			events = append(events, p.hostNotice())
 		case 12:
-			if s := p.setting(); p.chance.IntN(4) == 0 {
-				s.Subscribe, p.set = p.set.Subscribe, s
+			if s := p.randomSettings(); p.random.IntN(4) == 0 {
+				s.MustSubscribe, p.settings = p.settings.MustSubscribe, s
 				events = append(events, Reconfigured{s})
 			}
 		case 13:
-			if p.chance.IntN(4) == 0 {
+			if p.random.IntN(4) == 0 {
 				events = nil // those that ended are known below
 				p.handOver(seed)
 			}
 		case 14, 15, 16:
 			if len(p.ids) > 0 {
-				id := pickOf(p.chance, p.ids...)
+				id := oneOf(p.random, p.ids...)
 				events = append(events, Withdrawn{id})
-				p.over(id)
+				p.endMessage(id)
 			}
 		case 17:
 			events = append(events, Result{ID: "none"}, Withdrawn{"none"})
 		}
-		if p.chance.IntN(2) == 0 {
+		if p.random.IntN(2) == 0 {
 			events = append(events, Woken{})
 		}
 		p.step(events...)
 	}
-	fmt.Fprintf(p.w, "%+v\n", p.c.Memory(p.now))
+	fmt.Fprintf(p.out, "%+v\n", p.chooser.Snapshot(p.now))
 }
 
 // pass moves time on: mostly by little, now and then by none or by much.
-func (p *world) pass() {
-	switch p.chance.IntN(40) {
+func (p *randomPlay) advance() {
+	switch p.random.IntN(40) {
 	case 0:
 	case 1:
-		p.now += time.Duration(p.chance.IntN(3000)) * ms
+		p.now += time.Duration(p.random.IntN(3000)) * ms
 	case 2:
-		p.now += time.Duration(p.chance.IntN(1e8))
+		p.now += time.Duration(p.random.IntN(1e8))
 	case 3:
-		if p.chance.IntN(10) == 0 {
-			p.now += time.Duration(p.chance.IntN(30)) * time.Second
+		if p.random.IntN(10) == 0 {
+			p.now += time.Duration(p.random.IntN(30)) * time.Second
 		}
 	default:
-		p.now += pickOf(p.chance, ms, 5*ms, 10*ms, 20*ms, 50*ms)
+		p.now += oneOf(p.random, ms, 5*ms, 10*ms, 20*ms, 50*ms)
 	}
 }
 
-func (p *world) newHost(dest int) Host {
-	p.n++
-	h := ready(fmt.Sprint("h", p.n), dest, dest%3, p.chance.IntN(2))
-	h.Rate = pickOf(p.chance, 0.5, 10, 20, 200, 1e6, 1e6, 1e6)
+func (p *randomPlay) newHost(dest int) Host {
+	p.lastNumber++
+	h := ready(fmt.Sprint("h", p.lastNumber), dest, dest%3, p.random.IntN(2))
+	h.Rate = oneOf(p.random, 0.5, 10, 20, 200, 1e6, 1e6, 1e6)
 	return h
 }
 
-func (p *world) arrival() Event {
-	r := p.chance
-	p.n++
-	m := &played{}
-	class := r.IntN(len(p.set.Classes))
-	k := p.set.Classes[class]
-	m.Arrival = Arrival{ID: fmt.Sprint("m", p.n), Class: class, Dest: pickOf(r, p.hosts...).Dest,
-		Left: k.Deadline, Key: pickOf(r, "", "k1", "k2", fmt.Sprint("k", p.n/5)), Tenant: r.IntN(3) - 1}
+func (p *randomPlay) arrival() Event {
+	r := p.random
+	p.lastNumber++
+	m := &playedMessage{}
+	class := r.IntN(len(p.settings.Classes))
+	k := p.settings.Classes[class]
+	m.Arrival = Arrival{ID: fmt.Sprint("m", p.lastNumber), Class: class, Dest: oneOf(r, p.hosts...).Dest,
+		Left: k.Deadline, Key: oneOf(r, "", "k1", "k2", fmt.Sprint("k", p.lastNumber/5)), Tenant: r.IntN(3) - 1}
 	if r.IntN(30) == 0 {
 		m.Dest = 90 + r.IntN(3)
 	}
@@ -122,93 +122,93 @@
 		k.Worth, k.Effect, k.Window, k.Ordered = 2, Keyed, time.Second, false
 		m.Terms = &Terms{k, 3}
 	}
-	m.due = p.now + m.Left
-	p.msgs[m.ID], p.ids = m, append(p.ids, m.ID)
+	m.deadline = p.now + m.Left
+	p.messages[m.ID], p.ids = m, append(p.ids, m.ID)
 	return m.Arrival
 }
 
 // listing changes a few endpoints, or tells of all.
-func (p *world) listing() Event {
-	r := p.chance
+func (p *randomPlay) listUpdate() Event {
+	r := p.random
 	if r.IntN(12) == 0 {
-		return Listing{Failed: true}
+		return ListUpdate{Failed: true}
 	}
 	var changed []Host
 	for range 1 + r.IntN(3) {
 		h := &p.hosts[r.IntN(len(p.hosts))]
 		switch r.IntN(6) {
 		case 0:
-			p.hosts = append(p.hosts, p.newHost(pickOf(r, h.Dest, h.Dest, r.IntN(20))))
+			p.hosts = append(p.hosts, p.newHost(oneOf(r, h.Dest, h.Dest, r.IntN(20))))
 			changed = append(changed, p.hosts[len(p.hosts)-1])
 			continue
 		case 1:
-			h.Rate = pickOf(r, 0.5, 40, 400)
+			h.Rate = oneOf(r, 0.5, 40, 400)
 		case 2:
-			if h.State == Gone && r.IntN(2) == 0 {
+			if h.State == Removed && r.IntN(2) == 0 {
 				h.Dest = r.IntN(16) // comes again elsewhere
 			}
 			h.State = Ready
 		default:
-			h.State = pickOf(r, Gone, Ready, Draining)
+			h.State = oneOf(r, Removed, Ready, Draining)
 		}
 		changed = append(changed, *h)
 	}
 	if r.IntN(5) > 0 {
-		return Listing{Hosts: changed}
+		return ListUpdate{Hosts: changed}
 	}
 	var all []Host
 	for _, h := range p.hosts {
-		if h.State != Gone || r.IntN(2) == 0 {
+		if h.State != Removed || r.IntN(2) == 0 {
 			all = append(all, h)
 		}
 	}
-	return Listing{Whole: true, Hosts: all}
+	return ListUpdate{Complete: true, Hosts: all}
 }
 
 // said is what operators, and an earlier process, tell of an endpoint.
-func (p *world) said() Event {
-	r, h := p.chance, pickOf(p.chance, p.hosts...).Addr
+func (p *randomPlay) hostNotice() Event {
+	r, h := p.random, oneOf(p.random, p.hosts...).Addr
 	switch r.IntN(6) {
 	case 0:
-		return Waits{h, time.Duration(r.IntN(4000)) * ms}
+		return RetryAfter{h, time.Duration(r.IntN(4000)) * ms}
 	case 1:
-		return Unwell{h, 5 * r.Float64()}
+		return KnownOutage{h, 5 * r.Float64()}
 	case 2:
-		return ByHand{Host: h, Ago: time.Duration(r.IntN(3)) * time.Second}
+		return ManualChange{Host: h, Ago: time.Duration(r.IntN(3)) * time.Second}
 	default:
-		return ByHand{Host: h, Out: r.IntN(2) == 0}
+		return ManualChange{Host: h, Disabled: r.IntN(2) == 0}
 	}
 }
 
 // handOver has another process go on with all that is open.
-func (p *world) handOver(seed uint64) {
-	m := p.c.Memory(p.now)
-	fmt.Fprintf(p.w, "%+v\n", m)
-	c, err := New(p.set, seed+p.chance.Uint64())
+func (p *randomPlay) handOver(seed uint64) {
+	m := p.chooser.Snapshot(p.now)
+	fmt.Fprintf(p.out, "%+v\n", m)
+	c, err := New(p.settings, seed+p.random.Uint64())
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	p.c = c
+	p.chooser = c
 	var listed []Host
 	for _, h := range p.hosts {
-		if h.State == Gone {
+		if h.State == Removed {
 			h.State = Draining // as those that are out are told of
 		}
 		listed = append(listed, h)
 	}
-	events := []Event{Listing{Whole: true, Hosts: listed}, m}
+	events := []Event{ListUpdate{Complete: true, Hosts: listed}, m}
 	for _, id := range p.ids {
-		m := p.msgs[id]
-		if m.over && m.out == nil {
+		m := p.messages[id]
+		if m.ended && m.inFlight == nil {
 			continue
 		}
 		e := m.Restored
-		e.Left, e.RanAgo, e.Out = m.due-p.now, p.now-m.ranAt, nil
-		if m.out != nil {
-			e.Out = &Running{m.out.Host, int(m.sent), p.now - m.sent}
+		e.Left, e.FirstRunAgo, e.InFlight = m.deadline-p.now, p.now-m.firstRunAt, nil
+		if m.inFlight != nil {
+			e.InFlight = &InFlightCall{m.inFlight.Host, int(m.sentAt), p.now - m.sentAt}
 		}
 		events = append(events, e)
-		if m.over {
+		if m.ended {
 			events = append(events, Withdrawn{id})
 		}
 	}
--- a/choice/recorded_test.go
+++ b/choice/recorded_test.go
@@ -27,7 +27,7 @@
 var record = flag.Bool("record", false, "write testdata/recorded.txt anew")
 
 const (
-	recorded      = "testdata/recorded.txt"
+	recordedFile  = "testdata/recorded.txt"
 	recordedPlays = 320
 	recordedSteps = 500
 )
@@ -44,12 +44,12 @@
 		}
 	}
 	if *record {
-		if err := os.WriteFile(recorded, lines.Bytes(), 0o644); err != nil {
+		if err := os.WriteFile(recordedFile, lines.Bytes(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		return
 	}
-	data, err := os.ReadFile(recorded)
+	data, err := os.ReadFile(recordedFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,7 +66,7 @@
 
 // TestPlay writes out all that a play did, for a comparison of two programs: PLAY is its seed, PLAYS how many to
 // digest from there on, STEPS its length. It judges nothing, and does nothing without them.
-func TestPlay(t *testing.T) {
+func TestPrintPlay(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("PLAY"), 10, 64)
 	if err != nil {
 		t.Skip("no PLAY")
@@ -86,137 +86,137 @@
 }
 
 // played is what a play knows of one message.
-type played struct {
+type playedMessage struct {
 	Restored
-	due, ranAt, sent time.Duration
-	over             bool
-	out              *Send
+	deadline, firstRunAt, sentAt time.Duration
+	ended                        bool
+	inFlight                     *Send
 }
 
-type ending struct {
+type scheduledResult struct {
 	at time.Duration
 	Result
 }
 
 // world plays a relay round one Chooser.
-type world struct {
-	t      testing.TB
-	w      io.Writer
-	c      *Chooser
-	chance *rand.Rand
-	set    Settings
-	now    time.Duration
-	hosts  []Host // as listed, those gone among them
-	mode   map[string]int
-	msgs   map[string]*played
-	ids    []string // of msgs, in order
-	ends   []ending
-	n      int
+type randomPlay struct {
+	t          testing.TB
+	out        io.Writer
+	chooser    *Chooser
+	random     *rand.Rand
+	settings   Settings
+	now        time.Duration
+	hosts      []Host // as listed, those gone among them
+	hostModes  map[string]int
+	messages   map[string]*playedMessage
+	ids        []string // of msgs, in order
+	results    []scheduledResult
+	lastNumber int
 }
 
-func pickOf[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
+func oneOf[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
 
 // setting is one of those that plays go through.
-func (p *world) setting() Settings {
-	s, r := settings(), p.chance
-	s.Fleet, s.Workers, s.Tick = pickOf(r, 1, 2, 2, 300), pickOf(r, 1, 2, 3, 7, 32, 32), pickOf(r, ms, 5*ms, 20*ms)
-	s.MaxHeld, s.MaxAttempts = pickOf(r, 0, 0, 12, 60, 400), pickOf(r, 1, 2, 4, 8)
-	s.Listed, s.Cancels, s.Halving = r.IntN(3) > 0, r.IntN(2) > 0, r.IntN(2) > 0
-	s.ReportLimit, s.ReportLeft = pickOf(r, -1, 1, 1), pickOf(r, -1, 0, 0)
-	s.Rules.Fall, s.Rules.Cold = pickOf(r, time.Second, 2*time.Second), pickOf(r, 4*time.Second, 10*time.Second)
+func (p *randomPlay) randomSettings() Settings {
+	s, r := settings(), p.random
+	s.Fleet, s.Workers, s.Tick = oneOf(r, 1, 2, 2, 300), oneOf(r, 1, 2, 3, 7, 32, 32), oneOf(r, ms, 5*ms, 20*ms)
+	s.MaxPending, s.MaxAttempts = oneOf(r, 0, 0, 12, 60, 400), oneOf(r, 1, 2, 4, 8)
+	s.RatesListed, s.CanCancel, s.WorthHalves = r.IntN(3) > 0, r.IntN(2) > 0, r.IntN(2) > 0
+	s.ReportLimitIndex, s.ReportLeftIndex = oneOf(r, -1, 1, 1), oneOf(r, -1, 0, 0)
+	s.Rules.OverloadWindow, s.Rules.WarmUp = oneOf(r, time.Second, 2*time.Second), oneOf(r, 4*time.Second, 10*time.Second)
 	for i := range s.Classes {
-		s.Classes[i].LateShare = pickOf(r, 0, 0.3, 0.5)
-		s.Classes[i].Worth = pickOf(r, 1, 1, 3.0)
-		s.Classes[i].Aim = pickOf(r, 300*ms, time.Second, 2*time.Second)
+		s.Classes[i].LateShare = oneOf(r, 0, 0.3, 0.5)
+		s.Classes[i].Worth = oneOf(r, 1, 1, 3.0)
+		s.Classes[i].Aim = oneOf(r, 300*ms, time.Second, 2*time.Second)
 		s.Classes[i].Ordered = s.Classes[i].Ordered || r.IntN(4) == 0
 		s.Classes[i].SameZone = r.IntN(2) == 0
 	}
 	if r.IntN(2) == 0 {
-		s.Tenants, s.OverShare = []Tenant{{Name: "a", Quota: 40}, {Name: "b", Quota: 3}}, 0.2
+		s.Tenants, s.OverShareFactor = []Tenant{{Name: "a", Quota: 40}, {Name: "b", Quota: 3}}, 0.2
 	}
 	return s
 }
 
 // step lets the Chooser decide, writes down what it does, and has its sends end later.
-func (p *world) step(events ...Event) {
-	for _, a := range p.c.Step(p.now, events) {
-		fmt.Fprintf(p.w, "%d %T%+v\n", p.now, a, a)
+func (p *randomPlay) step(events ...Event) {
+	for _, a := range p.chooser.Step(p.now, events) {
+		fmt.Fprintf(p.out, "%d %T%+v\n", p.now, a, a)
 		switch a := a.(type) {
 		case Send:
-			p.sent(a)
+			p.scheduleResult(a)
 		case Refuse:
-			p.over(a.ID)
+			p.endMessage(a.ID)
 		case Fail:
-			p.over(a.ID)
+			p.endMessage(a.ID)
 		case Cancel:
-			for i := range p.ends {
-				if e := &p.ends[i]; e.ID == a.ID && p.chance.IntN(4) > 0 {
+			for i := range p.results {
+				if e := &p.results[i]; e.ID == a.ID && p.random.IntN(4) > 0 {
 					e.at, e.Outcome, e.Done = p.now+5*ms, Cancelled, false
 				}
 			}
 		}
 	}
-	fmt.Fprintln(p.w, p.c.Excluded())
+	fmt.Fprintln(p.out, p.chooser.Excluded())
 }
 
-func (p *world) over(id string) {
-	if m := p.msgs[id]; m != nil {
-		m.over = true
+func (p *randomPlay) endMessage(id string) {
+	if m := p.messages[id]; m != nil {
+		m.ended = true
 		p.forget(id)
 	}
 }
 
-func (p *world) forget(id string) {
-	if m := p.msgs[id]; m.over && m.out == nil {
-		delete(p.msgs, id)
+func (p *randomPlay) forget(id string) {
+	if m := p.messages[id]; m.ended && m.inFlight == nil {
+		delete(p.messages, id)
 		p.ids = slices.DeleteFunc(p.ids, func(o string) bool { return o == id })
 	}
 }
 
 // sent decides how an attempt will end, by the mode that its endpoint is in.
-func (p *world) sent(s Send) {
-	m, r := p.msgs[s.ID], p.chance
-	if m == nil || m.out != nil || m.over {
+func (p *randomPlay) scheduleResult(s Send) {
+	m, r := p.messages[s.ID], p.random
+	if m == nil || m.inFlight != nil || m.ended {
 		p.t.Fatalf("sent %+v, which is out, over or unknown", s)
 	}
-	m.out, m.sent, m.Timeout = &s, p.now, s.Timeout
+	m.inFlight, m.sentAt, m.Timeout = &s, p.now, s.Timeout
 	e := Result{ID: s.ID, Host: s.Host, Attempt: m.Attempts, Outcome: Served, Took: time.Duration(1+r.IntN(60)) * ms}
 	m.Attempts++
-	switch mode := p.mode[s.Host]; {
+	switch mode := p.hostModes[s.Host]; {
 	case mode == 1 || mode == 6 && r.IntN(2) == 0:
-		e.Outcome = pickOf(r, NoConnection, NoConnection, Timeout)
+		e.Outcome = oneOf(r, NoConnection, NoConnection, Timeout)
 	case mode == 2:
-		e.Outcome, e.Wait = Refused, time.Duration(r.IntN(3)*r.IntN(3000))*ms
+		e.Outcome, e.RetryAfter = Refused, time.Duration(r.IntN(3)*r.IntN(3000))*ms
 	case mode == 3:
 		e.Outcome = Timeout
 	case mode == 4:
-		e.Outcome, e.Stale = pickOf(r, Error, Error, Reset, Served), r.IntN(5) == 0
+		e.Outcome, e.StaleConn = oneOf(r, Error, Error, Reset, Served), r.IntN(5) == 0
 	case mode == 5:
-		e.Outcome = pickOf(r, Served, Served, Refused, NotSent)
+		e.Outcome = oneOf(r, Served, Served, Refused, NotSent)
 	}
 	if e.Took > s.Timeout || e.Outcome == Timeout {
 		e.Outcome, e.Took = Timeout, s.Timeout
 	}
 	if e.Outcome == Served || e.Outcome == Refused && r.IntN(2) == 0 {
-		e.Report = []float64{r.Float64(), pickOf(r, 0, 3, 20.0) * (1 + r.Float64())}
+		e.Report = []float64{r.Float64(), oneOf(r, 0, 3, 20.0) * (1 + r.Float64())}
 	}
 	e.Done = e.Outcome == Served
-	p.ends = append(p.ends, ending{p.now + e.Took, e})
+	p.results = append(p.results, scheduledResult{p.now + e.Took, e})
 }
 
 // ended are the attempts that have come to their ends by now.
-func (p *world) ended() (events []Event) {
-	p.ends = slices.DeleteFunc(p.ends, func(e ending) bool {
-		m := p.msgs[e.ID]
+func (p *randomPlay) takeDue() (events []Event) {
+	p.results = slices.DeleteFunc(p.results, func(e scheduledResult) bool {
+		m := p.messages[e.ID]
 		if e.at > p.now {
 			return false
 		}
 		sure := e.Outcome == Served || e.Outcome == Refused || e.Outcome == NoConnection || e.Outcome == NotSent
-		if !sure && !m.Ran {
-			m.Ran, m.ranAt = true, m.sent
-			m.RanZone = p.hosts[slices.IndexFunc(p.hosts, func(h Host) bool { return h.Addr == e.Host })].Zone
+		if !sure && !m.MayHaveRun {
+			m.MayHaveRun, m.firstRunAt = true, m.sentAt
+			m.FirstRunZone = p.hosts[slices.IndexFunc(p.hosts, func(h Host) bool { return h.Addr == e.Host })].Zone
 		}
-		m.out, m.over = nil, m.over || e.Done
+		m.inFlight, m.ended = nil, m.ended || e.Done
 		p.forget(e.ID)
 		events = append(events, e.Result)
 		return true
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -7,56 +7,56 @@
 
 // restore takes a message up where the earlier process left it. Its effect and
 // its attempts bind as if no restart had been; what may not go again is answered now.
-func (c *Chooser) restore(e Restored) {
-	c.arrive(e.Arrival)
-	m := c.msgs[e.ID]
+func (c *Chooser) restoreMessage(e Restored) {
+	c.accept(e.Arrival)
+	m := c.messages[e.ID]
 	m.attempts, m.timeout, m.restored = e.Attempts, e.Timeout, true
-	if m.ran = e.Ran; e.Ran {
-		m.ranAt, m.ranZone, m.unsure = c.now-e.RanAgo, e.RanZone, c.now
+	if m.mayHaveRun = e.MayHaveRun; e.MayHaveRun {
+		m.firstRunAt, m.firstRunZone, m.uncertainAt = c.now-e.FirstRunAgo, e.FirstRunZone, c.now
 	}
 	switch {
-	case e.Out != nil && c.hosts[e.Out.Host] != nil:
-		c.adopt(m, e.Out)
-	case m.attempts >= m.most || !c.repeatable(m):
-		c.final(m)
+	case e.InFlight != nil && c.hosts[e.InFlight.Host] != nil:
+		c.resumeCall(m, e.InFlight)
+	case m.attempts >= m.maxAttempts || !c.mayRepeat(m):
+		c.finalAnswer(m)
 	default:
-		c.retime(m)
+		c.updateAnswerTime(m)
 	}
 }
 
 // unwell guards a returning destination against relays that restart, also all at once. What they sent last is
 // forgotten: a window counts as spent. After it their first trials are spread, to keep to the budget.
-func (c *Chooser) unwell(e Unwell) {
+func (c *Chooser) restoreOutage(e KnownOutage) {
 	h := c.hosts[e.Host]
 	if h == nil {
 		return
 	}
-	h.unit.served, h.unit.bad, h.unit.risky, h.unit.errors = e.Base, 1, true, true // not well by one answer
-	c.suspect(h.unit, h.dest, "unwell before the restart")
-	n, _ := c.budget(h.unit, 0)
-	h.unit.sends = slices.Repeat([]time.Duration{c.now}, int(n)+1)
-	if !c.thin(h.unit) {
-		h.unit.trialAt = c.now + time.Duration((1+c.rand.Float64()/n)*float64(c.set.Rules.Fall))
+	h.unit.servedRate, h.unit.badStreak, h.unit.mayHaveRun, h.unit.sawErrors = e.BaseRate, 1, true, true // not well by one answer
+	c.markSuspect(h.unit, h.dest, "unwell before the restart")
+	n, _ := c.coldBudget(h.unit, 0)
+	h.unit.recentSends = slices.Repeat([]time.Duration{c.now}, int(n)+1)
+	if !c.seldomCalls(h.unit) {
+		h.unit.trialAt = c.now + time.Duration((1+c.rand.Float64()/n)*float64(c.settings.Rules.OverloadWindow))
 	}
 }
 
 // comeBack is when a client had best hand a refused message in again: once a unit of its
 // destination may be sent to, and what waits there has gone.
-func (c *Chooser) comeBack(d *dest) time.Duration {
+func (c *Chooser) clientRetryAfter(d *dest) time.Duration {
 	open, rate := time.Duration(-1), 0.0
 	for _, u := range d.units {
-		at := max(u.waitUntil, u.pauseUntil)
+		at := max(u.retryAfter, u.pauseUntil)
 		if u.state == suspect {
 			at = max(at, u.trialAt)
 		}
 		if left := max(0, at-c.now); open < 0 || left < open {
 			open = left
 		}
-		rate += u.served
+		rate += u.servedRate
 	}
 	after := max(open, c.minAim/4)
 	if rate > 0 {
-		after = max(after, min(c.minAim, time.Duration(float64(d.waiting.n)/rate*float64(time.Second))))
+		after = max(after, min(c.minAim, time.Duration(float64(d.waiting.count)/rate*float64(time.Second))))
 	}
-	return min(after, c.bound)
+	return min(after, c.maxTimeout)
 }
--- a/choice/restore_test.go
+++ b/choice/restore_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRestored(t *testing.T) {
+func TestRestoredMessage(t *testing.T) {
 	a, b := Host{Addr: "a", Dest: 1, Kind: 2, Zone: 0, State: Ready}, Host{Addr: "b", Dest: 1, Kind: 2, Zone: 1, State: Ready}
 	for name, c := range map[string]struct {
 		class    int
@@ -25,9 +25,9 @@
 		"out of time, never ran: refused": {2, 0, false, 0, -time.Second, "refuse"},
 		"out of time, may have run":       {1, 1, true, time.Second, -time.Second, "fail"},
 	} {
-		r := newRig(t, settings(), a, b)
+		r := newHarness(t, settings(), a, b)
 		acts := r.step(Restored{Arrival: Arrival{ID: "m", Class: c.class, Dest: 1, Left: c.left}, Attempts: c.attempts,
-			Ran: c.ran, RanAgo: c.ago, RanZone: 1})
+			MayHaveRun: c.ran, FirstRunAgo: c.ago, FirstRunZone: 1})
 		got := "nothing"
 		for _, x := range acts {
 			switch x := x.(type) {
@@ -49,12 +49,12 @@
 }
 
 func TestRestoredCountsAttempts(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
+	r := newHarness(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
 	acts := r.step(Restored{Arrival: Arrival{ID: "m", Class: 0, Dest: 1, Left: 9 * time.Second}, Attempts: 3})
 	if len(sends(acts)) != 1 {
 		t.Fatalf("actions %v, want the last attempt", acts)
 	}
-	for _, x := range append(r.step(r.end("m", "a", Error)), r.after(time.Second)...) {
+	for _, x := range append(r.step(r.result("m", "a", Error)), r.advance(time.Second)...) {
 		if _, again := x.(Send); again {
 			t.Fatal("sent a fifth time, four are allowed")
 		}
@@ -62,7 +62,7 @@
 }
 
 // A restart must not make a relay forget that a destination is cold.
-func TestUnwellIsTriedOneByOne(t *testing.T) {
+func TestKnownOutageGetsSingleTrials(t *testing.T) {
 	hosts := []Host{{Addr: "a", Dest: 1, State: Ready}}
 	arrivals := func() (all []Event) {
 		for _, id := range []string{"m1", "m2", "m3"} {
@@ -70,32 +70,32 @@
 		}
 		return all
 	}
-	if n := len(sends(newRig(t, settings(), hosts...).step(arrivals()...))); n < 2 {
+	if n := len(sends(newHarness(t, settings(), hosts...).step(arrivals()...))); n < 2 {
 		t.Fatalf("a healthy destination got %d calls at once, want several", n)
 	}
-	r := newRig(t, settings(), hosts...)
-	got := sends(r.step(append(arrivals(), Unwell{Host: "a", Base: 5}, Unwell{Host: "unknown"})...))
+	r := newHarness(t, settings(), hosts...)
+	got := sends(r.step(append(arrivals(), KnownOutage{Host: "a", BaseRate: 5}, KnownOutage{Host: "unknown"})...))
 	if len(got) > 1 {
 		t.Fatalf("%d calls at once to a destination in an outage, want one at most", len(got))
 	}
 	for len(got) == 0 {
-		got = sends(r.after(5 * ms))
+		got = sends(r.advance(5 * ms))
 	}
-	r.step(r.end(got[0].ID, "a", Served))
-	if s := r.c.hosts["a"].unit.state; s != recovering {
+	r.step(r.result(got[0].ID, "a", Served))
+	if s := r.chooser.hosts["a"].unit.state; s != recovering {
 		t.Fatalf("state %d after one answer, want it to recover within its budget", s)
 	}
 }
 
 // A wait may come with an answer that is no refusal, and binds alike.
-func TestWaitWithAnyOutcome(t *testing.T) {
-	r := newRig(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
+func TestRetryAfterWithAnyOutcome(t *testing.T) {
+	r := newHarness(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 9 * time.Second})
-	r.step(r.end("m1", "a", Served, func(e *Result) { e.Wait = 300 * ms }))
+	r.step(r.result("m1", "a", Served, func(e *Result) { e.RetryAfter = 300 * ms }))
 	told := r.now
 	acts := r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})
 	for len(sends(acts)) == 0 {
-		acts = r.after(5 * ms)
+		acts = r.advance(5 * ms)
 	}
 	if r.now-told < 300*ms {
 		t.Fatalf("sent %v after a wait of 300 ms was told", r.now-told)
@@ -103,12 +103,12 @@
 }
 
 // A refusal for a destination that told to wait says when that wait is over.
-func TestRefuseSaysWhen(t *testing.T) {
+func TestRefuseCarriesRemainingWait(t *testing.T) {
 	s := settings()
-	s.MaxHeld = 2
-	r := newRig(t, s, Host{Addr: "a", Dest: 1, State: Ready})
+	s.MaxPending = 2
+	r := newHarness(t, s, Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 9 * time.Second})
-	acts := r.step(r.end("m1", "a", Refused, func(e *Result) { e.Wait = 1500 * ms }))
+	acts := r.step(r.result("m1", "a", Refused, func(e *Result) { e.RetryAfter = 1500 * ms }))
 	for _, x := range append(acts, r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})...) {
 		if f, ok := x.(Refuse); ok {
 			if f.After < 1500*ms || f.After > 3*time.Second {
@@ -122,18 +122,18 @@
 
 // Guards against a relay that restarts and floods a cold destination, since the outage was on record under
 // an endpoint that has been replaced.
-func TestOutageIsRememberedUnderAListedEndpoint(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestOutageIsRecordedUnderAListedEndpoint(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	for i := range 3 {
 		id := fmt.Sprint("m", i)
 		r.step(arrival(id, 0))
-		r.step(r.end(id, "a", Error))
-		r.after(100 * ms)
+		r.step(r.result(id, "a", Error))
+		r.advance(100 * ms)
 	}
 	gone := ready("a", 1, 0, 0)
-	gone.State = Gone
+	gone.State = Removed
 	unwell := map[string]bool{"a": true}
-	for _, a := range r.step(Listing{Hosts: []Host{gone, ready("b", 1, 0, 0)}}) {
+	for _, a := range r.step(ListUpdate{Hosts: []Host{gone, ready("b", 1, 0, 0)}}) {
 		if h, ok := a.(Health); ok {
 			unwell[h.Host] = h.Unwell
 		}
@@ -145,20 +145,20 @@
 
 // Guards against messages that a restart finds taken on and untried, and gives back for want of room: there may be less of it
 // than there was, and the first look would hand back all that is beyond.
-func TestUntriedAfterARestartIsNotCrowdedOut(t *testing.T) {
+func TestUnsentRestoredMessagesAreNotEvicted(t *testing.T) {
 	s := settings()
-	s.MaxHeld, s.Workers = 10, 4
+	s.MaxPending, s.Workers = 10, 4
 	c, err := New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	events := []Event{Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0)}}}
+	events := []Event{ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0)}}}
 	for i := range 40 {
 		events = append(events, Restored{Arrival: Arrival{ID: fmt.Sprint(i), Dest: 1, Left: 9 * time.Second}})
 	}
 	events = append(events, Arrival{ID: "new", Dest: 1, Left: 9 * time.Second})
 	acts := c.Step(0, events)
-	if got := answers(acts); got != "refuse new;" {
+	if got := finalAnswers(acts); got != "refuse new;" {
 		t.Errorf("answers %q, want the new one refused alone", got)
 	}
 	tried, now := map[string]bool{}, time.Duration(0)
--- a/choice/waits_test.go
+++ b/choice/retry_after_test.go
@@ -6,13 +6,13 @@
 )
 
 // Guards against a relay that takes up what another held, and sends during a wait that the other was told.
-func TestWaitsThatAnotherWasTold(t *testing.T) {
+func TestRetryAfterFromAnotherRelay(t *testing.T) {
 	c, err := New(settings(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := time.Hour
-	c.Step(now, []Event{Listing{Whole: true, Hosts: []Host{ready("a", 1, 0, 0), ready("b", 1, 0, 1)}}})
+	c.Step(now, []Event{ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0), ready("b", 1, 0, 1)}}})
 	sent := func(events ...Event) (n int) {
 		for _, a := range c.Step(now, events) {
 			if _, ok := a.(Send); ok {
@@ -22,7 +22,7 @@
 		return n
 	}
 	restored := Restored{Arrival: Arrival{ID: "m", Dest: 1, Left: 10 * time.Second}}
-	if n := sent(Waits{Host: "b", Left: 2 * time.Second}, Waits{Host: "nobody", Left: time.Hour}, restored); n != 0 {
+	if n := sent(RetryAfter{Host: "b", Remaining: 2 * time.Second}, RetryAfter{Host: "nobody", Remaining: time.Hour}, restored); n != 0 {
 		t.Errorf("%d sends as the wait begins, want none", n)
 	}
 	now += 1900 * time.Millisecond
--- a/choice/rules.go
+++ b/choice/rules.go
@@ -13,34 +13,34 @@
 		c.log("settings not taken: %v", err)
 		return
 	}
-	c.touchAll()
-	c.apply(s)
-	for _, m := range slices.Clone(c.ends.all) {
-		c.retime(m)
+	c.markAllChanged()
+	c.applySettings(s)
+	for _, m := range slices.Clone(c.byAnswerTime.items) {
+		c.updateAnswerTime(m)
 	}
 	c.log("settings taken: %d classes, %d attempts", len(s.Classes), s.MaxAttempts)
 }
 
 // apply takes settings up, and keeps what was learnt under earlier ones.
-func (c *Chooser) apply(s Settings) {
-	shares := make([]share, len(s.Tenants))
+func (c *Chooser) applySettings(s Settings) {
+	shares := make([]tenantShare, len(s.Tenants))
 	for i, t := range s.Tenants {
-		shares[i].left = math.MaxInt32 // full
-		if j := slices.IndexFunc(c.set.Tenants, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 && j < len(c.shares) {
-			shares[i] = c.shares[j]
+		shares[i].remaining = math.MaxInt32 // full
+		if j := slices.IndexFunc(c.settings.Tenants, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 && j < len(c.tenantShares) {
+			shares[i] = c.tenantShares[j]
 		}
 	}
-	c.set, c.shares, c.bound, c.minAim = s, shares, 0, math.MaxInt64
+	c.settings, c.tenantShares, c.maxTimeout, c.minAim = s, shares, 0, math.MaxInt64
 	for _, k := range s.Classes {
-		c.bound, c.minAim = max(c.bound, k.Aim), min(c.minAim, k.Aim)
+		c.maxTimeout, c.minAim = max(c.maxTimeout, k.Aim), min(c.minAim, k.Aim)
 	}
-	c.nap = max(s.Tick, c.minAim/glance)
-	c.pool.spread(c.bound / buckets)
-	for d := range c.order.each {
-		d.table.spread(c.bound / buckets)
+	c.checkInterval = max(s.Tick, c.minAim/checksPerAim)
+	c.pooledLatencies.rebucket(c.maxTimeout / buckets)
+	for d := range c.destOrder.each {
+		d.latencies.rebucket(c.maxTimeout / buckets)
 	}
-	for len(c.luck) < max(1, len(s.Kinds)) {
-		c.luck = append(c.luck, 0.5)
+	for len(c.retrySuccess) < max(1, len(s.Kinds)) {
+		c.retrySuccess = append(c.retrySuccess, 0.5)
 	}
 }
 
@@ -50,15 +50,15 @@
 func Join(a, b Settings) Settings {
 	j := b
 	j.Workers, j.MaxAttempts = min(a.Workers, b.Workers), min(a.MaxAttempts, b.MaxAttempts)
-	if a.MaxHeld > 0 { // 0 is no limit
-		j.MaxHeld = min(a.MaxHeld, cmp.Or(b.MaxHeld, a.MaxHeld))
+	if a.MaxPending > 0 { // 0 is no limit
+		j.MaxPending = min(a.MaxPending, cmp.Or(b.MaxPending, a.MaxPending))
 	}
-	j.Fleet, j.Tick, j.Cancels = max(a.Fleet, b.Fleet), max(a.Tick, b.Tick), a.Cancels && b.Cancels
-	j.OverShare, j.Classes, j.Kinds, j.Tenants = min(a.OverShare, b.OverShare), nil, slices.Clone(b.Kinds), slices.Clone(b.Tenants)
+	j.Fleet, j.Tick, j.CanCancel = max(a.Fleet, b.Fleet), max(a.Tick, b.Tick), a.CanCancel && b.CanCancel
+	j.OverShareFactor, j.Classes, j.Kinds, j.Tenants = min(a.OverShareFactor, b.OverShareFactor), nil, slices.Clone(b.Kinds), slices.Clone(b.Tenants)
 	p, q := a.Rules, b.Rules
 	j.Rules = Rules{AnswerGrace: min(p.AnswerGrace, q.AnswerGrace), DrainGrace: min(p.DrainGrace, q.DrainGrace),
-		OverloadFactor: min(p.OverloadFactor, q.OverloadFactor), Fall: max(p.Fall, q.Fall), ColdFrom: min(p.ColdFrom, q.ColdFrom),
-		Cold: max(p.Cold, q.Cold), OrderSettle: max(p.OrderSettle, q.OrderSettle)}
+		OverloadFactor: min(p.OverloadFactor, q.OverloadFactor), OverloadWindow: max(p.OverloadWindow, q.OverloadWindow), ColdShare: min(p.ColdShare, q.ColdShare),
+		WarmUp: max(p.WarmUp, q.WarmUp), OrderSettle: max(p.OrderSettle, q.OrderSettle)}
 	for _, k := range b.Classes {
 		i := slices.IndexFunc(a.Classes, func(c Class) bool { return c.Name == k.Name })
 		if i < 0 {
@@ -67,7 +67,7 @@
 		j.Classes = append(j.Classes, Stricter(a.Classes[i], k))
 	}
 	for i := range min(len(a.Kinds), len(j.Kinds)) {
-		j.Kinds[i] = Kind{a.Kinds[i].Apart && b.Kinds[i].Apart, min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
+		j.Kinds[i] = Kind{a.Kinds[i].SeparateRoutes && b.Kinds[i].SeparateRoutes, min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
 	}
 	for i := range min(len(a.Tenants), len(j.Tenants)) {
 		j.Tenants[i].Quota = min(a.Tenants[i].Quota, b.Tenants[i].Quota)
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -12,44 +12,44 @@
 // Guards against open messages that follow new settings: fewer attempts, another effect, a class that
 // was dropped or whose place another has taken.
 func TestOpenMessagesKeepTheirTerms(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	r.step(arrival("safe", 0), arrival("unsafe", 2))
 	next := settings()
 	next.MaxAttempts = 1
 	next.Classes = []Class{{Name: "other", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Unsafe},
 		{Name: "one more", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Safe}}
-	acts := r.step(Reconfigured{next}, r.end("safe", "a", Error), r.end("unsafe", "a", Error))
-	if got := answers(acts); got != "fail unsafe;" {
+	acts := r.step(Reconfigured{next}, r.result("safe", "a", Error), r.result("unsafe", "a", Error))
+	if got := finalAnswers(acts); got != "fail unsafe;" {
 		t.Fatalf("answers %q, want only the unsafe message failed: it may have run, and was unsafe when it came", got)
 	}
 	for n := 2; n <= 4; n++ {
 		for len(sends(acts)) == 0 {
-			if acts = r.after(5 * ms); r.now > 2*time.Hour {
+			if acts = r.advance(5 * ms); r.now > 2*time.Hour {
 				t.Fatalf("attempt %d of a message that came with 4 is not made", n)
 			}
 		}
-		acts = r.step(r.end("safe", "a", Error))
+		acts = r.step(r.result("safe", "a", Error))
 	}
-	if got := answers(acts); got != "refuse safe;" {
+	if got := finalAnswers(acts); got != "refuse safe;" {
 		t.Errorf("after its 4th attempt %q, want it refused", got)
 	}
-	r = newRig(t, settings(), ready("a", 1, 0, 0))
+	r = newHarness(t, settings(), ready("a", 1, 0, 0))
 	r.step(Reconfigured{next}, arrival("new", 0), arrival("newer", 1))
-	acts = r.step(r.end("new", "a", Error), r.end("newer", "a", Error))
-	if got := answers(acts); got != "fail new;refuse newer;" {
+	acts = r.step(r.result("new", "a", Error), r.result("newer", "a", Error))
+	if got := finalAnswers(acts); got != "fail new;refuse newer;" {
 		t.Errorf("new messages: %q, want both ended after one attempt, the unsafe one failed", got)
 	}
 }
 
 // Guards against settings that are taken in part, or break the relay: such as cannot be are not taken.
-func TestSettingsOutOfRangeAreNotTaken(t *testing.T) {
+func TestSettingsOutOfRangeAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no attempts": func(s *Settings) { s.MaxAttempts = 0 },
 		"no deadline": func(s *Settings) { s.Classes[0].Deadline = 0 },
 		"no classes":  func(s *Settings) { s.Classes = nil },
 		"no window":   func(s *Settings) { s.Classes[1].Window = 0 },
 	} {
-		r := newRig(t, settings(), ready("a", 1, 0, 0))
+		r := newHarness(t, settings(), ready("a", 1, 0, 0))
 		next := settings()
 		next.Workers = 1
 		spoil(&next)
@@ -61,12 +61,12 @@
 
 // A message restored from the record keeps what it came under, though its class is gone.
 func TestRestoredTerms(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	old := Class{Name: "old", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Unsafe}
 	acts := r.step(Restored{Arrival: Arrival{ID: "m", Class: -1, Dest: 1, Left: 4 * time.Second, Terms: &Terms{old, 9}},
-		Attempts: 1, Ran: true}, Restored{Arrival: Arrival{ID: "n", Class: -1, Dest: 1, Left: 4 * time.Second,
+		Attempts: 1, MayHaveRun: true}, Restored{Arrival: Arrival{ID: "n", Class: -1, Dest: 1, Left: 4 * time.Second,
 		Terms: &Terms{old, 9}}, Attempts: 8})
-	if got := answers(acts); got != "fail m;" {
+	if got := finalAnswers(acts); got != "fail m;" {
 		t.Errorf("answers %q, want the one failed that may have run", got)
 	}
 	if n := len(sends(acts)); n != 1 {
@@ -75,19 +75,19 @@
 }
 
 // Guards against latencies lost, or misread, when the longest aim changes and with it the buckets.
-func TestTableIsSpreadAnew(t *testing.T) {
-	tab := table{width: 10 * ms, weight: 1}
+func TestLatencyTableIsRebucketed(t *testing.T) {
+	tab := latencyTable{width: 10 * ms, weight: 1}
 	for range 100 {
-		tab.add(155 * ms)
+		tab.addServed(155 * ms)
 	}
-	tab.look()
-	tab.spread(40 * ms)
-	if tab.look(); tab.edge != 160*ms {
-		t.Errorf("edge %v, want the end of the wider bucket, 160ms", tab.edge)
+	tab.refresh()
+	tab.rebucket(40 * ms)
+	if tab.refresh(); tab.bestTimeout != 160*ms {
+		t.Errorf("edge %v, want the end of the wider bucket, 160ms", tab.bestTimeout)
 	}
-	tab.spread(ms)
-	if tab.look(); tab.edge != 100*ms {
-		t.Errorf("edge %v, want the last bucket", tab.edge)
+	tab.rebucket(ms)
+	if tab.refresh(); tab.bestTimeout != 100*ms {
+		t.Errorf("edge %v, want the last bucket", tab.bestTimeout)
 	}
 }
 
@@ -97,8 +97,8 @@
 		draw := func(name string) Settings {
 			s := settings()
 			n := func(what string, low, high int) int { return rapid.IntRange(low, high).Draw(rt, name+what) }
-			s.Workers, s.MaxHeld, s.MaxAttempts, s.Fleet = n("workers", 1, 9), n("held", 0, 9), n("attempts", 1, 8), n("fleet", 1, 300)
-			s.Rules.Cold, s.Rules.OverloadFactor = time.Duration(n("cold", 1, 9))*time.Second, float64(n("factor", 1, 9))
+			s.Workers, s.MaxPending, s.MaxAttempts, s.Fleet = n("workers", 1, 9), n("held", 0, 9), n("attempts", 1, 8), n("fleet", 1, 300)
+			s.Rules.WarmUp, s.Rules.OverloadFactor = time.Duration(n("cold", 1, 9))*time.Second, float64(n("factor", 1, 9))
 			s.Classes = nil
 			for _, class := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3, rapid.ID[string]).Draw(rt, name+"classes") {
 				k := Class{Name: class, Aim: time.Duration(n("aim", 1, 9)) * time.Second, Worth: 1, Effect: Effect(n("effect", 0, 2)),
@@ -109,7 +109,7 @@
 				}
 				s.Classes = append(s.Classes, k)
 			}
-			s.Kinds = []Kind{{Apart: n("apart", 0, 1) == 1, PerCall: n("per call", 1, 5)}}
+			s.Kinds = []Kind{{SeparateRoutes: n("apart", 0, 1) == 1, PerCall: n("per call", 1, 5)}}
 			s.Tenants = []Tenant{{Quota: float64(n("quota", 1, 9))}}
 			return s
 		}
@@ -119,8 +119,8 @@
 			rt.Fatalf("the join of two sound settings: %v", err)
 		}
 		for _, s := range []Settings{a, b} {
-			if j.Workers > s.Workers || j.MaxAttempts > s.MaxAttempts || s.MaxHeld > 0 && (j.MaxHeld == 0 || j.MaxHeld > s.MaxHeld) || j.Fleet < s.Fleet ||
-				j.Rules.Cold < s.Rules.Cold || j.Rules.OverloadFactor > s.Rules.OverloadFactor || j.Kinds[0].PerCall > s.Kinds[0].PerCall ||
+			if j.Workers > s.Workers || j.MaxAttempts > s.MaxAttempts || s.MaxPending > 0 && (j.MaxPending == 0 || j.MaxPending > s.MaxPending) || j.Fleet < s.Fleet ||
+				j.Rules.WarmUp < s.Rules.WarmUp || j.Rules.OverloadFactor > s.Rules.OverloadFactor || j.Kinds[0].PerCall > s.Kinds[0].PerCall ||
 				j.Tenants[0].Quota > s.Tenants[0].Quota {
 				rt.Fatalf("%+v allows more than %+v", j, s)
 			}
@@ -143,8 +143,8 @@
 
 // Guards against a message in order by the terms that it came under, whose class is in no order any more: its line was
 // not made, and its turn could not be told.
-func TestOrderOfTermsThatAreGone(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
+func TestOrderOfARemovedClass(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	old := Class{Name: "old", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Safe, Ordered: true}
 	var all []Event
 	for _, id := range []string{"m", "n"} {
@@ -164,14 +164,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for c.within(0) {
+	for c.withinShare(0) {
 	}
 	s.Tenants = []Tenant{{"b", 1}, {"ab", 1}, {"a", 1}}
 	c.reconfigure(s)
-	if c.within(2) {
+	if c.withinShare(2) {
 		t.Error("a has its share again")
 	}
-	if !c.within(0) || !c.within(1) {
+	if !c.withinShare(0) || !c.withinShare(1) {
 		t.Error("the others have none")
 	}
 }
--- a/choice/scale_test.go
+++ b/choice/scale_test.go
@@ -13,7 +13,7 @@
 //	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./choice
 
 // sizes are those of a benchmark; the last ones are left out with -short.
-func sizes(long int, all ...int) []int {
+func benchSizes(long int, all ...int) []int {
 	if testing.Short() {
 		return all[:len(all)-long]
 	}
@@ -32,11 +32,11 @@
 // scaled is a Chooser that knows so many destinations with two endpoints each and holds so many messages for the first of
 // them, whose endpoints drain. What is held comes in one Step and does not run out of time. Held and known are its bytes
 // of memory for each of them.
-func scaled(tb testing.TB, destinations, messages int) (f *flow, held, known float64) {
+func newScaleBench(tb testing.TB, destinations, messages int) (f *stepBench, held, known float64) {
 	tb.Helper()
 	before := heapBytes()
-	f = newFlow(tb, 2000, 2*destinations, 0)
-	f.c.set.MaxHeld, f.c.set.Workers = 4*messages+1000, 16
+	f = newStepBench(tb, 2000, 2*destinations, 0)
+	f.chooser.settings.MaxPending, f.chooser.settings.Workers = 4*messages+1000, 16
 	listed := heapBytes()
 	if messages > 0 {
 		all := make([]Event, messages)
@@ -50,28 +50,28 @@
 }
 
 // serve has one message for a destination come, go and be served in three Steps, as message does for a few of them.
-func (f *flow) serve(tb testing.TB, dest int) {
-	f.n++
+func (f *stepBench) serveAt(tb testing.TB, dest int) {
+	f.count++
 	f.now += 100 * time.Microsecond
-	id := fmt.Sprint("s", f.n)
+	id := fmt.Sprint("s", f.count)
 	f.step(Arrival{ID: id, Class: 1, Dest: dest, Left: 10 * time.Second, Tenant: -1})
-	for _, a := range f.acts {
+	for _, a := range f.actions {
 		if s, ok := a.(Send); ok && s.ID == id {
 			f.step(Woken{})
 			f.step(Result{ID: id, Host: s.Host, Outcome: Served, Took: 20 * time.Millisecond, Done: true, Report: []float64{0.9, 1e6}})
 			return
 		}
 	}
-	tb.Fatalf("message %s was not sent: %v", id, f.acts)
+	tb.Fatalf("message %s was not sent: %v", id, f.actions)
 }
 
 // BenchmarkScaleDecisionsByHeld is what one message costs the decisions while others wait that cannot go.
 func BenchmarkScaleDecisionsByHeld(b *testing.B) {
-	for _, n := range sizes(2, 100, 1_000, 10_000, 100_000, 1_000_000) {
+	for _, n := range benchSizes(2, 100, 1_000, 10_000, 100_000, 1_000_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, held, _ := scaled(b, 15, n)
+			f, held, _ := newScaleBench(b, 15, n)
 			for b.Loop() {
-				f.message(b)
+				f.serveNext(b)
 			}
 			b.ReportMetric(held, "B/held")
 		})
@@ -80,11 +80,11 @@
 
 // BenchmarkScaleDecisionsByKnown is what one message costs while other destinations are known, and what each of them takes.
 func BenchmarkScaleDecisionsByKnown(b *testing.B) {
-	for _, n := range sizes(2, 1_000, 10_000, 100_000, 380_000) {
+	for _, n := range benchSizes(2, 1_000, 10_000, 100_000, 380_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, _, known := scaled(b, n, 0)
+			f, _, known := newScaleBench(b, n, 0)
 			for b.Loop() {
-				f.message(b)
+				f.serveNext(b)
 			}
 			b.ReportMetric(known, "B/known")
 		})
@@ -94,18 +94,18 @@
 // BenchmarkScaleDecisionsByCalled is what one message costs where each goes to the next of so many destinations, all of them
 // called before, and what a destination takes beyond what it does when it is known only.
 func BenchmarkScaleDecisionsByCalled(b *testing.B) {
-	for _, n := range sizes(1, 100, 1_000, 10_000, 100_000) {
+	for _, n := range benchSizes(1, 100, 1_000, 10_000, 100_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, _, _ := scaled(b, n+1, 0)
+			f, _, _ := newScaleBench(b, n+1, 0)
 			before := heapBytes()
 			for i := range n {
-				f.serve(b, 1+i)
+				f.serveAt(b, 1+i)
 			}
 			f.now += 10 * time.Second // windows of what was sent are over
 			f.step(Woken{})
 			called := (heapBytes() - before) / float64(n)
 			for i := 0; b.Loop(); i++ {
-				f.serve(b, 1+i%n)
+				f.serveAt(b, 1+i%n)
 			}
 			b.ReportMetric(called, "B/called")
 		})
@@ -113,7 +113,7 @@
 }
 
 // change is one endpoint of the list with another rate.
-func (f *flow) change(i, endpoints int) Host {
+func (f *stepBench) changedHost(i, endpoints int) Host {
 	at := 2 + i%(endpoints-2)
 	h := ready(fmt.Sprint("e", at), at/2, 0, at%2)
 	h.Rate = 1e6 + float64(i%7)
@@ -122,12 +122,12 @@
 
 // BenchmarkScaleChangeByKnown is what news of one endpoint costs where so many destinations are known.
 func BenchmarkScaleChangeByKnown(b *testing.B) {
-	for _, n := range sizes(2, 1_000, 10_000, 100_000, 380_000) {
+	for _, n := range benchSizes(2, 1_000, 10_000, 100_000, 380_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, _, _ := scaled(b, n, 0)
+			f, _, _ := newScaleBench(b, n, 0)
 			for i := 0; b.Loop(); i++ {
 				f.now += time.Millisecond
-				f.step(Listing{Hosts: []Host{f.change(i, 2*n)}})
+				f.step(ListUpdate{Hosts: []Host{f.changedHost(i, 2*n)}})
 			}
 		})
 	}
@@ -138,14 +138,14 @@
 	const known = 10_000
 	for _, n := range []int{1, 10, 100, 1_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, _, _ := scaled(b, known, 0)
+			f, _, _ := newScaleBench(b, known, 0)
 			hosts := make([]Host, n)
 			for i := 0; b.Loop(); i++ {
 				f.now += time.Millisecond
 				for j := range hosts {
-					hosts[j] = f.change(i+j, 2*known)
+					hosts[j] = f.changedHost(i+j, 2*known)
 				}
-				f.step(Listing{Hosts: hosts})
+				f.step(ListUpdate{Hosts: hosts})
 			}
 		})
 	}
@@ -153,52 +153,52 @@
 
 // BenchmarkScaleListByEndpoints is what a whole list of so many endpoints costs that says nothing new.
 func BenchmarkScaleListByEndpoints(b *testing.B) {
-	for _, n := range sizes(1, 200, 2_000, 20_000, 200_000, 760_000) {
+	for _, n := range benchSizes(1, 200, 2_000, 20_000, 200_000, 760_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			f, _, _ := scaled(b, n/2, 0)
+			f, _, _ := newScaleBench(b, n/2, 0)
 			hosts := make([]Host, n)
 			for i := range hosts {
-				hosts[i] = f.c.hosts[fmt.Sprint("e", i)].Host
+				hosts[i] = f.chooser.hosts[fmt.Sprint("e", i)].Host
 			}
 			for b.Loop() {
-				f.step(Listing{Whole: true, Hosts: hosts})
+				f.step(ListUpdate{Complete: true, Hosts: hosts})
 			}
 		})
 	}
 }
 
 // Guards the benchmarks above: what they set up is what they say, at the smallest size of each.
-func TestScaleSetUps(t *testing.T) {
-	f, _, _ := scaled(t, 15, 100)
-	f.message(t)
-	if f.c.held != 100 {
-		t.Errorf("%d messages held, want 100", f.c.held)
+func TestScaleSetup(t *testing.T) {
+	f, _, _ := newScaleBench(t, 15, 100)
+	f.serveNext(t)
+	if f.chooser.pending != 100 {
+		t.Errorf("%d messages held, want 100", f.chooser.pending)
 	}
 	for i := range 100 {
 		f.step(Withdrawn{fmt.Sprint("held", i)})
 	}
-	if f.c.held != 0 {
-		t.Errorf("%d messages held after those that were to wait are withdrawn, want none", f.c.held)
+	if f.chooser.pending != 0 {
+		t.Errorf("%d messages held after those that were to wait are withdrawn, want none", f.chooser.pending)
 	}
-	f, _, _ = scaled(t, 101, 0)
+	f, _, _ = newScaleBench(t, 101, 0)
 	for i := range 200 {
-		f.serve(t, 1+i%100)
+		f.serveAt(t, 1+i%100)
 	}
-	if n := len(f.c.hosts); n != 202 || f.c.held != 0 {
-		t.Errorf("%d endpoints known and %d messages held, want 202 and none", n, f.c.held)
+	if n := len(f.chooser.hosts); n != 202 || f.chooser.pending != 0 {
+		t.Errorf("%d endpoints known and %d messages held, want 202 and none", n, f.chooser.pending)
 	}
 	for i := range 100 {
-		if tab := &f.c.dests[1+i].table; tab.count == nil || tab.total != 2 {
-			t.Fatalf("destination %d has %v samples of its latency, want 2", 1+i, tab.total)
+		if tab := &f.chooser.dests[1+i].latencies; tab.counts == nil || tab.samples != 2 {
+			t.Fatalf("destination %d has %v samples of its latency, want 2", 1+i, tab.samples)
 		}
 	}
-	h := f.change(5, 202)
-	f.step(Listing{Hosts: []Host{h}})
-	if got := f.c.hosts[h.Addr]; got == nil || got.Host != h || got.unit.weight != h.Rate {
+	h := f.changedHost(5, 202)
+	f.step(ListUpdate{Hosts: []Host{h}})
+	if got := f.chooser.hosts[h.Addr]; got == nil || got.Host != h || got.unit.listedRate != h.Rate {
 		t.Errorf("the change of %v left %+v", h, got)
 	}
-	for _, h := range f.c.hosts {
-		if h.State == Gone {
+	for _, h := range f.chooser.hosts {
+		if h.State == Removed {
 			t.Errorf("%s has gone with a change of another", h.Addr)
 		}
 	}
--- a/choice/share.go
+++ b/choice/share.go
@@ -9,48 +9,48 @@
 // take the place of what others send within theirs.
 
 // shareSpan is for how long a tenant may save up its share: messages come to a relay in clumps.
-const shareSpan = 2 * time.Second
+const shareSavingSpan = 2 * time.Second
 
 // savedMost is how many messages it may save up at least. Where a relay's part of the share is less than
 // that, chance alone brings more in a span, and they would pass for beyond the share.
-const savedMost = 6
+const minSavedMessages = 6
 
 // share is what a tenant has left of its share at this relay.
-type share struct {
-	left float64
-	at   time.Duration
+type tenantShare struct {
+	remaining float64
+	updatedAt time.Duration
 }
 
 // within takes one message off the share of its tenant, and tells whether it fits.
-func (c *Chooser) within(tenant int) bool {
-	if tenant < 0 || tenant >= len(c.shares) {
+func (c *Chooser) withinShare(tenant int) bool {
+	if tenant < 0 || tenant >= len(c.tenantShares) {
 		return true
 	}
-	s, rate := &c.shares[tenant], c.set.Tenants[tenant].Quota/float64(c.set.Fleet)
-	s.left = min(s.left+rate*(c.now-s.at).Seconds(), max(savedMost, rate*shareSpan.Seconds()))
-	s.at = c.now
-	if s.left < 1 {
+	s, rate := &c.tenantShares[tenant], c.settings.Tenants[tenant].Quota/float64(c.settings.Fleet)
+	s.remaining = min(s.remaining+rate*(c.now-s.updatedAt).Seconds(), max(minSavedMessages, rate*shareSavingSpan.Seconds()))
+	s.updatedAt = c.now
+	if s.remaining < 1 {
 		return false
 	}
-	s.left--
+	s.remaining--
 	return true
 }
 
 // worth of a message if it is served at a time.
 func (c *Chooser) worth(m *message, at time.Duration) float64 {
 	k, full := m.class, m.class.Worth
-	if at >= m.due {
+	if at >= m.deadline {
 		return 0
 	}
-	if m.past {
-		full *= c.set.OverShare
+	if m.overShare {
+		full *= c.settings.OverShareFactor
 	}
-	age := at - m.born
+	age := at - m.createdAt
 	if age <= k.Aim {
 		return full
 	}
 	late := (age - k.Aim).Seconds()
-	if c.set.Halving {
+	if c.settings.WorthHalves {
 		return full * max(k.LateShare, math.Exp2(-late/k.Aim.Seconds()))
 	}
 	return full * (1 - (1-k.LateShare)*late/(k.Deadline-k.Aim).Seconds())
--- a/choice/slowstart_rule_test.go
+++ b/choice/slowstart_rule_test.go
@@ -9,19 +9,19 @@
 
 // rateAt is what the list says at a time.
 func (s *slowStartPlay) rateAt(at time.Duration) float64 {
-	if s.rateTo > 0 && at >= s.changeAt {
-		return s.rate * s.rateTo
+	if s.rateFactor > 0 && at >= s.rateChangeAt {
+		return s.rate * s.rateFactor
 	}
 	return s.rate
 }
 
-func (s *slowStartPlay) isOut(now time.Duration) bool {
-	return slices.ContainsFunc(s.out, func(o [2]time.Duration) bool { return now >= o[0] && now < o[1] })
+func (s *slowStartPlay) inOutage(now time.Duration) bool {
+	return slices.ContainsFunc(s.outages, func(o [2]time.Duration) bool { return now >= o[0] && now < o[1] })
 }
 
 // called counts a call to what is cold. Where relays meet it seldom, those that have not heard of the outage are left out.
-func (s *slowStartPlay) called(re *slowStartRelay, host string, now time.Duration) {
-	if now >= s.back && (re.told || s.byHand || s.fleet <= 30 && s.again == 0) {
+func (s *slowStartPlay) recordCall(re *slowStartRelay, host string, now time.Duration) {
+	if now >= s.returnedAt && (re.knowsOutage || s.manual || s.fleet <= 30 && s.secondOutageAfter == 0) {
 		s.calls[host] = append(s.calls[host], now)
 	}
 }
@@ -29,9 +29,9 @@
 // allowed is N of a window that ends then. Calls before a change of the rate, or before all have heard of it, were allowed by the earlier one.
 func (s *slowStartPlay) allowed(at time.Duration) float64 {
 	k := s.settings(0).Rules
-	rate := max(s.rateAt(at), s.rateAt(at-k.Fall-slowStartDelay))
-	share := min(1, k.ColdFrom+(1-k.ColdFrom)*(at-s.back).Seconds()/k.Cold.Seconds())
-	return k.OverloadFactor * rate * share * k.Fall.Seconds()
+	rate := max(s.rateAt(at), s.rateAt(at-k.OverloadWindow-slowStartDelay))
+	share := min(1, k.ColdShare+(1-k.ColdShare)*(at-s.returnedAt).Seconds()/k.WarmUp.Seconds())
+	return k.OverloadFactor * rate * share * k.OverloadWindow.Seconds()
 }
 
 // slowStartBound is the most calls in a window of the rule, by what the settings allow.
@@ -44,7 +44,7 @@
 
 // worst is the window that exceeds the bound the most, or comes nearest to it.
 func (s *slowStartPlay) worst() (got, bound float64) {
-	excess, fall := math.Inf(-1), s.settings(0).Rules.Fall
+	excess, fall := math.Inf(-1), s.settings(0).Rules.OverloadWindow
 	for _, calls := range s.calls {
 		from := 0
 		for i, at := range calls {
@@ -69,7 +69,7 @@
 	{20, 60, 1}, {30, 8, 1}, {30, 25, 3}, {30, 31, 1}, {30, 60, 1}, {30, 200, 1}, {300, 8, 1}, {300, 25, 1}, {300, 200, 1}}
 
 // keepsToTheRule plays a case with fleets of every size.
-func keepsToTheRule(t *testing.T, cases map[string]slowStart) {
+func checkSlowStart(t *testing.T, cases map[string]slowStartCase) {
 	t.Helper()
 	for name, p := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -79,12 +79,12 @@
 					continue
 				}
 				k := p.settings(0).Rules
-				p.fleet, p.rate = size.fleet, size.window/(k.OverloadFactor*k.ColdFrom*k.Fall.Seconds())
-				for p.draw = range size.draws {
+				p.fleet, p.rate = size.fleet, size.window/(k.OverloadFactor*k.ColdShare*k.OverloadWindow.Seconds())
+				for p.seed = range size.draws {
 					got, most := p.play(t).worst()
 					if got > most {
 						t.Errorf("fleet of %d, %g calls at the return, draw %d: %.0f calls in a window of %.1f",
-							p.fleet, size.window, p.draw, got, most)
+							p.fleet, size.window, p.seed, got, most)
 					}
 					if plays++; got > 0 {
 						used++
@@ -105,55 +105,55 @@
 // Guards against relays that restart in the ramp, forget what they sent and make their first trials together.
 func TestSlowStartAfterAnOutage(t *testing.T) {
 	soon, later := []time.Duration{700 * ms}, []time.Duration{2100 * ms, 1500 * ms}
-	keepsToTheRule(t, map[string]slowStart{
+	checkSlowStart(t, map[string]slowStartCase{
 		"equal traffic":               {load: 1},
 		"unequal traffic":             {load: 1.5, skew: 1},
-		"one restarts":                {load: 1.5, restarted: 1},
-		"40% restart, twice":          {load: 1.5, skew: 1, restarted: 40, gaps: []time.Duration{1200 * ms}},
-		"all restart":                 {load: 1.5, restarted: 100, together: true},
-		"all restart twice":           {load: 1.5, restarted: 100, together: true, gaps: soon},
-		"all restart three times":     {load: 1.5, skew: 1, restarted: 100, together: true, gaps: later},
+		"one restarts":                {load: 1.5, restartPercent: 1},
+		"40% restart, twice":          {load: 1.5, skew: 1, restartPercent: 40, restartGaps: []time.Duration{1200 * ms}},
+		"all restart":                 {load: 1.5, restartPercent: 100, restartTogether: true},
+		"all restart twice":           {load: 1.5, restartPercent: 100, restartTogether: true, restartGaps: soon},
+		"all restart three times":     {load: 1.5, skew: 1, restartPercent: 100, restartTogether: true, restartGaps: later},
 		"routes apart":                {load: 1.5, routes: 2},
-		"shared calls":                {load: 1.5, perCall: 2, restarted: 100, together: true},
-		"the rate is raised":          {load: 1.5, rateTo: 3},
-		"the rate is lowered, uneven": {load: 1.5, rateTo: 0.4, skew: 1},
+		"shared calls":                {load: 1.5, perCall: 2, restartPercent: 100, restartTogether: true},
+		"the rate is raised":          {load: 1.5, rateFactor: 3},
+		"the rate is lowered, uneven": {load: 1.5, rateFactor: 0.4, skew: 1},
 	})
 }
 
 // Guards against a destination that goes out again in its ramp, and is taken for well once it answers.
-func TestSlowStartTwice(t *testing.T) {
-	keepsToTheRule(t, map[string]slowStart{
-		"early in the ramp":  {load: 1.5, again: 3 * time.Second, outAgain: 4 * time.Second},
-		"late in the ramp":   {load: 1.5, again: 8 * time.Second, outAgain: 4 * time.Second},
-		"for a second":       {load: 1.5, again: 3 * time.Second, outAgain: time.Second},
-		"late, for a second": {load: 1.5, again: 8 * time.Second, outAgain: time.Second},
-		"one restarts":       {load: 1.5, skew: 1, again: 5 * time.Second, outAgain: 4 * time.Second, restarted: 1},
+func TestSlowStartAfterASecondOutage(t *testing.T) {
+	checkSlowStart(t, map[string]slowStartCase{
+		"early in the ramp":  {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: 4 * time.Second},
+		"late in the ramp":   {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: 4 * time.Second},
+		"for a second":       {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second},
+		"late, for a second": {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: time.Second},
+		"one restarts":       {load: 1.5, skew: 1, secondOutageAfter: 5 * time.Second, secondOutageSpan: 4 * time.Second, restartPercent: 1},
 	})
 }
 
 // Guards against relays that restart in the ramp of an endpoint given back by hand, and start a window of their own.
-func TestSlowStartByHand(t *testing.T) {
+func TestSlowStartAfterManualEnable(t *testing.T) {
 	soon := []time.Duration{700 * ms}
-	keepsToTheRule(t, map[string]slowStart{
-		"unequal traffic":        {load: 1.5, byHand: true, skew: 1},
-		"one restarts":           {load: 1.5, byHand: true, restarted: 1},
-		"40% restart":            {load: 1.5, byHand: true, restarted: 40, skew: 1},
-		"all restart twice":      {load: 1.5, byHand: true, restarted: 100, together: true, gaps: soon},
-		"routes apart, restarts": {load: 1.5, byHand: true, restarted: 100, together: true, routes: 2},
+	checkSlowStart(t, map[string]slowStartCase{
+		"unequal traffic":        {load: 1.5, manual: true, skew: 1},
+		"one restarts":           {load: 1.5, manual: true, restartPercent: 1},
+		"40% restart":            {load: 1.5, manual: true, restartPercent: 40, skew: 1},
+		"all restart twice":      {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, restartGaps: soon},
+		"routes apart, restarts": {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, routes: 2},
 	})
 }
 
 // Guards against relays whose parts are less than one call each, and come to their calls in step.
-func TestSlowStartByHandInSmallParts(t *testing.T) {
-	keepsToTheRule(t, map[string]slowStart{
-		"all restart":        {load: 1.5, byHand: true, restarted: 100, together: true},
-		"given back twice":   {load: 1.5, byHand: true, again: 5 * time.Second, outAgain: time.Second},
-		"the rate is raised": {load: 1.5, byHand: true, rateTo: 3},
+func TestSlowStartAfterManualEnableInSmallShares(t *testing.T) {
+	checkSlowStart(t, map[string]slowStartCase{
+		"all restart":        {load: 1.5, manual: true, restartPercent: 100, restartTogether: true},
+		"given back twice":   {load: 1.5, manual: true, secondOutageAfter: 5 * time.Second, secondOutageSpan: time.Second},
+		"the rate is raised": {load: 1.5, manual: true, rateFactor: 3},
 	})
-	p := slowStart{fleet: 300, rate: 69, load: 1.5, byHand: true, again: 5 * time.Second, outAgain: time.Second}
-	for p.draw = range 3 {
+	p := slowStartCase{fleet: 300, rate: 69, load: 1.5, manual: true, secondOutageAfter: 5 * time.Second, secondOutageSpan: time.Second}
+	for p.seed = range 3 {
 		if got, most := p.play(t).worst(); got > most || got == 0 {
-			t.Errorf("given back twice, fleet of %d, draw %d: %.0f calls in a window of %.1f", p.fleet, p.draw, got, most)
+			t.Errorf("given back twice, fleet of %d, draw %d: %.0f calls in a window of %.1f", p.fleet, p.seed, got, most)
 		}
 	}
 }
