--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -11,50 +11,50 @@
 )
 
 // slowStart is one play of a fleet whose destination returns cold, after an outage or given back by operators.
-type slowStart struct {
-	fleet     int
-	rate      float64         // listed of each unit, calls a second
-	load      float64         // what arrives, in shares of the rate
-	skew      float64         // of the relays' traffic; 0 for equal
-	restarted int             // relays that restart in the ramp, in percent; at least one if above 0
-	together  bool            // they do so at the same moment
-	gaps      []time.Duration // a further restart so long after the one before
-	byHand    bool            // taken out and given back by operators
-	again     time.Duration   // so long after the return it is out once more; 0 for never
-	outAgain  time.Duration   // for so long
-	routes    int             // of the destination, apart; 0 for one endpoint
-	perCall   int             // messages that a call carries
-	rateTo    float64         // the list's rate changes in the ramp, by this factor; 0 for no change
-	draw      uint64
+type slowStartCase struct {
+	fleet             int
+	rate              float64         // listed of each unit, calls a second
+	load              float64         // what arrives, in shares of the rate
+	skew              float64         // of the relays' traffic; 0 for equal
+	restartPercent    int             // relays that restart in the ramp, in percent; at least one if above 0
+	restartTogether   bool            // they do so at the same moment
+	restartGaps       []time.Duration // a further restart so long after the one before
+	manual            bool            // taken out and given back by operators
+	secondOutageAfter time.Duration   // so long after the return it is out once more; 0 for never
+	secondOutageSpan  time.Duration   // for so long
+	routes            int             // of the destination, apart; 0 for one endpoint
+	perCall           int             // messages that a call carries
+	rateFactor        float64         // the list's rate changes in the ramp, by this factor; 0 for no change
+	seed              uint64
 }
 
 const (
-	slowStartTick  = 20 * ms
-	slowStartWarm  = 4 * time.Second  // of well-being before the outage
-	slowStartDelay = 200 * ms         // within which all relays hear of operators and of the list
-	slowStartTime  = 12 * time.Second // a message's
+	slowStartTick        = 20 * ms
+	slowStartHealthySpan = 4 * time.Second  // of well-being before the outage
+	slowStartDelay       = 200 * ms         // within which all relays hear of operators and of the list
+	slowStartDeadline    = 12 * time.Second // a message's
 )
 
-func (p slowStart) settings(index int) Settings {
+func (p slowStartCase) settings(index int) Settings {
 	s := settings()
-	s.Index, s.Fleet, s.Workers, s.MaxHeld, s.Tick = index, p.fleet, 64, 0, slowStartTick
-	s.Kinds = []Kind{{PerCall: max(1, p.perCall), Apart: p.routes > 0}}
-	s.Rules.Fall, s.Rules.Cold, s.Rules.ColdFrom, s.Rules.OverloadFactor = 2*time.Second, 12*time.Second, 0.29, 1.5
-	s.Classes = []Class{{Name: "a", Aim: 3 * time.Second, Deadline: slowStartTime, Worth: 1, Effect: Safe}}
+	s.Index, s.Fleet, s.Workers, s.MaxPending, s.Tick = index, p.fleet, 64, 0, slowStartTick
+	s.Kinds = []Kind{{PerCall: max(1, p.perCall), SeparateRoutes: p.routes > 0}}
+	s.Rules.OverloadWindow, s.Rules.WarmUp, s.Rules.ColdShare, s.Rules.OverloadFactor = 2*time.Second, 12*time.Second, 0.29, 1.5
+	s.Classes = []Class{{Name: "a", Aim: 3 * time.Second, Deadline: slowStartDeadline, Worth: 1, Effect: Safe}}
 	return s
 }
 
 // slowStartRelay is a Chooser with what its journal and its sockets would hold.
 type slowStartRelay struct {
-	chooser   *Chooser
-	share     float64 // of the traffic
-	due       []slowStartEvent
-	wakeAt    time.Duration
-	held      map[string]time.Duration // until when
-	unwell    map[string]float64
-	byHand    map[string]slowStartEvent // what operators said last
-	restartAt []time.Duration
-	told      bool
+	chooser       *Chooser
+	trafficShare  float64 // of the traffic
+	due           []slowStartEvent
+	wakeAt        time.Duration
+	pending       map[string]time.Duration // until when
+	outages       map[string]float64
+	manualChanges map[string]slowStartEvent // what operators said last
+	restartAt     []time.Duration
+	knowsOutage   bool
 }
 
 type slowStartEvent struct {
@@ -62,17 +62,17 @@
 	event Event
 }
 
-func (re *slowStartRelay) later(at time.Duration, e Event) {
+func (re *slowStartRelay) schedule(at time.Duration, e Event) {
 	re.due = append(re.due, slowStartEvent{at, e})
 }
 
 // take removes and returns what is due.
-func (re *slowStartRelay) take(now time.Duration) (events []Event) {
+func (re *slowStartRelay) takeDue(now time.Duration) (events []Event) {
 	re.due = slices.DeleteFunc(re.due, func(e slowStartEvent) bool {
 		if e.at <= now {
 			events = append(events, e.event)
-			if said, ok := e.event.(ByHand); ok && said.Ago == 0 {
-				re.byHand[said.Host] = slowStartEvent{now, said}
+			if said, ok := e.event.(ManualChange); ok && said.Ago == 0 {
+				re.manualChanges[said.Host] = slowStartEvent{now, said}
 			}
 		}
 		return e.at <= now
@@ -82,55 +82,55 @@
 
 // slowStartPlay is the state of one play.
 type slowStartPlay struct {
-	slowStart
-	t        testing.TB
-	r        *rand.Rand
-	relays   []*slowStartRelay
-	back     time.Duration // when the destination returned
-	end      time.Duration
-	out      [][2]time.Duration
-	changeAt time.Duration              // of the listed rate
-	calls    map[string][]time.Duration // by endpoint, of the ramps
-	messages int
+	slowStartCase
+	t            testing.TB
+	random       *rand.Rand
+	relays       []*slowStartRelay
+	returnedAt   time.Duration // when the destination returned
+	end          time.Duration
+	outages      [][2]time.Duration
+	rateChangeAt time.Duration              // of the listed rate
+	calls        map[string][]time.Duration // by endpoint, of the ramps
+	messages     int
 }
 
-func (p slowStart) play(t testing.TB) *slowStartPlay {
-	s := &slowStartPlay{slowStart: p, t: t, r: rand.New(rand.NewPCG(p.draw, 77)), calls: map[string][]time.Duration{}}
-	s.back = slowStartWarm + time.Duration((5+5*s.r.Float64())*float64(time.Second))
-	s.out = [][2]time.Duration{{slowStartWarm, s.back}}
-	cold := p.settings(0).Rules.Cold
-	if p.again > 0 {
-		s.out = append(s.out, [2]time.Duration{s.back + p.again, s.back + p.again + p.outAgain})
-		s.back += p.again + p.outAgain
+func (p slowStartCase) play(t testing.TB) *slowStartPlay {
+	s := &slowStartPlay{slowStartCase: p, t: t, random: rand.New(rand.NewPCG(p.seed, 77)), calls: map[string][]time.Duration{}}
+	s.returnedAt = slowStartHealthySpan + time.Duration((5+5*s.random.Float64())*float64(time.Second))
+	s.outages = [][2]time.Duration{{slowStartHealthySpan, s.returnedAt}}
+	cold := p.settings(0).Rules.WarmUp
+	if p.secondOutageAfter > 0 {
+		s.outages = append(s.outages, [2]time.Duration{s.returnedAt + p.secondOutageAfter, s.returnedAt + p.secondOutageAfter + p.secondOutageSpan})
+		s.returnedAt += p.secondOutageAfter + p.secondOutageSpan
 	}
-	s.end = s.back + cold
-	s.changeAt = s.back + time.Duration(s.r.Float64()*float64(cold))
-	restartAt := s.back + time.Duration((s.r.Float64()*8-1)*float64(time.Second))
+	s.end = s.returnedAt + cold
+	s.rateChangeAt = s.returnedAt + time.Duration(s.random.Float64()*float64(cold))
+	restartAt := s.returnedAt + time.Duration((s.random.Float64()*8-1)*float64(time.Second))
 	sum := 0.0
 	for i := range p.fleet {
-		re := &slowStartRelay{share: math.Exp(p.skew * s.r.NormFloat64()), held: map[string]time.Duration{}, unwell: map[string]float64{},
-			byHand: map[string]slowStartEvent{}}
-		sum += re.share
+		re := &slowStartRelay{trafficShare: math.Exp(p.skew * s.random.NormFloat64()), pending: map[string]time.Duration{}, outages: map[string]float64{},
+			manualChanges: map[string]slowStartEvent{}}
+		sum += re.trafficShare
 		s.relays = append(s.relays, re)
 		s.start(re, i, 0)
-		if at := s.changeAt + s.delay(); p.rateTo > 0 {
-			re.later(at, s.listing(s.changeAt))
+		if at := s.rateChangeAt + s.delay(); p.rateFactor > 0 {
+			re.schedule(at, s.listing(s.rateChangeAt))
 		}
-		for _, o := range s.out {
-			if p.byHand {
+		for _, o := range s.outages {
+			if p.manual {
 				for _, host := range s.hosts() {
-					re.later(o[0]+s.delay(), ByHand{Host: host, Out: true})
-					re.later(o[1]+s.delay(), ByHand{Host: host})
+					re.schedule(o[0]+s.delay(), ManualChange{Host: host, Disabled: true})
+					re.schedule(o[1]+s.delay(), ManualChange{Host: host})
 				}
 			}
 		}
-		if s.r.IntN(100) < p.restarted || i == 0 && p.restarted > 0 {
+		if s.random.IntN(100) < p.restartPercent || i == 0 && p.restartPercent > 0 {
 			at := restartAt
-			if !p.together {
-				at = s.back + time.Duration(s.r.Float64()*float64(cold))
+			if !p.restartTogether {
+				at = s.returnedAt + time.Duration(s.random.Float64()*float64(cold))
 			}
 			re.restartAt = []time.Duration{at}
-			for _, gap := range p.gaps {
+			for _, gap := range p.restartGaps {
 				at += gap
 				re.restartAt = append(re.restartAt, at)
 			}
@@ -142,7 +142,7 @@
 				re.restartAt = re.restartAt[1:]
 				s.start(re, i, now)
 			}
-			s.arrivals(re, now, p.load*p.rate*float64(max(1, p.perCall))*re.share/sum)
+			s.arrivals(re, now, p.load*p.rate*float64(max(1, p.perCall))*re.trafficShare/sum)
 			s.step(re, now)
 		}
 	}
@@ -150,7 +150,7 @@
 }
 
 func (s *slowStartPlay) delay() time.Duration {
-	return time.Duration(s.r.Int64N(int64(slowStartDelay)))
+	return time.Duration(s.random.Int64N(int64(slowStartDelay)))
 }
 
 func (s *slowStartPlay) hosts() []string {
@@ -161,8 +161,8 @@
 	return hosts
 }
 
-func (s *slowStartPlay) listing(at time.Duration) Listing {
-	l := Listing{Whole: true}
+func (s *slowStartPlay) listing(at time.Duration) ListUpdate {
+	l := ListUpdate{Complete: true}
 	for _, host := range s.hosts() {
 		l.Hosts = append(l.Hosts, Host{Addr: host, Dest: 1, State: Ready, Rate: s.rateAt(at)})
 	}
@@ -171,7 +171,7 @@
 
 // start has a relay begin with what its journal holds.
 func (s *slowStartPlay) start(re *slowStartRelay, index int, now time.Duration) {
-	c, err := New(s.settings(index), s.draw*1000+uint64(index)+uint64(now))
+	c, err := New(s.settings(index), s.seed*1000+uint64(index)+uint64(now))
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -180,32 +180,32 @@
 		_, result := e.event.(Result)
 		return result
 	})
-	re.later(now, s.listing(now))
-	for _, host := range slices.Sorted(maps.Keys(re.unwell)) {
-		re.later(now, Unwell{Host: host, Base: re.unwell[host]})
+	re.schedule(now, s.listing(now))
+	for _, host := range slices.Sorted(maps.Keys(re.outages)) {
+		re.schedule(now, KnownOutage{Host: host, BaseRate: re.outages[host]})
 	}
-	for _, host := range slices.Sorted(maps.Keys(re.byHand)) {
-		said := re.byHand[host]
-		re.later(now, ByHand{Host: host, Out: said.event.(ByHand).Out, Ago: max(ms, now-said.at)})
+	for _, host := range slices.Sorted(maps.Keys(re.manualChanges)) {
+		said := re.manualChanges[host]
+		re.schedule(now, ManualChange{Host: host, Disabled: said.event.(ManualChange).Disabled, Ago: max(ms, now-said.at)})
 	}
-	for _, id := range slices.Sorted(maps.Keys(re.held)) {
-		re.later(now, Restored{Arrival: Arrival{ID: id, Dest: 1, Left: re.held[id] - now}})
+	for _, id := range slices.Sorted(maps.Keys(re.pending)) {
+		re.schedule(now, Restored{Arrival: Arrival{ID: id, Dest: 1, Left: re.pending[id] - now}})
 	}
 }
 
 func (s *slowStartPlay) arrivals(re *slowStartRelay, now time.Duration, rate float64) {
 	for more := rate * slowStartTick.Seconds(); more > 0; more-- {
-		if s.r.Float64() < more {
+		if s.random.Float64() < more {
 			s.messages++
 			id := fmt.Sprint(s.messages)
-			re.held[id] = now + slowStartTime
-			re.later(now, Arrival{ID: id, Dest: 1, Left: slowStartTime})
+			re.pending[id] = now + slowStartDeadline
+			re.schedule(now, Arrival{ID: id, Dest: 1, Left: slowStartDeadline})
 		}
 	}
 }
 
 func (s *slowStartPlay) step(re *slowStartRelay, now time.Duration) {
-	events := re.take(now)
+	events := re.takeDue(now)
 	if re.wakeAt <= now {
 		events, re.wakeAt = append(events, Woken{}), math.MaxInt64
 	}
@@ -218,28 +218,28 @@
 		case Wake:
 			re.wakeAt = now + a.After
 		case Refuse:
-			delete(re.held, a.ID)
+			delete(re.pending, a.ID)
 		case Fail:
-			delete(re.held, a.ID)
+			delete(re.pending, a.ID)
 		case Health:
 			if a.Unwell {
-				re.unwell[a.Host] = a.Base
+				re.outages[a.Host] = a.Base
 			} else {
-				delete(re.unwell, a.Host)
+				delete(re.outages, a.Host)
 			}
 		case Send:
-			if k := re.chooser.msgs[a.ID].call; !slices.Contains(calls, k) {
+			if k := re.chooser.messages[a.ID].call; !slices.Contains(calls, k) {
 				calls = append(calls, k)
-				s.called(re, a.Host, now)
+				s.recordCall(re, a.Host, now)
 			}
 			res := Result{ID: a.ID, Host: a.Host, Outcome: Served, Took: 100 * ms, Done: true}
-			if s.isOut(now) {
+			if s.inOutage(now) {
 				res = Result{ID: a.ID, Host: a.Host, Outcome: NoConnection, Took: 30 * ms}
-				re.told = now >= s.out[len(s.out)-1][0]
+				re.knowsOutage = now >= s.outages[len(s.outages)-1][0]
 			} else {
-				delete(re.held, a.ID)
+				delete(re.pending, a.ID)
 			}
-			re.later(now+res.Took, res)
+			re.schedule(now+res.Took, res)
 		}
 	}
 }
--- a/choice/memory_test.go
+++ b/choice/snapshot_test.go
@@ -10,10 +10,10 @@
 
 // Guards against a relay that forgets in an upgrade what it learnt: the successor, told what its
 // predecessor knew and has out, decides as that would have, on a clock of its own.
-func TestSuccessorDecidesAlike(t *testing.T) {
+func TestNextProcessDecidesAlike(t *testing.T) {
 	s := settings()
 	hosts := []Host{ready("a", 1, 1, 0), ready("b", 2, 0, 0), ready("c", 3, 2, 0), ready("d", 3, 2, 1)}
-	old := newRig(t, s, hosts...)
+	old := newHarness(t, s, hosts...)
 	for i := range 300 {
 		m := arrival(fmt.Sprint("m", i), 0)
 		m.Dest = 1 + i%3
@@ -23,7 +23,7 @@
 			if a.Host == "b" && i > 200 {
 				o = Error
 			}
-			old.step(old.end(a.ID, a.Host, o, func(r *Result) { r.Took = time.Duration(20+i%40) * ms }))
+			old.step(old.result(a.ID, a.Host, o, func(r *Result) { r.Took = time.Duration(20+i%40) * ms }))
 		}
 	}
 	last := arrival("out", 0)
@@ -33,34 +33,34 @@
 		t.Fatalf("%d sends, want 2", len(got))
 	}
 	where := map[string]string{got[0].ID: got[0].Host, got[1].ID: got[1].Host}
-	old.step(old.end("w", where["w"], Refused, func(r *Result) { r.Wait = 700 * ms }))
+	old.step(old.result("w", where["w"], Refused, func(r *Result) { r.RetryAfter = 700 * ms }))
 	old.now += 50 * ms
 
-	data, err := json.Marshal(old.c.Memory(old.now))
+	data, err := json.Marshal(old.chooser.Snapshot(old.now))
 	if err != nil {
 		t.Fatal(err)
 	}
-	var m Memory
+	var m Snapshot
 	if err := json.Unmarshal(data, &m); err != nil {
 		t.Fatal(err)
 	}
-	next := newRig(t, s, hosts...)
+	next := newHarness(t, s, hosts...)
 	next.now = 5 * time.Hour
 	next.step(m, Restored{Arrival: Arrival{ID: "out", Class: 0, Dest: 3, Left: 9 * time.Second}, Attempts: 1,
-		Timeout: old.c.msgs["out"].timeout, Out: &Running{Host: where["out"], Call: 1, Ago: 50 * ms}})
-	if next.c.busy != 1 {
-		t.Fatalf("%d slots taken, want that of the call that runs on", next.c.busy)
+		Timeout: old.chooser.messages["out"].timeout, InFlight: &InFlightCall{Host: where["out"], Call: 1, Ago: 50 * ms}})
+	if next.chooser.inFlight != 1 {
+		t.Fatalf("%d slots taken, want that of the call that runs on", next.chooser.inFlight)
 	}
-	if n := next.c.hosts["b"].unit.state; n != suspect {
+	if n := next.chooser.hosts["b"].unit.state; n != suspect {
 		t.Errorf("state %d of a unit that failed, want it suspect", n)
 	}
-	before, after := old.c.Memory(old.now), next.c.Memory(next.now)
+	before, after := old.chooser.Snapshot(old.now), next.chooser.Snapshot(next.now)
 	if !reflect.DeepEqual(before, after) {
 		t.Errorf("knows\n%+v\nwant\n%+v", after, before)
 	}
 	told := next.now
 	n := Arrival{ID: "n", Class: 0, Dest: 1, Left: 9 * time.Second}
-	for acts := next.step(n); len(sends(acts)) == 0; acts = next.after(5 * ms) {
+	for acts := next.step(n); len(sends(acts)) == 0; acts = next.advance(5 * ms) {
 		if next.now-told > time.Minute {
 			t.Fatal("nothing is sent after the wait")
 		}
@@ -68,19 +68,19 @@
 	if next.now-told < 650*ms {
 		t.Errorf("sent %v after the hand-over, within a told wait", next.now-told)
 	}
-	if acts := next.step(next.end("out", where["out"], Served)); len(answers(acts)) != 0 || next.c.busy != 1 {
-		t.Errorf("answers %q and %d slots taken after the end of the call that ran on", answers(acts), next.c.busy)
+	if acts := next.step(next.result("out", where["out"], Served)); len(finalAnswers(acts)) != 0 || next.chooser.inFlight != 1 {
+		t.Errorf("answers %q and %d slots taken after the end of the call that ran on", finalAnswers(acts), next.chooser.inFlight)
 	}
 }
 
 // Guards against a panic on a memory that is damaged or of another version.
-func TestOddMemory(t *testing.T) {
-	r := newRig(t, settings(), ready("a", 1, 0, 0))
-	r.step(Memory{Units: []UnitMemory{{Host: "a", State: 9}, {Host: "b"}}, Hosts: []HostMemory{{Host: "b"}},
+func TestDamagedSnapshot(t *testing.T) {
+	r := newHarness(t, settings(), ready("a", 1, 0, 0))
+	r.step(Snapshot{Units: []UnitMemory{{Host: "a", State: 9}, {Host: "b"}}, Hosts: []HostMemory{{Host: "b"}},
 		Dests: []DestMemory{{Dest: 9}, {Dest: 1, Table: TableMemory{Width: ms, Weight: 1, Count: []float64{1}}}},
 		Pool:  TableMemory{Width: ms, Weight: 2, Count: []float64{1}, Sum: []float64{1}},
 		Luck:  []float64{1, 1, 1, 1, 1}, Shares: []float64{1, 1, 1}}, arrival("m", 0))
-	r.step(r.end("m", "a", Served))
+	r.step(r.result("m", "a", Served))
 	if got := len(sends(r.step(arrival("n", 0)))); got != 1 {
 		t.Errorf("%d sends, want 1", got)
 	}
@@ -88,22 +88,22 @@
 
 // Guards against two attempts at once, and against a Step without end, where an endpoint went to another destination
 // while a call to it ran: the message still waited at its own, and was sent and answered as if it were not out.
-func TestCallThatRunsOnTakesTheSlotsOfItsMessagesDestination(t *testing.T) {
+func TestResumedCallUsesSlotsOfMessageDestination(t *testing.T) {
 	s := settings()
-	s.MaxHeld = 2
-	r := newRig(t, s, ready("a", 1, 0, 0), ready("moved", 2, 0, 0))
+	s.MaxPending = 2
+	r := newHarness(t, s, ready("a", 1, 0, 0), ready("moved", 2, 0, 0))
 	acts := r.step(Restored{Arrival: Arrival{ID: "out", Class: 0, Dest: 1, Left: 9 * time.Second}, Attempts: 1,
-		Out: &Running{Host: "moved", Call: 1, Ago: 50 * ms}}, arrival("b", 0), arrival("c", 0))
+		InFlight: &InFlightCall{Host: "moved", Call: 1, Ago: 50 * ms}}, arrival("b", 0), arrival("c", 0))
 	for _, a := range sends(acts) {
 		if a.ID == "out" {
 			t.Errorf("sent %+v while an attempt runs", a)
 		}
 	}
-	if d := r.c.dests[2]; d.out != 0 || r.c.dests[1].out == 0 {
-		t.Errorf("%d calls out at the endpoint's destination and %d at the message's, want none and some", d.out, r.c.dests[1].out)
+	if d := r.chooser.dests[2]; d.inFlight != 0 || r.chooser.dests[1].inFlight == 0 {
+		t.Errorf("%d calls out at the endpoint's destination and %d at the message's, want none and some", d.inFlight, r.chooser.dests[1].inFlight)
 	}
 	r.step(Result{ID: "out", Host: "moved", Outcome: Served, Done: true})
-	if r.c.dests[1].out < 0 || r.c.dests[2].out < 0 {
-		t.Errorf("%d and %d calls out, none can be below 0", r.c.dests[1].out, r.c.dests[2].out)
+	if r.chooser.dests[1].inFlight < 0 || r.chooser.dests[2].inFlight < 0 {
+		t.Errorf("%d and %d calls out, none can be below 0", r.chooser.dests[1].inFlight, r.chooser.dests[2].inFlight)
 	}
 }
--- a/choice/soak_test.go
+++ b/choice/soak_test.go
@@ -11,10 +11,10 @@
 // Guards against state that outlasts what it belongs to. Many thousands of messages, of which some are out
 // when their endpoint goes, some withdrawn and some never answered in time, over hundreds of lists that
 // replace endpoints and whole destinations, with operators who take endpoints out and give them back.
-func TestStateIsBoundedByWhatIsOpenAndListed(t *testing.T) {
+func TestStateIsBounded(t *testing.T) {
 	const versions, kept = 400, 12
 	s := settings()
-	s.Workers, s.MaxHeld, s.ReportLeft, s.ReportLimit = 8, 40, 0, 1
+	s.Workers, s.MaxPending, s.ReportLeftIndex, s.ReportLimitIndex = 8, 40, 0, 1
 	s.Tenants = []Tenant{{Quota: 20}, {Quota: 5}}
 	c, err := New(s, 3)
 	if err != nil {
@@ -44,7 +44,7 @@
 		}
 		excluded, told := c.Excluded(), slices.ContainsFunc(events, func(e Event) bool {
 			switch e.(type) {
-			case Listing, ByHand:
+			case ListUpdate, ManualChange:
 				return true
 			}
 			return false
@@ -67,7 +67,7 @@
 				r := Result{ID: a.ID, Host: a.Host, Attempt: tries[a.ID], Outcome: outcome, Took: 30 * ms,
 					Done: outcome == Served, Report: []float64{chance.Float64(), 30 * chance.Float64()}}
 				if outcome == Refused && chance.IntN(2) == 0 {
-					r.Wait = time.Duration(chance.IntN(1500)) * ms
+					r.RetryAfter = time.Duration(chance.IntN(1500)) * ms
 				}
 				if outcome == Timeout {
 					r.Took = a.Timeout
@@ -101,15 +101,15 @@
 	for v := range versions {
 		hosts := listed(v)
 		if v%10 == 0 {
-			step(Listing{Whole: true, Hosts: hosts})
+			step(ListUpdate{Complete: true, Hosts: hosts})
 		} else {
 			gone := ready(fmt.Sprint("e", v-1), 0, 0, 0)
-			gone.State = Gone
-			step(Listing{Hosts: []Host{gone, hosts[len(hosts)-1]}})
+			gone.State = Removed
+			step(ListUpdate{Hosts: []Host{gone, hosts[len(hosts)-1]}})
 		}
 		if v%7 == 0 {
-			step(ByHand{Host: hosts[1].Addr, Out: true})
-			step(ByHand{Host: hosts[1].Addr})
+			step(ManualChange{Host: hosts[1].Addr, Disabled: true})
+			step(ManualChange{Host: hosts[1].Addr})
 		}
 		for range 50 {
 			messages++
@@ -127,26 +127,26 @@
 	for range 4000 { // 80 s: all is over, and no destination is cold or out any more
 		step()
 	}
-	step(Listing{Whole: true, Hosts: listed(versions)})
-	step(Listing{Whole: true, Hosts: listed(versions)})
+	step(ListUpdate{Complete: true, Hosts: listed(versions)})
+	step(ListUpdate{Complete: true, Hosts: listed(versions)})
 	if messages < 20000 || len(open) > 0 {
 		t.Fatalf("%d messages, %d of them without an end", messages, len(open))
 	}
 	sends := 0
-	for d := range c.order.each {
+	for d := range c.destOrder.each {
 		for _, u := range d.units {
-			sends += len(u.sends)
+			sends += len(u.recentSends)
 		}
 	}
 	for what, n := range map[string]struct{ held, most int }{
-		"messages":       {len(c.msgs) + c.held + c.busy, 0},
+		"messages":       {len(c.messages) + c.pending + c.inFlight, 0},
 		"endpoints":      {len(c.hosts), kept},
-		"destinations":   {len(c.dests) + c.order.n, 2 * (kept/4 + 1)},
-		"live":           {c.live.n + len(c.active) + len(c.parked.all) + len(c.calling) + len(c.ends.all), 0},
-		"keys":           {len(c.lines) + len(c.resting.all), 0},
-		"given back":     {len(c.cold), 2},
-		"taken out":      {len(c.out), 0},
-		"remembered":     {len(c.Memory(now).Units), kept},
+		"destinations":   {len(c.dests) + c.destOrder.count, 2 * (kept/4 + 1)},
+		"live":           {c.liveDests.count + len(c.activeDests) + len(c.deferredDests.items) + len(c.callingDests) + len(c.byAnswerTime.items), 0},
+		"keys":           {len(c.keyQueues) + len(c.pausedKeys.items), 0},
+		"given back":     {len(c.enabledAt), 2},
+		"taken out":      {len(c.disabled), 0},
+		"remembered":     {len(c.Snapshot(now).Units), kept},
 		"times of sends": {sends, kept * 100},
 	} {
 		if n.held > n.most {
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -11,19 +11,19 @@
 // The turn.
 
 // turn fills the free slots: the destination with the fewest calls out goes first.
-func (c *Chooser) turn() {
-	most := max(1, (3*c.set.Workers+3)/4-1)
-	half := max(1, c.set.Workers/2)
+func (c *Chooser) fillSlots() {
+	maxCalls := max(1, (3*c.settings.Workers+3)/4-1)
+	sharedMax := max(1, c.settings.Workers/2)
 	// Trials go last, lest a small relay's slots fill with calls that may hang; those long due do not.
-	well := func(u *unit) bool { return u.state != suspect || c.now-u.trialAt > c.set.Rules.Fall }
-	trial := func(d *dest) int {
-		if slices.ContainsFunc(d.units, well) {
+	preferred := func(u *unit) bool { return u.state != suspect || c.now-u.trialAt > c.settings.Rules.OverloadWindow }
+	trialOnly := func(d *dest) int {
+		if slices.ContainsFunc(d.units, preferred) {
 			return 0
 		}
 		return 1
 	}
 	var ready []*dest
-	c.look(func(d *dest) time.Duration {
+	c.scanActive(func(d *dest) time.Duration {
 		if c.listExpired {
 			return math.MaxInt64
 		}
@@ -31,18 +31,18 @@
 			return d.pauseUntil
 		}
 		for _, u := range d.units {
-			c.refill(u, c.now)
+			c.refillTokens(u, c.now)
 		}
-		if !slices.ContainsFunc(d.units, c.room) {
-			at := time.Duration(math.MaxInt64)
+		if !slices.ContainsFunc(d.units, c.canCall) {
+			earliest := time.Duration(math.MaxInt64)
 			for _, u := range d.units {
-				at = min(at, c.from(u))
+				earliest = min(earliest, c.earliestCall(u))
 			}
-			return at
+			return earliest
 		}
 		// One with no endpoint open takes nothing, and no room from others: it is the first to be found so,
 		// unless its trials have it go last.
-		if d.out == 0 && trial(d) == 0 && !slices.ContainsFunc(d.hosts, c.open) {
+		if d.inFlight == 0 && trialOnly(d) == 0 && !slices.ContainsFunc(d.hosts, c.usable) {
 			return math.MaxInt64
 		}
 		ready = append(ready, d)
@@ -51,26 +51,26 @@
 	if len(ready) == 0 {
 		return
 	}
-	first := queueOf(ready, func(a, b *dest) bool {
-		return cmp.Or(cmp.Compare(trial(a), trial(b)), cmp.Compare(a.out, b.out),
-			cmp.Compare(a.lastTurn, b.lastTurn), cmp.Compare(a.id, b.id)) < 0
+	queue := newHeap(ready, func(a, b *dest) bool {
+		return cmp.Or(cmp.Compare(trialOnly(a), trialOnly(b)), cmp.Compare(a.inFlight, b.inFlight),
+			cmp.Compare(a.lastSentAt, b.lastSentAt), cmp.Compare(a.id, b.id)) < 0
 	})
-	for c.busy < c.set.Workers && first.Len() > 0 {
-		d, top := first.all[0], most
-		if first.Len() > 1 {
-			top = half
+	for c.inFlight < c.settings.Workers && queue.Len() > 0 {
+		d, limit := queue.items[0], maxCalls
+		if queue.Len() > 1 {
+			limit = sharedMax
 		}
-		if d.out >= top || !c.sendOne(d) {
-			heap.Pop(first)
+		if d.inFlight >= limit || !c.sendCall(d) {
+			heap.Pop(queue)
 		} else {
-			heap.Fix(first, 0)
+			heap.Fix(queue, 0)
 		}
 	}
-	ready = first.all
-	slices.SortFunc(ready, byLive)
-	waits := func(d *dest) bool { m, _ := c.pick(d); return m != nil }
-	if c.set.Cancels && slices.ContainsFunc(ready, waits) {
-		c.callOff()
+	ready = queue.items
+	slices.SortFunc(ready, compareLive)
+	hasMessage := func(d *dest) bool { m, _ := c.pick(d); return m != nil }
+	if c.settings.CanCancel && slices.ContainsFunc(ready, hasMessage) {
+		c.cancelStuck()
 	}
 }
 
@@ -79,84 +79,84 @@
 // that slow ones are served in the end. It guards against calls that nobody will answer. An unsafe message
 // is lost by it: twice the patience while such calls hold no more than half of the slots. Half the room
 // taken halves the patience.
-func (c *Chooser) callOff() {
+func (c *Chooser) cancelStuck() {
 	var stuck []*call
-	for d := range c.callers {
+	for d := range c.calledDests {
 		for _, u := range d.units {
-			for _, k := range u.outs {
-				if k.off {
+			for _, k := range u.calls {
+				if k.cancelled {
 					return // one at a time
 				}
-				patience := c.patience(d)
-				if c.set.MaxHeld > 0 && 2*c.held > c.set.MaxHeld {
-					patience /= 2
+				limit := c.silenceLimit(d)
+				if c.settings.MaxPending > 0 && 2*c.pending > c.settings.MaxPending {
+					limit /= 2
 				}
-				if u.lastServed >= k.sent {
-					patience *= 2
+				if u.lastServed >= k.sentAt {
+					limit *= 2
 				}
-				patience *= time.Duration(k.members[0].attempts)
-				if c.now-k.sent > patience {
+				limit *= time.Duration(k.messages[0].attempts)
+				if c.now-k.sentAt > limit {
 					stuck = append(stuck, k)
 				}
 			}
 		}
 	}
-	slices.SortStableFunc(stuck, func(a, b *call) int { return cmp.Compare(a.sent, b.sent) })
+	slices.SortStableFunc(stuck, func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) })
 	for _, k := range stuck {
-		unsafe := slices.ContainsFunc(k.members, func(m *message) bool { return m.class.Effect == Unsafe })
-		if unsafe && 2*len(stuck) <= c.set.Workers && c.now-k.sent < 2*c.patience(k.host.dest) {
+		unsafe := slices.ContainsFunc(k.messages, func(m *message) bool { return m.class.Effect == Unsafe })
+		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-k.sentAt < 2*c.silenceLimit(k.host.dest) {
 			continue
 		}
-		k.off = true
-		for _, m := range k.members {
-			c.act(Cancel{m.ID, m.attempts - 1})
+		k.cancelled = true
+		for _, m := range k.messages {
+			c.emit(Cancel{m.ID, m.attempts - 1})
 		}
 		return
 	}
 }
 
 // sendOne sends the best message of a destination, and others along in the same call.
-func (c *Chooser) sendOne(d *dest) bool {
+func (c *Chooser) sendCall(d *dest) bool {
 	m, h := c.pick(d)
 	if m == nil {
 		return false
 	}
 	u := h.unit
-	k := &call{host: h, sent: c.now}
-	c.busy, d.out, h.out, d.lastTurn = c.busy+1, d.out+1, h.out+1, c.now
-	c.calls(d, 1)
-	old := func(t time.Duration) bool { return c.now-t > max(c.set.Rules.Cold, time.Second) }
-	u.outs = append(u.outs, k)
+	k := &call{host: h, sentAt: c.now}
+	c.inFlight, d.inFlight, h.inFlight, d.lastSentAt = c.inFlight+1, d.inFlight+1, h.inFlight+1, c.now
+	c.countUnitCalls(d, 1)
+	expired := func(t time.Duration) bool { return c.now-t > max(c.settings.Rules.WarmUp, time.Second) }
+	u.calls = append(u.calls, k)
 	u.tokens--
 	if u.state == suspect {
-		u.trialAt = c.now + c.patience(d)<<min(u.trials, 4) + c.gap(u)
+		u.trialAt = c.now + c.silenceLimit(d)<<min(u.failedTrials, 4) + c.trialDelay(u)
 	}
-	c.send(m, k)
-	for len(k.members) < d.kind.PerCall && u.state != suspect {
-		m := c.best(d, d.waiting.all, func(m *message) bool { return c.fits(m, h) })
+	c.sendMessage(m, k)
+	for len(k.messages) < d.kind.PerCall && u.state != suspect {
+		m := c.mostUrgent(d, d.waiting.items, func(m *message) bool { return c.maySend(m, h) })
 		if m == nil {
 			break
 		}
-		c.send(m, k)
+		c.sendMessage(m, k)
 	}
 	// Further messages weigh a little: counted as one more call.
-	weight := slices.Repeat([]time.Duration{c.now}, min(len(k.members), 2))
-	u.sends = append(slices.DeleteFunc(u.sends, old), weight...)
-	if _, cold := c.cold[h.Addr]; cold {
-		h.sends = append(slices.DeleteFunc(h.sends, old), weight...)
+	weight := slices.Repeat([]time.Duration{c.now}, min(len(k.messages), 2))
+	u.recentSends = append(slices.DeleteFunc(u.recentSends, expired), weight...)
+	if _, warming := c.enabledAt[h.Addr]; warming {
+		h.recentSends = append(slices.DeleteFunc(h.recentSends, expired), weight...)
 	}
 	return true
 }
 
-func (c *Chooser) send(m *message, k *call) {
+func (c *Chooser) sendMessage(m *message, k *call) {
 	m.timeout = c.timeout(m, k.host.unit)
-	c.unwait(m)
+	c.dequeue(m)
 	m.attempts++
 	m.call = k
-	k.members = append(k.members, m)
+	k.messages = append(k.messages, m)
 	s := Send{ID: m.ID, Host: k.host.Addr, Timeout: m.timeout}
-	if m.ran && m.class.Effect == Keyed {
+	if m.mayHaveRun && m.class.Effect == Keyed {
 		s.Before = c.windowEnd(m)
 	}
-	c.act(s)
+	c.emit(s)
 }
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -105,6 +105,6 @@
 	if h != nil {
 		h.closed.Store(out || h.listed != choice.Ready)
 	}
-	r.events = append(r.events, choice.ByHand{Host: id, Out: out})
+	r.events = append(r.events, choice.ManualChange{Host: id, Disabled: out})
 	return nil
 }
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -146,7 +146,7 @@
 func TestExcludedBySuspicion(t *testing.T) {
 	p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"), at("s-2", "127.0.0.1:1", "taller"))
 	r := startRelay(t, p, withAdmin)
-	r.post(func() { r.events = append(r.events, choice.Unwell{Host: "s-1", Base: 1}) })
+	r.post(func() { r.events = append(r.events, choice.KnownOutage{Host: "s-1", BaseRate: 1}) })
 	shows(t, r, "svc.endpoints_known=2", "svc.endpoints_excluded=1")
 }
 
--- a/internal/relay/backlog_rig_test.go
+++ b/internal/relay/backlog_rig_test.go
@@ -112,7 +112,7 @@
 
 func keep(conf *Config) {
 	conf.Backlog, conf.DiskMB = &Backlog{DiskMB: 8}, 12
-	conf.Settings.MaxHeld = 1e6
+	conf.Settings.MaxPending = 1e6
 	withAdmin(conf)
 }
 
--- a/internal/relay/bequeath.go
+++ b/internal/relay/bequeath.go
@@ -134,7 +134,7 @@
 }
 
 func (r *Relay) bequest() bequest {
-	e := bequest{Version: r.version, Memory: r.chooser.Memory(r.now()), Past: r.past.all(), Peers: r.listener.count()}
+	e := bequest{Version: r.version, Memory: r.chooser.Snapshot(r.now()), Past: r.past.all(), Peers: r.listener.count()}
 	if r.copies != nil {
 		e.Writer = r.copies.writer(r.kept.Instance)
 	}
--- a/internal/relay/books.go
+++ b/internal/relay/books.go
@@ -66,10 +66,10 @@
 		if r.heritage != nil { // the decisions remember more
 			break
 		}
-		r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
+		r.events = append(r.events, choice.KnownOutage{Host: id, BaseRate: s.Base})
 	}
 	for id, h := range r.journal.ByHand() {
-		r.events = append(r.events, choice.ByHand{Host: id, Out: h.Ran, Ago: time.Duration(max(1, wall-h.At)) * time.Millisecond})
+		r.events = append(r.events, choice.ManualChange{Host: id, Disabled: h.Ran, Ago: time.Duration(max(1, wall-h.At)) * time.Millisecond})
 	}
 	slog.Info("journal replayed", "held", len(r.held), "owed", r.owed)
 }
@@ -101,12 +101,12 @@
 	adopted := r.heritage.callOf(id)
 	ev := choice.Restored{Arrival: choice.Arrival{ID: id, Class: class, Dest: e.Dest, Left: left,
 		Key: e.Order, Tenant: slices.Index(r.set.Load().TenantNames, e.Tenant), Terms: e.Terms},
-		Attempts: e.Tries, Timeout: ms(e.Wait), Ran: e.Ran, RanAgo: ms(wall - e.RanAt), RanZone: e.Zone}
+		Attempts: e.Tries, Timeout: ms(e.Wait), MayHaveRun: e.Ran, FirstRunAgo: ms(wall - e.RanAt), FirstRunZone: e.Zone}
 	if adopted != nil {
 		m.call = adopted
-		ev.Out = &choice.Running{Host: adopted.host.id, Call: adopted.number, Ago: time.Since(adopted.began)}
+		ev.InFlight = &choice.InFlightCall{Host: adopted.host.id, Call: adopted.number, Ago: time.Since(adopted.began)}
 	} else if e.Out && !e.Ran {
-		ev.Ran, ev.RanAgo, ev.RanZone = true, ms(wall-e.OutAt), e.OutTo
+		ev.MayHaveRun, ev.FirstRunAgo, ev.FirstRunZone = true, ms(wall-e.OutAt), e.OutTo
 	}
 	if last {
 		ev.Attempts = math.MaxInt32
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -303,7 +303,7 @@
 	var got []choice.Outcome
 	for _, e := range r.events {
 		got = append(got, e.(choice.Result).Outcome)
-		want(t, "wait", e.(choice.Result).Wait, 500*time.Millisecond)
+		want(t, "wait", e.(choice.Result).RetryAfter, 500*time.Millisecond)
 	}
 	if !slices.Equal(got, []choice.Outcome{choice.Served, choice.Error, choice.Refused, choice.NotSent, choice.NotSent, choice.Error}) {
 		t.Fatalf("outcomes %v", got)
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -98,7 +98,7 @@
 	tb.Cleanup(func() { slog.SetDefault(log) })
 	p := newPlatform(tb, append(more, at("s-1", leanHost(tb), "taller"))...)
 	r := startRelay(tb, p, func(c *Config) {
-		c.DiskMB, c.Settings.MaxHeld = 4096, 0 // no compaction comes between
+		c.DiskMB, c.Settings.MaxPending = 4096, 0 // no compaction comes between
 		if change != nil {
 			change(c)
 		}
@@ -212,7 +212,7 @@
 		measure(b, c, 1, c.serve)
 	})
 	b.Run("refused", func(b *testing.B) {
-		c := newCostRig(b, 200, func(c *Config) { c.Settings.MaxHeld = 1 })
+		c := newCostRig(b, 200, func(c *Config) { c.Settings.MaxPending = 1 })
 		full := make(chan struct{})
 		c.r.post(func() { c.r.held["one"] = &message{Entry: &journal.Entry{ID: "one"}}; close(full) })
 		<-full
--- a/internal/relay/delay.go
+++ b/internal/relay/delay.go
@@ -77,7 +77,7 @@
 
 // lastLook is how long before its time is up a message that waits is ended at the latest.
 func (r *Relay) lastLook() time.Duration {
-	return r.chooser.LastLook() + r.longestEndMargin()
+	return r.chooser.FinalAnswerMargin() + r.longestEndMargin()
 }
 
 // sinceArrival is how long ago the last bytes of a connection arrived, as the system knows it; 0 where it does not.
--- a/internal/relay/full_journal_test.go
+++ b/internal/relay/full_journal_test.go
@@ -21,7 +21,7 @@
 			leaving.State = "leaving" // so that messages wait
 			p := newPlatform(t, leaving)
 			p.notices = make(chan notice, 10000)
-			r := startRelay(t, p, func(c *Config) { c.DiskMB, c.Settings.MaxHeld = 3, 0 })
+			r := startRelay(t, p, func(c *Config) { c.DiskMB, c.Settings.MaxPending = 3, 0 })
 			due := r.now() + 4*time.Second
 			taken := 0
 			for full := false; !full; {
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -42,7 +42,7 @@
 	Version int64              `json:"version"`
 	Servers []discovery.Server `json:"servers"`
 	Gone    []discovery.Server `json:"gone"` // no longer listed, but with calls out
-	Memory  choice.Memory      `json:"memory"`
+	Memory  choice.Snapshot    `json:"memory"`
 	Calls   []callOut          `json:"calls"`
 	Past    []string           `json:"past"`             // ids that ended not long ago
 	Peers   int                `json:"peers"`            // connections that clients have here
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -54,7 +54,7 @@
 
 // listed takes in news of the list: at once for the calls that have not gone yet, and for the decisions.
 func (r *Relay) listed(l discovery.List) {
-	ev, set := choice.Listing{Whole: l.Full}, r.set.Load()
+	ev, set := choice.ListUpdate{Complete: l.Full}, r.set.Load()
 	r.version = l.Version
 	r.listVersion.Store(l.Version)
 	old := r.hosts
@@ -74,7 +74,7 @@
 		if was := old[s.ID]; was != nil {
 			was.closed.Store(h.State != choice.Ready || r.isOut(s.ID))
 		}
-		if h.State == choice.Gone {
+		if h.State == choice.Removed {
 			delete(r.hosts, s.ID)
 			continue
 		}
@@ -95,7 +95,7 @@
 		}
 		if n.waiting == nil {
 			n.waiting = r.dests[s.Cell]
-			if h.Kind >= 0 && set.Kinds[h.Kind].Apart {
+			if h.Kind >= 0 && set.Kinds[h.Kind].SeparateRoutes {
 				n.waiting = &waiting{}
 			}
 		}
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -195,7 +195,7 @@
 	case r.dests[in.entry.Dest] == nil:
 		r.figures.ended(in.entry.Class, failedEnd)
 		in.reply <- answer{status: http.StatusNotFound, text: "unknown destination"}
-	case r.stopped || !r.copies.takes(r.now()) || set.MaxHeld > 0 && len(r.held)+r.overflow.len() >= set.MaxHeld ||
+	case r.stopped || !r.copies.takes(r.now()) || set.MaxPending > 0 && len(r.held)+r.overflow.len() >= set.MaxPending ||
 		r.owed >= maxOwed || r.overflow.broken() || !r.holdersHaveRoom(in.entry):
 		r.figures.ended(in.entry.Class, refusedEnd)
 		in.reply <- refuse
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		conf.Settings.MaxHeld = 10000
+		conf.Settings.MaxPending = 10000
 		r, err := New(conf)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -386,7 +386,7 @@
 // Guards against taking on more than the settings allow, and against a refusal that says not when to come again.
 func TestFullRelayRefuses(t *testing.T) {
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")),
-		func(c *Config) { c.Settings.MaxHeld = 1 })
+		func(c *Config) { c.Settings.MaxPending = 1 })
 	var status int
 	var after string
 	for i := range 3 {
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -29,7 +29,7 @@
 }
 
 // roomy gives a relay room for what a benchmark brings.
-func roomy(c *Config) { c.Sockets, c.Settings.MaxHeld = 16_000, 0 }
+func roomy(c *Config) { c.Sockets, c.Settings.MaxPending = 16_000, 0 }
 
 // BenchmarkScaleMessageByBody is the whole path on loopback, by the bytes of a message.
 func BenchmarkScaleMessageByBody(b *testing.B) {
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Settings.MaxHeld = room
+	conf.Settings.MaxPending = room
 	r, err := New(conf)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -217,8 +217,8 @@
 	if t.wait > 0 && r.copies != nil { // an heir is to know of it
 		r.record(journal.Record{Op: journal.OpWait, ID: c.host.id, At: steady.UnixMilli(), Wait: t.wait.Milliseconds()})
 	}
-	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.outcome, Took: t.took, Wait: t.wait,
-		Stale: t.stale, Report: r.reportOf(t), Done: e.done || e.outcome == choice.Served})
+	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.outcome, Took: t.took, RetryAfter: t.wait,
+		StaleConn: t.stale, Report: r.reportOf(t), Done: e.done || e.outcome == choice.Served})
 	if m.over {
 		switch {
 		case e.outcome != choice.Served:
--- a/internal/relay/takeup.go
+++ b/internal/relay/takeup.go
@@ -57,11 +57,11 @@
 // restoredAt is what is known of a message that was taken up, once only so much time is left to it.
 func restoredAt(e choice.Restored, left time.Duration) choice.Restored {
 	late := e.Left - left
-	e.Left, e.RanAgo = left, e.RanAgo+late
-	if e.Out != nil {
-		out := *e.Out
+	e.Left, e.FirstRunAgo = left, e.FirstRunAgo+late
+	if e.InFlight != nil {
+		out := *e.InFlight
 		out.Ago += late
-		e.Out = &out
+		e.InFlight = &out
 	}
 	return e
 }
@@ -84,7 +84,7 @@
 			if h := r.hosts[w.ID]; h != nil {
 				h.waiting.heed(r.now() + left)
 			}
-			r.events = append(r.events, choice.Waits{Host: w.ID, Left: left})
+			r.events = append(r.events, choice.RetryAfter{Host: w.ID, Remaining: left})
 		}
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -154,21 +154,21 @@
 		DialTimeout: seconds(c.Bounds.DialTimeout), MaxRetryAfter: seconds(c.Bounds.MaxRetryAfter),
 		AskWithin: seconds(c.Rules.AskWithin)}
 	s.Settings = choice.Settings{
-		Index: c.Index, Fleet: c.FleetSize, Workers: c.Family.Workers, MaxHeld: c.Bounds.MostHeld,
+		Index: c.Index, Fleet: c.FleetSize, Workers: c.Family.Workers, MaxPending: c.Bounds.MostHeld,
 		MaxAttempts: c.Bounds.MaxAttempts, Tick: seconds(c.Tick), ZoneFee: c.Family.ZoneFee,
-		Halving: c.Family.Late == "halving", Listed: c.Weights == "nominal" || c.Weights == "rough",
-		Cancels: c.Bounds.Cancel, Subscribe: c.RegistryMode == "subscribe",
-		ReportLimit: -1, ReportLeft: -1,
+		WorthHalves: c.Family.Late == "halving", RatesListed: c.Weights == "nominal" || c.Weights == "rough",
+		CanCancel: c.Bounds.Cancel, MustSubscribe: c.RegistryMode == "subscribe",
+		ReportLimitIndex: -1, ReportLeftIndex: -1,
 		Rules: choice.Rules{
 			AnswerGrace: seconds(c.Rules.GraceToAnswer), DrainGrace: seconds(c.Rules.DrainGrace),
-			OverloadFactor: c.Rules.OverloadFactor, Fall: seconds(c.Rules.Fall),
-			ColdFrom: c.Rules.ColdFrom, Cold: seconds(c.Rules.Cold), OrderSettle: seconds(c.Rules.OrderSettle),
+			OverloadFactor: c.Rules.OverloadFactor, OverloadWindow: seconds(c.Rules.Fall),
+			ColdShare: c.Rules.ColdFrom, WarmUp: seconds(c.Rules.Cold), OrderSettle: seconds(c.Rules.OrderSettle),
 		},
 	}
 	if c.LoadReport.How == "inline" {
 		s.ReportFields = c.LoadReport.Columns
-		s.ReportLimit = slices.Index(c.LoadReport.Columns, "x1")
-		s.ReportLeft = slices.Index(c.LoadReport.Columns, "x0")
+		s.ReportLimitIndex = slices.Index(c.LoadReport.Columns, "x1")
+		s.ReportLeftIndex = slices.Index(c.LoadReport.Columns, "x0")
 	}
 	for _, k := range c.Classes {
 		effect := map[string]choice.Effect{
@@ -179,7 +179,7 @@
 			Window: seconds(k.Window), Ordered: k.KeepOrder,
 		})
 	}
-	s.OverShare = c.OverShare
+	s.OverShareFactor = c.OverShare
 	for _, t := range c.Tenants {
 		s.TenantNames = append(s.TenantNames, t.Name)
 		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Quota: t.Quota})
@@ -187,7 +187,7 @@
 	for i := range c.Skus {
 		k := choice.Kind{PerCall: 1}
 		if i < len(c.Family.OwnLimits) {
-			k.Apart = c.Family.OwnLimits[i]
+			k.SeparateRoutes = c.Family.OwnLimits[i]
 		}
 		if i < len(c.Family.PerCall) {
 			k.PerCall = max(1, c.Family.PerCall[i])
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -257,7 +257,7 @@
 			Zone: e.whole("rack-zone", false), Rate: e.number64("size", false)}
 		switch state := e.whole("condition", false); state {
 		case 0:
-			h.State = choice.Gone
+			h.State = choice.Removed
 		case 1:
 			h.State = choice.Ready
 		case 2:
@@ -339,21 +339,21 @@
 	case "ATTEMPT_END":
 		return choice.Result{ID: l.text("op-id"), Host: l.text("host"), Attempt: l.whole("try", false),
 			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.whole("over", false) == 1,
-			Wait: time.Duration(l.whole("remark-ms", false)) * time.Millisecond, Report: l.row("feedback")}, nil
+			RetryAfter: time.Duration(l.whole("remark-ms", false)) * time.Millisecond, Report: l.row("feedback")}, nil
 	case "UPDATE":
 		scope := l.whole("scope", false)
 		if scope < 0 || scope > 3 {
 			l.fail("scope", fmt.Sprintf("%d is no scope", scope))
 		}
 		if scope == 3 {
-			return choice.Listing{Failed: true}, nil
+			return choice.ListUpdate{Failed: true}, nil
 		}
 		sheet := l.whole("sheet", false)
 		hosts, ok := s.sheets[sheet]
 		if !ok {
 			l.fail("sheet", fmt.Sprintf("no CATALOG %d was given", sheet))
 		}
-		return choice.Listing{Whole: scope != 0, Hosts: hosts}, nil
+		return choice.ListUpdate{Complete: scope != 0, Hosts: hosts}, nil
 	case "CLIENT_GONE":
 		return choice.Withdrawn{ID: l.text("op-id")}, nil
 	case "FIRED":
