--- a/choice/answers.go
+++ b/choice/answers.go
@@ -5,14 +5,17 @@
 	"time"
 )
 
-// Admission and final answers.
+// This file admits messages, handles the outcomes of their attempts, and gives final answers.
 
+// accept adds a new message and has it wait for its destination.
 func (c *Chooser) accept(e Arrival) {
-	class, maxAttempts := &c.settings.Classes[min(max(e.Class, 0), len(c.settings.Classes)-1)], c.settings.MaxAttempts
+	class, maxAttempts := &c.settings.Classes[min(max(e.Class, 0), len(c.settings.Classes)-1)],
+		c.settings.MaxAttempts
 	if e.Terms != nil {
 		class, maxAttempts = &e.Terms.Class, e.Terms.Attempts
 	}
-	m := &message{Arrival: e, class: class, maxAttempts: maxAttempts, dest: c.destination(e.Dest), arrivedAt: c.now, deadline: c.now + e.Left}
+	m := &message{Arrival: e, class: class, maxAttempts: maxAttempts, dest: c.destination(e.Dest),
+		arrivedAt: c.now, deadline: c.now + e.Left}
 	m.uncertainAt = -1
 	m.createdAt, m.overShare = m.deadline-class.Deadline, !c.withinShare(e.Tenant)
 	c.messages[e.ID] = m
@@ -23,7 +26,8 @@
 	}
 }
 
-// result takes in how an attempt ended.
+// handleResult handles the outcome of one attempt, and decides whether its message waits for
+// another.
 func (c *Chooser) handleResult(e Result) {
 	m := c.messages[e.ID]
 	if m == nil || m.call == nil {
@@ -75,7 +79,8 @@
 		d.latencies.addCutShort()
 		c.recordFailure(h, e.Outcome)
 	}
-	certain := e.Outcome == Served || e.Outcome == Refused || e.Outcome == NoConnection || e.Outcome == NotSent
+	certain := e.Outcome == Served || e.Outcome == Refused || e.Outcome == NoConnection ||
+		e.Outcome == NotSent
 	if !certain {
 		if m.uncertainAt = c.now; !m.mayHaveRun {
 			m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, k.sentAt, h.Zone
@@ -91,11 +96,13 @@
 	}
 }
 
-// repeatable tells whether the effect of a message allows one more send now.
+// mayRepeat reports whether the effect of a message allows one more attempt now.
 func (c *Chooser) mayRepeat(m *message) bool {
 	return !m.mayHaveRun || m.class.Effect == Safe || m.class.Effect == Keyed && c.now < c.windowEnd(m)
 }
 
+// windowEnd returns the end of the time in which the destination recognizes a repeat of a keyed
+// message.
 func (c *Chooser) windowEnd(m *message) time.Duration {
 	if !m.mayHaveRun {
 		return c.now + m.class.Window
@@ -103,7 +110,7 @@
 	return m.firstRunAt + m.class.Window
 }
 
-// until is when a message that waits gets its final answer.
+// finalAnswerAt returns the time at which a waiting message gets its final answer.
 func (c *Chooser) finalAnswerAt(m *message) time.Duration {
 	if at := m.deadline - c.FinalAnswerMargin(); !m.mayHaveRun || m.class.Effect != Keyed {
 		return at
@@ -112,7 +119,8 @@
 	}
 }
 
-// final answers a message that is not out: refused where that is lawful, else failed.
+// finalAnswer ends a message that is not in flight: refused if it cannot have run or may be
+// repeated, otherwise failed.
 func (c *Chooser) finalAnswer(m *message) {
 	if !m.mayHaveRun || m.class.Effect == Safe || m.class.Effect == Keyed && !m.class.SameZone {
 		c.emit(Refuse{m.ID, c.clientRetryAfter(m.dest)})
@@ -122,7 +130,8 @@
 	c.endMessage(m)
 }
 
-// end frees a message; one that is out keeps its record, and its key, until its outcome.
+// endMessage ends a message. One that is in flight keeps its record, and its place among those of
+// its key, until its outcome is known.
 func (c *Chooser) endMessage(m *message) {
 	if !m.ended {
 		m.ended = true
@@ -135,7 +144,7 @@
 	delete(c.messages, m.ID)
 	if queue := c.keyQueues[m.Key]; queue != nil && m.class.Ordered {
 		if queue.messages.drop(m); queue.messages.count > 0 {
-			queue.messages.first.dest.blockedUntil = 0 // it may be its turn
+			queue.messages.first.dest.blockedUntil = 0 // the next of the key may go now
 		}
 		if m.uncertainAt >= 0 {
 			queue.pauseUntil = max(queue.pauseUntil, m.uncertainAt+c.settings.Rules.OrderSettle)
@@ -146,7 +155,8 @@
 	}
 }
 
-// answer ends messages whose time is up, and the least worth while the holding room is crowded.
+// answerDue answers messages whose time is up, and while too many are pending also those of least
+// worth.
 func (c *Chooser) answerDue() {
 	for _, m := range c.takeDue() {
 		c.finalAnswer(m)
@@ -160,7 +170,8 @@
 	}
 }
 
-// leastWorth is the message of the least worth among some that wait, less where many do; nil for none.
+// leastWorth returns the waiting message of least worth among the eligible ones, nil if there is
+// none. Worth counts less at a destination where many messages wait.
 func (c *Chooser) leastWorth(eligible func(*message) bool) (worst *message) {
 	least := math.Inf(1)
 	for d := range c.liveDests.each {
@@ -176,12 +187,15 @@
 	return worst
 }
 
-// dispensable tells whether a message may be turned away for want of room.
+// mayEvict reports whether a message may be refused to make space for others.
 func (c *Chooser) mayEvict(m *message) bool {
-	// What a restart finds untried was taken on for good: what comes is turned away instead.
+	// A restored message that was never tried has been accepted for good: new arrivals are refused
+	// instead.
 	if unsent := m.restored && m.attempts == 0; unsent || m.mayHaveRun && m.class.Effect != Safe {
 		return false
 	}
-	// While nothing can be sent, one that gives way to another gains nothing, and costs a promise in vain.
-	return !c.listExpired || m.arrivedAt == c.now || float64(c.now-m.createdAt) >= minPendingShare*float64(m.class.Deadline)
+	// While nothing can be sent, evicting one message for another gains nothing and breaks a
+	// promise.
+	return !c.listExpired || m.arrivedAt == c.now ||
+		float64(c.now-m.createdAt) >= minPendingShare*float64(m.class.Deadline)
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,11 +1,11 @@
 package choice
 
-// All decisions of the gateway; the interface is in api.go and events.go, plain state in state.go and
-// known.go. Here: constants, one step, the endpoint list. The time-outs are in oracle.go; health, pacing
-// and waits in health.go; admission and final answers in answers.go; the turn in turn.go; which message
-// goes where, and the order of keys, in pick.go; what outlasts a process in restore.go; what operators do
-// by hand and the budget of what comes back cold in hand.go; one relay's part of what a unit takes from
-// the fleet in fleet.go.
+// This file holds the tuning constants, Step, and updates of the endpoint list. The package's
+// interface is in api.go and events.go; plain state is in state.go and setup.go. Attempt time-outs
+// are computed in oracle.go; health, pacing and waits in health.go; admission and final answers in
+// answers.go; use of the call slots in turn.go; choice of message and endpoint, and ordering by
+// key, in pick.go; restored messages and outages in restore.go; manual changes by operators and the
+// budget of a cold destination in manual.go; one relay's share of a unit's capacity in fleet.go.
 
 import (
 	"slices"
@@ -13,31 +13,42 @@
 )
 
 const (
-	// buckets is the paper's H; their bound is the longest aim.
+	// buckets is the histogram's number of buckets. Together they span the longest aim of all
+	// classes.
 	buckets = 100
-	// minSamples before the oracle is heard: the 98% edge means nothing with fewer.
+	// minSamples is the number of latency samples needed before a time-out is derived from a table:
+	// with fewer, the 98% quantile means nothing.
 	minSamples = 30
-	// memory in samples of a latency table. Twice H: it fills the tail's buckets and still relearns.
+	// sampleMemory is the number of samples over which a latency table fades. Twice the number of
+	// buckets is enough to fill the buckets of the tail, and still lets the table relearn a changed
+	// latency.
 	sampleMemory = 200
-	// wasted is the restart cost c in mean latencies: the attempt runs on, its successor waits behind it.
+	// restartCost is the cost of a restart, in mean latencies: the abandoned attempt goes on
+	// running, and the new one waits behind it.
 	restartCost = 4.0
-	// outage of the last history outcomes of a unit must have failed: one stray error is none.
+	// outageFailures of the last outcomeHistory outcomes of a unit must have failed before it is
+	// suspect, so that one stray error is no outage.
 	outcomeHistory, outageFailures = 5, 2
-	finalAnswerTicks               = 4   // ticks between the last own look at a message and its deadline
-	coldBudgetShare                = 0.9 // of the rule's budget for a cold destination
-	// cut of a unit's pace: a fifth on a refusal. grow is what it regains in a second without, and
-	// search the same where no rate is listed.
+	finalAnswerTicks               = 4   // ticks between the last check of a message and its deadline
+	coldBudgetShare                = 0.9 // share of the budget of a cold destination that the relays use
+	// paceCut is the factor on a unit's pace at a refusal, which cuts it by a fifth. paceRegain is
+	// the share that the pace regains per second without a refusal, and paceSearch the same where
+	// no rate is listed.
 	paceCut, paceRegain, paceSearch = 0.8, 0.05, 0.1
-	// aside is the share of worth by which a host that just failed, or is not yet well, comes later.
+	// unsteadyHostCost is added to the cost of a host that just failed or is not healthy, in shares
+	// of the message's worth.
 	unsteadyHostCost = 0.02
-	checksPerAim     = 200 // looks without news within the shortest aim
-	// crowded is the part of the holding room above which the least worth is turned away.
+	checksPerAim     = 200 // checks without events within the shortest aim
+	// crowdedShare is the share of Settings.MaxPending above which the message of least worth is
+	// refused.
 	crowdedShare = 0.9
-	// keptShare is the part of its time for which a message is kept while nothing can be sent.
+	// minPendingShare is the share of its deadline that a message stays pending before it may be
+	// evicted while nothing can be sent.
 	minPendingShare = 0.7
 )
 
-// Step takes in all that happened, then decides once.
+// Step handles all events that happened up to now, then decides once and returns the actions to
+// take. Calls must not go back in time. The returned slice is not reused.
 func (c *Chooser) Step(now time.Duration, events []Event) []Action {
 	c.now, c.actions = now, nil
 	for _, e := range events {
@@ -52,7 +63,7 @@
 	c.suspectSilent()
 	c.answerDue()
 	c.fillSlots()
-	c.finishStep()
+	c.close()
 	wakeTime := now + c.checkInterval
 	if (c.pending+c.inFlight > 0 || c.subscribeAt >= 0) && (c.wakeAt <= now || wakeTime < c.wakeAt) {
 		c.wakeAt = wakeTime
@@ -61,7 +72,8 @@
 	return c.actions
 }
 
-// list takes in news of the endpoint list.
+// updateList applies an update of the endpoint list, and forgets endpoints and destinations that
+// are no longer needed.
 func (c *Chooser) updateList(e ListUpdate) {
 	if e.Failed {
 		c.subscribeAt = c.now + time.Second
@@ -85,16 +97,16 @@
 		c.markChanged(h.dest)
 		c.scheduleListCheck(h.dest)
 		if entry.Kind >= 0 && entry.Kind < len(c.settings.Kinds) {
-			h.dest.kind.PerCall = c.settings.Kinds[entry.Kind].PerCall // it may have changed
+			h.dest.kind.PerCall = c.settings.Kinds[entry.Kind].PerCall // may have changed
 		}
 		h.unit.sharesCalls = h.dest.kind.PerCall > 1
 		if h.Host = entry; c.settings.RatesListed && entry.State == Ready && entry.Rate != h.unit.listedRate {
-			h.unit.listedRate, h.unit.knownRate = entry.Rate, entry.Rate // what answers report since is better than this
+			h.unit.listedRate, h.unit.knownRate = entry.Rate, entry.Rate // overrides older reports
 			c.resetShare(h)
 			if h.unit.pace == 0 {
 				if h.unit.pace = c.initialPace(h.unit); h.unit.pace < entry.Rate {
 					h.unit.paceAt, h.unit.tokens = c.now, 1
-					if h.unit.sharesCalls { // by chance, or all relays call at once, and each for little
+					if h.unit.sharesCalls { // random, or relays call in step for few messages each
 						h.unit.tokens = c.rand.Float64()
 					}
 				}
@@ -104,7 +116,7 @@
 	c.runListChecks(func(d *dest) bool {
 		c.markChanged(d)
 		d.hosts = slices.DeleteFunc(d.hosts, func(h *host) bool {
-			// A host that may come back keeps its wait, and what is known of its health.
+			// A removed host that may come back keeps its retry-after time and its health.
 			forget := h.State == Removed && h.inFlight == 0 && c.now >= h.unit.retryAfter &&
 				(h.unit.state == healthy || c.now-h.unit.stateSince > c.settings.Rules.WarmUp)
 			if forget {
--- a/choice/containers.go
+++ b/choice/containers.go
@@ -11,13 +11,13 @@
 }
 
 // chain is a linked list whose elements hold their own links. What is left keeps its order.
-type chain[T any] struct {
+type linkedList[T any] struct {
 	first, last *T
 	count       int
 	links       func(*T) *chainLinks[T]
 }
 
-func (c *chain[T]) add(x *T) {
+func (c *linkedList[T]) add(x *T) {
 	l := c.links(x)
 	if *l = (chainLinks[T]{prev: c.last, in: true}); c.last == nil {
 		c.first = x
@@ -28,7 +28,7 @@
 }
 
 // drop takes an element out; one that is not in stays out.
-func (c *chain[T]) drop(x *T) {
+func (c *linkedList[T]) drop(x *T) {
 	l := c.links(x)
 	if !l.in {
 		return
@@ -48,7 +48,7 @@
 }
 
 // each ranges over a chain from which the element at hand may be taken.
-func (c *chain[T]) each(yield func(*T) bool) {
+func (c *linkedList[T]) each(yield func(*T) bool) {
 	for x := c.first; x != nil; {
 		next := c.links(x).next
 		if !yield(x) {
@@ -114,9 +114,9 @@
 }
 
 func (s *indexedHeap[T]) Pop() any {
-	var none T
+	var zero T
 	x := s.items[len(s.items)-1]
-	s.items[len(s.items)-1] = none // or the memory of what has left stays
+	s.items[len(s.items)-1] = zero // or the memory of what has left stays
 	s.items = s.items[:len(s.items)-1]
 	*s.index(x) = 0
 	return x
@@ -124,8 +124,8 @@
 
 // queueOf is a heap of what is there already; its elements learn no places.
 func newHeap[T any](all []T, before func(a, b T) bool) *indexedHeap[T] {
-	none := 0
-	s := &indexedHeap[T]{items: all, before: before, index: func(T) *int { return &none }}
+	unused := 0
+	s := &indexedHeap[T]{items: all, before: before, index: func(T) *int { return &unused }}
 	heap.Init(s)
 	return s
 }
--- a/choice/containers_test.go
+++ b/choice/containers_test.go
@@ -16,7 +16,7 @@
 			all[i] = &message{}
 		}
 		r := indexedSlice[message]{index: func(m *message) *int { return &m.sliceIndex }}
-		c := chain[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}
+		c := linkedList[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}
 		s := indexedHeap[*message]{before: func(a, b *message) bool { return a.answerAt < b.answerAt }, index: func(m *message) *int { return &m.heapIndex }}
 		var want []*message
 		for _, i := range rapid.SliceOfN(rapid.IntRange(0, 2*len(all)-1), 60, 200).Draw(t, "which") {
--- a/choice/deferred.go
+++ b/choice/deferred.go
@@ -70,11 +70,11 @@
 		d.blockedUntil = 0
 		return d.waiting.items
 	}
-	from := len(d.waiting.items)
-	for from > 0 && (d.waiting.items[from-1] == nil || d.waiting.items[from-1].queueNumber > d.blockedThrough) {
-		from--
+	start := len(d.waiting.items)
+	for start > 0 && (d.waiting.items[start-1] == nil || d.waiting.items[start-1].queueNumber > d.blockedThrough) {
+		start--
 	}
-	return d.waiting.items[from:]
+	return d.waiting.items[start:]
 }
 
 // block notes that none of those that wait may go to some endpoints now, and until when that holds for what fits and
@@ -83,11 +83,11 @@
 	if d.waiting.count == 0 {
 		return
 	}
-	look, until := c.unblockedMessages(d, open), time.Duration(math.MaxInt64)
+	candidates, until := c.unblockedMessages(d, open), time.Duration(math.MaxInt64)
 	if d.blockedUntil > 0 {
 		until = d.blockedUntil
 	}
-	for _, m := range look {
+	for _, m := range candidates {
 		if m == nil {
 			continue
 		}
@@ -114,16 +114,16 @@
 // from is a time before which a unit has no room if nothing happens to it; no later than now where that is not known.
 // It only bounds what room decides.
 func (c *Chooser) earliestCall(u *unit) time.Duration {
-	at := max(u.retryAfter, u.pauseUntil)
+	earliest := max(u.retryAfter, u.pauseUntil)
 	if u.state == suspect && len(u.calls) > 1 {
 		return math.MaxInt64
 	} else if u.state == suspect {
-		at = max(at, u.trialAt)
+		earliest = max(earliest, u.trialAt)
 	}
-	if short := 1 - u.tokens; at <= c.now && u.pace > 0 && short > 0 { // a pace grows by less than a fifth in a second
-		at = c.now + time.Duration(min(1, short/u.pace/1.2)*float64(time.Second))
+	if missing := 1 - u.tokens; earliest <= c.now && u.pace > 0 && missing > 0 { // a pace grows by less than a fifth in a second
+		earliest = c.now + time.Duration(min(1, missing/u.pace/1.2)*float64(time.Second))
 	}
-	return at
+	return earliest
 }
 
 // still tells whether refill would change nothing, however often and whenever it came.
--- a/choice/health.go
+++ b/choice/health.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Health, pacing and waits.
+// This file tracks the health of units, their pace and their waits.
 
-// bad takes in a failure or a refusal.
+// recordBadOutcome counts a failure or a refusal, and schedules the next trial of a suspect unit.
 func (c *Chooser) recordBadOutcome(u *unit) {
 	u.servedStreak = 0
 	u.badStreak++
@@ -20,11 +20,13 @@
 	}
 }
 
-// failed takes in a failure: of its host alone, one machine or building, while another of its unit is well.
+// recordFailure handles a failed attempt. While another host of the unit works, the failure counts
+// against its host alone, which is one machine or building.
 func (c *Chooser) recordFailure(h *host, o Outcome) {
 	u, d := h.unit, h.dest
 	h.failures++
-	h.retryAt = c.now + min(c.settings.Rules.OverloadWindow/8<<min(h.failures, 3), c.settings.Rules.OverloadWindow/3)
+	h.retryAt = c.now + min(c.settings.Rules.OverloadWindow/8<<min(h.failures, 3),
+		c.settings.Rules.OverloadWindow/3)
 	working := func(other *host) bool { return other.unit == u && c.usable(other) && other.failures == 0 }
 	if slices.ContainsFunc(d.hosts, working) {
 		return
@@ -32,20 +34,25 @@
 	c.recordBadOutcome(u)
 	u.mayHaveRun, u.sawErrors = u.mayHaveRun || o != NoConnection, u.sawErrors || o == Error
 	u.recordOutcome(true)
-	// Nothing here speaks against an outage, or it refuses connections in its ramp: it went down again.
-	enough := c.seldomCalls(u) && c.now-u.lastServed > c.settings.Rules.OverloadWindow || u.state == recovering && o == NoConnection
+	// Either this relay calls the unit too seldom to know more, or the unit refuses connections
+	// while it warms up: it went down again.
+	enough := c.seldomCalls(u) && c.now-u.lastServed > c.settings.Rules.OverloadWindow ||
+		u.state == recovering && o == NoConnection
 	if u.state != suspect && (enough || bits.OnesCount(u.recentFailures) >= outageFailures) {
 		c.markSuspect(u, d, "failures")
 	}
 }
 
-// gap between trials, drawn by chance: it doubles up to a third of the rule's window, or to what leaves the
-// trials of all relays within the budget of a unit just back and, in a small fleet, twice its root. In a
-// large one those that failed just before the return would come at once: there it is long from the start.
+// trialDelay returns the time until the next trial of a suspect unit, drawn at random. It doubles
+// with each failed trial, up to a third of the overload window or, if that is longer, to the delay
+// at which the trials of all relays stay within the budget of a unit that has just returned; in a small fleet it also
+// leaves room for twice the square root of that budget. In a large fleet, relays whose trials
+// failed just before the return would all come back together, so there the delay is long from the
+// start.
 func (c *Chooser) trialDelay(u *unit) time.Duration {
 	window := c.settings.Rules.OverloadWindow
 	budget, _ := c.coldBudget(u, 0)
-	spread := 1.0 // to spare: none where parts are less than half a call, and come together by chance alone
+	spread := 1.0 // headroom for chance; none where shares are below half a call and rarely coincide
 	if budget >= 0.5 {
 		spread += 2 / math.Sqrt(budget*float64(c.settings.Fleet))
 	}
@@ -57,11 +64,12 @@
 	return gap/2 + time.Duration(c.rand.Float64()*float64(gap))
 }
 
+// markSuspect starts an outage of a unit: from now on it gets single trials only.
 func (c *Chooser) markSuspect(u *unit, d *dest, reason string) {
 	if u.state == healthy {
 		u.baseRate = max(u.servedRate, 1/c.settings.Rules.WarmUp.Seconds())
 	}
-	u.sawErrors = u.sawErrors || u.state == recovering // one answer does not prove such a one well
+	u.sawErrors = u.sawErrors || u.state == recovering // one answer is no proof that it is healthy again
 	c.markChanged(d)
 	c.log("destination %d unit %s suspect: %s", d.id, u.name, reason)
 	u.state, u.stateSince, u.failedTrials, u.servedStreak = suspect, c.now, 0, 0
@@ -69,7 +77,8 @@
 	c.emit(Health{u.name, true, u.baseRate})
 }
 
-// refused takes in a refusal: a wait if one was told, a pause of its own and a lower pace if not.
+// recordRefusal handles a refusal. The unit is not called before its retry-after time; without one
+// this relay chooses a pause of its own and lowers the pace.
 func (c *Chooser) recordRefusal(u *unit, d *dest, retryAfter time.Duration) {
 	c.recordBadOutcome(u)
 	u.retryAfter = max(u.retryAfter, c.now+retryAfter)
@@ -79,9 +88,9 @@
 	} else {
 		c.slowDown(u, d, retryAfter)
 	}
-	// Refusals alone, for longer than a limit explains, are those of a shut destination.
+	// Only refusals, for longer than a rate limit explains, mean that the destination is down.
 	window, longestWait := c.settings.Rules.OverloadWindow, 2*c.settings.Rules.OverloadWindow/3
-	if c.metered(u) || u.state == recovering { // which is told waits of what is left of its limit
+	if c.metered(u) || u.state == recovering { // its retry-after times come from what is left of its limit
 		longestWait = window
 	}
 	if u.state != suspect && (retryAfter > longestWait || u.badStreak > 6 && c.now-u.lastServed >= window) {
@@ -89,7 +98,7 @@
 	}
 }
 
-// slow takes a pause of its own where no wait was told, and lowers the pace.
+// slowDown pauses a unit that sent no retry-after time, and lowers the pace.
 func (c *Chooser) slowDown(u *unit, d *dest, retryAfter time.Duration) {
 	if retryAfter <= 0 || c.seldomCalls(u) {
 		u.pauseUntil += c.randomPause(u, d, u.badStreak-1)
@@ -100,18 +109,22 @@
 	if d.refusalStreak++; d.refusalStreak >= len(d.units) && c.seldomCalls(u) {
 		d.pauseUntil = c.now + 2*c.randomPause(u, d, d.refusalStreak-len(d.units))
 	}
-	if c.seldomCalls(u) && u.knownRate > 0 { // one call at a time, at the pace that all relays can keep together
+	if c.seldomCalls(u) && u.knownRate > 0 { // one call at a time, at a pace that all relays can keep
 		u.pace, u.tokens = min(u.pace, 1/c.evenInterval(u).Seconds()), min(u.tokens, 0)
 	}
 	if c.now-u.paceCutAt >= time.Second && !c.seldomCalls(u) {
-		// Over at least the even share of a call, or the refused call alone counts as more than its share.
+		// Counted over at least the relay's even interval: over less, the refused call alone would
+		// look like more than the relay's share.
 		span := min(max(time.Second, c.evenInterval(u)), c.settings.Rules.WarmUp)
 		pace := min(cmp.Or(u.pace, math.Inf(1)), c.countWithin(u.recentSends, span)/span.Seconds())
-		u.pace = max(pace*paceCut, 1/c.settings.Rules.WarmUp.Seconds(), u.knownRate/float64(c.settings.Fleet)/2)
+		u.pace = max(pace*paceCut, 1/c.settings.Rules.WarmUp.Seconds(),
+			u.knownRate/float64(c.settings.Fleet)/2)
 		u.paceCutAt, u.tokens = c.now, min(u.tokens, 0)
 	}
 }
 
+// recordServed handles a served attempt: it updates latency and rate, and moves a suspect unit to
+// recovering, or to healthy after a short outage.
 func (c *Chooser) recordServed(u *unit, d *dest, took time.Duration) {
 	u.latencySec = cmp.Or(u.latencySec, took.Seconds())
 	u.latencySec += (took.Seconds() - u.latencySec) / 8
@@ -119,8 +132,9 @@
 	u.servedRate = u.servedRate*math.Exp(-(c.now-u.lastServed).Seconds()/warmUp) + 1/warmUp
 	shortOutage := u.badStreak == 0 || !u.sawErrors && c.now-u.lastServed < c.settings.Rules.OverloadWindow
 	u.lastServed = c.now
-	if u.state == suspect && (c.now-took < u.connRefusedAt || c.now+c.settings.Rules.OverloadWindow < u.retryAfter) {
-		return // sent before it went down, or before a wait longer than a limit's: no news of what comes back
+	if u.state == suspect && (c.now-took < u.connRefusedAt ||
+		c.now+c.settings.Rules.OverloadWindow < u.retryAfter) {
+		return // sent before the outage, or before a wait longer than a rate limit's: tells nothing new
 	}
 	u.badStreak = 0
 	u.servedStreak++
@@ -141,8 +155,9 @@
 	}
 }
 
-// watch makes units suspect that leave calls unanswered: a guard against any silence, before a
-// time-out tells. It holds as well against calls that unsafe messages leave out for long.
+// suspectSilent makes healthy units suspect that leave calls unanswered for longer than the
+// destination's silence limit. This needs no time-out, which may be long: that of an unsafe message
+// is its deadline.
 func (c *Chooser) suspectSilent() {
 	for d := range c.calledDests {
 		for _, u := range d.units {
@@ -155,7 +170,7 @@
 	}
 }
 
-// room tells whether a unit may be sent a call now.
+// canCall reports whether a call may be sent to a unit now.
 func (c *Chooser) canCall(u *unit) bool {
 	if c.now < u.retryAfter || c.now < u.pauseUntil {
 		return false
@@ -167,7 +182,7 @@
 	return affords && (u.pace == 0 || u.tokens >= 1)
 }
 
-// refill brings pace and tokens up to a time.
+// refillTokens advances a unit's pace and tokens to the given time.
 func (c *Chooser) refillTokens(u *unit, now time.Duration) {
 	elapsed := (now - u.paceAt).Seconds()
 	u.paceAt = now
--- a/choice/index.go
+++ b/choice/index.go
@@ -10,8 +10,8 @@
 
 // index is what tells a Step where to look.
 type index struct {
-	destOrder     chain[dest]            // as first heard of
-	liveDests     chain[dest]            // with messages waiting or out, as they came to have any
+	destOrder     linkedList[dest]       // as first heard of
+	liveDests     linkedList[dest]       // with messages waiting or out, as they came to have any
 	callingDests  []*dest                // whose units have calls out
 	activeDests   []*dest                // with messages waiting, not parked
 	deferredDests indexedHeap[*dest]     // by time
@@ -27,8 +27,8 @@
 }
 
 func newIndex() index {
-	return index{destOrder: chain[dest]{links: func(d *dest) *chainLinks[dest] { return &d.orderLinks }},
-		liveDests: chain[dest]{links: func(d *dest) *chainLinks[dest] { return &d.liveLinks }},
+	return index{destOrder: linkedList[dest]{links: func(d *dest) *chainLinks[dest] { return &d.orderLinks }},
+		liveDests: linkedList[dest]{links: func(d *dest) *chainLinks[dest] { return &d.liveLinks }},
 		deferredDests: indexedHeap[*dest]{before: func(a, b *dest) bool { return a.deferredUntil < b.deferredUntil },
 			index: func(d *dest) *int { return &d.heapIndex }},
 		byAnswerTime: indexedHeap[*message]{before: func(a, b *message) bool { return a.answerAt < b.answerAt },
@@ -97,7 +97,7 @@
 func (c *Chooser) enqueueKey(m *message) {
 	l := c.keyQueues[m.Key]
 	if l == nil {
-		l = &keyQueue{key: m.Key, messages: chain[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}}
+		l = &keyQueue{key: m.Key, messages: linkedList[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}}
 		c.keyQueues[m.Key] = l
 	}
 	c.pausedKeys.drop(l)
@@ -153,7 +153,7 @@
 }
 
 // close ends a Step: it notes its time, and counts the endpoints avoided where something happened.
-func (c *Chooser) finishStep() {
+func (c *Chooser) close() {
 	c.stepTimes, c.stepCount = append(c.stepTimes, c.now), c.stepCount+1
 	if c.stepTimes[0] < c.now-2*recheckAfter { // not in each Step: the rest is moved
 		i, _ := slices.BinarySearch(c.stepTimes, c.now-recheckAfter+1)
--- a/choice/oracle.go
+++ b/choice/oracle.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// The time-out oracle.
+// This file derives attempt time-outs from measured latencies.
 
-// add enters one served latency; cutShort one attempt that was given up at the bound.
+// addServed records one served latency, and addCutShort one attempt that ended without an answer.
 func (t *latencyTable) addServed(took time.Duration) {
 	bucket := int(took / t.width)
 	if bucket < 0 || bucket >= buckets {
@@ -24,6 +24,8 @@
 
 func (t *latencyTable) addCutShort() { t.fadeSamples(); t.overBound += t.weight }
 
+// fadeSamples counts a sample and raises the weight of the next one by 1/sampleMemory. It rescales
+// the table before the weights grow too large.
 func (t *latencyTable) fadeSamples() {
 	t.samples++
 	t.outdated = true
@@ -36,7 +38,9 @@
 	}
 }
 
-// look brings edge and high up to date.
+// refresh recomputes bestTimeout and p98 if samples were added. bestTimeout is the bucket edge with
+// the least expected time to an answer, where an attempt that exceeds it is restarted at the cost
+// of its time-out and of restartCost mean latencies.
 func (t *latencyTable) refresh() {
 	if !t.outdated || t.samples < minSamples {
 		return
@@ -61,7 +65,8 @@
 		if servedShare <= 0 {
 			continue
 		}
-		if expected := latencySum/servedShare + (1-servedShare)/servedShare*(edge.Seconds()+lossCost); expected < least {
+		if expected := latencySum/servedShare +
+			(1-servedShare)/servedShare*(edge.Seconds()+lossCost); expected < least {
 			least, t.bestTimeout = expected, edge
 		}
 		if t.p98 == 0 && servedShare*total >= 0.98*served {
@@ -70,7 +75,9 @@
 	}
 }
 
-// patience is how long a call to a destination may stay unanswered before its silence means something.
+// silenceLimit is how long a call to a destination may stay unanswered before that counts against
+// the destination. Twice the 98% quantile of its latency, within bounds; with few samples, that of
+// all destinations together.
 func (c *Chooser) silenceLimit(d *dest) time.Duration {
 	table, lowest := &d.latencies, c.minAim/8
 	if table.samples < minSamples {
@@ -82,7 +89,8 @@
 	return min(max(2*table.p98, lowest), c.maxTimeout)
 }
 
-// timeout for the next try of a message at a unit.
+// timeout returns the time-out for the next attempt of a message at a unit. It is the remaining
+// time to the deadline unless a restart may still pay.
 func (c *Chooser) timeout(m *message, u *unit) time.Duration {
 	remaining := m.deadline - c.now
 	if !c.mayRepeat(m) || m.attempts+1 >= m.maxAttempts {
@@ -95,8 +103,8 @@
 	case u.state == suspect:
 		timeout = c.silenceLimit(d) << min(u.failedTrials, 4)
 	case timeout > 0 && d.waiting.count > 1:
-		// With a message waiting here a restart takes its place, and feeds an overload:
-		// only calls that are very likely lost are given up.
+		// Where other messages wait, a restart takes up a slot that they need and adds to an
+		// overload, so only calls that are very likely lost are given up.
 		timeout = max(timeout, c.silenceLimit(d))
 	}
 	timeout <<= min(d.timeoutStreak, 4)
--- a/choice/pick.go
+++ b/choice/pick.go
@@ -6,9 +6,11 @@
 	"time"
 )
 
-// Which message of a destination goes, and where; the order of keys.
+// This file chooses which message of a destination is sent, and to which endpoint, and keeps the
+// order of keys.
 
-// fits tells whether a message may go to a host now, room in its unit apart.
+// maySend reports whether a message may go to a host now, apart from the capacity of the host's
+// unit.
 func (c *Chooser) maySend(m *message, h *host) bool {
 	if !c.usable(h) || !c.mayRepeat(m) || m.attempts >= m.maxAttempts {
 		return false
@@ -16,15 +18,16 @@
 	if m.class.Effect == Keyed && m.class.SameZone && m.mayHaveRun && h.Zone != m.firstRunZone {
 		return false
 	}
-	// What cannot be repeated is kept from a unit whose failures may have run until it has served
-	// a few, unless its own time runs short.
+	// A message that cannot be repeated does not go to a unit with failures after which a message
+	// may have run, until the unit has served a few answers or the message's own time runs short.
 	u := h.unit
-	proven := u.state == healthy || !u.mayHaveRun || u.state == recovering && (!u.sawErrors || u.servedStreak >= outcomeHistory)
+	proven := u.state == healthy || !u.mayHaveRun ||
+		u.state == recovering && (!u.sawErrors || u.servedStreak >= outcomeHistory)
 	return proven || m.class.Effect != Unsafe || m.deadline-c.now < m.class.Deadline/4
 }
 
-// best is the message that loses most by waiting, among those that a test lets through; what is
-// past its tenant's share comes after all that is not. It looks at some of those that wait.
+// mostUrgent returns the allowed candidate that loses most worth by waiting. A message over its
+// tenant's share comes after all that are within theirs.
 func (c *Chooser) mostUrgent(d *dest, candidates []*message, allowed func(*message) bool) *message {
 	rate := 0.0
 	for _, u := range d.units {
@@ -42,7 +45,8 @@
 			continue
 		}
 		loss := c.worth(m, c.now) - c.worth(m, c.now+wait)
-		lessUrgent := best != nil && m.overShare == best.overShare && (loss < highest || loss == highest && m.deadline >= best.deadline)
+		lessUrgent := best != nil && m.overShare == best.overShare &&
+			(loss < highest || loss == highest && m.deadline >= best.deadline)
 		if !lessUrgent && c.keyAllows(m) && allowed(m) {
 			best, highest = m, loss
 		}
@@ -50,7 +54,7 @@
 	return best
 }
 
-// pick chooses a message of a destination and a host for it.
+// pick chooses a message of a destination and a host for it; nil if nothing can be sent.
 func (c *Chooser) pick(d *dest) (*message, *host) {
 	var hosts []*host
 	for _, h := range d.hosts {
@@ -77,7 +81,8 @@
 	return m, best
 }
 
-// cost of a route in shares of worth: its fee, and what its pace and its calls out take of the aim.
+// routeCost is the cost of sending a message to a host, in shares of its worth: the zone's fee, and
+// the part of the aim that the host's latency and its calls in flight take up.
 func (c *Chooser) routeCost(m *message, h *host) float64 {
 	u := h.unit
 	cost := 0.0
@@ -98,7 +103,7 @@
 	return cost
 }
 
-// hasTurn tells whether the order of its key lets a message go.
+// keyAllows reports whether the order of its key lets a message go.
 func (c *Chooser) keyAllows(m *message) bool {
 	if !m.class.Ordered || m.Key == "" {
 		return true
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -43,20 +43,20 @@
 // comeBack is when a client had best hand a refused message in again: once a unit of its
 // destination may be sent to, and what waits there has gone.
 func (c *Chooser) clientRetryAfter(d *dest) time.Duration {
-	open, rate := time.Duration(-1), 0.0
+	earliest, servedRate := time.Duration(-1), 0.0
 	for _, u := range d.units {
 		at := max(u.retryAfter, u.pauseUntil)
 		if u.state == suspect {
 			at = max(at, u.trialAt)
 		}
-		if left := max(0, at-c.now); open < 0 || left < open {
-			open = left
+		if remaining := max(0, at-c.now); earliest < 0 || remaining < earliest {
+			earliest = remaining
 		}
-		rate += u.servedRate
+		servedRate += u.servedRate
 	}
-	after := max(open, c.minAim/4)
-	if rate > 0 {
-		after = max(after, min(c.minAim, time.Duration(float64(d.waiting.count)/rate*float64(time.Second))))
+	after := max(earliest, c.minAim/4)
+	if servedRate > 0 {
+		after = max(after, min(c.minAim, time.Duration(float64(d.waiting.count)/servedRate*float64(time.Second))))
 	}
 	return min(after, c.maxTimeout)
 }
--- a/choice/rules.go
+++ b/choice/rules.go
@@ -26,7 +26,7 @@
 	shares := make([]tenantShare, len(s.Tenants))
 	for i, t := range s.Tenants {
 		shares[i].remaining = math.MaxInt32 // full
-		if j := slices.IndexFunc(c.settings.Tenants, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 && j < len(c.tenantShares) {
+		if j := slices.IndexFunc(c.settings.Tenants, func(old Tenant) bool { return old.Name == t.Name }); j >= 0 && j < len(c.tenantShares) {
 			shares[i] = c.tenantShares[j]
 		}
 	}
@@ -48,40 +48,40 @@
 // the longer wait, the fewer attempts, and the class by which less may be repeated and for less long. What contradicts
 // nothing, as an aim, is the second's. Kinds and tenants stand at the same places in both.
 func Join(a, b Settings) Settings {
-	j := b
-	j.Workers, j.MaxAttempts = min(a.Workers, b.Workers), min(a.MaxAttempts, b.MaxAttempts)
+	joined := b
+	joined.Workers, joined.MaxAttempts = min(a.Workers, b.Workers), min(a.MaxAttempts, b.MaxAttempts)
 	if a.MaxPending > 0 { // 0 is no limit
-		j.MaxPending = min(a.MaxPending, cmp.Or(b.MaxPending, a.MaxPending))
+		joined.MaxPending = min(a.MaxPending, cmp.Or(b.MaxPending, a.MaxPending))
 	}
-	j.Fleet, j.Tick, j.CanCancel = max(a.Fleet, b.Fleet), max(a.Tick, b.Tick), a.CanCancel && b.CanCancel
-	j.OverShareFactor, j.Classes, j.Kinds, j.Tenants = min(a.OverShareFactor, b.OverShareFactor), nil, slices.Clone(b.Kinds), slices.Clone(b.Tenants)
-	p, q := a.Rules, b.Rules
-	j.Rules = Rules{AnswerGrace: min(p.AnswerGrace, q.AnswerGrace), DrainGrace: min(p.DrainGrace, q.DrainGrace),
-		OverloadFactor: min(p.OverloadFactor, q.OverloadFactor), OverloadWindow: max(p.OverloadWindow, q.OverloadWindow), ColdShare: min(p.ColdShare, q.ColdShare),
-		WarmUp: max(p.WarmUp, q.WarmUp), OrderSettle: max(p.OrderSettle, q.OrderSettle)}
-	for _, k := range b.Classes {
-		i := slices.IndexFunc(a.Classes, func(c Class) bool { return c.Name == k.Name })
+	joined.Fleet, joined.Tick, joined.CanCancel = max(a.Fleet, b.Fleet), max(a.Tick, b.Tick), a.CanCancel && b.CanCancel
+	joined.OverShareFactor, joined.Classes, joined.Kinds, joined.Tenants = min(a.OverShareFactor, b.OverShareFactor), nil, slices.Clone(b.Kinds), slices.Clone(b.Tenants)
+	first, second := a.Rules, b.Rules
+	joined.Rules = Rules{AnswerGrace: min(first.AnswerGrace, second.AnswerGrace), DrainGrace: min(first.DrainGrace, second.DrainGrace),
+		OverloadFactor: min(first.OverloadFactor, second.OverloadFactor), OverloadWindow: max(first.OverloadWindow, second.OverloadWindow), ColdShare: min(first.ColdShare, second.ColdShare),
+		WarmUp: max(first.WarmUp, second.WarmUp), OrderSettle: max(first.OrderSettle, second.OrderSettle)}
+	for _, class := range b.Classes {
+		i := slices.IndexFunc(a.Classes, func(c Class) bool { return c.Name == class.Name })
 		if i < 0 {
 			continue
 		}
-		j.Classes = append(j.Classes, Stricter(a.Classes[i], k))
+		joined.Classes = append(joined.Classes, Stricter(a.Classes[i], class))
 	}
-	for i := range min(len(a.Kinds), len(j.Kinds)) {
-		j.Kinds[i] = Kind{a.Kinds[i].SeparateRoutes && b.Kinds[i].SeparateRoutes, min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
+	for i := range min(len(a.Kinds), len(joined.Kinds)) {
+		joined.Kinds[i] = Kind{a.Kinds[i].SeparateRoutes && b.Kinds[i].SeparateRoutes, min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
 	}
-	for i := range min(len(a.Tenants), len(j.Tenants)) {
-		j.Tenants[i].Quota = min(a.Tenants[i].Quota, b.Tenants[i].Quota)
+	for i := range min(len(a.Tenants), len(joined.Tenants)) {
+		joined.Tenants[i].Quota = min(a.Tenants[i].Quota, b.Tenants[i].Quota)
 	}
-	return j
+	return joined
 }
 
 // Stricter is the class by which less may be repeated, and for less long, than by either of two under one name.
-func Stricter(was, k Class) Class {
-	k.Deadline, k.Effect = min(k.Deadline, was.Deadline), max(k.Effect, was.Effect)
-	k.SameZone, k.Ordered = k.SameZone || was.SameZone, k.Ordered || was.Ordered
-	if k.Effect == Keyed { // one that is safe has no window
-		k.Window = min(cmp.Or(was.Window, k.Window), cmp.Or(k.Window, was.Window))
+func Stricter(other, class Class) Class {
+	class.Deadline, class.Effect = min(class.Deadline, other.Deadline), max(class.Effect, other.Effect)
+	class.SameZone, class.Ordered = class.SameZone || other.SameZone, class.Ordered || other.Ordered
+	if class.Effect == Keyed { // one that is safe has no window
+		class.Window = min(cmp.Or(other.Window, class.Window), cmp.Or(class.Window, other.Window))
 	}
-	k.Aim = min(k.Aim, k.Deadline)
-	return k
+	class.Aim = min(class.Aim, class.Deadline)
+	return class
 }
--- a/choice/share.go
+++ b/choice/share.go
@@ -38,20 +38,20 @@
 
 // worth of a message if it is served at a time.
 func (c *Chooser) worth(m *message, at time.Duration) float64 {
-	k, full := m.class, m.class.Worth
+	class, worth := m.class, m.class.Worth
 	if at >= m.deadline {
 		return 0
 	}
 	if m.overShare {
-		full *= c.settings.OverShareFactor
+		worth *= c.settings.OverShareFactor
 	}
 	age := at - m.createdAt
-	if age <= k.Aim {
-		return full
+	if age <= class.Aim {
+		return worth
 	}
-	late := (age - k.Aim).Seconds()
+	late := (age - class.Aim).Seconds()
 	if c.settings.WorthHalves {
-		return full * max(k.LateShare, math.Exp2(-late/k.Aim.Seconds()))
+		return worth * max(class.LateShare, math.Exp2(-late/class.Aim.Seconds()))
 	}
-	return full * (1 - (1-k.LateShare)*late/(k.Deadline-k.Aim).Seconds())
+	return worth * (1 - (1-class.LateShare)*late/(class.Deadline-class.Aim).Seconds())
 }
--- a/choice/snapshot_test.go
+++ b/choice/snapshot_test.go
@@ -47,7 +47,7 @@
 	next := newHarness(t, s, hosts...)
 	next.now = 5 * time.Hour
 	next.step(m, Restored{Arrival: Arrival{ID: "out", Class: 0, Dest: 3, Left: 9 * time.Second}, Attempts: 1,
-		Timeout: old.chooser.messages["out"].timeout, InFlight: &InFlightCall{Host: where["out"], Call: 1, Ago: 50 * ms}})
+		Timeout: old.chooser.messages["out"].timeout, InFlight: &InFlightCall{Host: where["out"], Call: 1, SentAgo: 50 * ms}})
 	if next.chooser.inFlight != 1 {
 		t.Fatalf("%d slots taken, want that of the call that runs on", next.chooser.inFlight)
 	}
@@ -76,9 +76,9 @@
 // Guards against a panic on a memory that is damaged or of another version.
 func TestDamagedSnapshot(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
-	r.step(Snapshot{Units: []UnitMemory{{Host: "a", State: 9}, {Host: "b"}}, Hosts: []HostMemory{{Host: "b"}},
-		Dests: []DestMemory{{Dest: 9}, {Dest: 1, Table: TableMemory{Width: ms, Weight: 1, Count: []float64{1}}}},
-		Pool:  TableMemory{Width: ms, Weight: 2, Count: []float64{1}, Sum: []float64{1}},
+	r.step(Snapshot{Units: []UnitSnapshot{{Host: "a", State: 9}, {Host: "b"}}, Hosts: []HostSnapshot{{Host: "b"}},
+		Dests: []DestSnapshot{{Dest: 9}, {Dest: 1, Table: TableSnapshot{Width: ms, Weight: 1, Count: []float64{1}}}},
+		Pool:  TableSnapshot{Width: ms, Weight: 2, Count: []float64{1}, Sum: []float64{1}},
 		Luck:  []float64{1, 1, 1, 1, 1}, Shares: []float64{1, 1, 1}}, arrival("m", 0))
 	r.step(r.result("m", "a", Served))
 	if got := len(sends(r.step(arrival("n", 0)))); got != 1 {
@@ -93,7 +93,7 @@
 	s.MaxPending = 2
 	r := newHarness(t, s, ready("a", 1, 0, 0), ready("moved", 2, 0, 0))
 	acts := r.step(Restored{Arrival: Arrival{ID: "out", Class: 0, Dest: 1, Left: 9 * time.Second}, Attempts: 1,
-		InFlight: &InFlightCall{Host: "moved", Call: 1, Ago: 50 * ms}}, arrival("b", 0), arrival("c", 0))
+		InFlight: &InFlightCall{Host: "moved", Call: 1, SentAgo: 50 * ms}}, arrival("b", 0), arrival("c", 0))
 	for _, a := range sends(acts) {
 		if a.ID == "out" {
 			t.Errorf("sent %+v while an attempt runs", a)
--- a/choice/state.go
+++ b/choice/state.go
@@ -130,7 +130,7 @@
 // line is the order of one key.
 type keyQueue struct {
 	key        string
-	messages   chain[message]
+	messages   linkedList[message]
 	pauseUntil time.Duration
 	heapIndex  int
 }
@@ -200,10 +200,10 @@
 	old := *t
 	t.width, t.outdated, t.bestTimeout, t.p98 = width, true, 0, 0
 	t.counts, t.sums = make([]float64, buckets), make([]float64, buckets)
-	for i, n := range old.counts {
-		if n > 0 {
-			to := min(int(old.sums[i]/n/width.Seconds()), buckets-1)
-			t.counts[to] += n
+	for i, count := range old.counts {
+		if count > 0 {
+			to := min(int(old.sums[i]/count/width.Seconds()), buckets-1)
+			t.counts[to] += count
 			t.sums[to] += old.sums[i]
 		}
 	}
@@ -232,16 +232,16 @@
 	case len(s.Classes) == 0:
 		return fmt.Errorf("Classes is empty, must hold at least one")
 	}
-	for i, k := range s.Classes {
-		if k.Effect == Keyed && k.Window <= 0 {
-			return fmt.Errorf("Classes[%d]: Window is %v, must be above 0 where repeats are dropped", i, k.Window)
+	for i, class := range s.Classes {
+		if class.Effect == Keyed && class.Window <= 0 {
+			return fmt.Errorf("Classes[%d]: Window is %v, must be above 0 where repeats are dropped", i, class.Window)
 		}
-		if k.Aim <= 0 || k.Deadline < k.Aim {
-			return fmt.Errorf("Classes[%d]: Aim is %v, must be above 0 and at most Deadline %v", i, k.Aim, k.Deadline)
+		if class.Aim <= 0 || class.Deadline < class.Aim {
+			return fmt.Errorf("Classes[%d]: Aim is %v, must be above 0 and at most Deadline %v", i, class.Aim, class.Deadline)
 		}
-		if k.Worth < 0 || k.LateShare < 0 || k.LateShare > 1 {
+		if class.Worth < 0 || class.LateShare < 0 || class.LateShare > 1 {
 			return fmt.Errorf("Classes[%d]: Worth is %v and LateShare %v, must be at least 0 and within 0 to 1",
-				i, k.Worth, k.LateShare)
+				i, class.Worth, class.LateShare)
 		}
 	}
 	return nil
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -8,14 +8,18 @@
 	"time"
 )
 
-// The turn.
+// This file fills the free call slots.
 
-// turn fills the free slots: the destination with the fewest calls out goes first.
+// fillSlots sends calls while slots are free. The destination with the fewest calls in flight goes
+// first.
 func (c *Chooser) fillSlots() {
 	maxCalls := max(1, (3*c.settings.Workers+3)/4-1)
 	sharedMax := max(1, c.settings.Workers/2)
-	// Trials go last, lest a small relay's slots fill with calls that may hang; those long due do not.
-	preferred := func(u *unit) bool { return u.state != suspect || c.now-u.trialAt > c.settings.Rules.OverloadWindow }
+	// Destinations with nothing but trials go last, so that calls that may hang don't fill the
+	// slots of a small relay; a trial overdue for a whole window is not put back.
+	preferred := func(u *unit) bool {
+		return u.state != suspect || c.now-u.trialAt > c.settings.Rules.OverloadWindow
+	}
 	trialOnly := func(d *dest) int {
 		if slices.ContainsFunc(d.units, preferred) {
 			return 0
@@ -40,8 +44,8 @@
 			}
 			return earliest
 		}
-		// One with no endpoint open takes nothing, and no room from others: it is the first to be found so,
-		// unless its trials have it go last.
+		// A destination without a usable endpoint takes no call and no space from others. It is
+		// excluded here unless its trials put it last anyway.
 		if d.inFlight == 0 && trialOnly(d) == 0 && !slices.ContainsFunc(d.hosts, c.usable) {
 			return math.MaxInt64
 		}
@@ -74,11 +78,12 @@
 	}
 }
 
-// callOff frees a slot while all are taken and a message waits for one: the oldest call out beyond its
-// destination's patience, twice that if the unit has served others since, and as often as it was tried, so
-// that slow ones are served in the end. It guards against calls that nobody will answer. An unsafe message
-// is lost by it: twice the patience while such calls hold no more than half of the slots. Half the room
-// taken halves the patience.
+// cancelStuck frees one slot while all are taken and a message waits for one. It cancels the oldest
+// call that has been out for longer than its destination's silence limit: twice that if the unit
+// has served others since, and multiplied by the number of attempts, so that slow messages are
+// served in the end. This guards against calls that nobody will ever answer. An unsafe message is
+// lost by it, so its call gets twice the limit while stuck calls hold no more than half of the
+// slots. The limit is halved while more than half of Settings.MaxPending is used.
 func (c *Chooser) cancelStuck() {
 	var stuck []*call
 	for d := range c.calledDests {
@@ -115,7 +120,7 @@
 	}
 }
 
-// sendOne sends the best message of a destination, and others along in the same call.
+// sendCall sends the most urgent message of a destination, and others with it in the same call.
 func (c *Chooser) sendCall(d *dest) bool {
 	m, h := c.pick(d)
 	if m == nil {
@@ -139,7 +144,7 @@
 		}
 		c.sendMessage(m, k)
 	}
-	// Further messages weigh a little: counted as one more call.
+	// Further messages of a call weigh little: together they count as one more call.
 	weight := slices.Repeat([]time.Duration{c.now}, min(len(k.messages), 2))
 	u.recentSends = append(slices.DeleteFunc(u.recentSends, expired), weight...)
 	if _, warming := c.enabledAt[h.Addr]; warming {
@@ -148,6 +153,7 @@
 	return true
 }
 
+// sendMessage makes a message part of a call.
 func (c *Chooser) sendMessage(m *message, k *call) {
 	m.timeout = c.timeout(m, k.host.unit)
 	c.dequeue(m)
--- a/internal/relay/books.go
+++ b/internal/relay/books.go
@@ -104,7 +104,7 @@
 		Attempts: e.Tries, Timeout: ms(e.Wait), MayHaveRun: e.Ran, FirstRunAgo: ms(wall - e.RanAt), FirstRunZone: e.Zone}
 	if adopted != nil {
 		m.call = adopted
-		ev.InFlight = &choice.InFlightCall{Host: adopted.host.id, Call: adopted.number, Ago: time.Since(adopted.began)}
+		ev.InFlight = &choice.InFlightCall{Host: adopted.host.id, Call: adopted.number, SentAgo: time.Since(adopted.began)}
 	} else if e.Out && !e.Ran {
 		ev.MayHaveRun, ev.FirstRunAgo, ev.FirstRunZone = true, ms(wall-e.OutAt), e.OutTo
 	}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -54,12 +54,12 @@
 
 // Guards against a repeat after its window, by as much as a start was held up.
 func TestARestoredMessageRanAsLongAgoAsItDid(t *testing.T) {
-	before := choice.Restored{Arrival: choice.Arrival{Left: 9 * time.Second}, FirstRunAgo: time.Second, InFlight: &choice.InFlightCall{Ago: 2 * time.Second}}
+	before := choice.Restored{Arrival: choice.Arrival{Left: 9 * time.Second}, FirstRunAgo: time.Second, InFlight: &choice.InFlightCall{SentAgo: 2 * time.Second}}
 	e := restoredAt(before, 5*time.Second)
 	want(t, "left", e.Left, 5*time.Second)
 	want(t, "since it ran", e.FirstRunAgo, 5*time.Second)
-	want(t, "since it went out", e.InFlight.Ago, 6*time.Second)
-	want(t, "the same, before", before.InFlight.Ago, 2*time.Second)
+	want(t, "since it went out", e.InFlight.SentAgo, 6*time.Second)
+	want(t, "the same, before", before.InFlight.SentAgo, 2*time.Second)
 }
 
 // Guards against a message that has no end because the process before this one, which has its call out, hangs.
--- a/internal/relay/takeup.go
+++ b/internal/relay/takeup.go
@@ -60,7 +60,7 @@
 	e.Left, e.FirstRunAgo = left, e.FirstRunAgo+late
 	if e.InFlight != nil {
 		out := *e.InFlight
-		out.Ago += late
+		out.SentAgo += late
 		e.InFlight = &out
 	}
 	return e
