--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// rig drives one Chooser and keeps what it did.
+// harness drives one Chooser and counts the attempts of each message.
 type harness struct {
 	t        *testing.T
 	chooser  *Chooser
@@ -59,7 +59,7 @@
 	return acts
 }
 
-// after lets time pass in ticks, waking the Chooser, and returns all actions.
+// advance moves time on in ticks, with a wake-up at each, and returns all actions.
 func (r *harness) advance(d time.Duration) []Action {
 	var acts []Action
 	for end := r.now + d; r.now < end; {
@@ -135,7 +135,7 @@
 	if few.bestTimeout != 0 {
 		t.Errorf("edge %v from %d samples, want none", few.bestTimeout, minSamples-1)
 	}
-	few.addServed(5 * time.Second) // beyond the bound
+	few.addServed(5 * time.Second) // beyond the last bucket
 	if few.overBound < 1 || few.samples != minSamples {
 		t.Errorf("beyond %v, total %v after a sample over the bound", few.overBound, few.samples)
 	}
@@ -161,7 +161,7 @@
 	}
 }
 
-// TestAnswers has one row for each outcome and effect: what becomes of the message.
+// TestOutcomeByEffect has one row for each outcome and effect: what becomes of the message.
 func TestOutcomeByEffect(t *testing.T) {
 	for _, tc := range []struct {
 		class   int
@@ -326,8 +326,8 @@
 	}
 }
 
-// TestColdReturn: two failures make a unit suspect; after it answers again, the relay stays within
-// its share of the rule's budget.
+// TestColdDestinationStaysWithinBudget checks that two failures make a unit suspect, and that after
+// it answers again the relay stays within its share of the cold budget.
 func TestColdDestinationStaysWithinBudget(t *testing.T) {
 	s := settings()
 	s.Workers = 100
@@ -356,7 +356,7 @@
 	}
 }
 
-// TestStuckCallsAreCalledOff guards the slots: calls nobody answers may not hold them all.
+// TestStuckCallsAreCancelled checks that calls that nobody answers don't keep all slots.
 func TestStuckCallsAreCancelled(t *testing.T) {
 	s := settings()
 	s.Workers = 2
@@ -374,7 +374,8 @@
 	t.Errorf("no call was called off while another destination waited for a slot")
 }
 
-// TestOneHostDownLeavesItsDestinationWell: the loss of one machine is not that of the destination.
+// TestOneFailedHostLeavesDestinationHealthy checks that the loss of one machine is no outage of its
+// destination.
 func TestOneFailedHostLeavesDestinationHealthy(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0), ready("b", 1, 0, 0))
 	for i := range 6 {
@@ -396,15 +397,15 @@
 	}
 }
 
-// Guards against a destination that cuts its limit for a while and is then sent little for long, and the same
-// after a list with a rough rate that is too low.
+// TestPaceFollowsReportedLimit guards against a destination that gets few messages for long after
+// it lowered its limit for a while, or after a list with an imprecise rate that is too low.
 func TestPaceFollowsReportedLimit(t *testing.T) {
 	s := settings()
 	s.ReportLimitIndex = 0
 	host := ready("a", 1, 0, 0)
 	r := newHarness(t, s, host)
 	n := 0
-	served := func(limit float64) int { // in a second, by a host that tells that limit
+	served := func(limit float64) int { // in a second, by a host that reports that limit
 		count := 0
 		for end := r.now + time.Second; r.now < end; {
 			r.now += 5 * ms
@@ -432,7 +433,8 @@
 	}
 }
 
-// Guards against an outage seen where only kept connections broke, which their machine had given up.
+// TestStaleConnectionsAreNoOutage guards against an outage being assumed where only reused
+// connections broke, which their far end had closed.
 func TestStaleConnectionsAreNoOutage(t *testing.T) {
 	for _, stale := range []bool{true, false} {
 		r := newHarness(t, settings(), ready("a", 1, 0, 0))
@@ -452,8 +454,8 @@
 	}
 }
 
-// Guards against a tenant that floods the relay and so takes the place of those within their shares: a
-// message of theirs goes before what waits beyond a share, and that is given back first.
+// TestMessagesOverTenantShareGoLast guards against a tenant that floods the relay and displaces
+// those within their shares: their messages go before those over a share, which are refused first.
 func TestMessagesOverTenantShareGoLast(t *testing.T) {
 	s := settings()
 	s.Workers, s.MaxPending = 1, 20
@@ -464,7 +466,7 @@
 		events = append(events, arrival(fmt.Sprint("flood", i), 0))
 	}
 	r.step(events...)
-	r.advance(3 * time.Second) // the flood is worth less by now than when it was fresh
+	r.advance(3 * time.Second) // the flood is worth less now than when it arrived
 	var acts []Action
 	for i := range 3 {
 		m := arrival(fmt.Sprint("m", i), 0)
@@ -503,8 +505,8 @@
 	}
 }
 
-// TestLargeFleetSpacesItsCalls: where this relay's share of the budget is under one call in the
-// rule's window, it sends less than one call in it.
+// TestLargeFleetSpacesTrials checks that a relay whose share of the budget is less than one call in
+// the overload window sends less than one call in it.
 func TestLargeFleetSpacesTrials(t *testing.T) {
 	s := settings()
 	s.Fleet, s.Workers = 12, 100
@@ -532,15 +534,15 @@
 		r.now += 5 * ms
 		out = sends(r.step(append(ends, Woken{})...))
 	}
-	// Within twice this relay's share of the budget: 2 x 2 x 0.2 x 4 x 2 s / 12 relays, for
-	// four windows, once the first gaps have grown.
+	// Within twice this relay's share of the budget: 2 x 2 x 0.2 x 4 x 2 s / 12 relays, for four
+	// windows, once the first delays have grown.
 	if trials < 1 || trials > 7 {
 		t.Errorf("%d trials in eight seconds, want one to seven", trials)
 	}
 }
 
-// TestBacklogHoldsRestartsBack: while a message waits for the destination,
-// a call is given up only when it is very likely lost.
+// TestWaitingMessagesRaiseTimeout checks that while messages wait for the destination, a call is
+// given up only when it is very likely lost.
 func TestWaitingMessagesRaiseTimeout(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	for i := range 4 * minSamples {
@@ -549,7 +551,7 @@
 		r.now += 50 * ms
 		r.step(r.result(id, "a", Served, func(e *Result) {
 			if e.Took = 100 * ms; i%8 == 0 {
-				e.Took = 1900 * ms // a tail that restarts would cut
+				e.Took = 1900 * ms // a tail that an early time-out would cut off
 			}
 		}))
 	}
@@ -564,8 +566,8 @@
 	}
 }
 
-// TestLostCallsAreCalledOff: a call that nobody answers is given up for want of a slot even where
-// its destination goes on serving others.
+// TestLostCallIsCancelled checks that a call that nobody answers is cancelled when a slot is
+// needed, even while its destination goes on serving others.
 func TestLostCallIsCancelled(t *testing.T) {
 	s := settings()
 	s.Workers = 3
@@ -596,8 +598,8 @@
 	t.Errorf("the lost call was never called off")
 }
 
-// TestRefusalsInALargeFleet: relays that meet a destination seldom come back after growing pauses, and
-// not in step, so that together they get under its limit.
+// TestLargeFleetSpreadsRetriesAfterRefusals checks that relays that call a destination seldom come
+// back after growing pauses, and not in step, so that together they get below its limit.
 func TestLargeFleetSpreadsRetriesAfterRefusals(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
@@ -627,7 +629,8 @@
 	}
 }
 
-// TestRelaysDoNotAllLikeOneHost: relays of a large fleet spread over the hosts of a destination.
+// TestRelaysSpreadOverHosts checks that the relays of a large fleet spread over the hosts of a
+// destination.
 func TestRelaysSpreadOverHosts(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
@@ -647,8 +650,8 @@
 	}
 }
 
-// TestPausesLengthenWhereRetriesFail: where calls after a refusal are hardly ever served, as where refused
-// calls use up the limit, the pause goes to the even share of a call at once.
+// TestPausesLengthenWhereRetriesFail checks that the pause grows to the even interval at once where
+// calls after a refusal are hardly ever served, as where refused calls use up the limit.
 func TestPausesLengthenWhereRetriesFail(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
@@ -667,7 +670,8 @@
 	}
 }
 
-// TestSlowCallsAreServedInTheEnd: each further try of a message is called off later than the one before.
+// TestCancelLimitGrowsWithAttempts checks that each further attempt of a message is cancelled later
+// than the one before, so that slow calls are served in the end.
 func TestCancelLimitGrowsWithAttempts(t *testing.T) {
 	s := settings()
 	s.Workers, s.MaxPending = 2, 1000
@@ -704,8 +708,9 @@
 	}
 }
 
-// TestFirstFailureWhereSeldomMet: a relay of a large fleet that has nothing served lately to speak against
-// an outage takes the first failure for one, and does not try again at once; a small fleet's relay goes on.
+// TestFirstFailureInALargeFleetIsAnOutage checks that a relay of a large fleet, with nothing served
+// lately, takes the first failure for an outage and does not try again at once; a relay of a small
+// fleet goes on.
 func TestFirstFailureInALargeFleetIsAnOutage(t *testing.T) {
 	for fleet, want := range map[int]health{2: healthy, 40: suspect} {
 		s := settings()
@@ -725,8 +730,9 @@
 	}
 }
 
-// TestARelayThatStoodStill: outcomes that come all at once after a gap are taken in before anything is
-// judged, so that the relay's own stall is no silence of a destination.
+// TestStalledRelaySuspectsNoDestination checks that outcomes that come all at once after a gap are
+// handled before anything is judged, so that the relay's own stall does not pass for a silent
+// destination.
 func TestStalledRelaySuspectsNoDestination(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0), ready("b", 2, 0, 0))
 	other := arrival("n", 0)
@@ -741,8 +747,8 @@
 	}
 }
 
-// TestALongList: thousands of hosts at once, listed twice, cost no table
-// each and leave the relay able to send; hosts that leave are forgotten.
+// TestListOfThousandsOfHosts checks that thousands of hosts, listed twice, need no latency table
+// each and leave the relay able to send, and that removed hosts are forgotten.
 func TestListOfThousandsOfHosts(t *testing.T) {
 	var hosts, gone []Host
 	for i := range 5000 {
@@ -770,8 +776,9 @@
 	}
 }
 
-// Guards against a shut destination that is pushed over as it opens, cold: the answer of a call that went
-// out before it shut, and comes while the told wait runs, is no sign that it is well.
+// TestAnswerFromBeforeRetryAfterIsNoRecovery guards against overloading a destination that returns
+// cold: the answer of a call sent before it went down, which comes during the retry-after time, is
+// no sign that it is healthy.
 func TestAnswerFromBeforeRetryAfterIsNoRecovery(t *testing.T) {
 	s := settings()
 	s.Workers, s.MaxPending = 100, 1000
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// coldPlay is a fleet of Choosers that share one destination, which is out for a while and returns cold.
+// coldReturn is a fleet of Choosers with one destination, which is down for a while and returns
+// cold.
 type coldReturn struct {
 	fleet           int
-	rate            float64 // listed, calls a second
-	skew            float64 // of the traffic: 0 for equal
-	load            float64 // messages a second of all, in shares of the rate
-	restartPercent  int     // relays restarted within the ramp, in percent
-	restartTogether bool    // these at once, at any moment from 2 s before the return to 2 s after it
-	manual          bool    // taken out and given back by operators, instead of an outage
+	rate            float64 // listed, in calls per second
+	skew            float64 // of the traffic; 0 for equal traffic
+	load            float64 // arrivals at the whole fleet, as a multiple of the rate
+	restartPercent  int     // percentage of the relays that restart during the warm-up
+	restartTogether bool    // all at once, at any moment from 2 s before the return to 2 s after it
+	manual          bool    // disabled and enabled by operators, instead of an outage
 	window          time.Duration
 	seed            uint64
 }
@@ -30,9 +31,10 @@
 	return s
 }
 
-// play runs the fleet on one clock, in steps of 20 ms. It returns when each call came after the return that was of a relay
-// which knew of the outage, also through a restart, and how many others came. Where a relay meets the destination seldom many
-// have not heard of the outage; in a small fleet their calls are held to the sum, too.
+// play runs the fleet on one clock, in steps of 20 ms. It returns the times after the return of the
+// calls by relays that knew of the outage, also through a restart, and the number of other calls.
+// Where relays call the destination seldom, many don't know of the outage; in a fleet of up to 30
+// relays their calls count as well.
 func (p coldReturn) play(t testing.TB) (calls []time.Duration, untold int) {
 	r := rand.New(rand.NewPCG(p.seed, 77))
 	set := p.settings()
@@ -143,11 +145,12 @@
 	return calls, untold
 }
 
-// over returns the worst window beside N plus 2 root N plus 2, and the calls as a share of the budget of all windows. Under 30
-// calls the rule allows a little more (slowStartBound); these plays keep to the stricter form.
+// worstWindow returns the calls in the worst window, its bound N + 2*sqrt(N) + 2, and all calls as
+// a share of the budget of all windows. Below 30 calls the rule allows a little more (see
+// slowStartBound); these plays keep to the stricter form.
 func (p coldReturn) worstWindow(calls []time.Duration) (worst, bound, part float64) {
 	s := p.settings()
-	n := func(at time.Duration) float64 { // what the destination takes in a window that ends then
+	n := func(at time.Duration) float64 { // calls that the destination survives in a window that ends then
 		share := min(1, s.Rules.ColdShare+(1-s.Rules.ColdShare)*at.Seconds()/s.Rules.WarmUp.Seconds())
 		return s.Rules.OverloadFactor * share * p.rate * p.window.Seconds()
 	}
@@ -169,8 +172,9 @@
 	return worst, bound, float64(len(calls)) / budget
 }
 
-// Guards against a fleet that pushes a cold destination over, though each of its relays keeps to its part: a part of less
-// than one call is a call now and then, and all may make their first in one window.
+// TestColdReturnOfAFleet guards against a fleet that overloads a cold destination although each
+// relay keeps to its share: a share of less than one call is a call now and then, and all relays
+// may make their first in one window.
 func TestColdReturnOfAFleet(t *testing.T) {
 	draws := uint64(40)
 	if testing.Short() {
--- a/choice/containers.go
+++ b/choice/containers.go
@@ -2,15 +2,15 @@
 
 import "container/heap"
 
-// Plain containers, without decisions: what leaves them does so without a walk.
+// This file has generic containers from which an element can be removed without a search.
 
-// links are the neighbours of an element of a chain.
+// chainLinks are the neighbours of an element of a linkedList.
 type chainLinks[T any] struct {
 	prev, next *T
 	in         bool
 }
 
-// chain is a linked list whose elements hold their own links. What is left keeps its order.
+// linkedList is a doubly linked list whose elements hold their own links.
 type linkedList[T any] struct {
 	first, last *T
 	count       int
@@ -27,7 +27,7 @@
 	c.last, c.count = x, c.count+1
 }
 
-// drop takes an element out; one that is not in stays out.
+// drop removes an element. It does nothing for one that is not in the list.
 func (c *linkedList[T]) drop(x *T) {
 	l := c.links(x)
 	if !l.in {
@@ -47,7 +47,7 @@
 	c.count--
 }
 
-// each ranges over a chain from which the element at hand may be taken.
+// each ranges over a list, from which the current element may be removed.
 func (c *linkedList[T]) each(yield func(*T) bool) {
 	for x := c.first; x != nil; {
 		next := c.links(x).next
@@ -58,8 +58,9 @@
 	}
 }
 
-// row is a slice whose elements know their places in it, counted from 1; 0 is outside. What leaves is nil until more than
-// half is: it is faster to walk than a chain.
+// indexedSlice is a slice whose elements hold their positions in it, counted from 1; 0 is for an
+// element outside. Removed elements leave nil entries until these are more than half. It is faster
+// to iterate over than a linked list.
 type indexedSlice[T any] struct {
 	items []*T
 	count int
@@ -71,7 +72,7 @@
 	*r.index(x) = len(r.items)
 }
 
-// drop takes an element out; one that is not in stays out.
+// drop removes an element. It does nothing for one that is not in the slice.
 func (r *indexedSlice[T]) drop(x *T) {
 	p := r.index(x)
 	if *p == 0 {
@@ -87,13 +88,14 @@
 			}
 		}
 		clear(r.items[len(left):])
-		if r.items = left; cap(left) > 64 && cap(left) > 8*len(left) { // or what was needed once stays
+		if r.items = left; cap(left) > 64 && cap(left) > 8*len(left) { // free the memory of a past peak
 			r.items = append([]*T(nil), left...)
 		}
 	}
 }
 
-// sorted is a binary heap whose elements know their places in it, counted from 1; 0 is outside.
+// indexedHeap is a binary heap whose elements hold their positions in it, counted from 1; 0 is for
+// an element outside.
 type indexedHeap[T any] struct {
 	items  []T
 	before func(a, b T) bool
@@ -116,13 +118,13 @@
 func (s *indexedHeap[T]) Pop() any {
 	var zero T
 	x := s.items[len(s.items)-1]
-	s.items[len(s.items)-1] = zero // or the memory of what has left stays
+	s.items[len(s.items)-1] = zero // so that the removed element can be collected
 	s.items = s.items[:len(s.items)-1]
 	*s.index(x) = 0
 	return x
 }
 
-// queueOf is a heap of what is there already; its elements learn no places.
+// newHeap returns a heap of existing elements, which don't hold their positions.
 func newHeap[T any](all []T, before func(a, b T) bool) *indexedHeap[T] {
 	unused := 0
 	s := &indexedHeap[T]{items: all, before: before, index: func(T) *int { return &unused }}
@@ -130,7 +132,7 @@
 	return s
 }
 
-// put takes an element in, or to its new place.
+// update adds an element, or moves it to its new position.
 func (s *indexedHeap[T]) update(x T) {
 	if i := *s.index(x); i > 0 {
 		heap.Fix(s, i-1)
@@ -145,7 +147,8 @@
 	}
 }
 
-// upTo takes out all for which a test holds, that holds for all before them as well.
+// popWhile removes and returns all elements for which a test holds. The test must hold for all
+// elements before one for which it holds.
 func (s *indexedHeap[T]) popWhile(due func(T) bool) (out []T) {
 	for len(s.items) > 0 && due(s.items[0]) {
 		out = append(out, heap.Pop(s).(T))
--- a/choice/containers_test.go
+++ b/choice/containers_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against containers that lose, keep, or reorder what they hold: each is played beside a plain slice.
+// TestContainersMatchASlice guards against containers that lose, keep, or reorder their elements.
+// Each is compared with a plain slice.
 func TestContainersMatchASlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := make([]*message, 12)
--- a/choice/cost_test.go
+++ b/choice/cost_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// flow is a Chooser with so many endpoints listed and messages held, and time that the caller moves on.
+// stepBench is a Chooser with endpoints listed and messages pending, on a clock that the caller
+// advances.
 type stepBench struct {
 	chooser *Chooser
 	now     time.Duration
@@ -14,8 +15,8 @@
 	actions []Action
 }
 
-// newFlow lists endpoints of destinations with two each. The messages held go to the first of these, whose
-// endpoints drain, so that they wait; what comes later goes to others.
+// newStepBench lists endpoints of destinations with two each. The pending messages are for the
+// first destination, whose endpoints drain, so that they wait; later messages go to others.
 func newStepBench(tb testing.TB, fleet, endpoints, held int) *stepBench {
 	tb.Helper()
 	s := settings()
@@ -42,10 +43,11 @@
 
 func (f *stepBench) step(events ...Event) { f.actions = f.chooser.Step(f.now, events) }
 
-// message has one message come, go and be served, as three Steps of a relay; one of them a wake-up for nothing.
+// serveNext has one message arrive, be sent and be served, in three Steps of which one is a wake-up
+// without events.
 func (f *stepBench) serveNext(tb testing.TB) {
 	f.count++
-	f.now += 100 * time.Microsecond // what is held stays far from its time
+	f.now += 100 * time.Microsecond // the pending messages stay far from their deadlines
 	id := fmt.Sprint("m", f.count)
 	f.step(Arrival{ID: id, Class: 1, Dest: 1 + f.count%14, Left: 10 * time.Second, Tenant: -1})
 	var sent Send
@@ -61,7 +63,7 @@
 	f.step(Result{ID: id, Host: sent.Host, Outcome: Served, Took: 20 * time.Millisecond, Done: true, Report: []float64{0.9, 1e6}})
 }
 
-// BenchmarkStep is what the decisions cost for one message: its arrival, a wake-up and its end.
+// BenchmarkStep measures the decisions for one message: its arrival, a wake-up and its end.
 func BenchmarkStep(b *testing.B) {
 	for _, fleet := range []int{2, 300} {
 		for _, endpoints := range []int{30, 1000} {
@@ -70,7 +72,7 @@
 					f := newStepBench(b, fleet, endpoints, held)
 					b.ReportAllocs()
 					for i := 0; b.Loop(); i++ {
-						if i%20000 == 19999 { // before the messages held run out of time
+						if i%20000 == 19999 { // before the deadlines of the pending messages
 							b.StopTimer()
 							f = newStepBench(b, fleet, endpoints, held)
 							b.StartTimer()
@@ -83,7 +85,7 @@
 	}
 }
 
-// BenchmarkList is what a whole list costs that says nothing new.
+// BenchmarkList measures a complete list that changes nothing.
 func BenchmarkList(b *testing.B) {
 	for _, endpoints := range []int{30, 1000} {
 		b.Run(fmt.Sprint("endpoints=", endpoints), func(b *testing.B) {
@@ -100,8 +102,9 @@
 	}
 }
 
-// Guards against a message that costs more the more endpoints are listed, or the more others wait elsewhere:
-// a relay looks at what has messages, not at all that it knows.
+// TestAllocationsDoNotGrowWithListOrPending guards against a message that costs more the more
+// endpoints are listed or messages pending elsewhere: a Step checks destinations that have
+// messages, not all that are known.
 func TestAllocationsDoNotGrowWithListOrPending(t *testing.T) {
 	per := func(endpoints, held int) float64 {
 		f := newStepBench(t, 300, endpoints, held)
--- a/choice/deferred.go
+++ b/choice/deferred.go
@@ -6,20 +6,23 @@
 	"time"
 )
 
-// A destination with messages waiting is active, and looked at in each Step, or parked until a time or an event before
-// which nothing can be sent to it. Its paces are brought up to date in each Step that finds messages waiting, in steps of
-// floating point that depend on the times of all of these; parked, they are caught up with by the times on record.
+// A destination with messages waiting is either active, and checked in each Step, or deferred until
+// a time or an event before which nothing can be sent to it. The paces of an active destination are
+// updated in each Step. The floating-point results depend on the times of all these Steps, so
+// catchUpPaces repeats the updates that a deferred destination missed, from the recorded times.
 
 const (
 	destIdle     = iota // nothing waits
-	destActive          // looked at in each turn
-	destDeferred        // nothing can be sent before its time, or before something happens to it
+	destActive          // checked in each Step
+	destDeferred        // nothing can be sent before a time, or before something happens to it
 )
 
-// lookAgain is after how long a parked destination whose pace still moves is looked at: the times of so many Steps are kept.
+// recheckAfter is the longest deferral of a destination whose pace still changes; the times of the
+// Steps within it are recorded.
 const recheckAfter = time.Second
 
-// touch is called before something happens to a destination that may have it sent to, or change its paces.
+// markChanged must be called before something happens to a destination that may allow a call to it,
+// or change its paces.
 func (c *Chooser) markChanged(d *dest) {
 	if !d.changed {
 		d.changed, c.changedDests = true, append(c.changedDests, d)
@@ -39,7 +42,7 @@
 	c.destOrder.each(func(d *dest) bool { c.markChanged(d); return true })
 }
 
-// park leaves a destination alone until a time, or until it is touched.
+// deferDest defers a destination until a time, or until it is marked as changed.
 func (c *Chooser) deferDest(d *dest, until time.Duration) {
 	if slices.ContainsFunc(d.units, func(u *unit) bool { return !c.paceSteady(u) }) {
 		until = min(until, c.now+recheckAfter)
@@ -48,13 +51,13 @@
 	c.deferredDests.update(d)
 }
 
-// catchUp brings paces to where the turns that went by would have left them.
+// catchUpPaces applies the pace updates of the Steps that the destination was deferred in.
 func (c *Chooser) catchUpPaces(d *dest) {
 	first := c.stepCount - len(c.stepTimes)
 	for _, u := range d.units {
 		for i := max(d.pacedStep, first); i < c.stepCount; i++ {
 			if c.paceSteady(u) {
-				i = c.stepCount - 1 // it stands still through all of them
+				i = c.stepCount - 1 // no update would change it
 			}
 			if at := c.stepTimes[i-first]; at >= d.pauseUntil {
 				c.refillTokens(u, at)
@@ -64,7 +67,8 @@
 	d.pacedStep = c.stepCount
 }
 
-// unblocked are the last of those that wait, which may go to some endpoints for all that is known of earlier looks.
+// unblockedMessages returns the waiting messages that may be able to go to the given hosts: those
+// queued after the last check that found none, or all if that check no longer holds.
 func (c *Chooser) unblockedMessages(d *dest, open []*host) []*message {
 	if c.now >= d.blockedUntil || !slices.Equal(open, d.blockedHosts) {
 		d.blockedUntil = 0
@@ -77,8 +81,8 @@
 	return d.waiting.items[start:]
 }
 
-// block notes that none of those that wait may go to some endpoints now, and until when that holds for what fits and
-// hasTurn go by. What changes with events is noted by those.
+// noteBlocked records that none of the waiting messages may go to the given hosts now, and until
+// when maySend and keyAllows give the same result. Events that change the result reset the record.
 func (c *Chooser) noteBlocked(d *dest, open []*host) {
 	if d.waiting.count == 0 {
 		return
@@ -101,7 +105,7 @@
 	d.blockedUntil, d.blockedThrough, d.blockedHosts = until, c.queueCount, append(d.blockedHosts[:0], open...)
 }
 
-// wakeUp makes those active whose time has come.
+// activateDue makes destinations active whose deferral is over.
 func (c *Chooser) activateDue() {
 	for len(c.deferredDests.items) > 0 && c.deferredDests.items[0].deferredUntil <= c.now {
 		d := c.deferredDests.items[0]
@@ -111,8 +115,8 @@
 	}
 }
 
-// from is a time before which a unit has no room if nothing happens to it; no later than now where that is not known.
-// It only bounds what room decides.
+// earliestCall returns a time before which canCall is false for a unit if nothing happens to it; a
+// time not after now if none is known. It is a lower bound only.
 func (c *Chooser) earliestCall(u *unit) time.Duration {
 	earliest := max(u.retryAfter, u.pauseUntil)
 	if u.state == suspect && len(u.calls) > 1 {
@@ -126,7 +130,8 @@
 	return earliest
 }
 
-// still tells whether refill would change nothing, however often and whenever it came.
+// paceSteady reports whether refillTokens would change nothing, however often and at whatever times
+// it is called.
 func (c *Chooser) paceSteady(u *unit) bool {
 	if u.pace == 0 {
 		return u.tokens <= 1
@@ -134,8 +139,8 @@
 	return u.knownRate > 0 && u.pace == c.maxPace(u) && u.tokens == max(1, u.pace*c.minAim.Seconds()/8)
 }
 
-// look goes through those that are active. A test brings their paces up to date, and tells until when nothing can be
-// sent to one, if that is after now.
+// scanActive goes through the active destinations. The given function updates their paces, and
+// returns until when nothing can be sent to one; if that is after now, the destination is deferred.
 func (c *Chooser) scanActive(until func(*dest) time.Duration) {
 	c.activateDue()
 	c.activeDests = slices.DeleteFunc(c.activeDests, func(d *dest) bool {
@@ -151,7 +156,7 @@
 	})
 }
 
-// misnamed tells whether the name of a unit is no longer that of an endpoint of its own.
+// nameOutdated reports whether the endpoint a unit is named after no longer belongs to it.
 func (c *Chooser) nameOutdated(u *unit) bool {
 	h := c.hosts[u.name]
 	return h == nil || h.unit != u
--- a/choice/events.go
+++ b/choice/events.go
@@ -5,16 +5,16 @@
 // An Event tells a Chooser what happened. The types below are the events.
 type Event interface{ event() }
 
-// Arrival is a new message; the Chooser owes it one final answer.
+// Arrival is a new message. The Chooser gives it exactly one final answer.
 type Arrival struct {
 	ID    string
 	Class int
 	Dest  int
-	Left  time.Duration // how long it may still be delivered
-	Key   string        // key of the order; empty for none
-	// Tenant is the place of its sender in Settings.Tenants; below 0 for one without a share.
+	Left  time.Duration // time until its deadline
+	Key   string        // messages with the same key are ordered; empty for none
+	// Tenant is the index of the sender in Settings.Tenants; negative for a sender without a share.
 	Tenant int
-	Terms  *Terms // it came under; nil for those of its class as the settings stand
+	Terms  *Terms // terms it was accepted under; nil for those of its class in the current settings
 }
 
 // Result ends one attempt.
@@ -23,13 +23,13 @@
 	Host       string
 	Attempt    int
 	Outcome    Outcome
-	Took       time.Duration // since the attempt went out
-	RetryAfter time.Duration // told with Refused: send nothing there for so long; 0 if none was told
-	Done       bool          // the message is finished; no answer is owed any more
-	// Stale says, with Reset, that a connection kept from before broke as soon as it was
-	// written to: the machine at its other end had given it up, which says nothing of the host.
+	Took       time.Duration // since the attempt was sent
+	RetryAfter time.Duration // don't call the unit for this long; 0 if the answer asked for no wait
+	Done       bool          // the message needs no final answer any more
+	// StaleConn says, with Reset, that a reused connection broke as soon as it was written to: its
+	// far end had closed it while idle, which says nothing about the host's health.
 	StaleConn bool
-	Report    []float64 // load report, if any
+	Report    []float64 // load report, nil for none
 }
 
 // Withdrawn says that nobody wants a message any more.
@@ -38,77 +38,76 @@
 // State is an endpoint's state on the list.
 type State int
 
-// The states; none tells of health.
+// The states. They say nothing about health.
 const (
 	Removed State = iota
 	Ready
 	Draining
 )
 
-// Host is one endpoint as the list has it.
+// Host is one endpoint as it is listed.
 type Host struct {
 	Addr  string
 	Dest  int
 	Kind  int
 	Zone  int
-	Rate  float64 // see Settings.Listed
+	Rate  float64 // see Settings.RatesListed
 	State State
 }
 
-// Listing is news of the endpoint list.
+// ListUpdate is an update of the endpoint list, or the failure to get one.
 type ListUpdate struct {
-	Complete bool // replaces the old list; else only changed entries
-	Failed   bool // asking for the list failed; the old one stands
+	Complete bool // replaces the old list; otherwise Hosts are the changed entries
+	Failed   bool // the query failed; the old list stays in effect
 	Hosts    []Host
 }
 
-// ListExpiry says whether the endpoint list may be acted on. While it may not, nothing is sent: endpoints of it may drain or be
-// gone. What is held waits, within its time.
+// ListExpiry says whether the endpoint list may be too old to act on. While it is, nothing is sent,
+// since listed endpoints may be draining or removed. Pending messages wait, within their time.
 type ListExpiry struct{ Expired bool }
 
-// Restored hands in a message that an earlier process of this relay had taken
-// on, with what is known of its attempts. An attempt whose outcome was never
-// recorded counts as one that may have run.
+// Restored is a message that an earlier process of this relay accepted, with what is known of its
+// attempts. An attempt whose outcome was never recorded counts as one that may have run.
 type Restored struct {
 	Arrival
-	Attempts     int           // used up
-	Timeout      time.Duration // of the last of them
-	MayHaveRun   bool          // one of them may have run
-	FirstRunAgo  time.Duration // since the first such attempt went out
-	FirstRunZone int           // zone of its host
-	InFlight     *InFlightCall // the last of them still runs, in the process that hands over; nil if none does
+	Attempts     int           // already made
+	Timeout      time.Duration // of the last attempt
+	MayHaveRun   bool          // an attempt may have run
+	FirstRunAgo  time.Duration // since the first such attempt was sent
+	FirstRunZone int           // zone of the first such attempt's host
+	InFlight     *InFlightCall // last attempt, if still in flight at the process that hands over; otherwise nil
 }
 
-// Unwell says that an earlier process of this relay saw an outage at a host whose
-// end it did not see. It follows the first Listing.
+// KnownOutage says that an earlier process of this relay saw the start of an outage of a host, but
+// not its end. It follows the first ListUpdate.
 type KnownOutage struct {
 	Host     string
-	BaseRate float64 // as Health told it
+	BaseRate float64 // Health.Base of that outage
 }
 
-// Waits says that an earlier process of this relay, or one whose messages it took up, was told to send a host nothing for
-// so long from now.
+// RetryAfter says that an earlier process of this relay, or a relay whose messages this one took
+// over, was asked to send a host nothing for the remaining time from now.
 type RetryAfter struct {
 	Host      string
 	Remaining time.Duration
 }
 
-// ByHand says that operators took an endpoint out, or gave it back. It holds whatever the list says
-// of that endpoint, before and after.
+// ManualChange says that operators disabled an endpoint, or enabled it again. It holds whatever the
+// list says of that endpoint, before and after.
 type ManualChange struct {
 	Host     string
 	Disabled bool
-	Ago      time.Duration // since they said so
+	Ago      time.Duration // since the operators' request
 }
 
-// Reconfigured replaces the settings as a whole. What is open keeps the class and the number of
-// attempts that it came under: its client was told of those.
+// Reconfigured replaces all settings. Pending messages keep the class and the number of attempts
+// that they were accepted under, since their clients were informed of those.
 type Reconfigured struct{ Settings Settings }
 
-// Terms are what a message came under.
+// Terms are the terms that a message was accepted under.
 type Terms struct {
 	Class    Class
-	Attempts int // Settings.MaxAttempts then
+	Attempts int // Settings.MaxAttempts at that time
 }
 
 // Woken is the wake-up that a Wake action asked for.
@@ -130,46 +129,45 @@
 // An Action is something the relay must do. The types below are the actions.
 type Action interface{ action() }
 
-// Send calls an endpoint with a message. The attempt ends as Timeout after the
-// given time. Sends of one Step to one host share a call as far as
-// Kind.PerCall allows.
+// Send calls an endpoint with a message. The attempt ends as Timeout after the given time. Sends of
+// one Step to one host share a call, as far as Kind.PerCall allows.
 type Send struct {
 	ID      string
 	Host    string
 	Timeout time.Duration
-	// Before is the time by which a repeat must have gone out whole, or it must not go: after that
-	// nobody drops it. 0 for one that may go at any time.
+	// Before is the time by which a repeat must have been sent completely; later it must not be
+	// sent, since the destination no longer drops it. 0 for no such limit.
 	Before time.Duration
 }
 
-// Refuse ends a message: it did not run, and the client may safely come again,
+// Refuse ends a message that did not run or may safely be repeated. The client may submit it again,
 // best after the given time.
 type Refuse struct {
 	ID    string
 	After time.Duration
 }
 
-// Fail ends a message; whether it ran is not known.
+// Fail ends a message that may or may not have run.
 type Fail struct{ ID string }
 
-// Cancel calls an attempt off; it still gets its Result.
+// Cancel abandons an attempt, which still gets its Result.
 type Cancel struct {
 	ID      string
 	Attempt int
 }
 
-// Wake asks for a Step with a Woken event after a while.
+// Wake asks for a Step with a Woken event after the given time.
 type Wake struct{ After time.Duration }
 
-// Subscribe asks for changes of the endpoint list.
+// Subscribe asks for updates of the endpoint list.
 type Subscribe struct{}
 
-// Health tells that a host began or ceased to be in an outage, or cold after one.
-// A relay keeps it, and hands it to its successor as Unwell.
+// Health says that an outage of a host began, or that the outage and the warm-up after it are over.
+// The relay records it, and passes it to its next process as KnownOutage.
 type Health struct {
 	Host   string
 	Unwell bool
-	Base   float64 // messages a second served to this relay before
+	Base   float64 // messages per second served to this relay before the outage
 }
 
 // Log is a line for the operators.
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,7 +7,7 @@
 	"larchrouter/choice"
 )
 
-// A relay's own loop: hand in what happened, carry out what comes back.
+// The main loop of a relay: pass in what happened, carry out the actions.
 func Example() {
 	c, err := choice.New(choice.Settings{
 		Fleet: 1, Workers: 8, MaxPending: 100, MaxAttempts: 4, Tick: 5 * time.Millisecond,
--- a/choice/expiry_test.go
+++ b/choice/expiry_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// Guards against messages sent by a list that may be too old, and against ones that nobody looks at any more once it is
-// renewed: they wait, end within their time, and go as soon as a list may be acted on again.
+// TestExpiredListStopsSending guards against messages sent by a list that may be too old, and
+// against messages forgotten once it is renewed: they wait, end within their time, and go as soon
+// as the list may be acted on again.
 func TestExpiredListStopsSending(t *testing.T) {
 	all := settings()
 	all.Workers = 40
@@ -30,12 +31,14 @@
 	}
 }
 
-// The story of this test: while discovery was away or crowded, relays held all that came until their room was full, and then handed
-// back a message that they had taken on for each one that came, which is priced at three tenths of its worth: 0.028 to 0.044 of
-// G on herd+mass, the second largest loss of that day after what was not served. Nothing was gained by it, for neither could be sent.
+// While discovery was down or overloaded, relays that had reached their limit of pending messages
+// evicted an accepted message for each arrival, although neither could be sent. An evicted message
+// costs three tenths of its worth: 0.028 to 0.044 of the score G in the scenario herd+mass, the
+// second largest loss of that run after messages not served.
 
-// Guards against messages that are handed back for others that cannot be sent either: what comes is turned away, and only what has
-// been kept for most of its time gives way.
+// TestPendingMessagesStayWhileListIsExpired guards against messages evicted for others that cannot
+// be sent either: new arrivals are refused, and only messages that were pending for most of their
+// time may be evicted.
 func TestPendingMessagesStayWhileListIsExpired(t *testing.T) {
 	all := settings()
 	all.MaxPending = 10
@@ -60,7 +63,7 @@
 	if ids := refusedOf(r.step(arrival("new", 0))); len(ids) != 1 || ids[0] != "new" {
 		t.Errorf("%v refused in a room full of what is held, want what comes", ids)
 	}
-	r.now += deadline/4 + 10*time.Millisecond // three quarters of the time of those held
+	r.now += deadline/4 + 10*time.Millisecond // three quarters of the time of the pending messages
 	if ids := refusedOf(r.step(arrival("newer", 0))); len(ids) != 1 || ids[0] == "newer" {
 		t.Errorf("%v refused, want one whose time is mostly up", ids)
 	}
--- a/choice/final_answer_test.go
+++ b/choice/final_answer_test.go
@@ -6,8 +6,10 @@
 	"time"
 )
 
-// Guards against messages brought in too late, or far too soon, by a part that holds them elsewhere until their last
-// look: no final answer comes before it, and one comes with the first Step in it, also by settings that changed meanwhile.
+// TestFinalAnswerComesAtItsMargin guards a part of the relay that stores messages elsewhere until
+// their final answer is near, and must bring them in neither late nor far too early: no final
+// answer comes before FinalAnswerMargin, and one comes with the first Step within it, also when new
+// settings changed it meanwhile.
 func TestFinalAnswerComesAtItsMargin(t *testing.T) {
 	s := settings()
 	gone := ready("e", 1, 0, 0)
@@ -41,8 +43,9 @@
 	}
 }
 
-// Guards against successors of outages that are told in the order of the news: it is that in which destinations were first
-// heard of, and a unit is renamed also when the endpoint it is named for has gone to another destination, and goes there.
+// TestOutagesAreRenamedInDestinationOrder guards against outages that are renamed in the order of a
+// list update: they are renamed in the order in which destinations became known, and also when the
+// endpoint a unit is named after moved to another destination and is removed there.
 func TestOutagesAreRenamedInDestinationOrder(t *testing.T) {
 	in := func(addr string, dest int, s State) Host {
 		h := ready(addr, dest, 0, 0)
@@ -65,7 +68,7 @@
 	}
 	r.step(ListUpdate{Hosts: []Host{in("a3", 1, Removed)}})
 	r.now += 30 * time.Second
-	r.step(ListUpdate{}) // a3 is no longer remembered
+	r.step(ListUpdate{}) // a3 is forgotten
 	r.step(ListUpdate{Hosts: []Host{in("a3", 3, Ready)}})
 	r.step(ListUpdate{Hosts: []Host{in("a2", 1, Ready)}})
 	if got := named(r.step(ListUpdate{Hosts: []Host{in("a3", 3, Removed)}})); !slices.Equal(got, []string{"a2"}) {
@@ -73,7 +76,7 @@
 	}
 }
 
-// finals are the final answers among actions.
+// finalActions returns the final answers among actions.
 func finalActions(acts []Action) (out []Action) {
 	for _, a := range acts {
 		switch a.(type) {
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -9,15 +9,15 @@
 	"time"
 )
 
-// gate is a destination with a limit that refused calls use up as well.
+// limitedDest is a destination with a rate limit against which refused calls count as well.
 type limitedDest struct {
-	limit     func(now time.Duration) float64 // calls a second from all relays
-	isOpen    func(now time.Duration) bool    // nil: always
-	used      float64                         // calls not yet made up for
+	limit     func(now time.Duration) float64 // calls per second from all relays
+	isOpen    func(now time.Duration) bool    // always, if nil
+	used      float64                         // calls counted against the limit
 	updatedAt time.Duration
 }
 
-// call returns the outcome of a call, and the report that its answer bears.
+// call returns the outcome of a call, and the load report in its answer.
 func (g *limitedDest) call(now time.Duration) (Outcome, []float64) {
 	limit := g.limit(now)
 	g.used = max(0, g.used-limit*(now-g.updatedAt).Seconds())
@@ -31,10 +31,11 @@
 	return Served, report
 }
 
-// tally counts by the second a fleet's calls, and the messages served.
+// callCounts has the calls of a fleet and the messages served, by second.
 type callCounts struct{ calls, served []int }
 
-// playFleet has a fleet deliver to one destination: so many messages a second come to relays by chance.
+// simulateFleet has a fleet deliver to one destination. Messages arrive at random relays at a mean
+// rate of perSecond.
 func simulateFleet(t *testing.T, fleet int, host Host, g *limitedDest, perSecond float64, span time.Duration) (sum callCounts) {
 	t.Helper()
 	s := settings()
@@ -76,7 +77,7 @@
 			events[i] = append(events[i], Woken{})
 			var outcome Outcome
 			var report []float64
-			left := 0 // messages that the call still takes
+			left := 0 // messages that the call may still carry
 			for _, send := range sends(c.Step(now, events[i])) {
 				if left == 0 {
 					outcome, report = g.call(now)
@@ -103,8 +104,8 @@
 	return sum
 }
 
-// Guards against a fleet each of whose relays goes on calling a destination that lowered its limit, so
-// that the refused calls alone use it up and nobody is served.
+// TestFleetKeepsToALoweredLimit guards against a fleet whose relays go on calling a destination
+// that lowered its limit, so that refused calls alone use it up and nobody is served.
 func TestFleetKeepsToALoweredLimit(t *testing.T) {
 	limit := func(now time.Duration) float64 {
 		if now >= 5*time.Second && now < 15*time.Second {
@@ -122,8 +123,9 @@
 	}
 }
 
-// Guards against hundreds of relays, each with messages waiting, that after a limit was lowered below what
-// comes keep it shut with refused calls, or stay away for many times the even share of a call.
+// TestHundredsOfRelaysShareALoweredLimit guards against hundreds of relays with messages waiting
+// that, after a limit was lowered below the rate of arrivals, use it up with refused calls, or stay
+// away for many times the even interval.
 func TestHundredsOfRelaysShareALoweredLimit(t *testing.T) {
 	for name, kind := range map[string]int{"single calls": 0, "shared calls": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -135,7 +137,7 @@
 			}
 			host := ready("a", 1, kind, 0)
 			host.Rate = 250
-			each := float64(settings().Kinds[kind].PerCall) // messages that a call takes
+			each := float64(settings().Kinds[kind].PerCall) // messages in a call
 			sum := simulateFleet(t, 300, host, &limitedDest{limit: limit}, 200*each, 20*time.Second)
 			if served := float64(total(sum.served[8:14])); served < 6*100*each/4 {
 				t.Errorf("%.0f messages served in 6 s at 100 calls a second, want a quarter of what those take; calls by the second %v, served %v",
@@ -149,8 +151,8 @@
 	}
 }
 
-// Guards against hundreds of relays that start together, hold what comes first until their pace has made up a
-// call, and then send it in step.
+// TestFirstMessageGoesAtOnce guards against hundreds of relays that start together, keep their
+// first message until their tokens allow a call, and then send it in step.
 func TestFirstMessageGoesAtOnce(t *testing.T) {
 	host := ready("a", 1, 0, 0)
 	host.Rate = 250
@@ -166,8 +168,8 @@
 	}
 }
 
-// Guards against a clump of messages for one destination that hundreds of relays send on in the same moment:
-// each spreads what it has of it over part of an aim.
+// TestBurstIsSpreadOverTime guards against a burst of messages for one destination that hundreds of
+// relays pass on at the same moment: each spreads its messages over part of an aim.
 func TestBurstIsSpreadOverTime(t *testing.T) {
 	host := ready("a", 1, 0, 0)
 	host.Rate = 250
@@ -184,8 +186,9 @@
 	}
 }
 
-// Guards against a fleet that sends each message by itself to a destination that takes many with one call:
-// the calls are too many, the messages are not.
+// TestFleetPutsMessagesInSharedCalls guards against a fleet that sends each message in a call of
+// its own to a destination that accepts several in a call: the calls are too many, the messages are
+// not.
 func TestFleetPutsMessagesInSharedCalls(t *testing.T) {
 	limit := func(time.Duration) float64 { return 30 }
 	host := ready("a", 1, 1, 0)
@@ -197,7 +200,8 @@
 	}
 }
 
-// Guards against a fleet that starts together and then calls in step: none at first, then all at once.
+// TestFirstCallsOfAFleetAreSpread guards against a fleet that starts together and then calls in
+// step: none at first, then all at once.
 func TestFirstCallsOfAFleetAreSpread(t *testing.T) {
 	limit := func(time.Duration) float64 { return 60 }
 	host := ready("a", 1, 1, 0)
@@ -208,8 +212,9 @@
 	}
 }
 
-// Guards against a tenant within its share whose messages pass for beyond it, because each relay of a large
-// fleet gets few of them, by chance; and against one far beyond its share that passes for within.
+// TestTenantSharesInALargeFleet guards against a tenant within its share whose messages count as
+// over it because each relay of a large fleet gets few of them, at random; and against a tenant far
+// over its share that counts as within.
 func TestTenantSharesInALargeFleet(t *testing.T) {
 	s := settings()
 	s.Fleet, s.Tenants = 80, []Tenant{{Quota: 40}, {Quota: 40}}
@@ -240,8 +245,8 @@
 	}
 }
 
-// Guards against a list that comes again and undoes what answers have told of a limit, and against answers
-// whose word stops a unit for good or lifts its limit.
+// TestLoadReports guards against a repeated list that undoes what answers reported of a limit, and
+// against reports that stop a unit for good or lift its limit.
 func TestLoadReports(t *testing.T) {
 	s := settings()
 	s.ReportLimitIndex = 0
@@ -270,8 +275,9 @@
 	}
 }
 
-// Guards against an endpoint that drains before the list says so, and whose refusals pass for those of a
-// limit: the endpoint that takes its place would start with long pauses.
+// TestRefusalOfADrainingEndpoint guards against an endpoint that drains before the list says so and
+// whose refusals count as those of a limit: the endpoint that replaces it would start with long
+// pauses.
 func TestRefusalOfADrainingEndpoint(t *testing.T) {
 	s := settings()
 	s.Fleet, s.ReportLimitIndex, s.ReportLeftIndex = 80, 0, 1
@@ -295,14 +301,15 @@
 		}
 	}
 	out := sends(r.step(ListUpdate{Hosts: []Host{next, {Addr: "old", Dest: 1, State: Draining}}}))
-	out = append(out, sends(r.advance(600*ms))...) // at the first pace
+	out = append(out, sends(r.advance(600*ms))...) // at the initial pace
 	if len(out) < 2 {
 		t.Errorf("%d of the 2 messages sent once the next endpoint is listed: %v", len(out), out)
 	}
 }
 
-// Guards against few relays, who meet a unit often and hear of the list at once, that take a refusal whose
-// report came garbled for that of an endpoint that drains, and do not lower their pace.
+// TestRefusalWithoutReportInASmallFleet guards against a few relays, which call a unit often and
+// get the list at once, that take a refusal with a garbled report for that of a draining endpoint
+// and do not lower their pace.
 func TestRefusalWithoutReportInASmallFleet(t *testing.T) {
 	s := settings()
 	s.ReportLimitIndex = 0
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// life is what the rules need to know of one message.
+// messageState is what the rules need to know of one message.
 type messageState struct {
 	class        int
 	deadline     time.Duration
@@ -22,8 +22,8 @@
 	uncertainAt  time.Duration
 }
 
-// lawful plays bytes as lawful events, asserts the rules on every action and returns them all. It
-// models no server: outcomes come as the bytes say.
+// playAndCheckRules turns bytes into valid events, checks the rules on every action, and returns
+// all actions. It models no server: outcomes come from the bytes.
 func playAndCheckRules(t *testing.T, data []byte) [][]Action {
 	s := settings()
 	s.Kinds[0].PerCall = 2
@@ -165,7 +165,7 @@
 			h.State = State(arg / 4 % 3)
 			play(ListUpdate{Hosts: []Host{*h}})
 			if h.State == Removed {
-				h.State = Draining // still named by calls out; nothing new may go there
+				h.State = Draining // still named by calls in flight; nothing new may go there
 			}
 		case 3:
 			id := hosts[arg%4].Addr
--- a/choice/index.go
+++ b/choice/index.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
-// What a Step has to look at, kept as things happen: what is due, and what has changed. No decisions.
+// This file keeps track of what a Step has to check: what is due, and what has changed. It makes no
+// decisions.
 
-// index is what tells a Step where to look.
+// index tells a Step what to check.
 type index struct {
-	destOrder     linkedList[dest]       // as first heard of
-	liveDests     linkedList[dest]       // with messages waiting or out, as they came to have any
-	callingDests  []*dest                // whose units have calls out
-	activeDests   []*dest                // with messages waiting, not parked
-	deferredDests indexedHeap[*dest]     // by time
-	byAnswerTime  indexedHeap[*message]  // that wait, by the time of their final answer
-	pausedKeys    indexedHeap[*keyQueue] // with nothing queued, by the end of their rest
-	maybeIdle     []*dest                // that came to have nothing waiting or out since the last Step
+	destOrder     linkedList[dest]       // all, in the order in which they became known
+	liveDests     linkedList[dest]       // with messages waiting or in flight, in the order in which they came to have any
+	callingDests  []*dest                // with calls in flight at their units
+	activeDests   []*dest                // with messages waiting, not deferred
+	deferredDests indexedHeap[*dest]     // by deferredUntil
+	byAnswerTime  indexedHeap[*message]  // waiting messages, by the time of their final answer
+	pausedKeys    indexedHeap[*keyQueue] // without messages, by the end of their pause
+	maybeIdle     []*dest                // left without messages waiting or in flight since the last Step
 	changedDests  []*dest                // to which something happened in this Step
-	listChecks    []*dest                // that the next news of the list look at
-	// turns are counted; times are of the last of them.
+	listChecks    []*dest                // to check at the next list update
+	// stepCount counts all Steps; stepTimes are the times of the last of them. The others number
+	// the messages queued, the destinations added to liveDests, and all destinations known.
 	stepCount, queueCount, liveCount, destCount int
 	stepTimes                                   []time.Duration
 	excluded                                    int
@@ -39,7 +41,7 @@
 
 func compareLive(a, b *dest) int { return cmp.Compare(a.liveNumber, b.liveNumber) }
 
-// wait has a message wait for its destination, last of all.
+// enqueue appends a message to those that wait for its destination.
 func (c *Chooser) enqueue(m *message) {
 	d := m.dest
 	c.queueCount++
@@ -56,13 +58,13 @@
 	}
 }
 
-// retime finds a message that waits its place among those that have an end.
+// updateAnswerTime recomputes when a waiting message gets its final answer.
 func (c *Chooser) updateAnswerTime(m *message) {
 	m.answerAt = c.finalAnswerAt(m)
 	c.byAnswerTime.update(m)
 }
 
-// unwait takes a message from those that wait.
+// dequeue removes a message from those that wait.
 func (c *Chooser) dequeue(m *message) {
 	if m.dest.waiting.drop(m); m.dest.waiting.count == 0 {
 		c.markChanged(m.dest)
@@ -71,7 +73,7 @@
 	c.noteIfIdle(m.dest)
 }
 
-// left notes a destination that has come to have nothing waiting or out.
+// noteIfIdle notes a destination that has no messages waiting or in flight any more.
 func (c *Chooser) noteIfIdle(d *dest) {
 	if d.idle() {
 		if c.maybeIdle = append(c.maybeIdle, d); len(d.hosts) == 0 {
@@ -82,7 +84,7 @@
 
 func (d *dest) idle() bool { return d.waiting.count == 0 && d.inFlight == 0 }
 
-// settle ends the life of what has nothing waiting or out.
+// dropIdle removes destinations from liveDests that have no messages waiting or in flight.
 func (c *Chooser) dropIdle() {
 	for _, d := range c.maybeIdle {
 		if d.idle() {
@@ -93,7 +95,7 @@
 	c.maybeIdle = c.maybeIdle[:0]
 }
 
-// line has a message wait for its turn by the order of its key.
+// enqueueKey appends a message to those of its key.
 func (c *Chooser) enqueueKey(m *message) {
 	l := c.keyQueues[m.Key]
 	if l == nil {
@@ -104,14 +106,15 @@
 	l.messages.add(m)
 }
 
-// freeLines forgets the keys that have rested.
+// releaseKeys forgets the keys whose pause is over.
 func (c *Chooser) releaseKeys() {
 	for _, l := range c.pausedKeys.popWhile(func(l *keyQueue) bool { return l.pauseUntil <= c.now }) {
 		delete(c.keyQueues, l.key)
 	}
 }
 
-// ended takes out those that wait whose time has come, those of a destination from the last one on.
+// takeDue removes and returns the waiting messages whose final answer is due: by destination, the
+// last queued first.
 func (c *Chooser) takeDue() []*message {
 	due := c.byAnswerTime.popWhile(func(m *message) bool { return m.answerAt <= c.now })
 	slices.SortFunc(due, func(a, b *message) int {
@@ -120,7 +123,8 @@
 	return due
 }
 
-// back takes a message from its call, and frees the slots of that with the last one.
+// detachFromCall removes a message from its call. With the last message the call's slots become
+// free.
 func (c *Chooser) detachFromCall(m *message) {
 	k, h := m.call, m.call.host
 	m.call, m.lastHost = nil, h
@@ -132,7 +136,7 @@
 	}
 }
 
-// calls counts those out at the units of a destination.
+// countUnitCalls adds n to the number of calls in flight at the units of a destination.
 func (c *Chooser) countUnitCalls(d *dest, n int) {
 	switch d.unitCalls += n; {
 	case d.unitCalls == 1 && n > 0:
@@ -142,7 +146,7 @@
 	}
 }
 
-// callers ranges over the destinations with calls out, as they came to have messages.
+// calledDests ranges over the destinations with calls in flight, in the order of liveDests.
 func (c *Chooser) calledDests(yield func(*dest) bool) {
 	slices.SortFunc(c.callingDests, compareLive)
 	for _, d := range c.callingDests {
@@ -152,10 +156,11 @@
 	}
 }
 
-// close ends a Step: it notes its time, and counts the endpoints avoided where something happened.
+// close ends a Step: it records the Step's time, and counts the excluded endpoints of the
+// destinations that changed.
 func (c *Chooser) close() {
 	c.stepTimes, c.stepCount = append(c.stepTimes, c.now), c.stepCount+1
-	if c.stepTimes[0] < c.now-2*recheckAfter { // not in each Step: the rest is moved
+	if c.stepTimes[0] < c.now-2*recheckAfter { // not in each Step, since the rest of the slice is moved
 		i, _ := slices.BinarySearch(c.stepTimes, c.now-recheckAfter+1)
 		c.stepTimes = slices.Delete(c.stepTimes, 0, i)
 	}
@@ -173,19 +178,20 @@
 	c.changedDests = c.changedDests[:0]
 }
 
-// Excluded counts the endpoints on the list that get no messages, by hand or by choice; those that
-// get single trials are among them. The count is that of the last Step.
+// Excluded returns the number of listed endpoints that get no regular messages: those disabled by
+// operators and those in an outage, which get single trials. It is as of the last Step.
 func (c *Chooser) Excluded() int { return c.excluded }
 
-// check has the next news of the list look at a destination, also if they don't name it.
+// scheduleListCheck has the next list update check a destination, even if the update doesn't name
+// it.
 func (c *Chooser) scheduleListCheck(d *dest) {
 	if !d.listCheckDue {
 		d.listCheckDue, c.listChecks = true, append(c.listChecks, d)
 	}
 }
 
-// checks goes through those to check, as they were first heard of, and keeps those that a test finds to have
-// to be checked again.
+// runListChecks calls a function for each destination to check, in the order in which they became
+// known. Those for which it returns true are checked again at the next list update.
 func (c *Chooser) runListChecks(again func(*dest) bool) {
 	slices.SortFunc(c.listChecks, func(a, b *dest) int { return cmp.Compare(a.knownNumber, b.knownNumber) })
 	c.listChecks = slices.DeleteFunc(c.listChecks, func(d *dest) bool {
--- a/choice/manual.go
+++ b/choice/manual.go
@@ -7,9 +7,11 @@
 	"time"
 )
 
-// Endpoints that operators take out by hand, how they come back, and the budget of what comes back cold.
+// This file handles endpoints that operators disable and enable, and computes the budget of what
+// returns cold.
 
-// byHand takes operators at their word. They restart what they take out, so it comes back cold.
+// manualChange applies an operator's change. Operators restart what they disable, so an enabled
+// endpoint is cold.
 func (c *Chooser) manualChange(e ManualChange) {
 	h := c.hosts[e.Host]
 	if h != nil {
@@ -19,7 +21,7 @@
 	case e.Disabled:
 		c.disabled[e.Host] = true
 		if h != nil && h.unit.state == healthy {
-			h.unit.baseRate = h.unit.servedRate // what the budget goes by where no rate is listed
+			h.unit.baseRate = h.unit.servedRate // the cold budget goes by it where no rate is listed
 		}
 		c.log("endpoint %s is out by hand", e.Host)
 	case c.disabled[e.Host] || e.Ago > 0:
@@ -34,11 +36,11 @@
 	}
 }
 
-// open tells whether list and operators let messages go to a host.
+// usable reports whether the list and the operators let messages go to a host.
 func (c *Chooser) usable(h *host) bool { return h.State == Ready && !c.disabled[h.Addr] }
 
-// warm tells whether a host that was given back by hand may get one more call. It has its part of the
-// budget of its unit; the other hosts of that are as warm as before.
+// withinWarmUp reports whether a host that operators enabled again may get one more call. Its
+// budget is its share of that of its unit; the other hosts of the unit are as warm as before.
 func (c *Chooser) withinWarmUp(h *host) bool {
 	returnedAt, warming := c.enabledAt[h.Addr]
 	if !warming {
@@ -55,15 +57,17 @@
 	return c.withinBudget(h.recentSends, h.unit, returnedAt, h.unitShare())
 }
 
-// redraw has a part of less than one call start anew, or those of all relays may come in step.
+// resetShare restarts the count of a host whose share of the budget is less than one call.
+// Otherwise the calls of all relays may come in step.
 func (c *Chooser) resetShare(h *host) {
 	if window, _ := c.coldBudget(h.unit, c.now-c.enabledAt[h.Addr]); window*h.unitShare() < 1 {
 		h.recentSends = nil
 	}
 }
 
-// firstSends stands for the calls since a return, where none are known. If it was before this relay's start,
-// a window counts as spent; a part of less than one call is partly used, by chance, lest relays call in step.
+// assumedSends stands in for the send times since a return where they are unknown. If the host
+// returned before this relay started, a whole window counts as used up. Of a share of less than one
+// call, a random part counts as used, so that relays don't call in step.
 func (c *Chooser) assumedSends(h *host, sinceReturn time.Duration) []time.Duration {
 	window, sum := c.coldBudget(h.unit, sinceReturn)
 	started := h.unit.createdAt + time.Second
@@ -71,15 +75,16 @@
 		return slices.Repeat([]time.Duration{started}, int(window*h.unitShare())+1)
 	}
 	ago, unused := time.Duration(0), c.rand.Float64()*max(window, 1/h.unitShare())
-	for range 8 { // Newton's method, for when so much less had come of the sum
+	for range 8 { // Newton's method: when the budget's sum was less by the unused part
 		window, sumBefore := c.coldBudget(h.unit, sinceReturn-ago)
 		ago += time.Duration((unused - sum + sumBefore) / window * float64(c.settings.Rules.OverloadWindow))
 	}
 	return []time.Duration{c.now - ago}
 }
 
-// affords tells whether one more call keeps to a part of the budget of what returned at a time: to that of the rule's
-// window or, where that is less than one call, to what has come of it since the last one.
+// withinBudget reports whether one more call stays within a share of the budget of what returned at
+// the given time: within that of the overload window or, where that is less than one call, within
+// what has accrued since the last call.
 func (c *Chooser) withinBudget(sends []time.Duration, u *unit, returnedAt time.Duration, share float64) bool {
 	window, sum := c.coldBudget(u, c.now-returnedAt)
 	if window*share >= 1 || len(sends) == 0 {
@@ -90,8 +95,9 @@
 	return (sum-sumAtLast)*share >= c.countWithin(sends, c.now-last)
 }
 
-// budget is this relay's share of the calls that the rule allows in its window, a while after a return, and of all from
-// the return to then; before it, of a window just after it.
+// coldBudget returns this relay's share of the calls that the rules allow in an overload window at
+// a time after a return, and in all from the return to then. Before the return it is the budget of
+// the window just after it.
 func (c *Chooser) coldBudget(u *unit, sinceReturn time.Duration) (window, sum float64) {
 	rate := cmp.Or(u.knownRate, max(u.baseRate, 1/c.settings.Rules.WarmUp.Seconds())*float64(c.settings.Fleet))
 	rules, elapsed, warmUp := c.settings.Rules, sinceReturn.Seconds(), c.settings.Rules.WarmUp.Seconds()
--- a/choice/manual_test.go
+++ b/choice/manual_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Guards against messages for an endpoint that operators took out, whatever the list says meanwhile.
+// TestDisabledEndpointStaysDisabledAcrossLists guards against messages for an endpoint that
+// operators disabled, whatever the list says meanwhile.
 func TestDisabledEndpointStaysDisabledAcrossLists(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	gone := ready("a", 1, 0, 0)
@@ -24,7 +25,7 @@
 	if n := r.chooser.Excluded(); n != 1 {
 		t.Errorf("%d endpoints excluded, want 1", n)
 	}
-	r.step(ManualChange{Host: "a", Disabled: true}) // one call back answers two calls out
+	r.step(ManualChange{Host: "a", Disabled: true}) // one enabling ends two disablings
 	if n := len(sends(append(r.step(ManualChange{Host: "a"}), r.advance(time.Second)...))); n != 1 {
 		t.Errorf("%d sends once it is back, want 1", n)
 	}
@@ -33,20 +34,21 @@
 	}
 }
 
-// Guards against a restarted endpoint that is pushed over as operators give it back, and against
-// the other endpoints of its destination being held back with it.
+// TestEnabledEndpointIsCold guards against a restarted endpoint that is overloaded when operators
+// enable it again, and against the other endpoints of its destination being limited with it.
 func TestEnabledEndpointIsCold(t *testing.T) {
 	s := settings()
 	s.Workers, s.MaxPending = 400, 1000
 	for name, c := range map[string]struct {
 		back  []Event
-		spent bool // a window, for what the process before this one may have sent in it
+		spent bool // a window counts as used up, for what the process before this one may have sent in it
 		want  func(a, b int) bool
 	}{
-		// Of 100 calls a second each of two relays may send a cold half 0.9 x 2 x 0.2 x 100 x 2 s / 2 / 2
-		// calls in 2 s at first, and 0.36 in place of 0.2 after 2 s.
+		// Of 100 calls per second, each of two relays may send a cold half 0.9 x 2 x 0.2 x 100 x 2
+		// s / 2 / 2 calls in 2 s at first, and 0.36 in place of 0.2 after 2 s.
 		"as operators say so": {[]Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 5 && a < 36 && b > 60 }},
-		// In the first 2 s what 0.44 is more than 0.28, a second after the return; in the next 2 s 0.6 in place of 0.36.
+		// In the first 2 s the budget is the excess of 0.44 over 0.28, a second after the return;
+		// in the next 2 s 0.6 in place of 0.36.
 		"as the record says so":     {[]Event{ManualChange{Host: "a", Ago: time.Second}}, true, func(a, b int) bool { return a > 5 && a < 54 && b > 60 }},
 		"back long since":           {[]Event{ManualChange{Host: "a", Ago: time.Minute}}, false, func(a, b int) bool { return a > 60 }},
 		"called back but never out": {[]Event{ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 60 }},
@@ -77,8 +79,10 @@
 	}
 }
 
-// Guards against relays with parts of less than one call that come to it in step: after a restart in the ramp, as an endpoint
-// is given back once more, and as the list's rate changes, what they have of it must be spread evenly, from none to all.
+// TestSmallBudgetSharesAreSpread guards against relays with shares of less than one call that make
+// it in step: after a restart during the warm-up, as an endpoint is enabled once more, and as its
+// listed rate changes, the part of a call that they have saved must be spread evenly from none to
+// all.
 func TestSmallBudgetSharesAreSpread(t *testing.T) {
 	const relays = 400
 	s := settings()
@@ -102,7 +106,7 @@
 			h := ListUpdate{Complete: true, Hosts: []Host{host}}
 			c.Step(time.Hour, []Event{h})
 			if name != "restart" {
-				c.Step(time.Hour, append(back, arrival("first", 0))) // it draws its part
+				c.Step(time.Hour, append(back, arrival("first", 0))) // assigns its random part
 			}
 			c.Step(time.Hour+7*time.Second, append(then, arrival("m", 0)))
 			a := c.hosts["a"]
--- a/choice/outage_test.go
+++ b/choice/outage_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Guards against a destination that is shut while it still warms up from the outage before: relays that took that for its
-// limit sent it all of their budget as it came back cold, and it fell over.
+// TestOutageWhileRecovering guards against a destination that goes down while it still warms up
+// after an outage: relays that took this for a rate limit sent it their whole budget when it came
+// back cold, and overloaded it.
 func TestOutageWhileRecovering(t *testing.T) {
 	for wait, want := range map[time.Duration]bool{1500 * time.Millisecond: false, 2500 * time.Millisecond: true} {
 		c, err := New(settings(), 7)
@@ -38,8 +39,9 @@
 	}
 }
 
-// Guards against a destination that goes out again while it still warms up: one answer after that was taken for health, since
-// the last one was less than a rule's window ago, and it got all that waited.
+// TestShortOutageWhileRecovering guards against a destination that goes down again while it still
+// warms up: one answer after that was taken for health, since the answer before it was less than an
+// overload window ago, and the destination got all that waited.
 func TestShortOutageWhileRecovering(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	u := r.chooser.hosts["a"].unit
@@ -66,7 +68,7 @@
 	}
 }
 
-// The same by the calls that come of it, of one relay.
+// TestShortOutageDuringWarmUpOfOneRelay checks the same by the calls of one relay.
 func TestShortOutageDuringWarmUpOfOneRelay(t *testing.T) {
 	p := slowStartCase{fleet: 1, rate: 40, load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second}
 	for p.seed = range 5 {
@@ -76,8 +78,9 @@
 	}
 }
 
-// Guards against relays that went on with their ramp after one refused connection, for that was no outage to those that met
-// no more of it: at the ramp's end, as they counted it, they sent all that waited.
+// TestShortOutageDuringWarmUpOfManyRelays guards against relays that went on with their warm-up
+// schedule after one refused connection, since relays that met no more of them saw no outage: at
+// the end of that schedule they sent all that waited.
 func TestShortOutageDuringWarmUpOfManyRelays(t *testing.T) {
 	for _, fleet := range []int{6, 20} {
 		p := slowStartCase{fleet: fleet, rate: 40, load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second}
@@ -87,8 +90,9 @@
 	}
 }
 
-// Guards against an answer to a call from before a destination went down, which came after the first refused connection and
-// was taken for its return: the ramp began too early.
+// TestAnswerFromBeforeOutageIsNoRecovery guards against an answer to a call from before a
+// destination went down that came after the first refused connection and was taken for its return:
+// the warm-up schedule started too early.
 func TestAnswerFromBeforeOutageIsNoRecovery(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	u := r.chooser.hosts["a"].unit
--- a/choice/pending_scale_test.go
+++ b/choice/pending_scale_test.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
-// What decisions cost by what is held and listed. Destinations from 0 on are down and hold messages, the others take them.
+// Benchmarks of the decisions by the number of pending messages and of listed destinations.
+// Destinations from 0 on are down and have messages pending; the others serve messages.
 
-// served are the destinations that take messages in these benchmarks.
+// healthyDests is the number of destinations that serve messages in these benchmarks.
 const healthyDests = 14
 
-// sized is a flow with so many destinations listed, of two endpoints each, beyond the first of which `serving` are up.
-// Each of those that are down holds so many messages, with far more time than a benchmark takes.
+// newPendingBench lists destinations of two endpoints each: first those that are down, each with
+// the given number of pending messages whose deadlines are far beyond the benchmark, then
+// healthyDests and others that are up.
 func newPendingBench(tb testing.TB, down, held, listed int, how string) *stepBench {
 	tb.Helper()
 	s := settings()
@@ -57,13 +59,14 @@
 			come = append(come, Arrival{ID: fmt.Sprint("held", d, "-", i), Class: class, Dest: d, Left: s.Classes[1].Deadline, Tenant: -1})
 		}
 	}
-	if f.step(come...); how == "unsafe" { // trials fall due, and nothing may be tried
+	if f.step(come...); how == "unsafe" { // trials fall due, and no message may be a trial
 		f.now += 30 * time.Second
 	}
 	return f
 }
 
-// one has a message come, go and be served, in three Steps, one of them a wake-up.
+// serveHealthy has one message arrive, be sent and be served, in three Steps of which one is a
+// wake-up.
 func (f *stepBench) serveHealthy(tb testing.TB, down int) {
 	f.count++
 	f.now += time.Microsecond // no trial falls due
@@ -80,16 +83,16 @@
 	f.step(Result{ID: id, Host: sent.Host, Outcome: Served, Took: 20 * ms, Done: true, Report: []float64{0.9, 1e6}})
 }
 
-// BenchmarkScaleHeld is what the decisions cost for a message, its arrival, a wake-up and its end, while others are held for
-// one destination that is down, or one each for as many. They drain, were told to wait or are in an outage between two
-// trials; "slow" is an outage of those whose pace is far from where it stands still, "unsafe" one whose trials are due, while
-// nothing that waits may be a trial.
+// BenchmarkScaleHeld measures the decisions for a message, its arrival, a wake-up and its end,
+// while others are pending for one destination that is down, or one each for as many. These drain,
+// asked to wait, or are in an outage between two trials. In "slow" the outage is of destinations
+// whose pace is far from steady; in "unsafe" trials are due, but no waiting message may be a trial.
 func BenchmarkScaleHeld(b *testing.B) {
 	for _, how := range []string{"draining", "told", "suspect", "slow", "unsafe"} {
 		for _, many := range []bool{false, true} {
 			for _, held := range []int{100, 1000, 10000, 100000} {
 				if how == "unsafe" && many && held > 1000 {
-					continue // not flat: destinations with a trial due are looked at in each Step, 3 us each
+					continue // not flat: destinations with a trial due are checked in each Step, 3 us each
 				}
 				down, each, at := 1, held, "one"
 				if many {
@@ -110,8 +113,8 @@
 	}
 }
 
-// BenchmarkScaleQueue is what a Step costs while so many wait for a destination that is up: the calls that its share of the
-// slots allows end, as many messages come, and as many go.
+// BenchmarkScaleQueue measures a Step while many messages wait for a destination that is up: the
+// calls that its share of the slots allows end, and as many messages arrive and are sent.
 func BenchmarkScaleQueue(b *testing.B) {
 	for _, held := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
@@ -135,12 +138,12 @@
 	}
 }
 
-// BenchmarkScaleCrowded is what a message costs that takes the place of another where the holding room is crowded.
+// BenchmarkScaleCrowded measures a message that displaces another while too many are pending.
 func BenchmarkScaleCrowded(b *testing.B) {
 	for _, held := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
 			f := newPendingBench(b, 1, held, 0, "told")
-			f.chooser.settings.MaxPending = held * 10 / 9 // each that comes has one turned away
+			f.chooser.settings.MaxPending = held * 10 / 9 // each arrival has one message refused
 			for b.Loop() {
 				f.count++
 				f.now += time.Microsecond
@@ -150,7 +153,7 @@
 	}
 }
 
-// BenchmarkScaleChange is what one endpoint's change costs.
+// BenchmarkScaleChange measures the change of one endpoint.
 func BenchmarkScaleChange(b *testing.B) {
 	for _, listed := range []int{1000, 10000, 100000, 380000} {
 		b.Run(fmt.Sprint("destinations=", listed), func(b *testing.B) {
@@ -168,8 +171,8 @@
 	}
 }
 
-// BenchmarkScaleTakeOn is what it costs to take messages on for one destination that is down, one in a Step, until so many
-// are held.
+// BenchmarkScaleTakeOn measures accepting messages for one destination that is down, one in a Step,
+// until the given number is pending.
 func BenchmarkScaleTakeOn(b *testing.B) {
 	for _, held := range []int{100, 1000, 10000, 100000} {
 		b.Run(fmt.Sprint("messages=", held), func(b *testing.B) {
@@ -184,7 +187,7 @@
 	}
 }
 
-// Guards against a benchmark that no longer does what it is named for.
+// TestScaleBenchmarkSetup checks that the benchmarks set up what their names say.
 func TestScaleBenchmarkSetup(t *testing.T) {
 	for _, how := range []string{"draining", "told", "suspect", "slow", "unsafe"} {
 		f := newPendingBench(t, 3, 20, 5, how)
--- a/choice/recorded_events_test.go
+++ b/choice/recorded_events_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// What happens in recorded plays.
+// This file generates the events of recorded plays.
 
-// play runs one, with all that it does written down.
+// play runs one random play and writes all actions to w.
 func play(t testing.TB, w io.Writer, seed uint64, steps int) {
 	p := &randomPlay{t: t, out: w, random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, hostModes: map[string]int{}, messages: map[string]*playedMessage{}}
 	p.settings = p.randomSettings()
@@ -26,7 +26,7 @@
 		}
 	}
 	p.step(ListUpdate{Complete: true, Hosts: p.hosts})
-	rush := oneOf(p.random, 0, 1, 2) // arrivals in a step
+	rush := oneOf(p.random, 0, 1, 2) // most arrivals in a step
 	for range steps {
 		p.advance()
 		events := p.takeDue()
@@ -60,7 +60,7 @@
 			}
 		case 13:
 			if p.random.IntN(4) == 0 {
-				events = nil // those that ended are known below
+				events = nil // attempts that ended are known to handOver
 				p.handOver(seed)
 			}
 		case 14, 15, 16:
@@ -80,7 +80,7 @@
 	fmt.Fprintf(p.out, "%+v\n", p.chooser.Snapshot(p.now))
 }
 
-// pass moves time on: mostly by little, now and then by none or by much.
+// advance moves time on: mostly by little, sometimes by nothing or by much.
 func (p *randomPlay) advance() {
 	switch p.random.IntN(40) {
 	case 0:
@@ -127,7 +127,7 @@
 	return m.Arrival
 }
 
-// listing changes a few endpoints, or tells of all.
+// listUpdate changes a few endpoints, or lists all.
 func (p *randomPlay) listUpdate() Event {
 	r := p.random
 	if r.IntN(12) == 0 {
@@ -145,7 +145,7 @@
 			h.Rate = oneOf(r, 0.5, 40, 400)
 		case 2:
 			if h.State == Removed && r.IntN(2) == 0 {
-				h.Dest = r.IntN(16) // comes again elsewhere
+				h.Dest = r.IntN(16) // listed again elsewhere
 			}
 			h.State = Ready
 		default:
@@ -165,7 +165,7 @@
 	return ListUpdate{Complete: true, Hosts: all}
 }
 
-// said is what operators, and an earlier process, tell of an endpoint.
+// hostNotice returns an event about an endpoint from operators or an earlier process.
 func (p *randomPlay) hostNotice() Event {
 	r, h := p.random, oneOf(p.random, p.hosts...).Addr
 	switch r.IntN(6) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// handOver has another process go on with all that is open.
+// handOver has another process go on with all open messages.
 func (p *randomPlay) handOver(seed uint64) {
 	m := p.chooser.Snapshot(p.now)
 	fmt.Fprintf(p.out, "%+v\n", m)
@@ -192,7 +192,7 @@
 	var listed []Host
 	for _, h := range p.hosts {
 		if h.State == Removed {
-			h.State = Draining // as those that are out are told of
+			h.State = Draining // as endpoints with calls in flight are reported
 		}
 		listed = append(listed, h)
 	}
--- a/choice/recorded_test.go
+++ b/choice/recorded_test.go
@@ -16,14 +16,17 @@
 	"time"
 )
 
-// The digests of testdata/recorded.txt are of the actions, the counts of endpoints avoided and the memories of random
-// plays, by the program of commit 926a6db, in which each Step looked at all that was held, known and listed, with what a
-// restart takes for spent (restore.go, unwell) put into it. Each later change of the cold budget (restore.go, health.go, hand.go)
-// recorded them anew by the program that decided as recorded before it. They were made with
+// testdata/recorded.txt has digests of the actions, the counts of excluded endpoints and the
+// snapshots of random plays. They were first made by the program of commit 926a6db, in which each
+// Step checked all that was pending, known and listed, with the change to it that a restart counts
+// a window as used up (restoreOutage). Each later change of the cold budget (restore.go, health.go,
+// manual.go) recorded them again with a program that decided as recorded before that change. They
+// are made with
 //
 //	go test ./choice -run TestDecisionsAreAsRecorded -record
 //
-// A change that only makes decisions cheaper keeps them; one that is to decide otherwise records them anew, and says so.
+// A change that only makes decisions cheaper must keep the digests. One that changes decisions
+// records them again, and says so.
 var record = flag.Bool("record", false, "write testdata/recorded.txt anew")
 
 const (
@@ -32,8 +35,8 @@
 	recordedSteps = 500
 )
 
-// Guards against decisions that change while they are made cheaper: by another order of equals, a draw by chance more
-// or less, a pace that is brought up to date at other times.
+// TestDecisionsAreAsRecorded guards against decisions that change while they are made cheaper: by
+// another order among equals, one random draw more or less, or a pace updated at other times.
 func TestDecisionsAreAsRecorded(t *testing.T) {
 	var lines bytes.Buffer
 	for seed := range uint64(recordedPlays) {
@@ -64,8 +67,9 @@
 	}
 }
 
-// TestPlay writes out all that a play did, for a comparison of two programs: PLAY is its seed, PLAYS how many to
-// digest from there on, STEPS its length. It judges nothing, and does nothing without them.
+// TestPrintPlay prints all that a play did, to compare two programs. The environment variable PLAY
+// is the play's seed, PLAYS the number of plays to digest from there on, STEPS their length. It
+// checks nothing, and is skipped without PLAY.
 func TestPrintPlay(t *testing.T) {
 	seed, err := strconv.ParseUint(os.Getenv("PLAY"), 10, 64)
 	if err != nil {
@@ -85,7 +89,7 @@
 	}
 }
 
-// played is what a play knows of one message.
+// playedMessage is what a play knows of one message.
 type playedMessage struct {
 	Restored
 	deadline, firstRunAt, sentAt time.Duration
@@ -98,7 +102,7 @@
 	Result
 }
 
-// world plays a relay round one Chooser.
+// randomPlay plays a relay around one Chooser.
 type randomPlay struct {
 	t          testing.TB
 	out        io.Writer
@@ -106,17 +110,17 @@
 	random     *rand.Rand
 	settings   Settings
 	now        time.Duration
-	hosts      []Host // as listed, those gone among them
+	hosts      []Host // as listed, with the removed ones
 	hostModes  map[string]int
 	messages   map[string]*playedMessage
-	ids        []string // of msgs, in order
+	ids        []string // of messages, in order of arrival
 	results    []scheduledResult
 	lastNumber int
 }
 
 func oneOf[T any](r *rand.Rand, of ...T) T { return of[r.IntN(len(of))] }
 
-// setting is one of those that plays go through.
+// randomSettings returns settings for a play.
 func (p *randomPlay) randomSettings() Settings {
 	s, r := settings(), p.random
 	s.Fleet, s.Workers, s.Tick = oneOf(r, 1, 2, 2, 300), oneOf(r, 1, 2, 3, 7, 32, 32), oneOf(r, ms, 5*ms, 20*ms)
@@ -137,7 +141,7 @@
 	return s
 }
 
-// step lets the Chooser decide, writes down what it does, and has its sends end later.
+// step lets the Chooser decide, writes its actions down, and schedules the results of its sends.
 func (p *randomPlay) step(events ...Event) {
 	for _, a := range p.chooser.Step(p.now, events) {
 		fmt.Fprintf(p.out, "%d %T%+v\n", p.now, a, a)
@@ -173,7 +177,7 @@
 	}
 }
 
-// sent decides how an attempt will end, by the mode that its endpoint is in.
+// scheduleResult decides how an attempt will end, by the mode of its endpoint.
 func (p *randomPlay) scheduleResult(s Send) {
 	m, r := p.messages[s.ID], p.random
 	if m == nil || m.inFlight != nil || m.ended {
@@ -204,7 +208,7 @@
 	p.results = append(p.results, scheduledResult{p.now + e.Took, e})
 }
 
-// ended are the attempts that have come to their ends by now.
+// takeDue removes and returns the results of the attempts that have ended by now.
 func (p *randomPlay) takeDue() (events []Event) {
 	p.results = slices.DeleteFunc(p.results, func(e scheduledResult) bool {
 		m := p.messages[e.ID]
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// restore takes a message up where the earlier process left it. Its effect and
-// its attempts bind as if no restart had been; what may not go again is answered now.
+// restoreMessage adds a message of an earlier process. Its effect and its attempts bind as if there
+// had been no restart; a message that may not be sent again is answered now.
 func (c *Chooser) restoreMessage(e Restored) {
 	c.accept(e.Arrival)
 	m := c.messages[e.ID]
@@ -24,14 +24,15 @@
 	}
 }
 
-// unwell guards a returning destination against relays that restart, also all at once. What they sent last is
-// forgotten: a window counts as spent. After it their first trials are spread, to keep to the budget.
+// restoreOutage protects a returning destination from relays that restart, possibly all at once.
+// What they sent last is not known, so a whole window counts as used up. After it their first
+// trials are spread over time to stay within the budget.
 func (c *Chooser) restoreOutage(e KnownOutage) {
 	h := c.hosts[e.Host]
 	if h == nil {
 		return
 	}
-	h.unit.servedRate, h.unit.badStreak, h.unit.mayHaveRun, h.unit.sawErrors = e.BaseRate, 1, true, true // not well by one answer
+	h.unit.servedRate, h.unit.badStreak, h.unit.mayHaveRun, h.unit.sawErrors = e.BaseRate, 1, true, true // so that one answer does not end the outage
 	c.markSuspect(h.unit, h.dest, "unwell before the restart")
 	n, _ := c.coldBudget(h.unit, 0)
 	h.unit.recentSends = slices.Repeat([]time.Duration{c.now}, int(n)+1)
@@ -40,8 +41,8 @@
 	}
 }
 
-// comeBack is when a client had best hand a refused message in again: once a unit of its
-// destination may be sent to, and what waits there has gone.
+// clientRetryAfter returns when a client should best submit a refused message again: once a unit of
+// its destination may be called, and the messages that wait there are gone.
 func (c *Chooser) clientRetryAfter(d *dest) time.Duration {
 	earliest, servedRate := time.Duration(-1), 0.0
 	for _, u := range d.units {
--- a/choice/restore_test.go
+++ b/choice/restore_test.go
@@ -61,7 +61,8 @@
 	}
 }
 
-// A restart must not make a relay forget that a destination is cold.
+// TestKnownOutageGetsSingleTrials guards against a relay that forgets in a restart that a
+// destination is cold.
 func TestKnownOutageGetsSingleTrials(t *testing.T) {
 	hosts := []Host{{Addr: "a", Dest: 1, State: Ready}}
 	arrivals := func() (all []Event) {
@@ -87,7 +88,8 @@
 	}
 }
 
-// A wait may come with an answer that is no refusal, and binds alike.
+// TestRetryAfterWithAnyOutcome checks that a retry-after time binds with an answer that is no
+// refusal, too.
 func TestRetryAfterWithAnyOutcome(t *testing.T) {
 	r := newHarness(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 9 * time.Second})
@@ -102,7 +104,8 @@
 	}
 }
 
-// A refusal for a destination that told to wait says when that wait is over.
+// TestRefuseCarriesRemainingWait checks that a refusal for a destination that asked to wait says
+// when that wait is over.
 func TestRefuseCarriesRemainingWait(t *testing.T) {
 	s := settings()
 	s.MaxPending = 2
@@ -120,8 +123,8 @@
 	t.Fatal("nothing was refused")
 }
 
-// Guards against a relay that restarts and floods a cold destination, since the outage was on record under
-// an endpoint that has been replaced.
+// TestOutageIsRecordedUnderAListedEndpoint guards against a relay that restarts and floods a cold
+// destination because the outage was recorded under an endpoint that has been replaced.
 func TestOutageIsRecordedUnderAListedEndpoint(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	for i := range 3 {
@@ -143,8 +146,9 @@
 	}
 }
 
-// Guards against messages that a restart finds taken on and untried, and gives back for want of room: there may be less of it
-// than there was, and the first look would hand back all that is beyond.
+// TestUnsentRestoredMessagesAreNotEvicted guards against messages accepted before a restart and
+// never tried that are evicted for lack of space: the limit may be lower than before, and the first
+// Step would evict all beyond it.
 func TestUnsentRestoredMessagesAreNotEvicted(t *testing.T) {
 	s := settings()
 	s.MaxPending, s.Workers = 10, 4
--- a/choice/retry_after_test.go
+++ b/choice/retry_after_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// Guards against a relay that takes up what another held, and sends during a wait that the other was told.
+// TestRetryAfterFromAnotherRelay guards against a relay that takes over another's messages, and
+// sends during a retry-after time that the other received.
 func TestRetryAfterFromAnotherRelay(t *testing.T) {
 	c, err := New(settings(), 7)
 	if err != nil {
--- a/choice/rules.go
+++ b/choice/rules.go
@@ -6,8 +6,9 @@
 	"slices"
 )
 
-// Settings that change while messages are open.
+// This file changes the settings while messages are pending.
 
+// reconfigure replaces the settings, unless they are out of range.
 func (c *Chooser) reconfigure(s Settings) {
 	if err := s.Check(); err != nil {
 		c.log("settings not taken: %v", err)
@@ -21,11 +22,11 @@
 	c.log("settings taken: %d classes, %d attempts", len(s.Classes), s.MaxAttempts)
 }
 
-// apply takes settings up, and keeps what was learnt under earlier ones.
+// applySettings puts settings into effect, and keeps what was learnt under earlier ones.
 func (c *Chooser) applySettings(s Settings) {
 	shares := make([]tenantShare, len(s.Tenants))
 	for i, t := range s.Tenants {
-		shares[i].remaining = math.MaxInt32 // full
+		shares[i].remaining = math.MaxInt32 // the whole share is available
 		if j := slices.IndexFunc(c.settings.Tenants, func(old Tenant) bool { return old.Name == t.Name }); j >= 0 && j < len(c.tenantShares) {
 			shares[i] = c.tenantShares[j]
 		}
@@ -44,9 +45,10 @@
 	}
 }
 
-// Join is the settings that both allow, for relays of which some act by one and some by the other: the smaller budget,
-// the longer wait, the fewer attempts, and the class by which less may be repeated and for less long. What contradicts
-// nothing, as an aim, is the second's. Kinds and tenants stand at the same places in both.
+// Join returns settings that both a and b allow, for a time in which some relays follow a and some
+// b: the smaller budget, the longer wait, the fewer attempts, and for each class in both the terms
+// by which less may be repeated and for a shorter time. Where there is no conflict, as with an aim,
+// those of b hold. Kinds and tenants must be at the same indices in both.
 func Join(a, b Settings) Settings {
 	joined := b
 	joined.Workers, joined.MaxAttempts = min(a.Workers, b.Workers), min(a.MaxAttempts, b.MaxAttempts)
@@ -75,11 +77,12 @@
 	return joined
 }
 
-// Stricter is the class by which less may be repeated, and for less long, than by either of two under one name.
+// Stricter returns class with the stricter of its own terms and those of other: it may be repeated
+// no more, and for no longer, than either. Both are of the same name.
 func Stricter(other, class Class) Class {
 	class.Deadline, class.Effect = min(class.Deadline, other.Deadline), max(class.Effect, other.Effect)
 	class.SameZone, class.Ordered = class.SameZone || other.SameZone, class.Ordered || other.Ordered
-	if class.Effect == Keyed { // one that is safe has no window
+	if class.Effect == Keyed { // a safe class has no window
 		class.Window = min(cmp.Or(other.Window, class.Window), cmp.Or(class.Window, other.Window))
 	}
 	class.Aim = min(class.Aim, class.Deadline)
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against open messages that follow new settings: fewer attempts, another effect, a class that
-// was dropped or whose place another has taken.
+// TestOpenMessagesKeepTheirTerms guards against open messages that follow new settings: fewer
+// attempts, another effect, a class that was removed or whose index another one has.
 func TestOpenMessagesKeepTheirTerms(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	r.step(arrival("safe", 0), arrival("unsafe", 2))
@@ -41,7 +41,8 @@
 	}
 }
 
-// Guards against settings that are taken in part, or break the relay: such as cannot be are not taken.
+// TestSettingsOutOfRangeAreRejected guards against settings out of range that are applied in part,
+// or break the relay.
 func TestSettingsOutOfRangeAreRejected(t *testing.T) {
 	for name, spoil := range map[string]func(*Settings){
 		"no attempts": func(s *Settings) { s.MaxAttempts = 0 },
@@ -59,7 +60,8 @@
 	}
 }
 
-// A message restored from the record keeps what it came under, though its class is gone.
+// TestRestoredTerms checks that a restored message keeps the terms it was accepted under, even if
+// its class was removed.
 func TestRestoredTerms(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	old := Class{Name: "old", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Unsafe}
@@ -74,7 +76,8 @@
 	}
 }
 
-// Guards against latencies lost, or misread, when the longest aim changes and with it the buckets.
+// TestLatencyTableIsRebucketed guards against latencies that are lost or misread when the longest
+// aim changes, and with it the buckets.
 func TestLatencyTableIsRebucketed(t *testing.T) {
 	tab := latencyTable{width: 10 * ms, weight: 1}
 	for range 100 {
@@ -91,7 +94,8 @@
 	}
 }
 
-// Guards against a join that one of the two would not allow, and one that cannot be acted by.
+// TestJoinIsWhatBothAllow guards against joined settings that one of the two would not allow, and
+// against ones that are invalid.
 func TestJoinIsWhatBothAllow(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		draw := func(name string) Settings {
@@ -141,8 +145,8 @@
 	})
 }
 
-// Guards against a message in order by the terms that it came under, whose class is in no order any more: its line was
-// not made, and its turn could not be told.
+// TestOrderOfARemovedClass guards against a message that is ordered by the terms it was accepted
+// under while its class is not ordered any more: it had no key queue, so its turn was not defined.
 func TestOrderOfARemovedClass(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	old := Class{Name: "old", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Safe, Ordered: true}
@@ -155,7 +159,8 @@
 	}
 }
 
-// Guards against a tenant that goes on with what another had left of its share, since their places have changed.
+// TestSharesFollowTenants guards against a tenant that gets what another one had left of its share
+// because their indices changed.
 func TestSharesFollowTenants(t *testing.T) {
 	s := settings()
 	s.Fleet = 1
--- a/choice/scale_test.go
+++ b/choice/scale_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// Slopes of the decisions, for docs/CAPACITY.md: each over sizes far enough apart that a curve is told from a line. The
-// largest are left out with -short.
+// Benchmarks of how the cost of decisions grows, for docs/CAPACITY.md. Their sizes are far enough
+// apart to tell a curve from a line; the largest are left out with -short.
 //
 //	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./choice
 
-// sizes are those of a benchmark; the last ones are left out with -short.
+// benchSizes returns the sizes of a benchmark, with -short without the last ones.
 func benchSizes(long int, all ...int) []int {
 	if testing.Short() {
 		return all[:len(all)-long]
@@ -20,7 +20,7 @@
 	return all
 }
 
-// heapBytes is what is on it once all garbage is gone.
+// heapBytes returns the size of the heap after garbage collection.
 func heapBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -29,9 +29,10 @@
 	return float64(m.HeapAlloc)
 }
 
-// scaled is a Chooser that knows so many destinations with two endpoints each and holds so many messages for the first of
-// them, whose endpoints drain. What is held comes in one Step and does not run out of time. Held and known are its bytes
-// of memory for each of them.
+// newScaleBench returns a Chooser that knows the given number of destinations with two endpoints
+// each. The given number of messages is pending for the first destination, whose endpoints drain;
+// they arrive in one Step and do not reach their deadlines. It also returns the bytes of memory for
+// each message and for each destination.
 func newScaleBench(tb testing.TB, destinations, messages int) (f *stepBench, held, known float64) {
 	tb.Helper()
 	before := heapBytes()
@@ -49,7 +50,7 @@
 	return f, held, (listed - before) / float64(destinations)
 }
 
-// serve has one message for a destination come, go and be served in three Steps, as message does for a few of them.
+// serveAt has one message for a destination arrive, be sent and be served in three Steps.
 func (f *stepBench) serveAt(tb testing.TB, dest int) {
 	f.count++
 	f.now += 100 * time.Microsecond
@@ -65,7 +66,8 @@
 	tb.Fatalf("message %s was not sent: %v", id, f.actions)
 }
 
-// BenchmarkScaleDecisionsByHeld is what one message costs the decisions while others wait that cannot go.
+// BenchmarkScaleDecisionsByHeld measures the decisions for one message while others wait that
+// cannot be sent.
 func BenchmarkScaleDecisionsByHeld(b *testing.B) {
 	for _, n := range benchSizes(2, 100, 1_000, 10_000, 100_000, 1_000_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -78,7 +80,8 @@
 	}
 }
 
-// BenchmarkScaleDecisionsByKnown is what one message costs while other destinations are known, and what each of them takes.
+// BenchmarkScaleDecisionsByKnown measures one message while other destinations are known, and the
+// memory for each of these.
 func BenchmarkScaleDecisionsByKnown(b *testing.B) {
 	for _, n := range benchSizes(2, 1_000, 10_000, 100_000, 380_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -91,8 +94,9 @@
 	}
 }
 
-// BenchmarkScaleDecisionsByCalled is what one message costs where each goes to the next of so many destinations, all of them
-// called before, and what a destination takes beyond what it does when it is known only.
+// BenchmarkScaleDecisionsByCalled measures one message where each goes to the next of the given
+// number of destinations, all called before, and the memory that a called destination needs beyond
+// one that is only known.
 func BenchmarkScaleDecisionsByCalled(b *testing.B) {
 	for _, n := range benchSizes(1, 100, 1_000, 10_000, 100_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -101,7 +105,7 @@
 			for i := range n {
 				f.serveAt(b, 1+i)
 			}
-			f.now += 10 * time.Second // windows of what was sent are over
+			f.now += 10 * time.Second // the windows of earlier calls are over
 			f.step(Woken{})
 			called := (heapBytes() - before) / float64(n)
 			for i := 0; b.Loop(); i++ {
@@ -112,7 +116,7 @@
 	}
 }
 
-// change is one endpoint of the list with another rate.
+// changedHost returns one listed endpoint with another rate.
 func (f *stepBench) changedHost(i, endpoints int) Host {
 	at := 2 + i%(endpoints-2)
 	h := ready(fmt.Sprint("e", at), at/2, 0, at%2)
@@ -120,7 +124,8 @@
 	return h
 }
 
-// BenchmarkScaleChangeByKnown is what news of one endpoint costs where so many destinations are known.
+// BenchmarkScaleChangeByKnown measures an update of one endpoint while the given number of
+// destinations is known.
 func BenchmarkScaleChangeByKnown(b *testing.B) {
 	for _, n := range benchSizes(2, 1_000, 10_000, 100_000, 380_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -133,7 +138,8 @@
 	}
 }
 
-// BenchmarkScaleChangeByEndpoints is what news of so many endpoints at once costs, of 10,000 destinations.
+// BenchmarkScaleChangeByEndpoints measures an update of the given number of endpoints at once, of
+// 10,000 destinations.
 func BenchmarkScaleChangeByEndpoints(b *testing.B) {
 	const known = 10_000
 	for _, n := range []int{1, 10, 100, 1_000, 10_000} {
@@ -151,7 +157,8 @@
 	}
 }
 
-// BenchmarkScaleListByEndpoints is what a whole list of so many endpoints costs that says nothing new.
+// BenchmarkScaleListByEndpoints measures a complete list of the given number of endpoints that
+// changes nothing.
 func BenchmarkScaleListByEndpoints(b *testing.B) {
 	for _, n := range benchSizes(1, 200, 2_000, 20_000, 200_000, 760_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -167,7 +174,8 @@
 	}
 }
 
-// Guards the benchmarks above: what they set up is what they say, at the smallest size of each.
+// TestScaleSetup checks that the benchmarks above set up what they say, at the smallest size of
+// each.
 func TestScaleSetup(t *testing.T) {
 	f, _, _ := newScaleBench(t, 15, 100)
 	f.serveNext(t)
--- a/choice/setup.go
+++ b/choice/setup.go
@@ -1,6 +1,7 @@
 package choice
 
-// What a Chooser starts from, how it comes to know parties, and how it tells what it wants done. No decisions.
+// This file creates a Chooser and its records of destinations and endpoints, dispatches events, and
+// collects actions. It makes no decisions.
 
 import (
 	"fmt"
@@ -9,7 +10,8 @@
 	"time"
 )
 
-// New returns a Chooser for one relay. Pauses are drawn from the seed.
+// New returns a Chooser for one relay, or an error for settings that are out of range. Random
+// delays are drawn from the seed.
 func New(s Settings, seed uint64) (*Chooser, error) {
 	if err := s.Check(); err != nil {
 		return nil, fmt.Errorf("choice: settings: %w", err)
@@ -25,31 +27,33 @@
 	return c, nil
 }
 
+// emit adds an action to those that the current Step returns.
 func (c *Chooser) emit(a Action) { c.actions = append(c.actions, a) }
 
 func (c *Chooser) log(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
-// LastLook is how long before its end a waiting message gets its final answer at the latest; a wake-up comes
-// at least as often as its smaller part. It changes only by a Step with Reconfigured, and binds what waits then, too.
+// FinalAnswerMargin returns how long before its deadline a waiting message gets its final answer at
+// the latest. It includes the interval at which wake-ups are asked for. It changes only by a Step
+// with Reconfigured, which changes it for waiting messages too.
 func (c *Chooser) FinalAnswerMargin() time.Duration {
 	return finalAnswerTicks*c.settings.Tick + c.checkInterval
 }
 
-// table holds the latencies of one destination. Old samples fade: each new one weighs a
-// little more than the one before it.
+// latencyTable is a histogram of the latencies of one destination. Old samples fade: each new one
+// weighs a little more than the one before it.
 type latencyTable struct {
 	width       time.Duration
 	weight      float64
-	counts      []float64     // N_i; made with the first sample
-	sums        []float64     // N_i times M_i, seconds
-	overBound   float64       // N_tau
-	samples     float64       // samples, not faded
-	bestTimeout time.Duration // least-E edge, 0 for none
-	p98         time.Duration // edge below which 98% of the answers lie, 0 if unknown
+	counts      []float64     // weighted samples by bucket; made with the first sample
+	sums        []float64     // weighted sum of the samples by bucket, in seconds
+	overBound   float64       // weighted number of attempts with no answer within the last bucket
+	samples     float64       // number of samples, unweighted
+	bestTimeout time.Duration // edge of a bucket, see refresh; 0 for none
+	p98         time.Duration // edge of the bucket below which 98% of the answers lie; 0 if unknown
 	outdated    bool
 }
 
-// dest returns what is known of a destination, from the first time that one is heard of.
+// destination returns the record of a destination, creating it at first use.
 func (c *Chooser) destination(id int) *dest {
 	d := c.dests[id]
 	if d == nil {
@@ -63,7 +67,7 @@
 	return d
 }
 
-// host returns what is known of an endpoint, from the first time that one is heard of.
+// addHost creates the record of an endpoint that is listed for the first time.
 func (c *Chooser) addHost(n Host) *host {
 	d := c.destination(n.Dest)
 	c.markChanged(d)
@@ -80,7 +84,7 @@
 	return h
 }
 
-// take has an event go to the part that it is for.
+// handle passes an event to its handler.
 func (c *Chooser) handle(e Event) {
 	switch e := e.(type) {
 	case Arrival:
@@ -113,8 +117,9 @@
 	}
 }
 
-// rename has an outage remembered under an endpoint that is still listed. A restarted relay knows only
-// those, and a destination may have all of its endpoints replaced while it is out or cold.
+// renameUnit has an outage recorded under an endpoint that is still listed. A restarted relay knows
+// only listed endpoints, and a destination may have all of its endpoints replaced during an outage
+// or while it is cold.
 func (c *Chooser) renameUnit(u *unit, d *dest) {
 	if h := c.hosts[u.name]; h != nil && h.State != Removed {
 		return
--- a/choice/share.go
+++ b/choice/share.go
@@ -5,23 +5,26 @@
 	"time"
 )
 
-// Shares of the tenants, and what messages are worth. What a tenant sends beyond its share is worth little, so it must not
-// take the place of what others send within theirs.
+// This file computes the shares of the tenants, and the worth of messages. A message over its
+// tenant's share is worth little, so that it doesn't displace messages of others that are within
+// theirs.
 
-// shareSpan is for how long a tenant may save up its share: messages come to a relay in clumps.
+// shareSavingSpan is the time for which a tenant may save up its share, since messages come to a
+// relay in bursts.
 const shareSavingSpan = 2 * time.Second
 
-// savedMost is how many messages it may save up at least. Where a relay's part of the share is less than
-// that, chance alone brings more in a span, and they would pass for beyond the share.
+// minSavedMessages is the number of messages that a tenant may save up at least. Where a relay's
+// part of the share is less than that, more may come in shareSavingSpan by chance alone, and would
+// count as over the share.
 const minSavedMessages = 6
 
-// share is what a tenant has left of its share at this relay.
+// tenantShare is what is left of a tenant's share at this relay, in messages.
 type tenantShare struct {
 	remaining float64
 	updatedAt time.Duration
 }
 
-// within takes one message off the share of its tenant, and tells whether it fits.
+// withinShare takes one message off its tenant's share, and reports whether it fits.
 func (c *Chooser) withinShare(tenant int) bool {
 	if tenant < 0 || tenant >= len(c.tenantShares) {
 		return true
@@ -36,7 +39,7 @@
 	return true
 }
 
-// worth of a message if it is served at a time.
+// worth returns what a message earns if it is served at the given time.
 func (c *Chooser) worth(m *message, at time.Duration) float64 {
 	class, worth := m.class, m.class.Worth
 	if at >= m.deadline {
--- a/choice/slowstart_rule_test.go
+++ b/choice/slowstart_rule_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// rateAt is what the list says at a time.
+// rateAt returns the listed rate at a time.
 func (s *slowStartPlay) rateAt(at time.Duration) float64 {
 	if s.rateFactor > 0 && at >= s.rateChangeAt {
 		return s.rate * s.rateFactor
@@ -19,14 +19,16 @@
 	return slices.ContainsFunc(s.outages, func(o [2]time.Duration) bool { return now >= o[0] && now < o[1] })
 }
 
-// called counts a call to what is cold. Where relays meet it seldom, those that have not heard of the outage are left out.
+// recordCall counts a call to a cold endpoint. Where relays call it seldom, those that don't know
+// of the outage are left out.
 func (s *slowStartPlay) recordCall(re *slowStartRelay, host string, now time.Duration) {
 	if now >= s.returnedAt && (re.knowsOutage || s.manual || s.fleet <= 30 && s.secondOutageAfter == 0) {
 		s.calls[host] = append(s.calls[host], now)
 	}
 }
 
-// allowed is N of a window that ends then. Calls before a change of the rate, or before all have heard of it, were allowed by the earlier one.
+// allowed returns N of a window that ends at the given time. Calls before a change of the rate, or
+// before all relays received it, were allowed by the earlier rate.
 func (s *slowStartPlay) allowed(at time.Duration) float64 {
 	k := s.settings(0).Rules
 	rate := max(s.rateAt(at), s.rateAt(at-k.OverloadWindow-slowStartDelay))
@@ -34,7 +36,7 @@
 	return k.OverloadFactor * rate * share * k.OverloadWindow.Seconds()
 }
 
-// slowStartBound is the most calls in a window of the rule, by what the settings allow.
+// slowStartBound returns the most calls in a window, where the settings allow n in the mean.
 func slowStartBound(n float64) float64 {
 	if n < 30 {
 		return n + 3*math.Sqrt(n) + 3
@@ -42,7 +44,7 @@
 	return n + 2*math.Sqrt(n) + 2
 }
 
-// worst is the window that exceeds the bound the most, or comes nearest to it.
+// worst returns the window that exceeds its bound the most, or comes nearest to it.
 func (s *slowStartPlay) worst() (got, bound float64) {
 	excess, fall := math.Inf(-1), s.settings(0).Rules.OverloadWindow
 	for _, calls := range s.calls {
@@ -60,7 +62,8 @@
 	return got, bound
 }
 
-// slowStartSizes are fleets, with the calls of the rule's window at the return and the number of draws.
+// slowStartSizes are fleet sizes, with the calls in an overload window at the return and the number
+// of seeds.
 var slowStartSizes = []struct {
 	fleet  int
 	window float64
@@ -68,7 +71,7 @@
 }{{1, 25, 1}, {1, 60, 3}, {1, 200, 1}, {2, 2, 1}, {2, 60, 2}, {6, 8, 1}, {6, 31, 2}, {6, 60, 1}, {20, 2, 1}, {20, 31, 2},
 	{20, 60, 1}, {30, 8, 1}, {30, 25, 3}, {30, 31, 1}, {30, 60, 1}, {30, 200, 1}, {300, 8, 1}, {300, 25, 1}, {300, 200, 1}}
 
-// keepsToTheRule plays a case with fleets of every size.
+// checkSlowStart plays cases with fleets of every size.
 func checkSlowStart(t *testing.T, cases map[string]slowStartCase) {
 	t.Helper()
 	for name, p := range cases {
@@ -94,7 +97,7 @@
 					}
 				}
 			}
-			if used < plays*3/4 { // where relays meet it seldom, none of those that were told may call in the ramp
+			if used < plays*3/4 { // in a large fleet, none of the relays that know of the outage may call during the warm-up
 				t.Errorf("calls in only %d of %d plays", used, plays)
 			}
 			t.Logf("%d plays, worst window %.0f of %.1f", plays, worst, bound)
@@ -102,7 +105,8 @@
 	}
 }
 
-// Guards against relays that restart in the ramp, forget what they sent and make their first trials together.
+// TestSlowStartAfterAnOutage guards against relays that restart during the warm-up, forget what
+// they sent and make their first trials together.
 func TestSlowStartAfterAnOutage(t *testing.T) {
 	soon, later := []time.Duration{700 * ms}, []time.Duration{2100 * ms, 1500 * ms}
 	checkSlowStart(t, map[string]slowStartCase{
@@ -120,7 +124,8 @@
 	})
 }
 
-// Guards against a destination that goes out again in its ramp, and is taken for well once it answers.
+// TestSlowStartAfterASecondOutage guards against a destination that goes down again during its
+// warm-up, and is taken for healthy once it answers.
 func TestSlowStartAfterASecondOutage(t *testing.T) {
 	checkSlowStart(t, map[string]slowStartCase{
 		"early in the ramp":  {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: 4 * time.Second},
@@ -131,7 +136,8 @@
 	})
 }
 
-// Guards against relays that restart in the ramp of an endpoint given back by hand, and start a window of their own.
+// TestSlowStartAfterManualEnable guards against relays that restart during the warm-up of an
+// endpoint that operators enabled, and start a window of their own.
 func TestSlowStartAfterManualEnable(t *testing.T) {
 	soon := []time.Duration{700 * ms}
 	checkSlowStart(t, map[string]slowStartCase{
@@ -143,7 +149,8 @@
 	})
 }
 
-// Guards against relays whose parts are less than one call each, and come to their calls in step.
+// TestSlowStartAfterManualEnableInSmallShares guards against relays whose shares are less than one
+// call each, and which make their calls in step.
 func TestSlowStartAfterManualEnableInSmallShares(t *testing.T) {
 	checkSlowStart(t, map[string]slowStartCase{
 		"all restart":        {load: 1.5, manual: true, restartPercent: 100, restartTogether: true},
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -10,29 +10,30 @@
 	"time"
 )
 
-// slowStart is one play of a fleet whose destination returns cold, after an outage or given back by operators.
+// slowStartCase is one play of a fleet whose destination returns cold, after an outage or enabled
+// by operators.
 type slowStartCase struct {
 	fleet             int
-	rate              float64         // listed of each unit, calls a second
-	load              float64         // what arrives, in shares of the rate
-	skew              float64         // of the relays' traffic; 0 for equal
-	restartPercent    int             // relays that restart in the ramp, in percent; at least one if above 0
-	restartTogether   bool            // they do so at the same moment
-	restartGaps       []time.Duration // a further restart so long after the one before
-	manual            bool            // taken out and given back by operators
-	secondOutageAfter time.Duration   // so long after the return it is out once more; 0 for never
-	secondOutageSpan  time.Duration   // for so long
-	routes            int             // of the destination, apart; 0 for one endpoint
-	perCall           int             // messages that a call carries
-	rateFactor        float64         // the list's rate changes in the ramp, by this factor; 0 for no change
+	rate              float64         // listed for each unit, in calls per second
+	load              float64         // arrivals, as a multiple of the rate
+	skew              float64         // of the relays' traffic; 0 for equal traffic
+	restartPercent    int             // percentage of the relays that restart during the warm-up; at least one relay if above 0
+	restartTogether   bool            // they restart at the same moment
+	restartGaps       []time.Duration // time from each restart to a further one
+	manual            bool            // disabled and enabled by operators
+	secondOutageAfter time.Duration   // time from the return to a second outage; 0 for none
+	secondOutageSpan  time.Duration   // length of the second outage
+	routes            int             // separate routes of the destination; 0 for one endpoint
+	perCall           int             // messages in a call
+	rateFactor        float64         // factor by which the listed rate changes during the warm-up; 0 for no change
 	seed              uint64
 }
 
 const (
 	slowStartTick        = 20 * ms
-	slowStartHealthySpan = 4 * time.Second  // of well-being before the outage
-	slowStartDelay       = 200 * ms         // within which all relays hear of operators and of the list
-	slowStartDeadline    = 12 * time.Second // a message's
+	slowStartHealthySpan = 4 * time.Second  // before the outage
+	slowStartDelay       = 200 * ms         // within which all relays learn of operators' changes and of the list
+	slowStartDeadline    = 12 * time.Second // of a message
 )
 
 func (p slowStartCase) settings(index int) Settings {
@@ -47,12 +48,12 @@
 // slowStartRelay is a Chooser with what its journal and its sockets would hold.
 type slowStartRelay struct {
 	chooser       *Chooser
-	trafficShare  float64 // of the traffic
+	trafficShare  float64 // of the fleet's traffic
 	due           []slowStartEvent
 	wakeAt        time.Duration
-	pending       map[string]time.Duration // until when
+	pending       map[string]time.Duration // deadlines
 	outages       map[string]float64
-	manualChanges map[string]slowStartEvent // what operators said last
+	manualChanges map[string]slowStartEvent // last change of each endpoint by operators
 	restartAt     []time.Duration
 	knowsOutage   bool
 }
@@ -66,7 +67,7 @@
 	re.due = append(re.due, slowStartEvent{at, e})
 }
 
-// take removes and returns what is due.
+// takeDue removes and returns the events that are due.
 func (re *slowStartRelay) takeDue(now time.Duration) (events []Event) {
 	re.due = slices.DeleteFunc(re.due, func(e slowStartEvent) bool {
 		if e.at <= now {
@@ -90,7 +91,7 @@
 	end          time.Duration
 	outages      [][2]time.Duration
 	rateChangeAt time.Duration              // of the listed rate
-	calls        map[string][]time.Duration // by endpoint, of the ramps
+	calls        map[string][]time.Duration // during the warm-up, by endpoint
 	messages     int
 }
 
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -1,6 +1,7 @@
 package choice
 
-// What a Chooser hands to its successor while calls are out: plain state, no decisions.
+// This file hands a Chooser's state over to the next process while calls are in flight. It makes no
+// decisions.
 
 import (
 	"cmp"
@@ -8,15 +9,16 @@
 	"time"
 )
 
-// Running is a call that an earlier process still has out. Its Result will come.
+// InFlightCall is a call that an earlier process has in flight. Its Result will come.
 type InFlightCall struct {
 	Host    string
-	Call    int           // the same for all messages of one call, above 0
-	SentAgo time.Duration // since it went out
+	Call    int           // number of the call, above 0; the same for all of its messages
+	SentAgo time.Duration // since the call was sent
 }
 
-// adopt has a message out with the call that another process made. It takes the slots that it took there. They
-// are its destination's, though the list may have the endpoint at another one by now.
+// resumeCall attaches a message to the call that another process made. The call takes the same
+// slots as it did there. They count for the message's destination, even if the list now has the
+// endpoint at another one.
 func (c *Chooser) resumeCall(m *message, running *InFlightCall) {
 	h := c.hosts[running.Host]
 	u, d := h.unit, m.dest
@@ -35,8 +37,8 @@
 	slices.SortStableFunc(u.calls, func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) })
 }
 
-// Memory is what a relay has learnt and was told, for the process that goes on as the same relay. It
-// follows the first Listing. Times are spans: since something happened, or until it is over.
+// Snapshot is what a relay has learnt, for the next process of the same relay. It follows the first
+// ListUpdate. Times are spans: since something happened, or until it is over.
 type Snapshot struct {
 	Units  []UnitSnapshot
 	Hosts  []HostSnapshot
@@ -46,7 +48,7 @@
 	Shares []float64
 }
 
-// UnitMemory is what is known of a unit, by the name of one of its endpoints.
+// UnitSnapshot is the state of a unit, identified by the address of one of its endpoints.
 type UnitSnapshot struct {
 	Host                                      string
 	State                                     int
@@ -59,7 +61,7 @@
 	Cut, Down                                 time.Duration
 }
 
-// HostMemory is what is known of an endpoint alone.
+// HostSnapshot is the state of one endpoint.
 type HostSnapshot struct {
 	Host   string
 	Fails  int
@@ -68,21 +70,21 @@
 	Sends  []time.Duration
 }
 
-// DestMemory is what is known of a destination as a whole.
+// DestSnapshot is the state of a destination as a whole.
 type DestSnapshot struct {
 	Dest, Refused, Backoff int
 	Pause                  time.Duration
 	Table                  TableSnapshot
 }
 
-// TableMemory is a latency table.
+// TableSnapshot is a latency table.
 type TableSnapshot struct {
 	Width                 time.Duration
 	Weight, Beyond, Total float64
 	Count, Sum            []float64
 }
 
-// ago turns times into spans until now, and back.
+// timesAgo turns points in time into spans before now, and such spans into points in time.
 func timesAgo(now time.Duration, times []time.Duration) []time.Duration {
 	spans := make([]time.Duration, len(times))
 	for i, t := range times {
@@ -95,7 +97,7 @@
 	return TableSnapshot{t.width, t.weight, t.overBound, t.samples, t.counts, t.sums}
 }
 
-// remember takes a table up. One that cannot be is left as it is.
+// restore replaces a table by a saved one, unless that is malformed.
 func (t *latencyTable) restore(saved TableSnapshot, width time.Duration) {
 	if saved.Width <= 0 || saved.Weight < 1 || len(saved.Count) != len(saved.Sum) || len(saved.Count) != 0 && len(saved.Count) != buckets {
 		return
@@ -104,14 +106,14 @@
 	t.rebucket(width)
 }
 
-// Memory returns what the Chooser knows. It shares nothing that the Chooser goes on to change, if
-// that makes no further Step.
+// Snapshot returns what the Chooser has learnt. The result shares memory with the Chooser, so no
+// further Step may follow.
 func (c *Chooser) Snapshot(now time.Duration) Snapshot {
 	snapshot := Snapshot{Pool: c.pooledLatencies.snapshot(), Luck: c.retrySuccess}
 	for _, share := range c.tenantShares {
 		snapshot.Shares = append(snapshot.Shares, share.remaining)
 	}
-	c.markAllChanged() // or paces are of an earlier time
+	c.markAllChanged() // brings the paces up to date
 	for d := range c.destOrder.each {
 		snapshot.Dests = append(snapshot.Dests, DestSnapshot{d.id, d.refusalStreak, d.timeoutStreak, d.pauseUntil - now, d.latencies.snapshot()})
 		for _, u := range d.units {
@@ -128,6 +130,8 @@
 	return snapshot
 }
 
+// restoreSnapshot applies an earlier process's Snapshot. Entries for units, hosts and destinations
+// that are not listed any more are ignored.
 func (c *Chooser) restoreSnapshot(snapshot Snapshot) {
 	c.markAllChanged()
 	c.pooledLatencies.restore(snapshot.Pool, c.maxTimeout/buckets)
--- a/choice/snapshot_test.go
+++ b/choice/snapshot_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// Guards against a relay that forgets in an upgrade what it learnt: the successor, told what its
-// predecessor knew and has out, decides as that would have, on a clock of its own.
+// TestNextProcessDecidesAlike guards against a relay that forgets in an upgrade what it learnt: the
+// next process, given the snapshot and the calls in flight of the one before, decides as that would
+// have, on a clock of its own.
 func TestNextProcessDecidesAlike(t *testing.T) {
 	s := settings()
 	hosts := []Host{ready("a", 1, 1, 0), ready("b", 2, 0, 0), ready("c", 3, 2, 0), ready("d", 3, 2, 1)}
@@ -73,7 +74,7 @@
 	}
 }
 
-// Guards against a panic on a memory that is damaged or of another version.
+// TestDamagedSnapshot guards against a panic on a snapshot that is damaged or of another version.
 func TestDamagedSnapshot(t *testing.T) {
 	r := newHarness(t, settings(), ready("a", 1, 0, 0))
 	r.step(Snapshot{Units: []UnitSnapshot{{Host: "a", State: 9}, {Host: "b"}}, Hosts: []HostSnapshot{{Host: "b"}},
@@ -86,8 +87,10 @@
 	}
 }
 
-// Guards against two attempts at once, and against a Step without end, where an endpoint went to another destination
-// while a call to it ran: the message still waited at its own, and was sent and answered as if it were not out.
+// TestResumedCallUsesSlotsOfMessageDestination guards against two attempts at once, and against a
+// Step without end, where an endpoint moved to another destination while a call to it was in
+// flight: the message still waited at its own destination, and was sent and answered as if it were
+// not in flight.
 func TestResumedCallUsesSlotsOfMessageDestination(t *testing.T) {
 	s := settings()
 	s.MaxPending = 2
--- a/choice/soak_test.go
+++ b/choice/soak_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Guards against state that outlasts what it belongs to. Many thousands of messages, of which some are out
-// when their endpoint goes, some withdrawn and some never answered in time, over hundreds of lists that
-// replace endpoints and whole destinations, with operators who take endpoints out and give them back.
+// TestStateIsBounded guards against state that outlives what it belongs to. It plays many thousands
+// of messages, some of them in flight when their endpoint is removed, some withdrawn and some never
+// answered in time, over hundreds of lists that replace endpoints and whole destinations, while
+// operators disable and enable endpoints.
 func TestStateIsBounded(t *testing.T) {
 	const versions, kept = 400, 12
 	s := settings()
@@ -89,7 +90,7 @@
 	}
 	listed := func(version int) []Host {
 		var hosts []Host
-		for i := range kept { // each version replaces one endpoint, and every few of them a whole destination
+		for i := range kept { // each version replaces one endpoint, and every few versions a whole destination
 			n := version + i
 			h := ready(fmt.Sprint("e", n), n/4, n/4%3, n%2)
 			h.Rate = 30
@@ -124,7 +125,7 @@
 			}
 		}
 	}
-	for range 4000 { // 80 s: all is over, and no destination is cold or out any more
+	for range 4000 { // 80 s: all messages have ended, and no destination is cold or down any more
 		step()
 	}
 	step(ListUpdate{Complete: true, Hosts: listed(versions)})
--- a/choice/state.go
+++ b/choice/state.go
@@ -1,6 +1,6 @@
 package choice
 
-// State without decisions: what a Chooser remembers, and checks of its settings.
+// This file holds a Chooser's state, without decisions, and the check of its settings.
 
 import (
 	"fmt"
@@ -9,40 +9,41 @@
 	"time"
 )
 
-// message is one message until its final answer and its last outcome.
+// message is one message until its final answer and the outcome of its last attempt.
 type message struct {
 	Arrival
-	class        *Class // that it came under
-	maxAttempts  int    // attempts, likewise
+	class        *Class // it was accepted under
+	maxAttempts  int    // it was accepted under
 	dest         *dest
-	deadline     time.Duration // deadline
-	arrivedAt    time.Duration // the Step that heard of it
-	createdAt    time.Duration // due less the class's deadline: first handed in
+	deadline     time.Duration
+	arrivedAt    time.Duration // time of the Step that received it
+	createdAt    time.Duration // deadline less the class's Deadline: when a relay first received it
 	attempts     int
-	timeout      time.Duration // of the last try
-	call         *call         // out now
+	timeout      time.Duration // of the last attempt
+	call         *call         // in flight; nil for none
 	mayHaveRun   bool          // an attempt may have run
-	firstRunAt   time.Duration // the first such attempt went out
+	firstRunAt   time.Duration // when the first such attempt was sent
 	firstRunZone int
 	lastHost     *host
-	uncertainAt  time.Duration // time of the last unsure outcome; its key rests after it
+	uncertainAt  time.Duration // time of the last uncertain outcome, after which its key pauses; below 0 for none
 	ended        bool          // answered or withdrawn
-	overShare    bool          // its tenant's share was used up
-	restored     bool          // an earlier process took it on
-	// As it waits: its place among those of its destination and, while it is open, of its key; when it was
-	// queued, as a number; the time of its final answer, and its place by that.
+	overShare    bool          // its tenant's share was used up on arrival
+	restored     bool          // accepted by an earlier process
+	// Position while waiting: sliceIndex among the messages of its destination, queueNumber as a
+	// sequence number of when it was queued, heapIndex in byAnswerTime. keyLinks hold its place
+	// among those of its key until it ends; answerAt is the time of its final answer.
 	sliceIndex, queueNumber, heapIndex int
 	keyLinks                           chainLinks[message]
 	answerAt                           time.Duration
 }
 
-// call is one call out; sends of one turn to one host may share it.
+// call is one call in flight. Messages sent to one host in the same Step may share it.
 type call struct {
 	host          *host
 	sentAt        time.Duration
-	messages      []*message // outcomes still due
-	cancelled     bool       // called off
-	resumedNumber int        // number at the process that made it; 0 for this one
+	messages      []*message // whose outcomes are due
+	cancelled     bool       // a Cancel was sent
+	resumedNumber int        // number at the process that made the call; 0 if made by this one
 }
 
 // host is one endpoint.
@@ -51,51 +52,53 @@
 	dest       *dest
 	unit       *unit
 	inFlight   int
-	preference float64       // this relay's own liking, by chance
+	preference float64       // random, so that relays prefer different hosts
 	failures   int           // in a row
-	retryAt    time.Duration // after failures
-	// restUntil is when it is called again after it refused as one that drains, before the list says so.
+	retryAt    time.Duration // earliest time of use at no extra cost after failures
+	// pauseUntil is when the host is called again after a refusal which suggests that it drains,
+	// before the list says so.
 	pauseUntil  time.Duration
-	recentSends []time.Duration // while it is cold after operators gave it back
+	recentSends []time.Duration // send times while it is cold after operators enabled it
 }
 
-// health of a unit.
+// health is the health of a unit.
 type health int
 
 const (
 	healthy    health = iota
-	suspect           // single trials only
-	recovering        // within the budget for a cold destination
+	suspect           // gets single trials only
+	recovering        // gets calls within the budget of a cold destination
 )
 
-// unit is what health, limits and waits hang on: a destination, or a route where routes are apart.
+// unit is what health, limits and waits are kept for: a destination, or one of its endpoints where
+// these are separate routes.
 type unit struct {
 	name           string
 	createdAt      time.Duration
-	listedRate     float64 // as the list has it
-	knownRate      float64 // calls a second from all relays, 0 if unknown: by the list, then by answers
-	hasReports     bool    // answers bear reports
-	sharesCalls    bool    // a call takes more than one message
+	listedRate     float64 // as listed
+	knownRate      float64 // calls per second accepted from all relays: as listed, then as reported; 0 if unknown
+	hasReports     bool    // its answers carry load reports
+	sharesCalls    bool    // a call may carry more than one message
 	state          health
-	stateSince     time.Duration // of the state
-	retryAfter     time.Duration // told
-	pauseUntil     time.Duration // own
-	recentFailures uint          // recent outcomes, a bit set for each failure
-	servedStreak   int           // answers served in a row
-	sawErrors      bool          // errors answered were among them
-	mayHaveRun     bool          // failures that may have run were seen in this outage
-	trialAt        time.Duration // next trial
-	failedTrials   int           // trials failed in a row
-	badStreak      int           // failures and refusals since then
-	connRefusedAt  time.Duration // a connection to it was refused
-	lastServed     time.Duration // or first listed
+	stateSince     time.Duration // when the state began
+	retryAfter     time.Duration // no calls before this time, as the unit asked
+	pauseUntil     time.Duration // no calls before this time, by this relay's own choice
+	recentFailures uint          // bits of the last outcomes, 1 for a failure
+	servedStreak   int           // attempts served in a row
+	sawErrors      bool          // the failures included Error outcomes
+	mayHaveRun     bool          // in this outage there were failures after which a message may have run
+	trialAt        time.Duration // time of the next trial
+	failedTrials   int           // in a row
+	badStreak      int           // failures and refusals since the last attempt served
+	connRefusedAt  time.Duration // when it last refused a connection
+	lastServed     time.Duration // time of the last attempt served; initially createdAt
 	calls          []*call
-	recentSends    []time.Duration // in the last Fall or second
-	latencySec     float64         // smoothed latency, seconds
-	servedRate     float64         // smoothed rate served to this relay, messages a second
-	baseRate       float64         // served when the outage began
-	pace           float64         // calls a second this relay allows itself; 0 for no limit
-	paceAt         time.Duration   // last time that limit or tokens were brought up to date
+	recentSends    []time.Duration // send times of the calls within WarmUp, at least within a second
+	latencySec     float64         // smoothed latency in seconds
+	servedRate     float64         // smoothed rate served to this relay, messages per second
+	baseRate       float64         // servedRate when the outage began
+	pace           float64         // calls per second this relay allows itself; 0 for no limit
+	paceAt         time.Duration   // when pace and tokens were last updated
 	paceCutAt      time.Duration
 	tokens         float64
 }
@@ -110,16 +113,19 @@
 	inFlight      int
 	lastSentAt    time.Duration
 	latencies     latencyTable
-	refusalStreak int      // refusals in a row
-	retrySuccess  *float64 // of its kind
+	refusalStreak int      // refusals since the last attempt served
+	retrySuccess  *float64 // entry of its kind in Chooser.retrySuccess
 	pauseUntil    time.Duration
-	timeoutStreak int // time-outs in a row with nothing served since
-	// See index: when it was first heard of and came to have messages, as numbers; calls out at its units;
-	// the turn up to which its paces are brought up to date; endpoints avoided.
+	timeoutStreak int // time-outs in a row with nothing served in between
+	// Bookkeeping of index: sequence numbers of when the destination became known and when it came
+	// to have messages, the calls in flight at its units, the step up to which its paces are
+	// updated, the number of its endpoints that are excluded, its schedule state, and its place in
+	// deferredDests.
 	knownNumber, liveNumber, unitCalls, pacedStep, excluded, schedule, heapIndex int
-	deferredUntil                                                                time.Duration // while parked
-	// blocked is a time before which none of those that wait, up to the one queued as blockedTo, may go to the
-	// endpoints of blockedAt, if nothing happens to the destination or to their keys.
+	deferredUntil                                                                time.Duration // while deferred
+	// Until blockedUntil, none of the waiting messages with a queue number of up to blockedThrough
+	// may go to any of blockedHosts, unless something happens to the destination or to the keys of
+	// its messages. 0 for none.
 	blockedUntil          time.Duration
 	blockedThrough        int
 	blockedHosts          []*host
@@ -127,7 +133,7 @@
 	changed, listCheckDue bool
 }
 
-// line is the order of one key.
+// keyQueue holds the pending messages of one key in order.
 type keyQueue struct {
 	key        string
 	messages   linkedList[message]
@@ -140,7 +146,7 @@
 	index
 	settings        Settings
 	now             time.Duration
-	maxTimeout      time.Duration // maximal timeout of the oracle
+	maxTimeout      time.Duration // longest time-out that is derived from latencies
 	minAim          time.Duration
 	messages        map[string]*message
 	dests           map[int]*dest
@@ -148,21 +154,21 @@
 	keyQueues       map[string]*keyQueue
 	inFlight        int
 	pending         int
-	wakeAt          time.Duration // the next wake-up asked for
+	wakeAt          time.Duration // time of the next wake-up asked for
 	rand            *rand.Rand
-	checkInterval   time.Duration // between looks
-	retrySuccess    []float64     // by kind: share served of the calls to destinations that refused the last one
-	pooledLatencies latencyTable  // of all destinations together, for those that have few samples yet
-	subscribeAt     time.Duration // ask for list changes then; below 0 for never
+	checkInterval   time.Duration // time between checks without events
+	retrySuccess    []float64     // by kind: share served of the calls to destinations that refused the call before
+	pooledLatencies latencyTable  // of all destinations together, for those with few samples
+	subscribeAt     time.Duration // when to ask for list updates; below 0 for never
 	actions         []Action
 	tenantShares    []tenantShare            // by tenant
-	disabled        map[string]bool          // endpoints that operators took out
-	enabledAt       map[string]time.Duration // when operators gave an endpoint back
-	// listExpired is set while nothing may be sent, for the list may be too old.
+	disabled        map[string]bool          // endpoints that operators disabled
+	enabledAt       map[string]time.Duration // when operators enabled an endpoint again
+	// listExpired is set while the list may be too old, so that nothing may be sent.
 	listExpired bool
 }
 
-// note remembers whether the last outcome was a failure.
+// recordOutcome records whether the last attempt failed.
 func (u *unit) recordOutcome(failed bool) {
 	u.recentFailures = u.recentFailures << 1 & (1<<outcomeHistory - 1)
 	if failed {
@@ -170,7 +176,7 @@
 	}
 }
 
-// sent counts the calls within a span until now.
+// countWithin counts the calls within a time span before now.
 func (c *Chooser) countWithin(sends []time.Duration, span time.Duration) float64 {
 	n := 0.0
 	for _, t := range sends {
@@ -181,7 +187,8 @@
 	return n
 }
 
-// part of a host in the budget of its unit: all endpoints on the list that do not drain have the same.
+// unitShare returns a host's share of the budget of its unit: that is divided evenly among the
+// listed endpoints that don't drain.
 func (h *host) unitShare() float64 {
 	ready := 0
 	for _, other := range h.dest.hosts {
@@ -192,7 +199,8 @@
 	return 1 / float64(max(1, ready))
 }
 
-// spread has a table use buckets of another width; each one's samples stay together, at their mean.
+// rebucket changes the width of the buckets. The samples of one old bucket stay together, at their
+// mean.
 func (t *latencyTable) rebucket(width time.Duration) {
 	if t.width == width {
 		return
@@ -209,12 +217,12 @@
 	}
 }
 
-// remove deletes one element.
+// without returns a slice with all elements equal to one deleted, in place.
 func without[T comparable](all []T, one T) []T {
 	return slices.DeleteFunc(all, func(o T) bool { return o == one })
 }
 
-// Check tells which setting is out of its range.
+// Check returns an error for a setting that is out of range.
 func (s *Settings) Check() error {
 	switch {
 	case s.Workers < 1:
@@ -224,13 +232,13 @@
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("MaxAttempts is %d, must be at least 1", s.MaxAttempts)
 	case s.MaxPending < 0:
-		return fmt.Errorf("MaxHeld is %d, must be at least 0 (0 for no limit)", s.MaxPending)
+		return fmt.Errorf("MaxPending is %d, must be at least 0 (0 for no limit)", s.MaxPending)
 	case s.Tick <= 0:
 		return fmt.Errorf("Tick is %v, must be above 0", s.Tick)
 	case s.Rules.WarmUp <= 0 || s.Rules.OverloadWindow <= 0:
-		return fmt.Errorf("Rules.Cold is %v and Rules.Fall %v, both must be above 0", s.Rules.WarmUp, s.Rules.OverloadWindow)
+		return fmt.Errorf("Rules.WarmUp is %v and Rules.OverloadWindow %v, both must be above 0", s.Rules.WarmUp, s.Rules.OverloadWindow)
 	case len(s.Classes) == 0:
-		return fmt.Errorf("Classes is empty, must hold at least one")
+		return fmt.Errorf("Classes is empty, must have at least one entry")
 	}
 	for i, class := range s.Classes {
 		if class.Effect == Keyed && class.Window <= 0 {
