--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -117,7 +117,7 @@
 	}
 	tab.refresh()
 	if tab.bestTimeout != 20*ms {
-		t.Errorf("edge %v with a tenth of the answers 60 times slower, want the bucket of the fast ones, 20ms", tab.bestTimeout)
+		t.Errorf("time-out %v with a tenth of the answers 60 times slower, want the edge of the bucket of the fast ones, 20ms", tab.bestTimeout)
 	}
 	same := latencyTable{width: 10 * ms, weight: 1}
 	for i := range 100 {
@@ -125,7 +125,7 @@
 	}
 	same.refresh()
 	if same.bestTimeout != 110*ms {
-		t.Errorf("edge %v for like answers, want 110ms, the end of their bucket", same.bestTimeout)
+		t.Errorf("time-out %v for equal answers, want 110ms, the end of their bucket", same.bestTimeout)
 	}
 	few := latencyTable{width: 10 * ms, weight: 1}
 	for range minSamples - 1 {
@@ -133,11 +133,11 @@
 	}
 	few.refresh()
 	if few.bestTimeout != 0 {
-		t.Errorf("edge %v from %d samples, want none", few.bestTimeout, minSamples-1)
+		t.Errorf("time-out %v from %d samples, want none", few.bestTimeout, minSamples-1)
 	}
 	few.addServed(5 * time.Second) // beyond the last bucket
 	if few.overBound < 1 || few.samples != minSamples {
-		t.Errorf("beyond %v, total %v after a sample over the bound", few.overBound, few.samples)
+		t.Errorf("%v samples over the last bucket, %v in all after one more", few.overBound, few.samples)
 	}
 }
 
@@ -151,7 +151,7 @@
 	}
 	tab.refresh()
 	if tab.bestTimeout < 510*ms {
-		t.Errorf("edge %v after the destination slowed, want it relearned to 510ms", tab.bestTimeout)
+		t.Errorf("time-out %v after the destination became slower, want at least 510ms", tab.bestTimeout)
 	}
 	for range 10000 {
 		tab.addServed(505 * ms)
@@ -203,7 +203,7 @@
 		t.Errorf("at the deadline %q, want a refusal", got)
 	}
 	if len(r.chooser.messages) != 0 || r.chooser.pending != 0 {
-		t.Errorf("%d messages kept, %d held after the answer", len(r.chooser.messages), r.chooser.pending)
+		t.Errorf("%d messages stored, %d pending after the answer", len(r.chooser.messages), r.chooser.pending)
 	}
 }
 
@@ -218,7 +218,7 @@
 			t.Errorf("resent to %s, outside the zone of %s", s.Host, first)
 		}
 		if want := r.now - 2850*ms + 3*time.Second; s.Before != want {
-			t.Errorf("the repeat must have gone by %v, want %v: the window from the first attempt on", s.Before, want)
+			t.Errorf("the repeat must be sent by %v, want %v: the window starts with the first attempt", s.Before, want)
 		}
 	}
 	if len(sends(acts)) != 1 {
@@ -227,7 +227,7 @@
 	r.now += 100 * ms
 	acts = r.step(r.result("m", first, Error))
 	if got := finalAnswers(append(acts, r.advance(time.Second)...)); got != "fail m;" {
-		t.Errorf("after its window %q, want it failed", got)
+		t.Errorf("answers %q after its window, want it failed", got)
 	}
 }
 
@@ -239,7 +239,7 @@
 		t.Errorf("%d sends to a draining host", n)
 	}
 	if n := len(sends(r.step(ListUpdate{Complete: true}))); n != 0 {
-		t.Errorf("%d sends to a host that is gone", n)
+		t.Errorf("%d sends to a removed host", n)
 	}
 }
 
@@ -249,10 +249,10 @@
 	r.now += 50 * ms
 	acts := r.step(r.result("m", "a", Refused, func(e *Result) { e.RetryAfter = 700 * ms }), arrival("n", 2))
 	if acts = append(acts, r.advance(695*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("%d sends within the wait", len(sends(acts)))
+		t.Errorf("%d sends before the retry-after time", len(sends(acts)))
 	}
 	if len(sends(r.advance(2*time.Second))) == 0 {
-		t.Errorf("nothing sent after the wait")
+		t.Errorf("nothing sent after the retry-after time")
 	}
 }
 
@@ -266,15 +266,15 @@
 	r.now += 50 * ms
 	acts := r.step(r.result("m", "a", Reset))
 	if acts = append(acts, r.advance(95*ms)...); len(sends(acts)) != 0 {
-		t.Errorf("sent %v while the key rests", sends(acts))
+		t.Errorf("sent %v while the key pauses", sends(acts))
 	}
 	if got := sends(r.advance(3 * time.Second)); len(got) != 1 || got[0].ID != "n" {
-		t.Errorf("sent %v after the rest, want n", got)
+		t.Errorf("sent %v after the pause, want n", got)
 	}
 	r.step(r.result("n", "a", Served))
 	r.advance(200 * ms)
 	if len(r.chooser.keyQueues) != 0 {
-		t.Errorf("%d keys kept", len(r.chooser.keyQueues))
+		t.Errorf("%d keys stored, want none", len(r.chooser.keyQueues))
 	}
 }
 
@@ -289,7 +289,7 @@
 	got := sends(r.step(arrival("m", 0)))
 	last := got[0].Timeout
 	if last >= 2*time.Second {
-		t.Fatalf("first time-out %v, want the oracle's edge", last)
+		t.Fatalf("first time-out %v, want one derived from latencies, below 2s", last)
 	}
 	for range 2 {
 		r.now += last
@@ -314,7 +314,7 @@
 			events = append(events, arrival(fmt.Sprint(i), 0))
 		}
 		if n := len(sends(r.step(events...))); n != tc.want {
-			t.Errorf("%d calls out to one destination with %d slots, want %d", n, tc.workers, tc.want)
+			t.Errorf("%d calls in flight to one destination with %d slots, want %d", n, tc.workers, tc.want)
 		}
 	}
 }
@@ -371,7 +371,7 @@
 			return
 		}
 	}
-	t.Errorf("no call was called off while another destination waited for a slot")
+	t.Errorf("no call was cancelled while another destination waited for a slot")
 }
 
 // TestOneFailedHostLeavesDestinationHealthy checks that the loss of one machine is no outage of its
@@ -393,7 +393,7 @@
 		}
 	}
 	if u := r.chooser.dests[1].units[0]; u.state != healthy {
-		t.Errorf("unit is in state %d", u.state)
+		t.Errorf("unit is in state %d, want healthy", u.state)
 	}
 }
 
@@ -423,13 +423,13 @@
 	}
 	served(50)
 	if before, cut := served(50), served(5)+served(5); before < 40 || cut > 30 {
-		t.Fatalf("%d a second before the cut, %d in two seconds of it", before, cut)
+		t.Fatalf("%d served in a second before the limit was lowered, %d in the two seconds after", before, cut)
 	}
 	served(50)
 	host.Rate = 10
 	r.step(ListUpdate{Hosts: []Host{host}})
 	if after := served(50); after < 40 {
-		t.Errorf("%d a second after the cut, want 40 at least", after)
+		t.Errorf("%d served in a second after the limit rose again, want at least 40", after)
 	}
 }
 
@@ -449,7 +449,7 @@
 			r.advance(time.Second)
 		}
 		if healthy != stale {
-			t.Errorf("resets with Stale %v: healthy is %v", stale, healthy)
+			t.Errorf("resets with StaleConn %v: healthy is %v", stale, healthy)
 		}
 	}
 }
@@ -474,17 +474,17 @@
 		acts = append(acts, r.step(m)...)
 	}
 	if got := finalAnswers(acts); got == "" || strings.Contains(got, "refuse m") {
-		t.Errorf("answers in the crowd are %q, want some of the flood", got)
+		t.Errorf("answers while too many are pending: %q, want some of the flood refused", got)
 	}
 	acts = append(r.step(r.result("flood0", "a", Served)), r.advance(time.Second)...)
 	next := sends(acts)
 	// Three more of the flood are within its share; the rest is not.
 	for i := range 6 {
 		if len(next) == 0 {
-			t.Fatalf("nothing went out as number %d", i)
+			t.Fatalf("nothing was sent as number %d", i)
 		}
 		if id := next[0].ID; strings.HasPrefix(id, "flood") && !slices.Contains([]string{"flood1", "flood2", "flood3"}, id) {
-			t.Fatalf("%s went out as number %d, before what is within its share", id, i)
+			t.Fatalf("%s was sent as number %d, before messages within their share", id, i)
 		}
 		acts = append(r.step(r.result(next[0].ID, "a", Served)), r.advance(time.Second)...)
 		next = sends(acts)
@@ -500,7 +500,7 @@
 		s := settings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil {
-			t.Errorf("%s: no error", name)
+			t.Errorf("%s: no error for a setting out of range", name)
 		}
 	}
 }
@@ -595,7 +595,7 @@
 		out = sends(acts)
 		r.now += 50 * ms
 	}
-	t.Errorf("the lost call was never called off")
+	t.Errorf("the lost call was never cancelled")
 }
 
 // TestLargeFleetSpreadsRetriesAfterRefusals checks that relays that call a destination seldom come
@@ -621,11 +621,11 @@
 			}
 		}
 		if tries > 5 {
-			t.Errorf("%d tries in nine seconds of refusals, want at most five", tries)
+			t.Errorf("%d attempts in nine seconds of refusals, want at most five", tries)
 		}
 	}
 	if slices.Sort(first); len(first) < 5 || first[4]-first[0] < 50*ms {
-		t.Errorf("second tries after %v, want them spread", first)
+		t.Errorf("second attempts after %v, want them spread", first)
 	}
 }
 
@@ -704,7 +704,7 @@
 		r.now += 50 * ms
 	}
 	if len(took) < 2 || took[1] < took[0]*3/2 {
-		t.Errorf("tries were called off after %v, want the second after longer", took)
+		t.Errorf("attempts were cancelled after %v, want the second after half as long again at least", took)
 	}
 }
 
@@ -772,7 +772,7 @@
 	r.step(r.result("m", "h4999", Served))
 	r.step(ListUpdate{Hosts: gone})
 	if len(r.chooser.dests) != 0 || len(r.chooser.hosts) != 0 {
-		t.Errorf("%d destinations and %d hosts remembered after all left", len(r.chooser.dests), len(r.chooser.hosts))
+		t.Errorf("%d destinations and %d hosts stored after all were removed", len(r.chooser.dests), len(r.chooser.hosts))
 	}
 }
 
@@ -802,6 +802,6 @@
 		}
 	}
 	if sent == 0 || sent > 65 {
-		t.Errorf("%d calls in the first 2 s after the wait, want what a cold destination may get", sent)
+		t.Errorf("%d calls in the first 2 s after the retry-after time, want 1 to 65", sent)
 	}
 }
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -190,7 +190,7 @@
 			{load: 2, restartPercent: 70, restartTogether: true},
 		} {
 			p.fleet, p.rate, p.window = of.fleet, of.rate, 2*time.Second
-			t.Run(fmt.Sprintf("%d rate %g load %g skew %g restarts %d by hand %v", of.fleet, of.rate, p.load, p.skew, p.restartPercent, p.manual), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%d rate %g load %g skew %g restarts %d manual %v", of.fleet, of.rate, p.load, p.skew, p.restartPercent, p.manual), func(t *testing.T) {
 				draws := max(1, of.draws)
 				broken, most, bound, part, others := 0, math.Inf(-1), 0.0, 0.0, 0
 				for p.seed = range draws {
@@ -207,9 +207,9 @@
 						most, bound = w, b
 					}
 				}
-				t.Logf("worst window %.0f of %.1f, broken in %d of %d draws, %.2f of the budget in the mean, %d calls untold", most, bound, broken, draws, part, others)
+				t.Logf("worst window %.0f of %.1f, exceeded with %d of %d seeds, %.2f of the budget in the mean, %d calls by relays that did not know of the outage", most, bound, broken, draws, part, others)
 				if broken > 0 {
-					t.Errorf("pushed over in %d draws", broken)
+					t.Errorf("destination overloaded with %d seeds", broken)
 				}
 			})
 		}
--- a/choice/containers_test.go
+++ b/choice/containers_test.go
@@ -40,27 +40,27 @@
 				s.update(m)
 			}
 			if r.count != len(want) || c.count != len(want) || len(s.items) != len(want) || len(r.items) > 2*r.count {
-				t.Fatalf("%d, %d and %d held in %d places, want %d", r.count, c.count, len(s.items), len(r.items), len(want))
+				t.Fatalf("%d, %d and %d elements in a slice of %d, want %d", r.count, c.count, len(s.items), len(r.items), len(want))
 			}
 			if got := slices.DeleteFunc(slices.Clone(r.items), func(m *message) bool { return m == nil }); !slices.Equal(got, want) {
-				t.Fatalf("a row holds %p, want %p", got, want)
+				t.Fatalf("the slice has %p, want %p", got, want)
 			}
 			if got := slices.Collect(c.each); !slices.Equal(got, want) {
-				t.Fatalf("a chain holds %p, want %p", got, want)
+				t.Fatalf("the list has %p, want %p", got, want)
 			}
 			for _, m := range want {
 				if s.items[0].answerAt > m.answerAt {
-					t.Fatalf("%v comes first, and %v is held", s.items[0].answerAt, m.answerAt)
+					t.Fatalf("the first element is %v, but the heap has %v", s.items[0].answerAt, m.answerAt)
 				}
 			}
 		}
 		half := s.popWhile(func(m *message) bool { return m.answerAt < 0 })
 		if !slices.IsSortedFunc(half, func(a, b *message) int { return int(min(1, max(-1, a.answerAt-b.answerAt))) }) {
-			t.Fatal("not in order")
+			t.Fatal("popped elements are not in order")
 		}
 		for _, m := range want {
 			if (m.answerAt < 0) != slices.Contains(half, m) || (m.heapIndex == 0) != (m.answerAt < 0) {
-				t.Fatalf("%v taken out %v", m.answerAt, slices.Contains(half, m))
+				t.Fatalf("%v: popped %v", m.answerAt, slices.Contains(half, m))
 			}
 		}
 	})
--- a/choice/cost_test.go
+++ b/choice/cost_test.go
@@ -121,6 +121,6 @@
 		t.Errorf("a message takes %.0f allocations with 1,000 endpoints and %.0f with 30, want the same", many, few)
 	}
 	if many := per(30, 1000); many > few+1 {
-		t.Errorf("a message takes %.0f allocations with 1,000 messages held and %.0f with 10, want the same", many, few)
+		t.Errorf("a message takes %.0f allocations with 1,000 messages pending and %.0f with 10, want the same", many, few)
 	}
 }
--- a/choice/expiry_test.go
+++ b/choice/expiry_test.go
@@ -20,14 +20,14 @@
 	for i := range 5 {
 		r.now += time.Second / 5
 		if acts := r.step(Woken{}, arrival(string(rune('p'+i)), 0)); len(sends(acts)) > 0 {
-			t.Errorf("%v sent by an expired list", sends(acts))
+			t.Errorf("%v sent while the list is expired", sends(acts))
 		}
 	}
 	if acts := r.step(ListUpdate{Hosts: []Host{{Addr: "b", Dest: 1, Rate: 100, State: Ready}}}); len(sends(acts)) > 0 {
-		t.Errorf("%v sent by an expired list that changed", sends(acts))
+		t.Errorf("%v sent after a change of an expired list", sends(acts))
 	}
 	if acts := r.step(ListExpiry{}); len(sends(acts)) != 5 {
-		t.Errorf("%v sent as the list may be acted on again, want five", sends(acts))
+		t.Errorf("%v sent after the list is valid again, want five", sends(acts))
 	}
 }
 
@@ -56,15 +56,15 @@
 	for i := range 9 {
 		r.now += time.Millisecond
 		if ids := refusedOf(r.step(arrival(string(rune('a'+i)), 0))); len(ids) > 0 {
-			t.Fatalf("%v refused though there is room", ids)
+			t.Fatalf("%v refused below the limit of pending messages", ids)
 		}
 	}
 	r.now += deadline / 2
 	if ids := refusedOf(r.step(arrival("new", 0))); len(ids) != 1 || ids[0] != "new" {
-		t.Errorf("%v refused in a room full of what is held, want what comes", ids)
+		t.Errorf("%v refused at the limit of pending messages, want the new one", ids)
 	}
 	r.now += deadline/4 + 10*time.Millisecond // three quarters of the time of the pending messages
 	if ids := refusedOf(r.step(arrival("newer", 0))); len(ids) != 1 || ids[0] == "newer" {
-		t.Errorf("%v refused, want one whose time is mostly up", ids)
+		t.Errorf("%v refused, want one that was pending for most of its time", ids)
 	}
 }
--- a/choice/final_answer_test.go
+++ b/choice/final_answer_test.go
@@ -21,25 +21,25 @@
 	look := r.chooser.FinalAnswerMargin()
 	r.now = end - look - 1
 	if acts := finalActions(r.step(Woken{})); len(acts) != 0 {
-		t.Errorf("answered %v before the last look: %v", look, acts)
+		t.Errorf("answered earlier than %v before the deadline: %v", look, acts)
 	}
 	r.now = end - look
 	if acts := finalActions(r.step(Woken{})); len(acts) != 1 {
-		t.Errorf("%v before its end a message got %v, want one final answer", look, acts)
+		t.Errorf("%v before its deadline a message got %v, want one final answer", look, acts)
 	}
 	s.Tick *= 20
 	r.step(Reconfigured{s})
 	if was := look; r.chooser.FinalAnswerMargin() <= was {
-		t.Fatalf("the last look is %v before the end by ticks 20 times as long, %v before", r.chooser.FinalAnswerMargin(), was)
+		t.Fatalf("margin %v with ticks 20 times as long, %v before", r.chooser.FinalAnswerMargin(), was)
 	}
 	look, end = r.chooser.FinalAnswerMargin(), end+6*time.Second
 	r.now = end - look - 1
 	if acts := finalActions(r.step(Woken{})); len(acts) != 0 {
-		t.Errorf("answered %v before the new last look: %v", look, acts)
+		t.Errorf("answered earlier than the new margin of %v before the deadline: %v", look, acts)
 	}
 	r.now = end - look
 	if acts := finalActions(r.step(Woken{})); len(acts) != 1 {
-		t.Errorf("%v before its end, by the new settings, a message got %v, want one final answer", look, acts)
+		t.Errorf("%v before its deadline, with new settings, a message got %v, want one final answer", look, acts)
 	}
 }
 
@@ -64,7 +64,7 @@
 	}
 	acts := r.step(ListUpdate{Hosts: []Host{in("b2", 2, Ready), in("b1", 2, Removed), in("a3", 1, Ready), in("a1", 1, Removed)}})
 	if got := named(acts); !slices.Equal(got, []string{"a3", "b2"}) {
-		t.Errorf("outages go on under %v, want a3 and b2", got)
+		t.Errorf("outages recorded under %v, want a3 and b2", got)
 	}
 	r.step(ListUpdate{Hosts: []Host{in("a3", 1, Removed)}})
 	r.now += 30 * time.Second
@@ -72,7 +72,7 @@
 	r.step(ListUpdate{Hosts: []Host{in("a3", 3, Ready)}})
 	r.step(ListUpdate{Hosts: []Host{in("a2", 1, Ready)}})
 	if got := named(r.step(ListUpdate{Hosts: []Host{in("a3", 3, Removed)}})); !slices.Equal(got, []string{"a2"}) {
-		t.Errorf("an outage goes on under %v, want a2", got)
+		t.Errorf("outages recorded under %v, want a2", got)
 	}
 }
 
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -115,11 +115,11 @@
 	}
 	sum := simulateFleet(t, 80, ready("a", 1, 0, 0), &limitedDest{limit: limit}, 16, 20*time.Second)
 	if served := total(sum.served[7:15]); served < 8*12/2 {
-		t.Errorf("%d served in 8 s at 12 a second, want half of that at least; calls by the second %v, served %v",
+		t.Errorf("%d served in 8 s at 12 a second, want at least half of that; calls by second %v, served %v",
 			served, sum.calls, sum.served)
 	}
 	if served := total(sum.served[17:20]); served < 3*16*3/4 {
-		t.Errorf("%d served in 3 s after the limit rose again, want three quarters of the 48 that come", served)
+		t.Errorf("%d served in 3 s after the limit rose again, want three quarters of the 48 that arrive", served)
 	}
 }
 
@@ -140,11 +140,11 @@
 			each := float64(settings().Kinds[kind].PerCall) // messages in a call
 			sum := simulateFleet(t, 300, host, &limitedDest{limit: limit}, 200*each, 20*time.Second)
 			if served := float64(total(sum.served[8:14])); served < 6*100*each/4 {
-				t.Errorf("%.0f messages served in 6 s at 100 calls a second, want a quarter of what those take; calls by the second %v, served %v",
+				t.Errorf("%.0f messages served in 6 s at 100 calls a second, want a quarter of the messages in those; calls by second %v, served %v",
 					served, sum.calls, sum.served)
 			}
 			if served := float64(total(sum.served[16:20])); served < 4*200*each*3/4 {
-				t.Errorf("%.0f messages served in 4 s after the limit rose again, want three quarters of what comes; calls by the second %v, served %v",
+				t.Errorf("%.0f messages served in 4 s after the limit rose again, want three quarters of the arrivals; calls by second %v, served %v",
 					served, sum.calls, sum.served)
 			}
 		})
@@ -179,10 +179,10 @@
 	r.now += 10 * time.Second
 	out := len(sends(r.step(arrival("m0", 0), arrival("m1", 0), arrival("m2", 0))))
 	if out != 1 {
-		t.Errorf("%d of three messages go at once where the even share is one in 1.2 s, want one", out)
+		t.Errorf("%d of three messages sent at once with an even interval of 1.2 s, want one", out)
 	}
 	if out += len(sends(r.advance(s.Classes[0].Aim * 3 / 4))); out < 2 {
-		t.Errorf("%d of three messages have gone after three quarters of the aim, want more", out)
+		t.Errorf("%d of three messages sent after three quarters of the aim, want at least two", out)
 	}
 }
 
@@ -195,7 +195,7 @@
 	host.Rate = 30
 	sum := simulateFleet(t, 80, host, &limitedDest{limit: limit}, 40, 30*time.Second)
 	if served := total(sum.served[10:]); served < 20*40*15/16 {
-		t.Errorf("%d messages served in 20 s, want fifteen in sixteen of the 800 that come; calls by the second %v, served %v",
+		t.Errorf("%d messages served in 20 s, want fifteen in sixteen of the 800 that arrive; calls by second %v, served %v",
 			served, sum.calls, sum.served)
 	}
 }
@@ -208,7 +208,7 @@
 	host.Rate = 60
 	sum := simulateFleet(t, 80, host, &limitedDest{limit: limit}, 80, 3*time.Second)
 	if sum.calls[0] < 10 || sum.calls[1] > 80 {
-		t.Errorf("calls by the second after a start are %v, want some in the first and not all in the second", sum.calls)
+		t.Errorf("calls by second after a start: %v, want some in the first second and not all in the next", sum.calls)
 	}
 }
 
@@ -240,7 +240,7 @@
 			}
 		}
 		if part := float64(past) / float64(come); tenant == 0 && part > 0.1 || tenant == 1 && part < 0.4 {
-			t.Errorf("%v a second of a share of 40: %.2f of them pass for beyond it", perSecond, part)
+			t.Errorf("%v messages per second with a share of 40: %.2f of them count as over it", perSecond, part)
 		}
 	}
 }
@@ -261,16 +261,16 @@
 	report(40, 0.5)
 	r.step(ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0)}})
 	if u.knownRate != 40 {
-		t.Errorf("after the same list again the unit takes %v a second, want the 40 that it reported", u.knownRate)
+		t.Errorf("after the same list again the known rate is %v, want the reported 40", u.knownRate)
 	}
 	for _, odd := range [][]float64{{}, {0, 0}, {-5, -5}, {math.NaN(), math.NaN()}, {math.Inf(-1), 0}} {
 		if report(odd...); u.knownRate != 40 || !(u.pace > 0 && u.pace <= 40) {
-			t.Errorf("after the report %v the unit takes %v a second, and the pace is %v", odd, u.knownRate, u.pace)
+			t.Errorf("after the report %v the known rate is %v, and the pace %v", odd, u.knownRate, u.pace)
 		}
 	}
 	for _, odd := range []float64{1e-300, 1e300, math.Inf(1)} {
 		if report(odd, odd); u.knownRate < 1 || u.knownRate > 2000 || !(u.pace > 0 && u.pace <= 2000) {
-			t.Errorf("after the report %v the unit takes %v a second, and the pace is %v", odd, u.knownRate, u.pace)
+			t.Errorf("after the report %v the known rate is %v, and the pace %v", odd, u.knownRate, u.pace)
 		}
 	}
 }
@@ -292,11 +292,11 @@
 		id := fmt.Sprint("b", i)
 		out := sends(r.step(arrival(id, 0)))
 		if len(out) == 0 {
-			t.Fatalf("message %s was not sent: the refusals are taken for those of a limit", id)
+			t.Fatalf("message %s was not sent: the refusals count as those of a limit", id)
 		}
 		for _, one := range out {
 			if again := sends(r.step(r.result(one.ID, "old", Refused))); len(again) > 0 {
-				t.Errorf("%v goes at once to an endpoint that drains", again)
+				t.Errorf("%v sent at once to a draining endpoint", again)
 			}
 		}
 	}
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -57,15 +57,15 @@
 				case l.ended:
 					t.Fatalf("sent %s after its end", a.ID)
 				case l.host != "":
-					t.Fatalf("two attempts of %s out at once", a.ID)
+					t.Fatalf("two attempts of %s in flight", a.ID)
 				case l.attempts >= s.MaxAttempts:
 					t.Fatalf("attempt %d of %s", l.attempts+1, a.ID)
 				case h.State != Ready:
 					t.Fatalf("sent to %s in state %d", a.Host, h.State)
 				case out[a.Host]:
-					t.Fatalf("sent to %s, which is out by hand", a.Host)
+					t.Fatalf("sent to %s, which operators disabled", a.Host)
 				case now < wait[unit]:
-					t.Fatalf("sent to %s within a told wait", a.Host)
+					t.Fatalf("sent to %s before its retry-after time", a.Host)
 				case l.mayHaveRun && class.Effect == Unsafe:
 					t.Fatalf("repeated unsafe %s", a.ID)
 				case l.mayHaveRun && class.Effect == Keyed && (now > l.firstRunAt+class.Window || h.Zone != l.firstRunZone):
@@ -75,7 +75,7 @@
 				}
 				if class.Ordered && l.key != "" {
 					if now < settled[l.key] {
-						t.Fatalf("key %s sent while it rests", l.key)
+						t.Fatalf("key %s sent during its pause", l.key)
 					}
 					for _, id := range ids {
 						if o := lives[id]; o.key == l.key && o.sequence < l.sequence && (!o.ended || o.host != "") {
@@ -91,24 +91,24 @@
 			case Refuse:
 				l := lives[a.ID]
 				if l.ended || l.host != "" || l.mayHaveRun && s.Classes[l.class].Effect != Safe || now > l.deadline {
-					t.Fatalf("refused %s unlawfully", a.ID)
+					t.Fatalf("refused %s against the rules", a.ID)
 				}
 				l.ended = true
 			case Fail:
 				l := lives[a.ID]
 				if l.ended || now > l.deadline+s.Rules.AnswerGrace {
-					t.Fatalf("failed %s twice or late", a.ID)
+					t.Fatalf("failed %s twice or too late", a.ID)
 				}
 				l.ended = true
 			}
 		}
 		for _, id := range ids {
 			if l := lives[id]; !l.ended && now > l.deadline+s.Rules.AnswerGrace {
-				t.Fatalf("%s was lost", id)
+				t.Fatalf("%s got no final answer in time", id)
 			}
 		}
 		if out := c.inFlight; out > s.Workers {
-			t.Fatalf("%d calls out with %d slots", out, s.Workers)
+			t.Fatalf("%d calls in flight with %d slots", out, s.Workers)
 		}
 	}
 	finish := func(id string, o Outcome, told time.Duration) Event {
@@ -207,7 +207,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if len(data) > 4000 {
-			t.Skip("longer inputs only take longer")
+			t.Skip("longer inputs find no more")
 		}
 		playAndCheckRules(t, data)
 	})
--- a/choice/manual_test.go
+++ b/choice/manual_test.go
@@ -20,17 +20,17 @@
 	acts = append(acts, r.step(ListUpdate{Hosts: []Host{ready("a", 1, 0, 0)}})...)
 	acts = append(acts, r.advance(time.Second)...)
 	if n := len(sends(acts)); n != 0 {
-		t.Fatalf("%d sends to an endpoint that is out", n)
+		t.Fatalf("%d sends to a disabled endpoint", n)
 	}
 	if n := r.chooser.Excluded(); n != 1 {
 		t.Errorf("%d endpoints excluded, want 1", n)
 	}
 	r.step(ManualChange{Host: "a", Disabled: true}) // one enabling ends two disablings
 	if n := len(sends(append(r.step(ManualChange{Host: "a"}), r.advance(time.Second)...))); n != 1 {
-		t.Errorf("%d sends once it is back, want 1", n)
+		t.Errorf("%d sends after it is enabled, want 1", n)
 	}
 	if n := r.chooser.Excluded(); n != 0 {
-		t.Errorf("%d endpoints excluded once it is back, want none", n)
+		t.Errorf("%d endpoints excluded after it is enabled, want none", n)
 	}
 }
 
@@ -46,12 +46,12 @@
 	}{
 		// Of 100 calls per second, each of two relays may send a cold half 0.9 x 2 x 0.2 x 100 x 2
 		// s / 2 / 2 calls in 2 s at first, and 0.36 in place of 0.2 after 2 s.
-		"as operators say so": {[]Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 5 && a < 36 && b > 60 }},
+		"enabled by operators": {[]Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 5 && a < 36 && b > 60 }},
 		// In the first 2 s the budget is the excess of 0.44 over 0.28, a second after the return;
 		// in the next 2 s 0.6 in place of 0.36.
-		"as the record says so":     {[]Event{ManualChange{Host: "a", Ago: time.Second}}, true, func(a, b int) bool { return a > 5 && a < 54 && b > 60 }},
-		"back long since":           {[]Event{ManualChange{Host: "a", Ago: time.Minute}}, false, func(a, b int) bool { return a > 60 }},
-		"called back but never out": {[]Event{ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 60 }},
+		"enabled before a restart":   {[]Event{ManualChange{Host: "a", Ago: time.Second}}, true, func(a, b int) bool { return a > 5 && a < 54 && b > 60 }},
+		"enabled long ago":           {[]Event{ManualChange{Host: "a", Ago: time.Minute}}, false, func(a, b int) bool { return a > 60 }},
+		"enabled but never disabled": {[]Event{ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 60 }},
 	} {
 		r := newHarness(t, s, ready("a", 1, 0, 0), ready("b", 1, 0, 0))
 		r.step(c.back...)
@@ -116,7 +116,7 @@
 		}
 		for _, n := range parts {
 			if n < relays/4-40 || n > relays/4+40 {
-				t.Errorf("%s: %v relays of %d have so many quarters of a call", name, parts, relays)
+				t.Errorf("%s: relays by saved quarters of a call: %v of %d, want them even", name, parts, relays)
 				break
 			}
 		}
--- a/choice/outage_test.go
+++ b/choice/outage_test.go
@@ -34,7 +34,7 @@
 			}
 		}
 		if unwell != want || (u.state == suspect) != want {
-			t.Errorf("told to wait %v, within a rule's window of 2 s: an outage %v in state %d, want %v", wait, unwell, u.state, want)
+			t.Errorf("retry-after %v with an overload window of 2 s: outage %v in state %d, want %v", wait, unwell, u.state, want)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 		r.now += 20 * ms
 	}
 	if u.state != suspect || r.now-u.lastServed >= r.chooser.settings.Rules.OverloadWindow {
-		t.Fatalf("state %d %v after an answer, want an outage that soon", u.state, r.now-u.lastServed)
+		t.Fatalf("state %d %v after an answer, want an outage within the overload window", u.state, r.now-u.lastServed)
 	}
 	for u.state == suspect {
 		for _, a := range sends(r.advance(20 * ms)) {
@@ -73,7 +73,7 @@
 	p := slowStartCase{fleet: 1, rate: 40, load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second}
 	for p.seed = range 5 {
 		if got, most := p.play(t).worst(); got > most || got == 0 {
-			t.Errorf("draw %d: %.0f calls in a window of %.1f", p.seed, got, most)
+			t.Errorf("seed %d: %.0f calls in a window of %.1f", p.seed, got, most)
 		}
 	}
 }
@@ -103,16 +103,16 @@
 	r.now += 10 * ms
 	refused := sends(r.step(arrival("refused", 0)))
 	if len(sentBefore) != 1 || len(refused) != 1 {
-		t.Fatalf("%d and %d calls in the ramp, want one each", len(sentBefore), len(refused))
+		t.Fatalf("%d and %d calls during the warm-up, want one each", len(sentBefore), len(refused))
 	}
 	r.now += 10 * ms
 	r.step(r.result("refused", "a", NoConnection))
 	if u.state != suspect {
-		t.Fatalf("state %d after a refused connection in the ramp, want an outage", u.state)
+		t.Fatalf("state %d after a refused connection during the warm-up, want an outage", u.state)
 	}
 	r.now += 10 * ms
 	r.step(Result{ID: "before", Host: "a", Outcome: Served, Took: 30 * ms, Done: true})
 	if u.state != suspect {
-		t.Errorf("state %d by an answer from before, want the outage to last", u.state)
+		t.Errorf("state %d after an answer from before the outage, want the outage to last", u.state)
 	}
 }
--- a/choice/pending_scale_test.go
+++ b/choice/pending_scale_test.go
@@ -195,7 +195,7 @@
 			f.serveHealthy(t, 3)
 		}
 		if f.chooser.pending != 60 {
-			t.Errorf("%s: %d held, want the 60 of those that are down", how, f.chooser.pending)
+			t.Errorf("%s: %d messages pending, want 60 for the destinations that are down", how, f.chooser.pending)
 		}
 	}
 }
--- a/choice/recorded_test.go
+++ b/choice/recorded_test.go
@@ -16,7 +16,7 @@
 	"time"
 )
 
-// testdata/recorded.txt has digests of the actions, the counts of excluded endpoints and the
+// record has TestDecisionsAreAsRecorded write testdata/recorded.txt, which has digests of the actions, the counts of excluded endpoints and the
 // snapshots of random plays. They were first made by the program of commit 926a6db, in which each
 // Step checked all that was pending, known and listed, with the change to it that a restart counts
 // a window as used up (restoreOutage). Each later change of the cold budget (restore.go, health.go,
@@ -27,7 +27,7 @@
 //
 // A change that only makes decisions cheaper must keep the digests. One that changes decisions
 // records them again, and says so.
-var record = flag.Bool("record", false, "write testdata/recorded.txt anew")
+var record = flag.Bool("record", false, "write testdata/recorded.txt again")
 
 const (
 	recordedFile  = "testdata/recorded.txt"
@@ -62,7 +62,7 @@
 	}
 	for s := bufio.NewScanner(&lines); s.Scan(); {
 		if !slices.Contains(want, s.Text()) {
-			t.Errorf("play %s is not as recorded", s.Text())
+			t.Errorf("play %s differs from the recorded ones", s.Text())
 		}
 	}
 }
@@ -181,7 +181,7 @@
 func (p *randomPlay) scheduleResult(s Send) {
 	m, r := p.messages[s.ID], p.random
 	if m == nil || m.inFlight != nil || m.ended {
-		p.t.Fatalf("sent %+v, which is out, over or unknown", s)
+		p.t.Fatalf("sent %+v, which is in flight, ended or unknown", s)
 	}
 	m.inFlight, m.sentAt, m.Timeout = &s, p.now, s.Timeout
 	e := Result{ID: s.ID, Host: s.Host, Attempt: m.Attempts, Outcome: Served, Took: time.Duration(1+r.IntN(60)) * ms}
--- a/choice/restore_test.go
+++ b/choice/restore_test.go
@@ -56,7 +56,7 @@
 	}
 	for _, x := range append(r.step(r.result("m", "a", Error)), r.advance(time.Second)...) {
 		if _, again := x.(Send); again {
-			t.Fatal("sent a fifth time, four are allowed")
+			t.Fatal("sent a fifth time, want at most four")
 		}
 	}
 }
@@ -100,7 +100,7 @@
 		acts = r.advance(5 * ms)
 	}
 	if r.now-told < 300*ms {
-		t.Fatalf("sent %v after a wait of 300 ms was told", r.now-told)
+		t.Fatalf("sent %v after an answer with a retry-after time of 300 ms", r.now-told)
 	}
 }
 
@@ -115,7 +115,7 @@
 	for _, x := range append(acts, r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})...) {
 		if f, ok := x.(Refuse); ok {
 			if f.After < 1500*ms || f.After > 3*time.Second {
-				t.Fatalf("come again after %v, want the rest of the wait", f.After)
+				t.Fatalf("retry after %v, want the rest of the wait", f.After)
 			}
 			return
 		}
@@ -142,7 +142,7 @@
 		}
 	}
 	if !unwell["b"] || unwell["a"] {
-		t.Errorf("on record as unwell: %v, want b alone", unwell)
+		t.Errorf("recorded outages: %v, want b alone", unwell)
 	}
 }
 
@@ -175,7 +175,7 @@
 				next = append(next, Result{ID: a.ID, Host: a.Host, Outcome: Served, Took: 10 * ms, Done: true})
 			case Refuse:
 				if a.ID != "new" && !tried[a.ID] {
-					t.Fatalf("%s is given back untried", a.ID)
+					t.Fatalf("%s is refused without an attempt", a.ID)
 				}
 			}
 		}
--- a/choice/retry_after_test.go
+++ b/choice/retry_after_test.go
@@ -24,7 +24,7 @@
 	}
 	restored := Restored{Arrival: Arrival{ID: "m", Dest: 1, Left: 10 * time.Second}}
 	if n := sent(RetryAfter{Host: "b", Remaining: 2 * time.Second}, RetryAfter{Host: "nobody", Remaining: time.Hour}, restored); n != 0 {
-		t.Errorf("%d sends as the wait begins, want none", n)
+		t.Errorf("%d sends as the retry-after time begins, want none", n)
 	}
 	now += 1900 * time.Millisecond
 	if n := sent(Woken{}); n != 0 {
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -20,12 +20,12 @@
 		{Name: "one more", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Safe}}
 	acts := r.step(Reconfigured{next}, r.result("safe", "a", Error), r.result("unsafe", "a", Error))
 	if got := finalAnswers(acts); got != "fail unsafe;" {
-		t.Fatalf("answers %q, want only the unsafe message failed: it may have run, and was unsafe when it came", got)
+		t.Fatalf("answers %q, want only the unsafe message failed: it may have run, and was unsafe when it was accepted", got)
 	}
 	for n := 2; n <= 4; n++ {
 		for len(sends(acts)) == 0 {
 			if acts = r.advance(5 * ms); r.now > 2*time.Hour {
-				t.Fatalf("attempt %d of a message that came with 4 is not made", n)
+				t.Fatalf("attempt %d of a message accepted with 4 is not made", n)
 			}
 		}
 		acts = r.step(r.result("safe", "a", Error))
@@ -86,11 +86,11 @@
 	tab.refresh()
 	tab.rebucket(40 * ms)
 	if tab.refresh(); tab.bestTimeout != 160*ms {
-		t.Errorf("edge %v, want the end of the wider bucket, 160ms", tab.bestTimeout)
+		t.Errorf("time-out %v, want the end of the wider bucket, 160ms", tab.bestTimeout)
 	}
 	tab.rebucket(ms)
 	if tab.refresh(); tab.bestTimeout != 100*ms {
-		t.Errorf("edge %v, want the last bucket", tab.bestTimeout)
+		t.Errorf("time-out %v, want the last bucket", tab.bestTimeout)
 	}
 }
 
@@ -120,7 +120,7 @@
 		a, b := draw("a"), draw("b")
 		j := Join(a, b)
 		if err := j.Check(); err != nil && len(j.Classes) > 0 {
-			rt.Fatalf("the join of two sound settings: %v", err)
+			rt.Fatalf("the join of two valid settings: %v", err)
 		}
 		for _, s := range []Settings{a, b} {
 			if j.Workers > s.Workers || j.MaxAttempts > s.MaxAttempts || s.MaxPending > 0 && (j.MaxPending == 0 || j.MaxPending > s.MaxPending) || j.Fleet < s.Fleet ||
@@ -131,7 +131,7 @@
 			for _, k := range j.Classes {
 				i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == k.Name })
 				if i < 0 {
-					rt.Fatalf("class %q is in one only", k.Name)
+					rt.Fatalf("class %q is in one of the settings only", k.Name)
 				}
 				was := s.Classes[i]
 				if k.Effect < was.Effect || k.Deadline > was.Deadline || was.SameZone && !k.SameZone || k.Effect == Keyed && was.Effect == Keyed && k.Window > was.Window {
@@ -140,7 +140,7 @@
 			}
 		}
 		if again := Join(j, b); !reflect.DeepEqual(again, j) {
-			rt.Fatalf("joined once more: %+v, not %+v", again, j)
+			rt.Fatalf("joined again: %+v, want %+v", again, j)
 		}
 	})
 }
@@ -174,9 +174,9 @@
 	s.Tenants = []Tenant{{"b", 1}, {"ab", 1}, {"a", 1}}
 	c.reconfigure(s)
 	if c.withinShare(2) {
-		t.Error("a has its share again")
+		t.Error("tenant a has its share again")
 	}
 	if !c.withinShare(0) || !c.withinShare(1) {
-		t.Error("the others have none")
+		t.Error("the other tenants have no share left")
 	}
 }
--- a/choice/scale_test.go
+++ b/choice/scale_test.go
@@ -180,20 +180,20 @@
 	f, _, _ := newScaleBench(t, 15, 100)
 	f.serveNext(t)
 	if f.chooser.pending != 100 {
-		t.Errorf("%d messages held, want 100", f.chooser.pending)
+		t.Errorf("%d messages pending, want 100", f.chooser.pending)
 	}
 	for i := range 100 {
 		f.step(Withdrawn{fmt.Sprint("held", i)})
 	}
 	if f.chooser.pending != 0 {
-		t.Errorf("%d messages held after those that were to wait are withdrawn, want none", f.chooser.pending)
+		t.Errorf("%d messages pending after all are withdrawn, want none", f.chooser.pending)
 	}
 	f, _, _ = newScaleBench(t, 101, 0)
 	for i := range 200 {
 		f.serveAt(t, 1+i%100)
 	}
 	if n := len(f.chooser.hosts); n != 202 || f.chooser.pending != 0 {
-		t.Errorf("%d endpoints known and %d messages held, want 202 and none", n, f.chooser.pending)
+		t.Errorf("%d endpoints known and %d messages pending, want 202 and none", n, f.chooser.pending)
 	}
 	for i := range 100 {
 		if tab := &f.chooser.dests[1+i].latencies; tab.counts == nil || tab.samples != 2 {
@@ -207,7 +207,7 @@
 	}
 	for _, h := range f.chooser.hosts {
 		if h.State == Removed {
-			t.Errorf("%s has gone with a change of another", h.Addr)
+			t.Errorf("%s was removed by a change of another", h.Addr)
 		}
 	}
 }
--- a/choice/slowstart_rule_test.go
+++ b/choice/slowstart_rule_test.go
@@ -86,7 +86,7 @@
 				for p.seed = range size.draws {
 					got, most := p.play(t).worst()
 					if got > most {
-						t.Errorf("fleet of %d, %g calls at the return, draw %d: %.0f calls in a window of %.1f",
+						t.Errorf("fleet of %d, %g calls at the return, seed %d: %.0f calls in a window of %.1f",
 							p.fleet, size.window, p.seed, got, most)
 					}
 					if plays++; got > 0 {
@@ -117,7 +117,7 @@
 		"all restart":                 {load: 1.5, restartPercent: 100, restartTogether: true},
 		"all restart twice":           {load: 1.5, restartPercent: 100, restartTogether: true, restartGaps: soon},
 		"all restart three times":     {load: 1.5, skew: 1, restartPercent: 100, restartTogether: true, restartGaps: later},
-		"routes apart":                {load: 1.5, routes: 2},
+		"separate routes":             {load: 1.5, routes: 2},
 		"shared calls":                {load: 1.5, perCall: 2, restartPercent: 100, restartTogether: true},
 		"the rate is raised":          {load: 1.5, rateFactor: 3},
 		"the rate is lowered, uneven": {load: 1.5, rateFactor: 0.4, skew: 1},
@@ -128,11 +128,11 @@
 // warm-up, and is taken for healthy once it answers.
 func TestSlowStartAfterASecondOutage(t *testing.T) {
 	checkSlowStart(t, map[string]slowStartCase{
-		"early in the ramp":  {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: 4 * time.Second},
-		"late in the ramp":   {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: 4 * time.Second},
-		"for a second":       {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second},
-		"late, for a second": {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: time.Second},
-		"one restarts":       {load: 1.5, skew: 1, secondOutageAfter: 5 * time.Second, secondOutageSpan: 4 * time.Second, restartPercent: 1},
+		"early in the warm-up": {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: 4 * time.Second},
+		"late in the warm-up":  {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: 4 * time.Second},
+		"for a second":         {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second},
+		"late, for a second":   {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: time.Second},
+		"one restarts":         {load: 1.5, skew: 1, secondOutageAfter: 5 * time.Second, secondOutageSpan: 4 * time.Second, restartPercent: 1},
 	})
 }
 
@@ -141,11 +141,11 @@
 func TestSlowStartAfterManualEnable(t *testing.T) {
 	soon := []time.Duration{700 * ms}
 	checkSlowStart(t, map[string]slowStartCase{
-		"unequal traffic":        {load: 1.5, manual: true, skew: 1},
-		"one restarts":           {load: 1.5, manual: true, restartPercent: 1},
-		"40% restart":            {load: 1.5, manual: true, restartPercent: 40, skew: 1},
-		"all restart twice":      {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, restartGaps: soon},
-		"routes apart, restarts": {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, routes: 2},
+		"unequal traffic":           {load: 1.5, manual: true, skew: 1},
+		"one restarts":              {load: 1.5, manual: true, restartPercent: 1},
+		"40% restart":               {load: 1.5, manual: true, restartPercent: 40, skew: 1},
+		"all restart twice":         {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, restartGaps: soon},
+		"separate routes, restarts": {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, routes: 2},
 	})
 }
 
@@ -154,13 +154,13 @@
 func TestSlowStartAfterManualEnableInSmallShares(t *testing.T) {
 	checkSlowStart(t, map[string]slowStartCase{
 		"all restart":        {load: 1.5, manual: true, restartPercent: 100, restartTogether: true},
-		"given back twice":   {load: 1.5, manual: true, secondOutageAfter: 5 * time.Second, secondOutageSpan: time.Second},
+		"enabled twice":      {load: 1.5, manual: true, secondOutageAfter: 5 * time.Second, secondOutageSpan: time.Second},
 		"the rate is raised": {load: 1.5, manual: true, rateFactor: 3},
 	})
 	p := slowStartCase{fleet: 300, rate: 69, load: 1.5, manual: true, secondOutageAfter: 5 * time.Second, secondOutageSpan: time.Second}
 	for p.seed = range 3 {
 		if got, most := p.play(t).worst(); got > most || got == 0 {
-			t.Errorf("given back twice, fleet of %d, draw %d: %.0f calls in a window of %.1f", p.fleet, p.seed, got, most)
+			t.Errorf("enabled twice, fleet of %d, seed %d: %.0f calls in a window of %.1f", p.fleet, p.seed, got, most)
 		}
 	}
 }
--- a/choice/snapshot_test.go
+++ b/choice/snapshot_test.go
@@ -50,27 +50,27 @@
 	next.step(m, Restored{Arrival: Arrival{ID: "out", Class: 0, Dest: 3, Left: 9 * time.Second}, Attempts: 1,
 		Timeout: old.chooser.messages["out"].timeout, InFlight: &InFlightCall{Host: where["out"], Call: 1, SentAgo: 50 * ms}})
 	if next.chooser.inFlight != 1 {
-		t.Fatalf("%d slots taken, want that of the call that runs on", next.chooser.inFlight)
+		t.Fatalf("%d slots in use, want one for the resumed call", next.chooser.inFlight)
 	}
 	if n := next.chooser.hosts["b"].unit.state; n != suspect {
 		t.Errorf("state %d of a unit that failed, want it suspect", n)
 	}
 	before, after := old.chooser.Snapshot(old.now), next.chooser.Snapshot(next.now)
 	if !reflect.DeepEqual(before, after) {
-		t.Errorf("knows\n%+v\nwant\n%+v", after, before)
+		t.Errorf("snapshot\n%+v\nwant\n%+v", after, before)
 	}
 	told := next.now
 	n := Arrival{ID: "n", Class: 0, Dest: 1, Left: 9 * time.Second}
 	for acts := next.step(n); len(sends(acts)) == 0; acts = next.advance(5 * ms) {
 		if next.now-told > time.Minute {
-			t.Fatal("nothing is sent after the wait")
+			t.Fatal("nothing is sent after the retry-after time")
 		}
 	}
 	if next.now-told < 650*ms {
-		t.Errorf("sent %v after the hand-over, within a told wait", next.now-told)
+		t.Errorf("sent %v after the handover, before the retry-after time", next.now-told)
 	}
 	if acts := next.step(next.result("out", where["out"], Served)); len(finalAnswers(acts)) != 0 || next.chooser.inFlight != 1 {
-		t.Errorf("answers %q and %d slots taken after the end of the call that ran on", finalAnswers(acts), next.chooser.inFlight)
+		t.Errorf("answers %q and %d slots in use after the end of the resumed call", finalAnswers(acts), next.chooser.inFlight)
 	}
 }
 
@@ -103,10 +103,10 @@
 		}
 	}
 	if d := r.chooser.dests[2]; d.inFlight != 0 || r.chooser.dests[1].inFlight == 0 {
-		t.Errorf("%d calls out at the endpoint's destination and %d at the message's, want none and some", d.inFlight, r.chooser.dests[1].inFlight)
+		t.Errorf("%d calls in flight for the endpoint's destination and %d for the message's, want none and some", d.inFlight, r.chooser.dests[1].inFlight)
 	}
 	r.step(Result{ID: "out", Host: "moved", Outcome: Served, Done: true})
 	if r.chooser.dests[1].inFlight < 0 || r.chooser.dests[2].inFlight < 0 {
-		t.Errorf("%d and %d calls out, none can be below 0", r.chooser.dests[1].inFlight, r.chooser.dests[2].inFlight)
+		t.Errorf("%d and %d calls in flight, want neither below 0", r.chooser.dests[1].inFlight, r.chooser.dests[2].inFlight)
 	}
 }
--- a/choice/soak_test.go
+++ b/choice/soak_test.go
@@ -59,7 +59,7 @@
 			return false
 		})
 		if n := c.Excluded(); n != excluded && !told {
-			t.Fatalf("%d endpoints are avoided after %d, and nothing was told of it", n, excluded)
+			t.Fatalf("%d endpoints are excluded after %d, and no event or action says why", n, excluded)
 		}
 		for _, a := range acts {
 			switch a := a.(type) {
@@ -131,7 +131,7 @@
 	step(ListUpdate{Complete: true, Hosts: listed(versions)})
 	step(ListUpdate{Complete: true, Hosts: listed(versions)})
 	if messages < 20000 || len(open) > 0 {
-		t.Fatalf("%d messages, %d of them without an end", messages, len(open))
+		t.Fatalf("%d messages, %d of them without a final answer", messages, len(open))
 	}
 	sends := 0
 	for d := range c.destOrder.each {
@@ -140,18 +140,18 @@
 		}
 	}
 	for what, n := range map[string]struct{ held, most int }{
-		"messages":       {len(c.messages) + c.pending + c.inFlight, 0},
-		"endpoints":      {len(c.hosts), kept},
-		"destinations":   {len(c.dests) + c.destOrder.count, 2 * (kept/4 + 1)},
-		"live":           {c.liveDests.count + len(c.activeDests) + len(c.deferredDests.items) + len(c.callingDests) + len(c.byAnswerTime.items), 0},
-		"keys":           {len(c.keyQueues) + len(c.pausedKeys.items), 0},
-		"given back":     {len(c.enabledAt), 2},
-		"taken out":      {len(c.disabled), 0},
-		"remembered":     {len(c.Snapshot(now).Units), kept},
-		"times of sends": {sends, kept * 100},
+		"messages":           {len(c.messages) + c.pending + c.inFlight, 0},
+		"endpoints":          {len(c.hosts), kept},
+		"destinations":       {len(c.dests) + c.destOrder.count, 2 * (kept/4 + 1)},
+		"live":               {c.liveDests.count + len(c.activeDests) + len(c.deferredDests.items) + len(c.callingDests) + len(c.byAnswerTime.items), 0},
+		"keys":               {len(c.keyQueues) + len(c.pausedKeys.items), 0},
+		"enabled again":      {len(c.enabledAt), 2},
+		"disabled endpoints": {len(c.disabled), 0},
+		"remembered":         {len(c.Snapshot(now).Units), kept},
+		"times of sends":     {sends, kept * 100},
 	} {
 		if n.held > n.most {
-			t.Errorf("%s: %d held at the end, want %d at most", what, n.held, n.most)
+			t.Errorf("%s: %d stored at the end, want at most %d", what, n.held, n.most)
 		}
 	}
 }
