--- a/choice/answers.go
+++ b/choice/answers.go
@@ -33,15 +33,15 @@
 	if m == nil || m.call == nil {
 		return
 	}
-	k, h, u, d := m.call, m.call.host, m.call.host.unit, m.dest
+	sentCall, h, u, d := m.call, m.call.host, m.call.host.unit, m.dest
 	c.markChanged(d)
 	c.markChanged(h.dest)
 	u.retryAfter = max(u.retryAfter, c.now+e.RetryAfter) // it binds with any outcome
 	c.detachFromCall(m)
-	if report := c.settings.ReportLimitIndex; report >= 0 && report < len(e.Report) && e.Report[report] > 0 {
-		u.setReportedRate(e.Report[report])
-		if report = c.settings.ReportLeftIndex; e.Outcome == Served && report >= 0 && report < len(e.Report) {
-			c.adjustPace(u, d, e.Report[report])
+	if i := c.settings.ReportLimitIndex; i >= 0 && i < len(e.Report) && e.Report[i] > 0 {
+		u.setReportedRate(e.Report[i])
+		if i = c.settings.ReportLeftIndex; e.Outcome == Served && i >= 0 && i < len(e.Report) {
+			c.adjustPace(u, d, e.Report[i])
 		}
 	}
 	switch e.Outcome {
@@ -68,7 +68,7 @@
 		}
 	case Timeout, Cancelled:
 		d.latencies.addCutShort()
-		if u.lastServed < k.sentAt {
+		if u.lastServed < sentCall.sentAt {
 			d.timeoutStreak++
 			if e.Took >= c.silenceLimit(d) {
 				c.recordFailure(h, e.Outcome)
@@ -83,7 +83,7 @@
 		e.Outcome == NotSent
 	if !certain {
 		if m.uncertainAt = c.now; !m.mayHaveRun {
-			m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, k.sentAt, h.Zone
+			m.mayHaveRun, m.firstRunAt, m.firstRunZone = true, sentCall.sentAt, h.Zone
 		}
 	}
 	switch {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -304,7 +304,7 @@
 	}
 }
 
-func TestOneDestinationLeavesSlotsFree(t *testing.T) {
+func TestOneDestinationUsesUnderThreeQuartersOfSlots(t *testing.T) {
 	for _, tc := range []struct{ workers, want int }{{1, 1}, {3, 2}, {4, 2}, {8, 5}} {
 		s := settings()
 		s.Workers = tc.workers
@@ -350,9 +350,9 @@
 	acts := r.step(r.result(trial[0].ID, "a", Served))
 	acts = append(acts, r.advance(s.Rules.OverloadWindow)...)
 	share := s.Rules.ColdShare + (1-s.Rules.ColdShare)*s.Rules.OverloadWindow.Seconds()/s.Rules.WarmUp.Seconds()
-	most := s.Rules.OverloadFactor * share * 10 * s.Rules.OverloadWindow.Seconds() / 2
-	if n := float64(len(sends(acts))); n < 1 || n > most {
-		t.Errorf("%v calls in the first window after an outage, want 1 to %v", n, most)
+	limit := s.Rules.OverloadFactor * share * 10 * s.Rules.OverloadWindow.Seconds() / 2
+	if n := float64(len(sends(acts))); n < 1 || n > limit {
+		t.Errorf("%v calls in the first window after an outage, want 1 to %v", n, limit)
 	}
 }
 
@@ -415,7 +415,8 @@
 				acts = nil
 				for _, o := range out {
 					count++
-					acts = append(acts, r.step(r.result(o.ID, o.Host, Served, func(e *Result) { e.Report = []float64{limit} }))...)
+					acts = append(acts, r.step(r.result(o.ID, o.Host, Served,
+						func(e *Result) { e.Report = []float64{limit} }))...)
 				}
 			}
 		}
@@ -483,7 +484,8 @@
 		if len(next) == 0 {
 			t.Fatalf("nothing was sent as number %d", i)
 		}
-		if id := next[0].ID; strings.HasPrefix(id, "flood") && !slices.Contains([]string{"flood1", "flood2", "flood3"}, id) {
+		if id := next[0].ID; strings.HasPrefix(id, "flood") &&
+			!slices.Contains([]string{"flood1", "flood2", "flood3"}, id) {
 			t.Fatalf("%s was sent as number %d, before messages within their share", id, i)
 		}
 		acts = append(r.step(r.result(next[0].ID, "a", Served)), r.advance(time.Second)...)
@@ -492,13 +494,13 @@
 }
 
 func TestSettingsAreChecked(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, change := range map[string]func(*Settings){
 		"workers": func(s *Settings) { s.Workers = 0 }, "fleet": func(s *Settings) { s.Fleet = 0 },
 		"classes": func(s *Settings) { s.Classes = nil }, "aim": func(s *Settings) { s.Classes[0].Aim = 0 },
 		"tick": func(s *Settings) { s.Tick = 0 }, "fall": func(s *Settings) { s.Rules.OverloadWindow = 0 },
 	} {
 		s := settings()
-		spoil(&s)
+		change(&s)
 		if _, err := New(s, 1); err == nil {
 			t.Errorf("%s: no error for a setting out of range", name)
 		}
--- a/choice/containers_test.go
+++ b/choice/containers_test.go
@@ -18,7 +18,8 @@
 		}
 		r := indexedSlice[message]{index: func(m *message) *int { return &m.sliceIndex }}
 		c := linkedList[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}
-		s := indexedHeap[*message]{before: func(a, b *message) bool { return a.answerAt < b.answerAt }, index: func(m *message) *int { return &m.heapIndex }}
+		s := indexedHeap[*message]{before: func(a, b *message) bool { return a.answerAt < b.answerAt },
+			index: func(m *message) *int { return &m.heapIndex }}
 		var want []*message
 		for _, i := range rapid.SliceOfN(rapid.IntRange(0, 2*len(all)-1), 60, 200).Draw(t, "which") {
 			m := all[i%len(all)]
@@ -40,9 +41,11 @@
 				s.update(m)
 			}
 			if r.count != len(want) || c.count != len(want) || len(s.items) != len(want) || len(r.items) > 2*r.count {
-				t.Fatalf("%d, %d and %d elements in a slice of %d, want %d", r.count, c.count, len(s.items), len(r.items), len(want))
+				t.Fatalf("%d, %d and %d elements in a slice of %d, want %d", r.count, c.count, len(s.items),
+					len(r.items), len(want))
 			}
-			if got := slices.DeleteFunc(slices.Clone(r.items), func(m *message) bool { return m == nil }); !slices.Equal(got, want) {
+			if got := slices.DeleteFunc(slices.Clone(r.items),
+				func(m *message) bool { return m == nil }); !slices.Equal(got, want) {
 				t.Fatalf("the slice has %p, want %p", got, want)
 			}
 			if got := slices.Collect(c.each); !slices.Equal(got, want) {
--- a/choice/cost_test.go
+++ b/choice/cost_test.go
@@ -17,10 +17,10 @@
 
 // newStepBench lists endpoints of destinations with two each. The pending messages are for the
 // first destination, whose endpoints drain, so that they wait; later messages go to others.
-func newStepBench(tb testing.TB, fleet, endpoints, held int) *stepBench {
+func newStepBench(tb testing.TB, fleet, endpoints, pending int) *stepBench {
 	tb.Helper()
 	s := settings()
-	s.Fleet, s.Workers, s.MaxPending, s.ReportLeftIndex, s.ReportLimitIndex = fleet, 8, 2*held+16, 0, 1
+	s.Fleet, s.Workers, s.MaxPending, s.ReportLeftIndex, s.ReportLimitIndex = fleet, 8, 2*pending+16, 0, 1
 	c, err := New(s, 1)
 	if err != nil {
 		tb.Fatal(err)
@@ -35,7 +35,7 @@
 		}
 	}
 	f.step(ListUpdate{Complete: true, Hosts: hosts})
-	for i := range held {
+	for i := range pending {
 		f.step(Arrival{ID: fmt.Sprint("held", i), Class: 1, Dest: 0, Left: s.Classes[1].Deadline, Tenant: -1})
 	}
 	return f
@@ -60,7 +60,8 @@
 		tb.Fatalf("message %s was not sent: %v", id, f.actions)
 	}
 	f.step(Woken{})
-	f.step(Result{ID: id, Host: sent.Host, Outcome: Served, Took: 20 * time.Millisecond, Done: true, Report: []float64{0.9, 1e6}})
+	f.step(Result{ID: id, Host: sent.Host, Outcome: Served, Took: 20 * time.Millisecond, Done: true,
+		Report: []float64{0.9, 1e6}})
 }
 
 // BenchmarkStep measures the decisions for one message: its arrival, a wake-up and its end.
@@ -121,6 +122,7 @@
 		t.Errorf("a message takes %.0f allocations with 1,000 endpoints and %.0f with 30, want the same", many, few)
 	}
 	if many := per(30, 1000); many > few+1 {
-		t.Errorf("a message takes %.0f allocations with 1,000 messages pending and %.0f with 10, want the same", many, few)
+		t.Errorf("a message takes %.0f allocations with 1,000 messages pending and %.0f with 10, want the same",
+			many, few)
 	}
 }
--- a/choice/deferred.go
+++ b/choice/deferred.go
@@ -53,13 +53,13 @@
 
 // catchUpPaces applies the pace updates of the Steps that the destination was deferred in.
 func (c *Chooser) catchUpPaces(d *dest) {
-	first := c.stepCount - len(c.stepTimes)
+	firstStep := c.stepCount - len(c.stepTimes)
 	for _, u := range d.units {
-		for i := max(d.pacedStep, first); i < c.stepCount; i++ {
+		for i := max(d.pacedStep, firstStep); i < c.stepCount; i++ {
 			if c.paceSteady(u) {
 				i = c.stepCount - 1 // no update would change it
 			}
-			if at := c.stepTimes[i-first]; at >= d.pauseUntil {
+			if at := c.stepTimes[i-firstStep]; at >= d.pauseUntil {
 				c.refillTokens(u, at)
 			}
 		}
@@ -69,8 +69,8 @@
 
 // unblockedMessages returns the waiting messages that may be able to go to the given hosts: those
 // queued after the last check that found none, or all if that check no longer holds.
-func (c *Chooser) unblockedMessages(d *dest, open []*host) []*message {
-	if c.now >= d.blockedUntil || !slices.Equal(open, d.blockedHosts) {
+func (c *Chooser) unblockedMessages(d *dest, hosts []*host) []*message {
+	if c.now >= d.blockedUntil || !slices.Equal(hosts, d.blockedHosts) {
 		d.blockedUntil = 0
 		return d.waiting.items
 	}
@@ -83,11 +83,11 @@
 
 // noteBlocked records that none of the waiting messages may go to the given hosts now, and until
 // when maySend and keyAllows give the same result. Events that change the result reset the record.
-func (c *Chooser) noteBlocked(d *dest, open []*host) {
+func (c *Chooser) noteBlocked(d *dest, hosts []*host) {
 	if d.waiting.count == 0 {
 		return
 	}
-	candidates, until := c.unblockedMessages(d, open), time.Duration(math.MaxInt64)
+	candidates, until := c.unblockedMessages(d, hosts), time.Duration(math.MaxInt64)
 	if d.blockedUntil > 0 {
 		until = d.blockedUntil
 	}
@@ -98,11 +98,12 @@
 		if last := m.deadline - m.class.Deadline/4; m.class.Effect == Unsafe && last >= c.now {
 			until = min(until, last+1)
 		}
-		if l := c.keyQueues[m.Key]; l != nil && m.class.Ordered && l.messages.first == m && l.pauseUntil > c.now {
-			until = min(until, l.pauseUntil)
+		if queue := c.keyQueues[m.Key]; queue != nil && m.class.Ordered && queue.messages.first == m &&
+			queue.pauseUntil > c.now {
+			until = min(until, queue.pauseUntil)
 		}
 	}
-	d.blockedUntil, d.blockedThrough, d.blockedHosts = until, c.queueCount, append(d.blockedHosts[:0], open...)
+	d.blockedUntil, d.blockedThrough, d.blockedHosts = until, c.queueCount, append(d.blockedHosts[:0], hosts...)
 }
 
 // activateDue makes destinations active whose deferral is over.
@@ -124,7 +125,8 @@
 	} else if u.state == suspect {
 		earliest = max(earliest, u.trialAt)
 	}
-	if missing := 1 - u.tokens; earliest <= c.now && u.pace > 0 && missing > 0 { // a pace grows by less than a fifth in a second
+	// A pace grows by less than a fifth in a second.
+	if missing := 1 - u.tokens; earliest <= c.now && u.pace > 0 && missing > 0 {
 		earliest = c.now + time.Duration(min(1, missing/u.pace/1.2)*float64(time.Second))
 	}
 	return earliest
--- a/choice/final_answer_test.go
+++ b/choice/final_answer_test.go
@@ -12,34 +12,34 @@
 // settings changed it meanwhile.
 func TestFinalAnswerComesAtItsMargin(t *testing.T) {
 	s := settings()
-	gone := ready("e", 1, 0, 0)
-	gone.State = Draining
-	r := newHarness(t, s, gone)
+	draining := ready("e", 1, 0, 0)
+	draining.State = Draining
+	r := newHarness(t, s, draining)
 	r.step(Arrival{ID: "first", Class: 0, Dest: 1, Left: 3 * time.Second})
 	r.step(Arrival{ID: "second", Class: 0, Dest: 1, Left: 9 * time.Second})
 	end := r.now + 3*time.Second
-	look := r.chooser.FinalAnswerMargin()
-	r.now = end - look - 1
+	margin := r.chooser.FinalAnswerMargin()
+	r.now = end - margin - 1
 	if acts := finalActions(r.step(Woken{})); len(acts) != 0 {
-		t.Errorf("answered earlier than %v before the deadline: %v", look, acts)
+		t.Errorf("answered earlier than %v before the deadline: %v", margin, acts)
 	}
-	r.now = end - look
+	r.now = end - margin
 	if acts := finalActions(r.step(Woken{})); len(acts) != 1 {
-		t.Errorf("%v before its deadline a message got %v, want one final answer", look, acts)
+		t.Errorf("%v before its deadline a message got %v, want one final answer", margin, acts)
 	}
 	s.Tick *= 20
 	r.step(Reconfigured{s})
-	if was := look; r.chooser.FinalAnswerMargin() <= was {
+	if was := margin; r.chooser.FinalAnswerMargin() <= was {
 		t.Fatalf("margin %v with ticks 20 times as long, %v before", r.chooser.FinalAnswerMargin(), was)
 	}
-	look, end = r.chooser.FinalAnswerMargin(), end+6*time.Second
-	r.now = end - look - 1
+	margin, end = r.chooser.FinalAnswerMargin(), end+6*time.Second
+	r.now = end - margin - 1
 	if acts := finalActions(r.step(Woken{})); len(acts) != 0 {
-		t.Errorf("answered earlier than the new margin of %v before the deadline: %v", look, acts)
+		t.Errorf("answered earlier than the new margin of %v before the deadline: %v", margin, acts)
 	}
-	r.now = end - look
+	r.now = end - margin
 	if acts := finalActions(r.step(Woken{})); len(acts) != 1 {
-		t.Errorf("%v before its deadline, with new settings, a message got %v, want one final answer", look, acts)
+		t.Errorf("%v before its deadline, with new settings, a message got %v, want one final answer", margin, acts)
 	}
 }
 
@@ -47,14 +47,14 @@
 // list update: they are renamed in the order in which destinations became known, and also when the
 // endpoint a unit is named after moved to another destination and is removed there.
 func TestOutagesAreRenamedInDestinationOrder(t *testing.T) {
-	in := func(addr string, dest int, s State) Host {
+	host := func(addr string, dest int, s State) Host {
 		h := ready(addr, dest, 0, 0)
 		h.State = s
 		return h
 	}
-	r := newHarness(t, settings(), in("a1", 1, Ready), in("a2", 1, Draining), in("b1", 2, Ready))
+	r := newHarness(t, settings(), host("a1", 1, Ready), host("a2", 1, Draining), host("b1", 2, Ready))
 	r.step(KnownOutage{"a1", 1}, KnownOutage{"b1", 1})
-	named := func(acts []Action) (out []string) {
+	outageHosts := func(acts []Action) (out []string) {
 		for _, a := range acts {
 			if h, ok := a.(Health); ok && h.Unwell {
 				out = append(out, h.Host)
@@ -62,16 +62,17 @@
 		}
 		return out
 	}
-	acts := r.step(ListUpdate{Hosts: []Host{in("b2", 2, Ready), in("b1", 2, Removed), in("a3", 1, Ready), in("a1", 1, Removed)}})
-	if got := named(acts); !slices.Equal(got, []string{"a3", "b2"}) {
+	acts := r.step(ListUpdate{Hosts: []Host{host("b2", 2, Ready), host("b1", 2, Removed), host("a3", 1, Ready),
+		host("a1", 1, Removed)}})
+	if got := outageHosts(acts); !slices.Equal(got, []string{"a3", "b2"}) {
 		t.Errorf("outages recorded under %v, want a3 and b2", got)
 	}
-	r.step(ListUpdate{Hosts: []Host{in("a3", 1, Removed)}})
+	r.step(ListUpdate{Hosts: []Host{host("a3", 1, Removed)}})
 	r.now += 30 * time.Second
 	r.step(ListUpdate{}) // a3 is forgotten
-	r.step(ListUpdate{Hosts: []Host{in("a3", 3, Ready)}})
-	r.step(ListUpdate{Hosts: []Host{in("a2", 1, Ready)}})
-	if got := named(r.step(ListUpdate{Hosts: []Host{in("a3", 3, Removed)}})); !slices.Equal(got, []string{"a2"}) {
+	r.step(ListUpdate{Hosts: []Host{host("a3", 3, Ready)}})
+	r.step(ListUpdate{Hosts: []Host{host("a2", 1, Ready)}})
+	if got := outageHosts(r.step(ListUpdate{Hosts: []Host{host("a3", 3, Removed)}})); !slices.Equal(got, []string{"a2"}) {
 		t.Errorf("outages recorded under %v, want a2", got)
 	}
 }
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -36,7 +36,8 @@
 
 // simulateFleet has a fleet deliver to one destination. Messages arrive at random relays at a mean
 // rate of perSecond.
-func simulateFleet(t *testing.T, fleet int, host Host, g *limitedDest, perSecond float64, span time.Duration) (sum callCounts) {
+func simulateFleet(t *testing.T, fleet int, host Host, g *limitedDest, perSecond float64,
+	span time.Duration) (sum callCounts) {
 	t.Helper()
 	s := settings()
 	s.Fleet, s.Workers, s.ReportLeftIndex, s.ReportLimitIndex = fleet, 5, 0, 1
@@ -54,21 +55,22 @@
 		at time.Duration
 		Result
 	}
-	due := make([][]answer, fleet)
+	answersDue := make([][]answer, fleet)
 	events := make([][]Event, fleet)
-	chance := rand.New(rand.NewPCG(7, 7))
+	random := rand.New(rand.NewPCG(7, 7))
 	const tick = 10 * ms
 	for now := tick; now < span; now += tick {
-		for more := perSecond * tick.Seconds(); more > 0 && chance.Float64() < more; more-- {
-			i := chance.IntN(fleet)
-			events[i] = append(events[i], Arrival{ID: fmt.Sprint(now, more), Dest: host.Dest, Left: s.Classes[0].Deadline, Tenant: -1})
+		for more := perSecond * tick.Seconds(); more > 0 && random.Float64() < more; more-- {
+			i := random.IntN(fleet)
+			events[i] = append(events[i], Arrival{ID: fmt.Sprint(now, more), Dest: host.Dest,
+				Left: s.Classes[0].Deadline, Tenant: -1})
 		}
 		second := int(now / time.Second)
 		for len(sum.calls) <= second {
 			sum.calls, sum.served = append(sum.calls, 0), append(sum.served, 0)
 		}
 		for i, c := range all {
-			due[i] = slices.DeleteFunc(due[i], func(a answer) bool {
+			answersDue[i] = slices.DeleteFunc(answersDue[i], func(a answer) bool {
 				if a.at <= now {
 					events[i] = append(events[i], a.Result)
 				}
@@ -88,8 +90,9 @@
 				if outcome == Served {
 					sum.served[second]++
 				}
-				due[i] = append(due[i], answer{now + 50*ms, Result{ID: send.ID, Host: send.Host, Outcome: outcome,
-					Took: 50 * ms, Done: outcome == Served, Report: report}})
+				answersDue[i] = append(answersDue[i],
+					answer{now + 50*ms, Result{ID: send.ID, Host: send.Host, Outcome: outcome,
+						Took: 50 * ms, Done: outcome == Served, Report: report}})
 			}
 			events[i] = events[i][:0]
 		}
@@ -226,20 +229,20 @@
 		}
 		all[i] = c
 	}
-	chance := rand.New(rand.NewPCG(3, 3))
+	random := rand.New(rand.NewPCG(3, 3))
 	for tenant, perSecond := range []float64{36, 120} {
-		come, past := 0, 0
+		arrivals, overShare := 0, 0
 		for now := time.Second; now < time.Minute; now += 5 * ms {
-			if chance.Float64() >= perSecond*(5*ms).Seconds() {
+			if random.Float64() >= perSecond*(5*ms).Seconds() {
 				continue
 			}
-			c := all[chance.IntN(s.Fleet)]
-			come, c.now = come+1, now
+			c := all[random.IntN(s.Fleet)]
+			arrivals, c.now = arrivals+1, now
 			if !c.withinShare(tenant) {
-				past++
+				overShare++
 			}
 		}
-		if part := float64(past) / float64(come); tenant == 0 && part > 0.1 || tenant == 1 && part < 0.4 {
+		if part := float64(overShare) / float64(arrivals); tenant == 0 && part > 0.1 || tenant == 1 && part < 0.4 {
 			t.Errorf("%v messages per second with a share of 40: %.2f of them count as over it", perSecond, part)
 		}
 	}
@@ -263,14 +266,14 @@
 	if u.knownRate != 40 {
 		t.Errorf("after the same list again the known rate is %v, want the reported 40", u.knownRate)
 	}
-	for _, odd := range [][]float64{{}, {0, 0}, {-5, -5}, {math.NaN(), math.NaN()}, {math.Inf(-1), 0}} {
-		if report(odd...); u.knownRate != 40 || !(u.pace > 0 && u.pace <= 40) {
-			t.Errorf("after the report %v the known rate is %v, and the pace %v", odd, u.knownRate, u.pace)
+	for _, values := range [][]float64{{}, {0, 0}, {-5, -5}, {math.NaN(), math.NaN()}, {math.Inf(-1), 0}} {
+		if report(values...); u.knownRate != 40 || !(u.pace > 0 && u.pace <= 40) {
+			t.Errorf("after the report %v the known rate is %v, and the pace %v", values, u.knownRate, u.pace)
 		}
 	}
-	for _, odd := range []float64{1e-300, 1e300, math.Inf(1)} {
-		if report(odd, odd); u.knownRate < 1 || u.knownRate > 2000 || !(u.pace > 0 && u.pace <= 2000) {
-			t.Errorf("after the report %v the known rate is %v, and the pace %v", odd, u.knownRate, u.pace)
+	for _, values := range []float64{1e-300, 1e300, math.Inf(1)} {
+		if report(values, values); u.knownRate < 1 || u.knownRate > 2000 || !(u.pace > 0 && u.pace <= 2000) {
+			t.Errorf("after the report %v the known rate is %v, and the pace %v", values, u.knownRate, u.pace)
 		}
 	}
 }
--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -32,13 +32,13 @@
 		t.Fatal(err)
 	}
 	hosts := []Host{ready("a", 1, 0, 0), ready("b", 1, 0, 1), ready("c", 2, 2, 0), ready("d", 2, 2, 1)}
-	where := map[string]*Host{}
+	hostsByAddr := map[string]*Host{}
 	for i := range hosts {
-		where[hosts[i].Addr] = &hosts[i]
+		hostsByAddr[hosts[i].Addr] = &hosts[i]
 	}
 	now := time.Hour
-	out := map[string]bool{}
-	lives, wait, settled := map[string]*messageState{}, map[string]time.Duration{}, map[string]time.Duration{}
+	disabled := map[string]bool{}
+	states, retryAfters, keyPauses := map[string]*messageState{}, map[string]time.Duration{}, map[string]time.Duration{}
 	var ids []string
 	var all [][]Action
 	play := func(events ...Event) {
@@ -47,7 +47,7 @@
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send:
-				l, h := lives[a.ID], where[a.Host]
+				l, h := states[a.ID], hostsByAddr[a.Host]
 				unit := fmt.Sprint(h.Dest)
 				if h.Dest == 2 {
 					unit = a.Host
@@ -62,23 +62,24 @@
 					t.Fatalf("attempt %d of %s", l.attempts+1, a.ID)
 				case h.State != Ready:
 					t.Fatalf("sent to %s in state %d", a.Host, h.State)
-				case out[a.Host]:
+				case disabled[a.Host]:
 					t.Fatalf("sent to %s, which operators disabled", a.Host)
-				case now < wait[unit]:
+				case now < retryAfters[unit]:
 					t.Fatalf("sent to %s before its retry-after time", a.Host)
 				case l.mayHaveRun && class.Effect == Unsafe:
 					t.Fatalf("repeated unsafe %s", a.ID)
-				case l.mayHaveRun && class.Effect == Keyed && (now > l.firstRunAt+class.Window || h.Zone != l.firstRunZone):
+				case l.mayHaveRun && class.Effect == Keyed &&
+					(now > l.firstRunAt+class.Window || h.Zone != l.firstRunZone):
 					t.Fatalf("repeated keyed %s outside its window or zone", a.ID)
 				case a.Timeout <= 0 || now+a.Timeout > l.deadline:
 					t.Fatalf("time-out %v of %s with %v left", a.Timeout, a.ID, l.deadline-now)
 				}
 				if class.Ordered && l.key != "" {
-					if now < settled[l.key] {
+					if now < keyPauses[l.key] {
 						t.Fatalf("key %s sent during its pause", l.key)
 					}
 					for _, id := range ids {
-						if o := lives[id]; o.key == l.key && o.sequence < l.sequence && (!o.ended || o.host != "") {
+						if o := states[id]; o.key == l.key && o.sequence < l.sequence && (!o.ended || o.host != "") {
 							t.Fatalf("%s overtook %s", a.ID, id)
 						}
 					}
@@ -89,13 +90,13 @@
 					l.firstRunAt, l.firstRunZone = now, h.Zone
 				}
 			case Refuse:
-				l := lives[a.ID]
+				l := states[a.ID]
 				if l.ended || l.host != "" || l.mayHaveRun && s.Classes[l.class].Effect != Safe || now > l.deadline {
 					t.Fatalf("refused %s against the rules", a.ID)
 				}
 				l.ended = true
 			case Fail:
-				l := lives[a.ID]
+				l := states[a.ID]
 				if l.ended || now > l.deadline+s.Rules.AnswerGrace {
 					t.Fatalf("failed %s twice or too late", a.ID)
 				}
@@ -103,28 +104,29 @@
 			}
 		}
 		for _, id := range ids {
-			if l := lives[id]; !l.ended && now > l.deadline+s.Rules.AnswerGrace {
+			if l := states[id]; !l.ended && now > l.deadline+s.Rules.AnswerGrace {
 				t.Fatalf("%s got no final answer in time", id)
 			}
 		}
-		if out := c.inFlight; out > s.Workers {
-			t.Fatalf("%d calls in flight with %d slots", out, s.Workers)
+		if disabled := c.inFlight; disabled > s.Workers {
+			t.Fatalf("%d calls in flight with %d slots", disabled, s.Workers)
 		}
 	}
-	finish := func(id string, o Outcome, told time.Duration) Event {
-		l := lives[id]
-		h := where[l.host]
-		e := Result{ID: id, Host: l.host, Attempt: l.attempts - 1, Outcome: o, Took: 30 * ms, Done: o == Served || l.ended}
+	finish := func(id string, o Outcome, retryAfter time.Duration) Event {
+		l := states[id]
+		h := hostsByAddr[l.host]
+		e := Result{ID: id, Host: l.host, Attempt: l.attempts - 1, Outcome: o, Took: 30 * ms, Done: o == Served ||
+			l.ended}
 		switch o {
 		case Served:
 			l.ended = true
 		case Refused:
-			e.RetryAfter = told
+			e.RetryAfter = retryAfter
 			unit := fmt.Sprint(h.Dest)
 			if h.Dest == 2 {
 				unit = l.host
 			}
-			wait[unit] = max(wait[unit], now+told)
+			retryAfters[unit] = max(retryAfters[unit], now+retryAfter)
 		case Timeout, Reset, Cancelled, Error:
 			l.mayHaveRun = true
 			if o != Error && l.key != "" {
@@ -144,17 +146,17 @@
 			if l.class == 3 {
 				l.key = fmt.Sprint("k", arg/16%3)
 			}
-			lives[id] = l
+			states[id] = l
 			ids = append(ids, id)
 			play(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.deadline - now, Key: l.key})
 		case 1:
 			for _, id := range ids {
-				if lives[id].host != "" {
+				if states[id].host != "" {
 					o := Outcome(arg % int(NotSent+1))
 					play(finish(id, o, time.Duration(arg/8)*50*ms))
-					if l := lives[id]; l.ended || o == Timeout || o == Reset || o == Cancelled {
+					if l := states[id]; l.ended || o == Timeout || o == Reset || o == Cancelled {
 						if l.key != "" && l.ended && l.uncertainAt > 0 {
-							settled[l.key] = max(settled[l.key], l.uncertainAt+s.Rules.OrderSettle)
+							keyPauses[l.key] = max(keyPauses[l.key], l.uncertainAt+s.Rules.OrderSettle)
 						}
 					}
 					break
@@ -169,14 +171,14 @@
 			}
 		case 3:
 			id := hosts[arg%4].Addr
-			out[id] = arg/4%2 == 0
-			play(ManualChange{Host: id, Disabled: out[id]})
+			disabled[id] = arg/4%2 == 0
+			play(ManualChange{Host: id, Disabled: disabled[id]})
 		default:
 			for range 1 + arg/8 {
 				now += 5 * ms
 				var due []Event
 				for _, id := range ids {
-					if l := lives[id]; l.host != "" && now >= l.deadline {
+					if l := states[id]; l.host != "" && now >= l.deadline {
 						due = append(due, finish(id, Timeout, 0))
 					}
 				}
--- a/choice/health.go
+++ b/choice/health.go
@@ -22,7 +22,7 @@
 
 // recordFailure handles a failed attempt. While another host of the unit works, the failure counts
 // against its host alone, which is one machine or building.
-func (c *Chooser) recordFailure(h *host, o Outcome) {
+func (c *Chooser) recordFailure(h *host, outcome Outcome) {
 	u, d := h.unit, h.dest
 	h.failures++
 	h.retryAt = c.now + min(c.settings.Rules.OverloadWindow/8<<min(h.failures, 3),
@@ -32,12 +32,12 @@
 		return
 	}
 	c.recordBadOutcome(u)
-	u.mayHaveRun, u.sawErrors = u.mayHaveRun || o != NoConnection, u.sawErrors || o == Error
+	u.mayHaveRun, u.sawErrors = u.mayHaveRun || outcome != NoConnection, u.sawErrors || outcome == Error
 	u.recordOutcome(true)
 	// Either this relay calls the unit too seldom to know more, or the unit refuses connections
 	// while it warms up: it went down again.
 	enough := c.seldomCalls(u) && c.now-u.lastServed > c.settings.Rules.OverloadWindow ||
-		u.state == recovering && o == NoConnection
+		u.state == recovering && outcome == NoConnection
 	if u.state != suspect && (enough || bits.OnesCount(u.recentFailures) >= outageFailures) {
 		c.markSuspect(u, d, "failures")
 	}
@@ -45,10 +45,10 @@
 
 // trialDelay returns the time until the next trial of a suspect unit, drawn at random. It doubles
 // with each failed trial, up to a third of the overload window or, if that is longer, to the delay
-// at which the trials of all relays stay within the budget of a unit that has just returned; in a small fleet it also
-// leaves room for twice the square root of that budget. In a large fleet, relays whose trials
-// failed just before the return would all come back together, so there the delay is long from the
-// start.
+// at which the trials of all relays stay within the budget of a unit that has just returned; in a
+// small fleet it also leaves room for twice the square root of that budget. In a large fleet,
+// relays whose trials failed just before the return would all come back together, so there the
+// delay is long from the start.
 func (c *Chooser) trialDelay(u *unit) time.Duration {
 	window := c.settings.Rules.OverloadWindow
 	budget, _ := c.coldBudget(u, 0)
@@ -134,7 +134,7 @@
 	u.lastServed = c.now
 	if u.state == suspect && (c.now-took < u.connRefusedAt ||
 		c.now+c.settings.Rules.OverloadWindow < u.retryAfter) {
-		return // sent before the outage, or before a wait longer than a rate limit's: tells nothing new
+		return // sent before the outage, or before a wait longer than a rate limit's: no sign of recovery
 	}
 	u.badStreak = 0
 	u.servedStreak++
@@ -178,8 +178,8 @@
 	if u.state == suspect {
 		return len(u.calls) <= 1 && c.now >= u.trialAt
 	}
-	affords := u.state != recovering || c.withinBudget(u.recentSends, u, u.stateSince, 1)
-	return affords && (u.pace == 0 || u.tokens >= 1)
+	inBudget := u.state != recovering || c.withinBudget(u.recentSends, u, u.stateSince, 1)
+	return inBudget && (u.pace == 0 || u.tokens >= 1)
 }
 
 // refillTokens advances a unit's pace and tokens to the given time.
--- a/choice/index.go
+++ b/choice/index.go
@@ -12,7 +12,7 @@
 // index tells a Step what to check.
 type index struct {
 	destOrder     linkedList[dest]       // all, in the order in which they became known
-	liveDests     linkedList[dest]       // with messages waiting or in flight, in the order in which they came to have any
+	liveDests     linkedList[dest]       // with messages waiting or in flight, in the order in which they got them
 	callingDests  []*dest                // with calls in flight at their units
 	activeDests   []*dest                // with messages waiting, not deferred
 	deferredDests indexedHeap[*dest]     // by deferredUntil
@@ -97,13 +97,13 @@
 
 // enqueueKey appends a message to those of its key.
 func (c *Chooser) enqueueKey(m *message) {
-	l := c.keyQueues[m.Key]
-	if l == nil {
-		l = &keyQueue{key: m.Key, messages: linkedList[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}}
-		c.keyQueues[m.Key] = l
+	queue := c.keyQueues[m.Key]
+	if queue == nil {
+		queue = &keyQueue{key: m.Key, messages: linkedList[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}}
+		c.keyQueues[m.Key] = queue
 	}
-	c.pausedKeys.drop(l)
-	l.messages.add(m)
+	c.pausedKeys.drop(queue)
+	queue.messages.add(m)
 }
 
 // releaseKeys forgets the keys whose pause is over.
--- a/choice/manual.go
+++ b/choice/manual.go
@@ -26,7 +26,9 @@
 		c.log("endpoint %s is out by hand", e.Host)
 	case c.disabled[e.Host] || e.Ago > 0:
 		delete(c.disabled, e.Host)
-		maps.DeleteFunc(c.enabledAt, func(_ string, at time.Duration) bool { return c.now-at >= c.settings.Rules.WarmUp })
+		maps.DeleteFunc(c.enabledAt, func(_ string, at time.Duration) bool {
+			return c.now-at >= c.settings.Rules.WarmUp
+		})
 		c.enabledAt[e.Host] = c.now - e.Ago
 		if h != nil {
 			h.failures, h.retryAt = 0, 0
@@ -39,9 +41,9 @@
 // usable reports whether the list and the operators let messages go to a host.
 func (c *Chooser) usable(h *host) bool { return h.State == Ready && !c.disabled[h.Addr] }
 
-// withinWarmUp reports whether a host that operators enabled again may get one more call. Its
+// withinHostBudget reports whether a host that operators enabled again may get one more call. Its
 // budget is its share of that of its unit; the other hosts of the unit are as warm as before.
-func (c *Chooser) withinWarmUp(h *host) bool {
+func (c *Chooser) withinHostBudget(h *host) bool {
 	returnedAt, warming := c.enabledAt[h.Addr]
 	if !warming {
 		return true
@@ -69,17 +71,17 @@
 // returned before this relay started, a whole window counts as used up. Of a share of less than one
 // call, a random part counts as used, so that relays don't call in step.
 func (c *Chooser) assumedSends(h *host, sinceReturn time.Duration) []time.Duration {
-	window, sum := c.coldBudget(h.unit, sinceReturn)
+	window, sumNow := c.coldBudget(h.unit, sinceReturn)
 	started := h.unit.createdAt + time.Second
 	if window*h.unitShare() >= 1 && c.now-sinceReturn < started {
 		return slices.Repeat([]time.Duration{started}, int(window*h.unitShare())+1)
 	}
-	ago, unused := time.Duration(0), c.rand.Float64()*max(window, 1/h.unitShare())
+	sinceLast, unused := time.Duration(0), c.rand.Float64()*max(window, 1/h.unitShare())
 	for range 8 { // Newton's method: when the budget's sum was less by the unused part
-		window, sumBefore := c.coldBudget(h.unit, sinceReturn-ago)
-		ago += time.Duration((unused - sum + sumBefore) / window * float64(c.settings.Rules.OverloadWindow))
+		window, sumBefore := c.coldBudget(h.unit, sinceReturn-sinceLast)
+		sinceLast += time.Duration((unused - sumNow + sumBefore) / window * float64(c.settings.Rules.OverloadWindow))
 	}
-	return []time.Duration{c.now - ago}
+	return []time.Duration{c.now - sinceLast}
 }
 
 // withinBudget reports whether one more call stays within a share of the budget of what returned at
@@ -101,7 +103,10 @@
 func (c *Chooser) coldBudget(u *unit, sinceReturn time.Duration) (window, sum float64) {
 	rate := cmp.Or(u.knownRate, max(u.baseRate, 1/c.settings.Rules.WarmUp.Seconds())*float64(c.settings.Fleet))
 	rules, elapsed, warmUp := c.settings.Rules, sinceReturn.Seconds(), c.settings.Rules.WarmUp.Seconds()
-	fullRate, progress := coldBudgetShare*rules.OverloadFactor*rate/float64(c.settings.Fleet), min(max(0, elapsed/warmUp), 1)
-	capacitySeconds := max(0, elapsed-warmUp) + (1-rules.ColdShare)*progress*progress/2*warmUp + rules.ColdShare*min(elapsed, warmUp)
-	return max(1e-6, fullRate*(rules.ColdShare+(1-rules.ColdShare)*progress)*rules.OverloadWindow.Seconds()), fullRate * capacitySeconds
+	fullRate, progress := coldBudgetShare*rules.OverloadFactor*rate/float64(c.settings.Fleet),
+		min(max(0, elapsed/warmUp), 1)
+	capacitySeconds := max(0, elapsed-warmUp) + (1-rules.ColdShare)*progress*progress/2*warmUp +
+		rules.ColdShare*min(elapsed, warmUp)
+	return max(1e-6, fullRate*(rules.ColdShare+(1-rules.ColdShare)*progress)*rules.OverloadWindow.Seconds()),
+		fullRate * capacitySeconds
 }
--- a/choice/manual_test.go
+++ b/choice/manual_test.go
@@ -46,11 +46,14 @@
 	}{
 		// Of 100 calls per second, each of two relays may send a cold half 0.9 x 2 x 0.2 x 100 x 2
 		// s / 2 / 2 calls in 2 s at first, and 0.36 in place of 0.2 after 2 s.
-		"enabled by operators": {[]Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 5 && a < 36 && b > 60 }},
+		"enabled by operators": {[]Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}, false,
+			func(a, b int) bool { return a > 5 && a < 36 && b > 60 }},
 		// In the first 2 s the budget is the excess of 0.44 over 0.28, a second after the return;
 		// in the next 2 s 0.6 in place of 0.36.
-		"enabled before a restart":   {[]Event{ManualChange{Host: "a", Ago: time.Second}}, true, func(a, b int) bool { return a > 5 && a < 54 && b > 60 }},
-		"enabled long ago":           {[]Event{ManualChange{Host: "a", Ago: time.Minute}}, false, func(a, b int) bool { return a > 60 }},
+		"enabled before a restart": {[]Event{ManualChange{Host: "a", Ago: time.Second}}, true,
+			func(a, b int) bool { return a > 5 && a < 54 && b > 60 }},
+		"enabled long ago": {[]Event{ManualChange{Host: "a", Ago: time.Minute}}, false,
+			func(a, b int) bool { return a > 60 }},
 		"enabled but never disabled": {[]Event{ManualChange{Host: "a"}}, false, func(a, b int) bool { return a > 60 }},
 	} {
 		r := newHarness(t, s, ready("a", 1, 0, 0), ready("b", 1, 0, 0))
@@ -91,10 +94,10 @@
 	host.Rate = 30
 	faster := host
 	faster.Rate = 90
-	back := []Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}
+	disableAndEnable := []Event{ManualChange{Host: "a", Disabled: true}, ManualChange{Host: "a"}}
 	for name, then := range map[string][]Event{
 		"restart":       {ManualChange{Host: "a", Ago: 7 * time.Second}},
-		"back again":    back,
+		"back again":    disableAndEnable,
 		"a higher rate": {ListUpdate{Hosts: []Host{faster}}},
 	} {
 		var parts [4]int
@@ -106,13 +109,13 @@
 			h := ListUpdate{Complete: true, Hosts: []Host{host}}
 			c.Step(time.Hour, []Event{h})
 			if name != "restart" {
-				c.Step(time.Hour, append(back, arrival("first", 0))) // assigns its random part
+				c.Step(time.Hour, append(disableAndEnable, arrival("first", 0))) // assigns its random part
 			}
 			c.Step(time.Hour+7*time.Second, append(then, arrival("m", 0)))
 			a := c.hosts["a"]
 			_, sum := c.coldBudget(a.unit, c.now-c.enabledAt["a"])
-			_, was := c.coldBudget(a.unit, a.recentSends[len(a.recentSends)-1]-c.enabledAt["a"])
-			parts[min(3, int(4*(sum-was)))]++
+			_, sumAtLast := c.coldBudget(a.unit, a.recentSends[len(a.recentSends)-1]-c.enabledAt["a"])
+			parts[min(3, int(4*(sum-sumAtLast)))]++
 		}
 		for _, n := range parts {
 			if n < relays/4-40 || n > relays/4+40 {
--- a/choice/outage_test.go
+++ b/choice/outage_test.go
@@ -15,7 +15,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.Step(time.Hour, []Event{ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0)}}, KnownOutage{Host: "a", BaseRate: 5}})
+		c.Step(time.Hour, []Event{ListUpdate{Complete: true, Hosts: []Host{ready("a", 1, 0, 0)}},
+			KnownOutage{Host: "a", BaseRate: 5}})
 		u := c.hosts["a"].unit
 		u.state, u.stateSince = recovering, time.Hour // one of its trials was served
 		var sent Send
@@ -28,13 +29,15 @@
 			t.Fatal("nothing is sent while it recovers")
 		}
 		unwell := false
-		for _, a := range c.Step(time.Hour+1100*time.Millisecond, []Event{Result{ID: "m", Host: "a", Outcome: Refused, Took: time.Millisecond, RetryAfter: wait}}) {
+		for _, a := range c.Step(time.Hour+1100*time.Millisecond,
+			[]Event{Result{ID: "m", Host: "a", Outcome: Refused, Took: time.Millisecond, RetryAfter: wait}}) {
 			if h, ok := a.(Health); ok {
 				unwell = h.Unwell
 			}
 		}
 		if unwell != want || (u.state == suspect) != want {
-			t.Errorf("retry-after %v with an overload window of 2 s: outage %v in state %d, want %v", wait, unwell, u.state, want)
+			t.Errorf("retry-after %v with an overload window of 2 s: outage %v in state %d, want %v", wait, unwell,
+				u.state, want)
 		}
 	}
 }
@@ -83,7 +86,8 @@
 // the end of that schedule they sent all that waited.
 func TestShortOutageDuringWarmUpOfManyRelays(t *testing.T) {
 	for _, fleet := range []int{6, 20} {
-		p := slowStartCase{fleet: fleet, rate: 40, load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second}
+		p := slowStartCase{fleet: fleet, rate: 40, load: 1.5, secondOutageAfter: 3 * time.Second,
+			secondOutageSpan: time.Second}
 		if got, most := p.play(t).worst(); got > most || got == 0 {
 			t.Errorf("%d relays: %.0f calls in a window of %.1f", fleet, got, most)
 		}
--- a/choice/pending_scale_test.go
+++ b/choice/pending_scale_test.go
@@ -15,13 +15,13 @@
 // newPendingBench lists destinations of two endpoints each: first those that are down, each with
 // the given number of pending messages whose deadlines are far beyond the benchmark, then
 // healthyDests and others that are up.
-func newPendingBench(tb testing.TB, down, held, listed int, how string) *stepBench {
+func newPendingBench(tb testing.TB, down, pending, listed int, condition string) *stepBench {
 	tb.Helper()
 	s := settings()
-	s.Fleet, s.Workers, s.MaxPending, s.ReportLeftIndex, s.ReportLimitIndex = 300, 8, 2*down*held+200000, 0, 1
+	s.Fleet, s.Workers, s.MaxPending, s.ReportLeftIndex, s.ReportLimitIndex = 300, 8, 2*down*pending+200000, 0, 1
 	s.Classes[1].Deadline, s.Classes[2].Deadline = 1000*time.Hour, 1000*time.Hour
 	class := 1
-	if how == "unsafe" {
+	if condition == "unsafe" {
 		class = 2
 	}
 	c, err := New(s, 1)
@@ -30,36 +30,37 @@
 	}
 	f := &stepBench{chooser: c, now: time.Hour}
 	hosts := make([]Host, 0, 2*(down+healthyDests+listed))
-	var said []Event
+	var notices []Event
 	for d := range down + healthyDests + listed {
 		for i := range 2 {
 			h := ready(fmt.Sprint("e", d, "-", i), d, 0, i)
 			h.Rate = 1e6
-			if d < down && how == "draining" {
+			if d < down && condition == "draining" {
 				h.State = Draining
 			}
-			if d < down && how == "slow" {
+			if d < down && condition == "slow" {
 				h.Rate = 20
 			}
 			hosts = append(hosts, h)
 		}
 		switch {
 		case d >= down:
-		case how == "told":
-			said = append(said, RetryAfter{hosts[2*d].Addr, time.Hour})
-		case how == "suspect" || how == "slow" || how == "unsafe":
-			said = append(said, KnownOutage{hosts[2*d].Addr, 1})
+		case condition == "told":
+			notices = append(notices, RetryAfter{hosts[2*d].Addr, time.Hour})
+		case condition == "suspect" || condition == "slow" || condition == "unsafe":
+			notices = append(notices, KnownOutage{hosts[2*d].Addr, 1})
 		}
 	}
 	f.step(ListUpdate{Complete: true, Hosts: hosts})
-	f.step(said...)
-	var come []Event
+	f.step(notices...)
+	var arrivals []Event
 	for d := range down {
-		for i := range held {
-			come = append(come, Arrival{ID: fmt.Sprint("held", d, "-", i), Class: class, Dest: d, Left: s.Classes[1].Deadline, Tenant: -1})
+		for i := range pending {
+			arrivals = append(arrivals, Arrival{ID: fmt.Sprint("held", d, "-", i), Class: class, Dest: d,
+				Left: s.Classes[1].Deadline, Tenant: -1})
 		}
 	}
-	if f.step(come...); how == "unsafe" { // trials fall due, and no message may be a trial
+	if f.step(arrivals...); condition == "unsafe" { // trials fall due, and no message may be a trial
 		f.now += 30 * time.Second
 	}
 	return f
--- a/choice/pick.go
+++ b/choice/pick.go
@@ -58,7 +58,7 @@
 func (c *Chooser) pick(d *dest) (*message, *host) {
 	var hosts []*host
 	for _, h := range d.hosts {
-		if c.usable(h) && c.canCall(h.unit) && c.withinWarmUp(h) && c.now >= h.pauseUntil {
+		if c.usable(h) && c.canCall(h.unit) && c.withinHostBudget(h) && c.now >= h.pauseUntil {
 			hosts = append(hosts, h)
 		}
 	}
--- a/choice/recorded_events_test.go
+++ b/choice/recorded_events_test.go
@@ -12,7 +12,8 @@
 
 // play runs one random play and writes all actions to w.
 func play(t testing.TB, w io.Writer, seed uint64, steps int) {
-	p := &randomPlay{t: t, out: w, random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour, hostModes: map[string]int{}, messages: map[string]*playedMessage{}}
+	p := &randomPlay{t: t, out: w, random: rand.New(rand.NewPCG(seed, 1)), now: time.Hour,
+		hostModes: map[string]int{}, messages: map[string]*playedMessage{}}
 	p.settings = p.randomSettings()
 	p.settings.MustSubscribe = seed%7 == 0
 	c, err := New(p.settings, seed)
@@ -26,11 +27,11 @@
 		}
 	}
 	p.step(ListUpdate{Complete: true, Hosts: p.hosts})
-	rush := oneOf(p.random, 0, 1, 2) // most arrivals in a step
+	maxArrivals := oneOf(p.random, 0, 1, 2) // most arrivals in a step
 	for range steps {
 		p.advance()
 		events := p.takeDue()
-		for range p.random.IntN(rush + 1) {
+		for range p.random.IntN(maxArrivals + 1) {
 			events = append(events, p.arrival())
 		}
 		switch p.random.IntN(60) {
@@ -39,7 +40,7 @@
 				events = append(events, p.arrival())
 			}
 		case 1:
-			rush = oneOf(p.random, 0, 0, 1, 1, 3)
+			maxArrivals = oneOf(p.random, 0, 0, 1, 1, 3)
 		case 2, 3, 4, 5:
 			p.hostModes[oneOf(p.random, p.hosts...).Addr] = p.random.IntN(13)
 		case 6: // a whole destination
--- a/choice/recorded_test.go
+++ b/choice/recorded_test.go
@@ -16,12 +16,12 @@
 	"time"
 )
 
-// record has TestDecisionsAreAsRecorded write testdata/recorded.txt, which has digests of the actions, the counts of excluded endpoints and the
-// snapshots of random plays. They were first made by the program of commit 926a6db, in which each
-// Step checked all that was pending, known and listed, with the change to it that a restart counts
-// a window as used up (restoreOutage). Each later change of the cold budget (restore.go, health.go,
-// manual.go) recorded them again with a program that decided as recorded before that change. They
-// are made with
+// record has TestDecisionsAreAsRecorded write testdata/recorded.txt, which has digests of the
+// actions, the counts of excluded endpoints and the snapshots of random plays. They were first made
+// by the program of commit 926a6db, in which each Step checked all that was pending, known and
+// listed, with the change to it that a restart counts a window as used up (restoreOutage). Each
+// later change of the cold budget (restore.go, health.go, manual.go) recorded them again with a
+// program that decided as recorded before that change. They are made with
 //
 //	go test ./choice -run TestDecisionsAreAsRecorded -record
 //
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -32,12 +32,13 @@
 	if h == nil {
 		return
 	}
-	h.unit.servedRate, h.unit.badStreak, h.unit.mayHaveRun, h.unit.sawErrors = e.BaseRate, 1, true, true // so that one answer does not end the outage
+	// The last three keep one answer from ending the outage.
+	h.unit.servedRate, h.unit.badStreak, h.unit.mayHaveRun, h.unit.sawErrors = e.BaseRate, 1, true, true
 	c.markSuspect(h.unit, h.dest, "unwell before the restart")
-	n, _ := c.coldBudget(h.unit, 0)
-	h.unit.recentSends = slices.Repeat([]time.Duration{c.now}, int(n)+1)
+	window, _ := c.coldBudget(h.unit, 0)
+	h.unit.recentSends = slices.Repeat([]time.Duration{c.now}, int(window)+1)
 	if !c.seldomCalls(h.unit) {
-		h.unit.trialAt = c.now + time.Duration((1+c.rand.Float64()/n)*float64(c.settings.Rules.OverloadWindow))
+		h.unit.trialAt = c.now + time.Duration((1+c.rand.Float64()/window)*float64(c.settings.Rules.OverloadWindow))
 	}
 }
 
--- a/choice/restore_test.go
+++ b/choice/restore_test.go
@@ -7,7 +7,8 @@
 )
 
 func TestRestoredMessage(t *testing.T) {
-	a, b := Host{Addr: "a", Dest: 1, Kind: 2, Zone: 0, State: Ready}, Host{Addr: "b", Dest: 1, Kind: 2, Zone: 1, State: Ready}
+	a, b := Host{Addr: "a", Dest: 1, Kind: 2, Zone: 0, State: Ready},
+		Host{Addr: "b", Dest: 1, Kind: 2, Zone: 1, State: Ready}
 	for name, c := range map[string]struct {
 		class    int
 		attempts int
@@ -94,13 +95,13 @@
 	r := newHarness(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
 	r.step(Arrival{ID: "m1", Class: 0, Dest: 1, Left: 9 * time.Second})
 	r.step(r.result("m1", "a", Served, func(e *Result) { e.RetryAfter = 300 * ms }))
-	told := r.now
+	started := r.now
 	acts := r.step(Arrival{ID: "m2", Class: 0, Dest: 1, Left: 9 * time.Second})
 	for len(sends(acts)) == 0 {
 		acts = r.advance(5 * ms)
 	}
-	if r.now-told < 300*ms {
-		t.Fatalf("sent %v after an answer with a retry-after time of 300 ms", r.now-told)
+	if r.now-started < 300*ms {
+		t.Fatalf("sent %v after an answer with a retry-after time of 300 ms", r.now-started)
 	}
 }
 
--- a/choice/retry_after_test.go
+++ b/choice/retry_after_test.go
@@ -23,7 +23,8 @@
 		return n
 	}
 	restored := Restored{Arrival: Arrival{ID: "m", Dest: 1, Left: 10 * time.Second}}
-	if n := sent(RetryAfter{Host: "b", Remaining: 2 * time.Second}, RetryAfter{Host: "nobody", Remaining: time.Hour}, restored); n != 0 {
+	if n := sent(RetryAfter{Host: "b", Remaining: 2 * time.Second},
+		RetryAfter{Host: "nobody", Remaining: time.Hour}, restored); n != 0 {
 		t.Errorf("%d sends as the retry-after time begins, want none", n)
 	}
 	now += 1900 * time.Millisecond
--- a/choice/rules.go
+++ b/choice/rules.go
@@ -27,7 +27,9 @@
 	shares := make([]tenantShare, len(s.Tenants))
 	for i, t := range s.Tenants {
 		shares[i].remaining = math.MaxInt32 // the whole share is available
-		if j := slices.IndexFunc(c.settings.Tenants, func(old Tenant) bool { return old.Name == t.Name }); j >= 0 && j < len(c.tenantShares) {
+		if j := slices.IndexFunc(c.settings.Tenants, func(old Tenant) bool {
+			return old.Name == t.Name
+		}); j >= 0 && j < len(c.tenantShares) {
 			shares[i] = c.tenantShares[j]
 		}
 	}
@@ -56,11 +58,15 @@
 		joined.MaxPending = min(a.MaxPending, cmp.Or(b.MaxPending, a.MaxPending))
 	}
 	joined.Fleet, joined.Tick, joined.CanCancel = max(a.Fleet, b.Fleet), max(a.Tick, b.Tick), a.CanCancel && b.CanCancel
-	joined.OverShareFactor, joined.Classes, joined.Kinds, joined.Tenants = min(a.OverShareFactor, b.OverShareFactor), nil, slices.Clone(b.Kinds), slices.Clone(b.Tenants)
+	joined.OverShareFactor, joined.Classes, joined.Kinds, joined.Tenants = min(a.OverShareFactor, b.OverShareFactor), nil,
+		slices.Clone(b.Kinds), slices.Clone(b.Tenants)
 	first, second := a.Rules, b.Rules
-	joined.Rules = Rules{AnswerGrace: min(first.AnswerGrace, second.AnswerGrace), DrainGrace: min(first.DrainGrace, second.DrainGrace),
-		OverloadFactor: min(first.OverloadFactor, second.OverloadFactor), OverloadWindow: max(first.OverloadWindow, second.OverloadWindow), ColdShare: min(first.ColdShare, second.ColdShare),
-		WarmUp: max(first.WarmUp, second.WarmUp), OrderSettle: max(first.OrderSettle, second.OrderSettle)}
+	joined.Rules = Rules{AnswerGrace: min(first.AnswerGrace, second.AnswerGrace),
+		DrainGrace:     min(first.DrainGrace, second.DrainGrace),
+		OverloadFactor: min(first.OverloadFactor, second.OverloadFactor),
+		OverloadWindow: max(first.OverloadWindow, second.OverloadWindow),
+		ColdShare:      min(first.ColdShare, second.ColdShare),
+		WarmUp:         max(first.WarmUp, second.WarmUp), OrderSettle: max(first.OrderSettle, second.OrderSettle)}
 	for _, class := range b.Classes {
 		i := slices.IndexFunc(a.Classes, func(c Class) bool { return c.Name == class.Name })
 		if i < 0 {
@@ -69,7 +75,8 @@
 		joined.Classes = append(joined.Classes, Stricter(a.Classes[i], class))
 	}
 	for i := range min(len(a.Kinds), len(joined.Kinds)) {
-		joined.Kinds[i] = Kind{a.Kinds[i].SeparateRoutes && b.Kinds[i].SeparateRoutes, min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
+		joined.Kinds[i] = Kind{a.Kinds[i].SeparateRoutes && b.Kinds[i].SeparateRoutes,
+			min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
 	}
 	for i := range min(len(a.Tenants), len(joined.Tenants)) {
 		joined.Tenants[i].Quota = min(a.Tenants[i].Quota, b.Tenants[i].Quota)
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -44,7 +44,7 @@
 // TestSettingsOutOfRangeAreRejected guards against settings out of range that are applied in part,
 // or break the relay.
 func TestSettingsOutOfRangeAreRejected(t *testing.T) {
-	for name, spoil := range map[string]func(*Settings){
+	for name, change := range map[string]func(*Settings){
 		"no attempts": func(s *Settings) { s.MaxAttempts = 0 },
 		"no deadline": func(s *Settings) { s.Classes[0].Deadline = 0 },
 		"no classes":  func(s *Settings) { s.Classes = nil },
@@ -53,7 +53,7 @@
 		r := newHarness(t, settings(), ready("a", 1, 0, 0))
 		next := settings()
 		next.Workers = 1
-		spoil(&next)
+		change(&next)
 		if n := len(sends(r.step(Reconfigured{next}, arrival("m1", 0), arrival("m2", 0)))); n != 2 {
 			t.Errorf("%s: %d sends, want 2 under the old settings", name, n)
 		}
@@ -101,46 +101,53 @@
 		draw := func(name string) Settings {
 			s := settings()
 			n := func(what string, low, high int) int { return rapid.IntRange(low, high).Draw(rt, name+what) }
-			s.Workers, s.MaxPending, s.MaxAttempts, s.Fleet = n("workers", 1, 9), n("held", 0, 9), n("attempts", 1, 8), n("fleet", 1, 300)
-			s.Rules.WarmUp, s.Rules.OverloadFactor = time.Duration(n("cold", 1, 9))*time.Second, float64(n("factor", 1, 9))
+			s.Workers, s.MaxPending, s.MaxAttempts, s.Fleet = n("workers", 1, 9), n("held", 0, 9),
+				n("attempts", 1, 8), n("fleet", 1, 300)
+			s.Rules.WarmUp, s.Rules.OverloadFactor = time.Duration(n("cold", 1, 9))*time.Second,
+				float64(n("factor", 1, 9))
 			s.Classes = nil
-			for _, class := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3, rapid.ID[string]).Draw(rt, name+"classes") {
-				k := Class{Name: class, Aim: time.Duration(n("aim", 1, 9)) * time.Second, Worth: 1, Effect: Effect(n("effect", 0, 2)),
+			for _, className := range rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 1, 3,
+				rapid.ID[string]).Draw(rt, name+"classes") {
+				class := Class{Name: className, Aim: time.Duration(n("aim", 1, 9)) * time.Second, Worth: 1,
+					Effect:   Effect(n("effect", 0, 2)),
 					SameZone: n("zone", 0, 1) == 1}
-				k.Deadline = k.Aim + time.Duration(n("more", 0, 9))*time.Second
-				if k.Effect == Keyed {
-					k.Window = time.Duration(n("window", 1, 9)) * time.Second
+				class.Deadline = class.Aim + time.Duration(n("more", 0, 9))*time.Second
+				if class.Effect == Keyed {
+					class.Window = time.Duration(n("window", 1, 9)) * time.Second
 				}
-				s.Classes = append(s.Classes, k)
+				s.Classes = append(s.Classes, class)
 			}
 			s.Kinds = []Kind{{SeparateRoutes: n("apart", 0, 1) == 1, PerCall: n("per call", 1, 5)}}
 			s.Tenants = []Tenant{{Quota: float64(n("quota", 1, 9))}}
 			return s
 		}
 		a, b := draw("a"), draw("b")
-		j := Join(a, b)
-		if err := j.Check(); err != nil && len(j.Classes) > 0 {
+		joined := Join(a, b)
+		if err := joined.Check(); err != nil && len(joined.Classes) > 0 {
 			rt.Fatalf("the join of two valid settings: %v", err)
 		}
 		for _, s := range []Settings{a, b} {
-			if j.Workers > s.Workers || j.MaxAttempts > s.MaxAttempts || s.MaxPending > 0 && (j.MaxPending == 0 || j.MaxPending > s.MaxPending) || j.Fleet < s.Fleet ||
-				j.Rules.WarmUp < s.Rules.WarmUp || j.Rules.OverloadFactor > s.Rules.OverloadFactor || j.Kinds[0].PerCall > s.Kinds[0].PerCall ||
-				j.Tenants[0].Quota > s.Tenants[0].Quota {
-				rt.Fatalf("%+v allows more than %+v", j, s)
+			if joined.Workers > s.Workers || joined.MaxAttempts > s.MaxAttempts || s.MaxPending > 0 &&
+				(joined.MaxPending == 0 || joined.MaxPending > s.MaxPending) || joined.Fleet < s.Fleet ||
+				joined.Rules.WarmUp < s.Rules.WarmUp || joined.Rules.OverloadFactor > s.Rules.OverloadFactor ||
+				joined.Kinds[0].PerCall > s.Kinds[0].PerCall ||
+				joined.Tenants[0].Quota > s.Tenants[0].Quota {
+				rt.Fatalf("%+v allows more than %+v", joined, s)
 			}
-			for _, k := range j.Classes {
-				i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == k.Name })
+			for _, class := range joined.Classes {
+				i := slices.IndexFunc(s.Classes, func(c Class) bool { return c.Name == class.Name })
 				if i < 0 {
-					rt.Fatalf("class %q is in one of the settings only", k.Name)
+					rt.Fatalf("class %q is in one of the settings only", class.Name)
 				}
-				was := s.Classes[i]
-				if k.Effect < was.Effect || k.Deadline > was.Deadline || was.SameZone && !k.SameZone || k.Effect == Keyed && was.Effect == Keyed && k.Window > was.Window {
-					rt.Fatalf("%+v may do more than %+v", k, was)
+				before := s.Classes[i]
+				if class.Effect < before.Effect || class.Deadline > before.Deadline || before.SameZone &&
+					!class.SameZone || class.Effect == Keyed && before.Effect == Keyed && class.Window > before.Window {
+					rt.Fatalf("%+v may do more than %+v", class, before)
 				}
 			}
 		}
-		if again := Join(j, b); !reflect.DeepEqual(again, j) {
-			rt.Fatalf("joined again: %+v, want %+v", again, j)
+		if again := Join(joined, b); !reflect.DeepEqual(again, joined) {
+			rt.Fatalf("joined again: %+v, want %+v", again, joined)
 		}
 	})
 }
@@ -152,7 +159,8 @@
 	old := Class{Name: "old", Aim: time.Second, Deadline: 5 * time.Second, Worth: 1, Effect: Safe, Ordered: true}
 	var all []Event
 	for _, id := range []string{"m", "n"} {
-		all = append(all, Restored{Arrival: Arrival{ID: id, Class: -1, Dest: 1, Left: 4 * time.Second, Key: "k", Terms: &Terms{old, 9}}})
+		all = append(all, Restored{Arrival: Arrival{ID: id, Class: -1, Dest: 1, Left: 4 * time.Second, Key: "k",
+			Terms: &Terms{old, 9}}})
 	}
 	if got := sends(r.step(all...)); len(got) != 1 || got[0].ID != "m" {
 		t.Errorf("sends %v, want the first of the key alone", got)
--- a/choice/scale_test.go
+++ b/choice/scale_test.go
@@ -33,21 +33,21 @@
 // each. The given number of messages is pending for the first destination, whose endpoints drain;
 // they arrive in one Step and do not reach their deadlines. It also returns the bytes of memory for
 // each message and for each destination.
-func newScaleBench(tb testing.TB, destinations, messages int) (f *stepBench, held, known float64) {
+func newScaleBench(tb testing.TB, destinations, messages int) (f *stepBench, bytesPerMessage, bytesPerDest float64) {
 	tb.Helper()
 	before := heapBytes()
 	f = newStepBench(tb, 2000, 2*destinations, 0)
 	f.chooser.settings.MaxPending, f.chooser.settings.Workers = 4*messages+1000, 16
-	listed := heapBytes()
+	heapWithList := heapBytes()
 	if messages > 0 {
 		all := make([]Event, messages)
 		for i := range all {
 			all[i] = Arrival{ID: fmt.Sprint("held", i), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1}
 		}
 		f.step(all...)
-		held = (heapBytes() - listed) / float64(messages)
+		bytesPerMessage = (heapBytes() - heapWithList) / float64(messages)
 	}
-	return f, held, (listed - before) / float64(destinations)
+	return f, bytesPerMessage, (heapWithList - before) / float64(destinations)
 }
 
 // serveAt has one message for a destination arrive, be sent and be served in three Steps.
@@ -59,7 +59,8 @@
 	for _, a := range f.actions {
 		if s, ok := a.(Send); ok && s.ID == id {
 			f.step(Woken{})
-			f.step(Result{ID: id, Host: s.Host, Outcome: Served, Took: 20 * time.Millisecond, Done: true, Report: []float64{0.9, 1e6}})
+			f.step(Result{ID: id, Host: s.Host, Outcome: Served, Took: 20 * time.Millisecond, Done: true,
+				Report: []float64{0.9, 1e6}})
 			return
 		}
 	}
--- a/choice/setup.go
+++ b/choice/setup.go
@@ -68,16 +68,16 @@
 }
 
 // addHost creates the record of an endpoint that is listed for the first time.
-func (c *Chooser) addHost(n Host) *host {
-	d := c.destination(n.Dest)
+func (c *Chooser) addHost(entry Host) *host {
+	d := c.destination(entry.Dest)
 	c.markChanged(d)
 	h := &host{dest: d, preference: c.rand.Float64()}
-	c.hosts[n.Addr], d.hosts = h, append(d.hosts, h)
-	if n.Kind >= 0 && n.Kind < len(c.settings.Kinds) {
-		d.kind, d.retrySuccess = c.settings.Kinds[n.Kind], &c.retrySuccess[n.Kind]
+	c.hosts[entry.Addr], d.hosts = h, append(d.hosts, h)
+	if entry.Kind >= 0 && entry.Kind < len(c.settings.Kinds) {
+		d.kind, d.retrySuccess = c.settings.Kinds[entry.Kind], &c.retrySuccess[entry.Kind]
 	}
 	if d.kind.SeparateRoutes || len(d.units) == 0 {
-		u := &unit{name: n.Addr, createdAt: c.now - time.Second, lastServed: c.now - time.Second}
+		u := &unit{name: entry.Addr, createdAt: c.now - time.Second, lastServed: c.now - time.Second}
 		d.units = append(d.units, u)
 	}
 	h.unit = d.units[len(d.units)-1]
--- a/choice/share.go
+++ b/choice/share.go
@@ -29,13 +29,14 @@
 	if tenant < 0 || tenant >= len(c.tenantShares) {
 		return true
 	}
-	s, rate := &c.tenantShares[tenant], c.settings.Tenants[tenant].Quota/float64(c.settings.Fleet)
-	s.remaining = min(s.remaining+rate*(c.now-s.updatedAt).Seconds(), max(minSavedMessages, rate*shareSavingSpan.Seconds()))
-	s.updatedAt = c.now
-	if s.remaining < 1 {
+	share, rate := &c.tenantShares[tenant], c.settings.Tenants[tenant].Quota/float64(c.settings.Fleet)
+	share.remaining = min(share.remaining+rate*(c.now-share.updatedAt).Seconds(),
+		max(minSavedMessages, rate*shareSavingSpan.Seconds()))
+	share.updatedAt = c.now
+	if share.remaining < 1 {
 		return false
 	}
-	s.remaining--
+	share.remaining--
 	return true
 }
 
--- a/choice/slowstart_rule_test.go
+++ b/choice/slowstart_rule_test.go
@@ -21,8 +21,8 @@
 
 // recordCall counts a call to a cold endpoint. Where relays call it seldom, those that don't know
 // of the outage are left out.
-func (s *slowStartPlay) recordCall(re *slowStartRelay, host string, now time.Duration) {
-	if now >= s.returnedAt && (re.knowsOutage || s.manual || s.fleet <= 30 && s.secondOutageAfter == 0) {
+func (s *slowStartPlay) recordCall(relay *slowStartRelay, host string, now time.Duration) {
+	if now >= s.returnedAt && (relay.knowsOutage || s.manual || s.fleet <= 30 && s.secondOutageAfter == 0) {
 		s.calls[host] = append(s.calls[host], now)
 	}
 }
@@ -48,12 +48,12 @@
 func (s *slowStartPlay) worst() (got, bound float64) {
 	excess, fall := math.Inf(-1), s.settings(0).Rules.OverloadWindow
 	for _, calls := range s.calls {
-		from := 0
+		first := 0
 		for i, at := range calls {
-			for at-calls[from] > fall {
-				from++
+			for at-calls[first] > fall {
+				first++
 			}
-			count, most := float64(i-from+1), slowStartBound(s.allowed(at))
+			count, most := float64(i-first+1), slowStartBound(s.allowed(at))
 			if count-most > excess {
 				excess, got, bound = count-most, count, most
 			}
@@ -69,7 +69,8 @@
 	window float64
 	draws  uint64
 }{{1, 25, 1}, {1, 60, 3}, {1, 200, 1}, {2, 2, 1}, {2, 60, 2}, {6, 8, 1}, {6, 31, 2}, {6, 60, 1}, {20, 2, 1}, {20, 31, 2},
-	{20, 60, 1}, {30, 8, 1}, {30, 25, 3}, {30, 31, 1}, {30, 60, 1}, {30, 200, 1}, {300, 8, 1}, {300, 25, 1}, {300, 200, 1}}
+	{20, 60, 1}, {30, 8, 1}, {30, 25, 3}, {30, 31, 1}, {30, 60, 1}, {30, 200, 1}, {300, 8, 1}, {300, 25, 1},
+	{300, 200, 1}}
 
 // checkSlowStart plays cases with fleets of every size.
 func checkSlowStart(t *testing.T, cases map[string]slowStartCase) {
@@ -108,15 +109,16 @@
 // TestSlowStartAfterAnOutage guards against relays that restart during the warm-up, forget what
 // they sent and make their first trials together.
 func TestSlowStartAfterAnOutage(t *testing.T) {
-	soon, later := []time.Duration{700 * ms}, []time.Duration{2100 * ms, 1500 * ms}
+	shortGap, longGaps := []time.Duration{700 * ms}, []time.Duration{2100 * ms, 1500 * ms}
 	checkSlowStart(t, map[string]slowStartCase{
-		"equal traffic":               {load: 1},
-		"unequal traffic":             {load: 1.5, skew: 1},
-		"one restarts":                {load: 1.5, restartPercent: 1},
-		"40% restart, twice":          {load: 1.5, skew: 1, restartPercent: 40, restartGaps: []time.Duration{1200 * ms}},
-		"all restart":                 {load: 1.5, restartPercent: 100, restartTogether: true},
-		"all restart twice":           {load: 1.5, restartPercent: 100, restartTogether: true, restartGaps: soon},
-		"all restart three times":     {load: 1.5, skew: 1, restartPercent: 100, restartTogether: true, restartGaps: later},
+		"equal traffic":      {load: 1},
+		"unequal traffic":    {load: 1.5, skew: 1},
+		"one restarts":       {load: 1.5, restartPercent: 1},
+		"40% restart, twice": {load: 1.5, skew: 1, restartPercent: 40, restartGaps: []time.Duration{1200 * ms}},
+		"all restart":        {load: 1.5, restartPercent: 100, restartTogether: true},
+		"all restart twice":  {load: 1.5, restartPercent: 100, restartTogether: true, restartGaps: shortGap},
+		"all restart three times": {load: 1.5, skew: 1, restartPercent: 100, restartTogether: true,
+			restartGaps: longGaps},
 		"separate routes":             {load: 1.5, routes: 2},
 		"shared calls":                {load: 1.5, perCall: 2, restartPercent: 100, restartTogether: true},
 		"the rate is raised":          {load: 1.5, rateFactor: 3},
@@ -132,19 +134,21 @@
 		"late in the warm-up":  {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: 4 * time.Second},
 		"for a second":         {load: 1.5, secondOutageAfter: 3 * time.Second, secondOutageSpan: time.Second},
 		"late, for a second":   {load: 1.5, secondOutageAfter: 8 * time.Second, secondOutageSpan: time.Second},
-		"one restarts":         {load: 1.5, skew: 1, secondOutageAfter: 5 * time.Second, secondOutageSpan: 4 * time.Second, restartPercent: 1},
+		"one restarts": {load: 1.5, skew: 1, secondOutageAfter: 5 * time.Second,
+			secondOutageSpan: 4 * time.Second, restartPercent: 1},
 	})
 }
 
 // TestSlowStartAfterManualEnable guards against relays that restart during the warm-up of an
 // endpoint that operators enabled, and start a window of their own.
 func TestSlowStartAfterManualEnable(t *testing.T) {
-	soon := []time.Duration{700 * ms}
+	shortGap := []time.Duration{700 * ms}
 	checkSlowStart(t, map[string]slowStartCase{
-		"unequal traffic":           {load: 1.5, manual: true, skew: 1},
-		"one restarts":              {load: 1.5, manual: true, restartPercent: 1},
-		"40% restart":               {load: 1.5, manual: true, restartPercent: 40, skew: 1},
-		"all restart twice":         {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, restartGaps: soon},
+		"unequal traffic": {load: 1.5, manual: true, skew: 1},
+		"one restarts":    {load: 1.5, manual: true, restartPercent: 1},
+		"40% restart":     {load: 1.5, manual: true, restartPercent: 40, skew: 1},
+		"all restart twice": {load: 1.5, manual: true, restartPercent: 100, restartTogether: true,
+			restartGaps: shortGap},
 		"separate routes, restarts": {load: 1.5, manual: true, restartPercent: 100, restartTogether: true, routes: 2},
 	})
 }
@@ -153,11 +157,13 @@
 // call each, and which make their calls in step.
 func TestSlowStartAfterManualEnableInSmallShares(t *testing.T) {
 	checkSlowStart(t, map[string]slowStartCase{
-		"all restart":        {load: 1.5, manual: true, restartPercent: 100, restartTogether: true},
-		"enabled twice":      {load: 1.5, manual: true, secondOutageAfter: 5 * time.Second, secondOutageSpan: time.Second},
+		"all restart": {load: 1.5, manual: true, restartPercent: 100, restartTogether: true},
+		"enabled twice": {load: 1.5, manual: true, secondOutageAfter: 5 * time.Second,
+			secondOutageSpan: time.Second},
 		"the rate is raised": {load: 1.5, manual: true, rateFactor: 3},
 	})
-	p := slowStartCase{fleet: 300, rate: 69, load: 1.5, manual: true, secondOutageAfter: 5 * time.Second, secondOutageSpan: time.Second}
+	p := slowStartCase{fleet: 300, rate: 69, load: 1.5, manual: true, secondOutageAfter: 5 * time.Second,
+		secondOutageSpan: time.Second}
 	for p.seed = range 3 {
 		if got, most := p.play(t).worst(); got > most || got == 0 {
 			t.Errorf("enabled twice, fleet of %d, seed %d: %.0f calls in a window of %.1f", p.fleet, p.seed, got, most)
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -40,7 +40,8 @@
 	s := settings()
 	s.Index, s.Fleet, s.Workers, s.MaxPending, s.Tick = index, p.fleet, 64, 0, slowStartTick
 	s.Kinds = []Kind{{PerCall: max(1, p.perCall), SeparateRoutes: p.routes > 0}}
-	s.Rules.OverloadWindow, s.Rules.WarmUp, s.Rules.ColdShare, s.Rules.OverloadFactor = 2*time.Second, 12*time.Second, 0.29, 1.5
+	s.Rules.OverloadWindow, s.Rules.WarmUp, s.Rules.ColdShare, s.Rules.OverloadFactor = 2*time.Second,
+		12*time.Second, 0.29, 1.5
 	s.Classes = []Class{{Name: "a", Aim: 3 * time.Second, Deadline: slowStartDeadline, Worth: 1, Effect: Safe}}
 	return s
 }
@@ -96,12 +97,14 @@
 }
 
 func (p slowStartCase) play(t testing.TB) *slowStartPlay {
-	s := &slowStartPlay{slowStartCase: p, t: t, random: rand.New(rand.NewPCG(p.seed, 77)), calls: map[string][]time.Duration{}}
+	s := &slowStartPlay{slowStartCase: p, t: t, random: rand.New(rand.NewPCG(p.seed, 77)),
+		calls: map[string][]time.Duration{}}
 	s.returnedAt = slowStartHealthySpan + time.Duration((5+5*s.random.Float64())*float64(time.Second))
 	s.outages = [][2]time.Duration{{slowStartHealthySpan, s.returnedAt}}
 	cold := p.settings(0).Rules.WarmUp
 	if p.secondOutageAfter > 0 {
-		s.outages = append(s.outages, [2]time.Duration{s.returnedAt + p.secondOutageAfter, s.returnedAt + p.secondOutageAfter + p.secondOutageSpan})
+		s.outages = append(s.outages, [2]time.Duration{s.returnedAt + p.secondOutageAfter,
+			s.returnedAt + p.secondOutageAfter + p.secondOutageSpan})
 		s.returnedAt += p.secondOutageAfter + p.secondOutageSpan
 	}
 	s.end = s.returnedAt + cold
@@ -109,7 +112,8 @@
 	restartAt := s.returnedAt + time.Duration((s.random.Float64()*8-1)*float64(time.Second))
 	sum := 0.0
 	for i := range p.fleet {
-		re := &slowStartRelay{trafficShare: math.Exp(p.skew * s.random.NormFloat64()), pending: map[string]time.Duration{}, outages: map[string]float64{},
+		re := &slowStartRelay{trafficShare: math.Exp(p.skew * s.random.NormFloat64()),
+			pending: map[string]time.Duration{}, outages: map[string]float64{},
 			manualChanges: map[string]slowStartEvent{}}
 		sum += re.trafficShare
 		s.relays = append(s.relays, re)
@@ -171,76 +175,77 @@
 }
 
 // start has a relay begin with what its journal holds.
-func (s *slowStartPlay) start(re *slowStartRelay, index int, now time.Duration) {
+func (s *slowStartPlay) start(relay *slowStartRelay, index int, now time.Duration) {
 	c, err := New(s.settings(index), s.seed*1000+uint64(index)+uint64(now))
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	re.chooser, re.wakeAt = c, now
-	re.due = slices.DeleteFunc(re.due, func(e slowStartEvent) bool {
+	relay.chooser, relay.wakeAt = c, now
+	relay.due = slices.DeleteFunc(relay.due, func(e slowStartEvent) bool {
 		_, result := e.event.(Result)
 		return result
 	})
-	re.schedule(now, s.listing(now))
-	for _, host := range slices.Sorted(maps.Keys(re.outages)) {
-		re.schedule(now, KnownOutage{Host: host, BaseRate: re.outages[host]})
+	relay.schedule(now, s.listing(now))
+	for _, host := range slices.Sorted(maps.Keys(relay.outages)) {
+		relay.schedule(now, KnownOutage{Host: host, BaseRate: relay.outages[host]})
 	}
-	for _, host := range slices.Sorted(maps.Keys(re.manualChanges)) {
-		said := re.manualChanges[host]
-		re.schedule(now, ManualChange{Host: host, Disabled: said.event.(ManualChange).Disabled, Ago: max(ms, now-said.at)})
+	for _, host := range slices.Sorted(maps.Keys(relay.manualChanges)) {
+		said := relay.manualChanges[host]
+		relay.schedule(now, ManualChange{Host: host, Disabled: said.event.(ManualChange).Disabled,
+			Ago: max(ms, now-said.at)})
 	}
-	for _, id := range slices.Sorted(maps.Keys(re.pending)) {
-		re.schedule(now, Restored{Arrival: Arrival{ID: id, Dest: 1, Left: re.pending[id] - now}})
+	for _, id := range slices.Sorted(maps.Keys(relay.pending)) {
+		relay.schedule(now, Restored{Arrival: Arrival{ID: id, Dest: 1, Left: relay.pending[id] - now}})
 	}
 }
 
-func (s *slowStartPlay) arrivals(re *slowStartRelay, now time.Duration, rate float64) {
+func (s *slowStartPlay) arrivals(relay *slowStartRelay, now time.Duration, rate float64) {
 	for more := rate * slowStartTick.Seconds(); more > 0; more-- {
 		if s.random.Float64() < more {
 			s.messages++
 			id := fmt.Sprint(s.messages)
-			re.pending[id] = now + slowStartDeadline
-			re.schedule(now, Arrival{ID: id, Dest: 1, Left: slowStartDeadline})
+			relay.pending[id] = now + slowStartDeadline
+			relay.schedule(now, Arrival{ID: id, Dest: 1, Left: slowStartDeadline})
 		}
 	}
 }
 
-func (s *slowStartPlay) step(re *slowStartRelay, now time.Duration) {
-	events := re.takeDue(now)
-	if re.wakeAt <= now {
-		events, re.wakeAt = append(events, Woken{}), math.MaxInt64
+func (s *slowStartPlay) step(relay *slowStartRelay, now time.Duration) {
+	events := relay.takeDue(now)
+	if relay.wakeAt <= now {
+		events, relay.wakeAt = append(events, Woken{}), math.MaxInt64
 	}
 	if len(events) == 0 {
 		return
 	}
 	var calls []*call
-	for _, a := range re.chooser.Step(now, events) {
+	for _, a := range relay.chooser.Step(now, events) {
 		switch a := a.(type) {
 		case Wake:
-			re.wakeAt = now + a.After
+			relay.wakeAt = now + a.After
 		case Refuse:
-			delete(re.pending, a.ID)
+			delete(relay.pending, a.ID)
 		case Fail:
-			delete(re.pending, a.ID)
+			delete(relay.pending, a.ID)
 		case Health:
 			if a.Unwell {
-				re.outages[a.Host] = a.Base
+				relay.outages[a.Host] = a.Base
 			} else {
-				delete(re.outages, a.Host)
+				delete(relay.outages, a.Host)
 			}
 		case Send:
-			if k := re.chooser.messages[a.ID].call; !slices.Contains(calls, k) {
+			if k := relay.chooser.messages[a.ID].call; !slices.Contains(calls, k) {
 				calls = append(calls, k)
-				s.recordCall(re, a.Host, now)
+				s.recordCall(relay, a.Host, now)
 			}
-			res := Result{ID: a.ID, Host: a.Host, Outcome: Served, Took: 100 * ms, Done: true}
+			result := Result{ID: a.ID, Host: a.Host, Outcome: Served, Took: 100 * ms, Done: true}
 			if s.inOutage(now) {
-				res = Result{ID: a.ID, Host: a.Host, Outcome: NoConnection, Took: 30 * ms}
-				re.knowsOutage = now >= s.outages[len(s.outages)-1][0]
+				result = Result{ID: a.ID, Host: a.Host, Outcome: NoConnection, Took: 30 * ms}
+				relay.knowsOutage = now >= s.outages[len(s.outages)-1][0]
 			} else {
-				delete(re.pending, a.ID)
+				delete(relay.pending, a.ID)
 			}
-			re.schedule(now+res.Took, res)
+			relay.schedule(now+result.Took, result)
 		}
 	}
 }
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -99,10 +99,12 @@
 
 // restore replaces a table by a saved one, unless that is malformed.
 func (t *latencyTable) restore(saved TableSnapshot, width time.Duration) {
-	if saved.Width <= 0 || saved.Weight < 1 || len(saved.Count) != len(saved.Sum) || len(saved.Count) != 0 && len(saved.Count) != buckets {
+	if saved.Width <= 0 || saved.Weight < 1 || len(saved.Count) != len(saved.Sum) ||
+		len(saved.Count) != 0 && len(saved.Count) != buckets {
 		return
 	}
-	*t = latencyTable{width: saved.Width, weight: saved.Weight, overBound: saved.Beyond, samples: saved.Total, counts: saved.Count, sums: saved.Sum, outdated: true}
+	*t = latencyTable{width: saved.Width, weight: saved.Weight, overBound: saved.Beyond, samples: saved.Total,
+		counts: saved.Count, sums: saved.Sum, outdated: true}
 	t.rebucket(width)
 }
 
@@ -115,16 +117,21 @@
 	}
 	c.markAllChanged() // brings the paces up to date
 	for d := range c.destOrder.each {
-		snapshot.Dests = append(snapshot.Dests, DestSnapshot{d.id, d.refusalStreak, d.timeoutStreak, d.pauseUntil - now, d.latencies.snapshot()})
+		snapshot.Dests = append(snapshot.Dests, DestSnapshot{d.id, d.refusalStreak, d.timeoutStreak,
+			d.pauseUntil - now, d.latencies.snapshot()})
 		for _, u := range d.units {
-			snapshot.Units = append(snapshot.Units, UnitSnapshot{Host: u.name, State: int(u.state), Since: now - u.stateSince, Wait: u.retryAfter - now,
-				Pause: u.pauseUntil - now, Trial: u.trialAt - now, LastServed: now - u.lastServed, Recent: u.recentFailures,
-				Streak: u.servedStreak, Trials: u.failedTrials, Bad: u.badStreak, Errors: u.sawErrors, Risky: u.mayHaveRun, Sends: timesAgo(now, u.recentSends),
-				Pace: u.latencySec, Served: u.servedRate, Base: u.baseRate, Listed: u.knownRate, Limit: u.pace, Tokens: u.tokens, Cut: now - u.paceCutAt,
-				Down: now - u.connRefusedAt})
+			snapshot.Units = append(snapshot.Units,
+				UnitSnapshot{Host: u.name, State: int(u.state), Since: now - u.stateSince,
+					Wait: u.retryAfter - now, Pause: u.pauseUntil - now, Trial: u.trialAt - now,
+					LastServed: now - u.lastServed, Recent: u.recentFailures, Streak: u.servedStreak,
+					Trials: u.failedTrials, Bad: u.badStreak, Errors: u.sawErrors, Risky: u.mayHaveRun,
+					Sends: timesAgo(now, u.recentSends), Pace: u.latencySec, Served: u.servedRate,
+					Base: u.baseRate, Listed: u.knownRate, Limit: u.pace, Tokens: u.tokens, Cut: now - u.paceCutAt,
+					Down: now - u.connRefusedAt})
 		}
 		for _, h := range d.hosts {
-			snapshot.Hosts = append(snapshot.Hosts, HostSnapshot{h.Addr, h.failures, h.retryAt - now, h.preference, timesAgo(now, h.recentSends)})
+			snapshot.Hosts = append(snapshot.Hosts, HostSnapshot{h.Addr, h.failures, h.retryAt - now, h.preference,
+				timesAgo(now, h.recentSends)})
 		}
 	}
 	return snapshot
@@ -153,15 +160,20 @@
 			continue
 		}
 		u := h.unit
-		*u = unit{name: u.name, createdAt: u.createdAt, sharesCalls: u.sharesCalls, listedRate: u.listedRate, knownRate: saved.Listed, state: health(saved.State), stateSince: c.now - saved.Since,
-			retryAfter: c.now + saved.Wait, pauseUntil: c.now + saved.Pause, recentFailures: saved.Recent, servedStreak: saved.Streak, sawErrors: saved.Errors,
-			mayHaveRun: saved.Risky, trialAt: c.now + saved.Trial, failedTrials: saved.Trials, badStreak: saved.Bad, lastServed: c.now - saved.LastServed,
-			recentSends: timesAgo(c.now, saved.Sends), latencySec: saved.Pace, servedRate: saved.Served, baseRate: saved.Base, pace: saved.Limit, paceAt: c.now,
+		*u = unit{name: u.name, createdAt: u.createdAt, sharesCalls: u.sharesCalls, listedRate: u.listedRate,
+			knownRate: saved.Listed, state: health(saved.State), stateSince: c.now - saved.Since,
+			retryAfter: c.now + saved.Wait, pauseUntil: c.now + saved.Pause,
+			recentFailures: saved.Recent, servedStreak: saved.Streak, sawErrors: saved.Errors,
+			mayHaveRun: saved.Risky, trialAt: c.now + saved.Trial, failedTrials: saved.Trials,
+			badStreak: saved.Bad, lastServed: c.now - saved.LastServed,
+			recentSends: timesAgo(c.now, saved.Sends), latencySec: saved.Pace,
+			servedRate: saved.Served, baseRate: saved.Base, pace: saved.Limit, paceAt: c.now,
 			paceCutAt: c.now - saved.Cut, connRefusedAt: c.now - saved.Down, tokens: saved.Tokens}
 	}
 	for _, saved := range snapshot.Hosts {
 		if h := c.hosts[saved.Host]; h != nil {
-			h.failures, h.retryAt, h.preference, h.recentSends = saved.Fails, c.now+saved.Retry, saved.Liking, timesAgo(c.now, saved.Sends)
+			h.failures, h.retryAt, h.preference, h.recentSends = saved.Fails, c.now+saved.Retry, saved.Liking,
+				timesAgo(c.now, saved.Sends)
 		}
 	}
 }
--- a/choice/snapshot_test.go
+++ b/choice/snapshot_test.go
@@ -48,7 +48,8 @@
 	next := newHarness(t, s, hosts...)
 	next.now = 5 * time.Hour
 	next.step(m, Restored{Arrival: Arrival{ID: "out", Class: 0, Dest: 3, Left: 9 * time.Second}, Attempts: 1,
-		Timeout: old.chooser.messages["out"].timeout, InFlight: &InFlightCall{Host: where["out"], Call: 1, SentAgo: 50 * ms}})
+		Timeout:  old.chooser.messages["out"].timeout,
+		InFlight: &InFlightCall{Host: where["out"], Call: 1, SentAgo: 50 * ms}})
 	if next.chooser.inFlight != 1 {
 		t.Fatalf("%d slots in use, want one for the resumed call", next.chooser.inFlight)
 	}
@@ -59,18 +60,20 @@
 	if !reflect.DeepEqual(before, after) {
 		t.Errorf("snapshot\n%+v\nwant\n%+v", after, before)
 	}
-	told := next.now
+	started := next.now
 	n := Arrival{ID: "n", Class: 0, Dest: 1, Left: 9 * time.Second}
 	for acts := next.step(n); len(sends(acts)) == 0; acts = next.advance(5 * ms) {
-		if next.now-told > time.Minute {
+		if next.now-started > time.Minute {
 			t.Fatal("nothing is sent after the retry-after time")
 		}
 	}
-	if next.now-told < 650*ms {
-		t.Errorf("sent %v after the handover, before the retry-after time", next.now-told)
+	if next.now-started < 650*ms {
+		t.Errorf("sent %v after the handover, before the retry-after time", next.now-started)
 	}
-	if acts := next.step(next.result("out", where["out"], Served)); len(finalAnswers(acts)) != 0 || next.chooser.inFlight != 1 {
-		t.Errorf("answers %q and %d slots in use after the end of the resumed call", finalAnswers(acts), next.chooser.inFlight)
+	if acts := next.step(next.result("out", where["out"], Served)); len(finalAnswers(acts)) != 0 ||
+		next.chooser.inFlight != 1 {
+		t.Errorf("answers %q and %d slots in use after the end of the resumed call", finalAnswers(acts),
+			next.chooser.inFlight)
 	}
 }
 
@@ -103,10 +106,12 @@
 		}
 	}
 	if d := r.chooser.dests[2]; d.inFlight != 0 || r.chooser.dests[1].inFlight == 0 {
-		t.Errorf("%d calls in flight for the endpoint's destination and %d for the message's, want none and some", d.inFlight, r.chooser.dests[1].inFlight)
+		t.Errorf("%d calls in flight for the endpoint's destination and %d for the message's, want none and some",
+			d.inFlight, r.chooser.dests[1].inFlight)
 	}
 	r.step(Result{ID: "out", Host: "moved", Outcome: Served, Done: true})
 	if r.chooser.dests[1].inFlight < 0 || r.chooser.dests[2].inFlight < 0 {
-		t.Errorf("%d and %d calls in flight, want neither below 0", r.chooser.dests[1].inFlight, r.chooser.dests[2].inFlight)
+		t.Errorf("%d and %d calls in flight, want neither below 0", r.chooser.dests[1].inFlight,
+			r.chooser.dests[2].inFlight)
 	}
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -210,9 +210,9 @@
 	t.counts, t.sums = make([]float64, buckets), make([]float64, buckets)
 	for i, count := range old.counts {
 		if count > 0 {
-			to := min(int(old.sums[i]/count/width.Seconds()), buckets-1)
-			t.counts[to] += count
-			t.sums[to] += old.sums[i]
+			bucket := min(int(old.sums[i]/count/width.Seconds()), buckets-1)
+			t.counts[bucket] += count
+			t.sums[bucket] += old.sums[i]
 		}
 	}
 }
@@ -236,7 +236,8 @@
 	case s.Tick <= 0:
 		return fmt.Errorf("Tick is %v, must be above 0", s.Tick)
 	case s.Rules.WarmUp <= 0 || s.Rules.OverloadWindow <= 0:
-		return fmt.Errorf("Rules.WarmUp is %v and Rules.OverloadWindow %v, both must be above 0", s.Rules.WarmUp, s.Rules.OverloadWindow)
+		return fmt.Errorf("Rules.WarmUp is %v and Rules.OverloadWindow %v, both must be above 0", s.Rules.WarmUp,
+			s.Rules.OverloadWindow)
 	case len(s.Classes) == 0:
 		return fmt.Errorf("Classes is empty, must have at least one entry")
 	}
@@ -245,7 +246,8 @@
 			return fmt.Errorf("Classes[%d]: Window is %v, must be above 0 where repeats are dropped", i, class.Window)
 		}
 		if class.Aim <= 0 || class.Deadline < class.Aim {
-			return fmt.Errorf("Classes[%d]: Aim is %v, must be above 0 and at most Deadline %v", i, class.Aim, class.Deadline)
+			return fmt.Errorf("Classes[%d]: Aim is %v, must be above 0 and at most Deadline %v", i, class.Aim,
+				class.Deadline)
 		}
 		if class.Worth < 0 || class.LateShare < 0 || class.LateShare > 1 {
 			return fmt.Errorf("Classes[%d]: Worth is %v and LateShare %v, must be at least 0 and within 0 to 1",
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -11,12 +11,14 @@
 // This file fills the free call slots.
 
 // fillSlots sends calls while slots are free. The destination with the fewest calls in flight goes
-// first.
+// first. One destination gets less than three quarters of the slots, and no more than half while
+// others are ready.
 func (c *Chooser) fillSlots() {
 	maxCalls := max(1, (3*c.settings.Workers+3)/4-1)
 	sharedMax := max(1, c.settings.Workers/2)
 	// Destinations with nothing but trials go last, so that calls that may hang don't fill the
-	// slots of a small relay; a trial overdue for a whole window is not put back.
+	// slots of a small relay; a trial that is overdue for a whole window
+	// is not delayed further.
 	preferred := func(u *unit) bool {
 		return u.state != suspect || c.now-u.trialAt > c.settings.Rules.OverloadWindow
 	}
@@ -79,7 +81,7 @@
 }
 
 // cancelStuck frees one slot while all are taken and a message waits for one. It cancels the oldest
-// call that has been out for longer than its destination's silence limit: twice that if the unit
+// call that has been in flight for longer than its destination's silence limit: twice that if the unit
 // has served others since, and multiplied by the number of attempts, so that slow messages are
 // served in the end. This guards against calls that nobody will ever answer. An unsafe message is
 // lost by it, so its call gets twice the limit while stuck calls hold no more than half of the
@@ -127,25 +129,25 @@
 		return false
 	}
 	u := h.unit
-	k := &call{host: h, sentAt: c.now}
+	newCall := &call{host: h, sentAt: c.now}
 	c.inFlight, d.inFlight, h.inFlight, d.lastSentAt = c.inFlight+1, d.inFlight+1, h.inFlight+1, c.now
 	c.countUnitCalls(d, 1)
 	expired := func(t time.Duration) bool { return c.now-t > max(c.settings.Rules.WarmUp, time.Second) }
-	u.calls = append(u.calls, k)
+	u.calls = append(u.calls, newCall)
 	u.tokens--
 	if u.state == suspect {
 		u.trialAt = c.now + c.silenceLimit(d)<<min(u.failedTrials, 4) + c.trialDelay(u)
 	}
-	c.sendMessage(m, k)
-	for len(k.messages) < d.kind.PerCall && u.state != suspect {
+	c.sendMessage(m, newCall)
+	for len(newCall.messages) < d.kind.PerCall && u.state != suspect {
 		m := c.mostUrgent(d, d.waiting.items, func(m *message) bool { return c.maySend(m, h) })
 		if m == nil {
 			break
 		}
-		c.sendMessage(m, k)
+		c.sendMessage(m, newCall)
 	}
 	// Further messages of a call weigh little: together they count as one more call.
-	weight := slices.Repeat([]time.Duration{c.now}, min(len(k.messages), 2))
+	weight := slices.Repeat([]time.Duration{c.now}, min(len(newCall.messages), 2))
 	u.recentSends = append(slices.DeleteFunc(u.recentSends, expired), weight...)
 	if _, warming := c.enabledAt[h.Addr]; warming {
 		h.recentSends = append(slices.DeleteFunc(h.recentSends, expired), weight...)
