--- a/choice/api.go
+++ b/choice/api.go
@@ -27,8 +27,8 @@
 	Name      string
 	Aim       time.Duration // a delivery within this time earns the full worth
 	Deadline  time.Duration // after this time a delivery is worth nothing
-	Worth     float64
-	LateShare float64 // share of the worth that is left at the deadline
+	Worth     float64       // of a delivery within Aim
+	LateShare float64       // share of the worth that is left at the deadline
 	Effect    Effect
 	// SameZone limits repeats of a keyed message to endpoints in the zone of the first attempt that
 	// may have run. Otherwise every endpoint drops them.
@@ -56,12 +56,12 @@
 
 // Settings configure a Chooser.
 type Settings struct {
-	Index         int // number of this relay, from 0
-	Fleet         int // number of relays
-	Workers       int // maximum of calls in flight
-	MaxPending    int // maximum of pending messages, in flight or not; 0 for no limit
-	MaxAttempts   int // per message, with those that were never sent
-	Tick          time.Duration
+	Index         int           // number of this relay, from 0
+	Fleet         int           // number of relays
+	Workers       int           // maximum of calls in flight
+	MaxPending    int           // maximum of pending messages, in flight or not; 0 for no limit
+	MaxAttempts   int           // per message, with those that were never sent
+	Tick          time.Duration // shortest interval between checks
 	Classes       []Class
 	Kinds         []Kind
 	ZoneFee       []float64 // cost of a message over a separate route, in shares of its worth, by zone
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -106,7 +106,7 @@
 			if h.unit.pace == 0 {
 				if h.unit.pace = c.initialPace(h.unit); h.unit.pace < entry.Rate {
 					h.unit.paceAt, h.unit.tokens = c.now, 1
-					if h.unit.sharesCalls { // random, or relays call in step for few messages each
+					if h.unit.sharesCalls { // random, or all relays call together for few messages each
 						h.unit.tokens = c.rand.Float64()
 					}
 				}
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -474,8 +474,8 @@
 		m.Tenant = 1
 		acts = append(acts, r.step(m)...)
 	}
-	if got := finalAnswers(acts); got == "" || strings.Contains(got, "refuse m") {
-		t.Errorf("answers while too many are pending: %q, want some of the flood refused", got)
+	if refused := finalAnswers(acts); refused == "" || strings.Contains(refused, "refuse m") {
+		t.Errorf("answers while too many are pending: %q, want some of the flood refused", refused)
 	}
 	acts = append(r.step(r.result("flood0", "a", Served)), r.advance(time.Second)...)
 	next := sends(acts)
@@ -601,7 +601,7 @@
 }
 
 // TestLargeFleetSpreadsRetriesAfterRefusals checks that relays that call a destination seldom come
-// back after growing pauses, and not in step, so that together they get below its limit.
+// back after growing pauses, and at different times, so that together they get below its limit.
 func TestLargeFleetSpreadsRetriesAfterRefusals(t *testing.T) {
 	s := settings()
 	s.Fleet = 40
--- a/choice/cost_test.go
+++ b/choice/cost_test.go
@@ -68,14 +68,14 @@
 func BenchmarkStep(b *testing.B) {
 	for _, fleet := range []int{2, 300} {
 		for _, endpoints := range []int{30, 1000} {
-			for _, held := range []int{10, 1000} {
-				b.Run(fmt.Sprintf("fleet=%d/endpoints=%d/held=%d", fleet, endpoints, held), func(b *testing.B) {
-					f := newStepBench(b, fleet, endpoints, held)
+			for _, pending := range []int{10, 1000} {
+				b.Run(fmt.Sprintf("fleet=%d/endpoints=%d/held=%d", fleet, endpoints, pending), func(b *testing.B) {
+					f := newStepBench(b, fleet, endpoints, pending)
 					b.ReportAllocs()
 					for i := 0; b.Loop(); i++ {
 						if i%20000 == 19999 { // before the deadlines of the pending messages
 							b.StopTimer()
-							f = newStepBench(b, fleet, endpoints, held)
+							f = newStepBench(b, fleet, endpoints, pending)
 							b.StartTimer()
 						}
 						f.serveNext(b)
@@ -107,8 +107,8 @@
 // endpoints are listed or messages pending elsewhere: a Step checks destinations that have
 // messages, not all that are known.
 func TestAllocationsDoNotGrowWithListOrPending(t *testing.T) {
-	per := func(endpoints, held int) float64 {
-		f := newStepBench(t, 300, endpoints, held)
+	per := func(endpoints, pending int) float64 {
+		f := newStepBench(t, 300, endpoints, pending)
 		for range 200 {
 			f.serveNext(t)
 		}
--- a/choice/deferred.go
+++ b/choice/deferred.go
@@ -38,6 +38,7 @@
 	}
 }
 
+// markAllChanged marks all destinations as changed.
 func (c *Chooser) markAllChanged() {
 	c.destOrder.each(func(d *dest) bool { c.markChanged(d); return true })
 }
--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -41,10 +41,11 @@
 // calls.
 func (c *Chooser) seldomCalls(u *unit) bool { return c.evenInterval(u) > c.minAim/2 }
 
-// randomPause returns a random pause, so that relays don't come back in step. It doubles with each
-// step up to twice the even interval, and is longer the fewer calls after a refusal are served at
-// this kind of destination: where refused calls use up the limit, retries alone can keep a
-// destination at its limit. Long pauses may do harm where refusals are random.
+// randomPause returns a random pause, so that relays don't come back together. It doubles up to the
+// given number of times, but no further than twice the even interval, and is longer the fewer calls
+// after a refusal are served at this kind of destination: where refused calls use up the limit,
+// retries alone can keep a destination at its limit. Long pauses may do harm where refusals are
+// random.
 func (c *Chooser) randomPause(u *unit, d *dest, doublings int) time.Duration {
 	pause := (c.minAim / 4).Seconds() * math.Exp2(float64(min(doublings, 10))) / math.Pow(2*(*d.retrySuccess), 3)
 	return time.Duration(min(pause, 2*c.evenInterval(u).Seconds()) * (0.5 + c.rand.Float64()) * float64(time.Second))
--- a/choice/fleet_test.go
+++ b/choice/fleet_test.go
@@ -22,10 +22,10 @@
 	limit := g.limit(now)
 	g.used = max(0, g.used-limit*(now-g.updatedAt).Seconds())
 	g.updatedAt = now
-	left := max(0, 1-g.used/limit)
+	remaining := max(0, 1-g.used/limit)
 	g.used++
-	report := []float64{left, limit}
-	if left == 0 || g.isOpen != nil && !g.isOpen(now) {
+	report := []float64{remaining, limit}
+	if remaining == 0 || g.isOpen != nil && !g.isOpen(now) {
 		return Refused, report
 	}
 	return Served, report
@@ -37,19 +37,19 @@
 // simulateFleet has a fleet deliver to one destination. Messages arrive at random relays at a mean
 // rate of perSecond.
 func simulateFleet(t *testing.T, fleet int, host Host, g *limitedDest, perSecond float64,
-	span time.Duration) (sum callCounts) {
+	span time.Duration) (counts callCounts) {
 	t.Helper()
 	s := settings()
 	s.Fleet, s.Workers, s.ReportLeftIndex, s.ReportLimitIndex = fleet, 5, 0, 1
 	s.Classes[0].Aim = 3 * time.Second
-	all := make([]*Chooser, fleet)
-	for i := range all {
+	choosers := make([]*Chooser, fleet)
+	for i := range choosers {
 		c, err := New(s, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Step(0, []Event{ListUpdate{Complete: true, Hosts: []Host{host}}})
-		all[i] = c
+		choosers[i] = c
 	}
 	type answer struct {
 		at time.Duration
@@ -66,10 +66,10 @@
 				Left: s.Classes[0].Deadline, Tenant: -1})
 		}
 		second := int(now / time.Second)
-		for len(sum.calls) <= second {
-			sum.calls, sum.served = append(sum.calls, 0), append(sum.served, 0)
+		for len(counts.calls) <= second {
+			counts.calls, counts.served = append(counts.calls, 0), append(counts.served, 0)
 		}
-		for i, c := range all {
+		for i, c := range choosers {
 			answersDue[i] = slices.DeleteFunc(answersDue[i], func(a answer) bool {
 				if a.at <= now {
 					events[i] = append(events[i], a.Result)
@@ -79,16 +79,16 @@
 			events[i] = append(events[i], Woken{})
 			var outcome Outcome
 			var report []float64
-			left := 0 // messages that the call may still carry
+			remaining := 0 // messages that the call may still carry
 			for _, send := range sends(c.Step(now, events[i])) {
-				if left == 0 {
+				if remaining == 0 {
 					outcome, report = g.call(now)
-					sum.calls[second]++
-					left = s.Kinds[host.Kind].PerCall
+					counts.calls[second]++
+					remaining = s.Kinds[host.Kind].PerCall
 				}
-				left--
+				remaining--
 				if outcome == Served {
-					sum.served[second]++
+					counts.served[second]++
 				}
 				answersDue[i] = append(answersDue[i],
 					answer{now + 50*ms, Result{ID: send.ID, Host: send.Host, Outcome: outcome,
@@ -97,7 +97,7 @@
 			events[i] = events[i][:0]
 		}
 	}
-	return sum
+	return counts
 }
 
 func total(n []int) (sum int) {
@@ -155,7 +155,7 @@
 }
 
 // TestFirstMessageGoesAtOnce guards against hundreds of relays that start together, keep their
-// first message until their tokens allow a call, and then send it in step.
+// first message until their tokens allow a call, and then send it together.
 func TestFirstMessageGoesAtOnce(t *testing.T) {
 	host := ready("a", 1, 0, 0)
 	host.Rate = 250
@@ -221,13 +221,13 @@
 func TestTenantSharesInALargeFleet(t *testing.T) {
 	s := settings()
 	s.Fleet, s.Tenants = 80, []Tenant{{Quota: 40}, {Quota: 40}}
-	all := make([]*Chooser, s.Fleet)
-	for i := range all {
+	choosers := make([]*Chooser, s.Fleet)
+	for i := range choosers {
 		c, err := New(s, uint64(i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		all[i] = c
+		choosers[i] = c
 	}
 	random := rand.New(rand.NewPCG(3, 3))
 	for tenant, perSecond := range []float64{36, 120} {
@@ -236,7 +236,7 @@
 			if random.Float64() >= perSecond*(5*ms).Seconds() {
 				continue
 			}
-			c := all[random.IntN(s.Fleet)]
+			c := choosers[random.IntN(s.Fleet)]
 			arrivals, c.now = arrivals+1, now
 			if !c.withinShare(tenant) {
 				overShare++
--- a/choice/index.go
+++ b/choice/index.go
@@ -36,9 +36,10 @@
 		byAnswerTime: indexedHeap[*message]{before: func(a, b *message) bool { return a.answerAt < b.answerAt },
 			index: func(m *message) *int { return &m.heapIndex }},
 		pausedKeys: indexedHeap[*keyQueue]{before: func(a, b *keyQueue) bool { return a.pauseUntil < b.pauseUntil },
-			index: func(l *keyQueue) *int { return &l.heapIndex }}}
+			index: func(queue *keyQueue) *int { return &queue.heapIndex }}}
 }
 
+// compareLive orders destinations as in liveDests.
 func compareLive(a, b *dest) int { return cmp.Compare(a.liveNumber, b.liveNumber) }
 
 // enqueue appends a message to those that wait for its destination.
@@ -82,6 +83,7 @@
 	}
 }
 
+// idle reports whether a destination has no messages waiting or in flight.
 func (d *dest) idle() bool { return d.waiting.count == 0 && d.inFlight == 0 }
 
 // dropIdle removes destinations from liveDests that have no messages waiting or in flight.
@@ -108,8 +110,8 @@
 
 // releaseKeys forgets the keys whose pause is over.
 func (c *Chooser) releaseKeys() {
-	for _, l := range c.pausedKeys.popWhile(func(l *keyQueue) bool { return l.pauseUntil <= c.now }) {
-		delete(c.keyQueues, l.key)
+	for _, queue := range c.pausedKeys.popWhile(func(queue *keyQueue) bool { return queue.pauseUntil <= c.now }) {
+		delete(c.keyQueues, queue.key)
 	}
 }
 
@@ -126,11 +128,11 @@
 // detachFromCall removes a message from its call. With the last message the call's slots become
 // free.
 func (c *Chooser) detachFromCall(m *message) {
-	k, h := m.call, m.call.host
+	call, h := m.call, m.call.host
 	m.call, m.lastHost = nil, h
-	if k.messages = without(k.messages, m); len(k.messages) == 0 {
+	if call.messages = without(call.messages, m); len(call.messages) == 0 {
 		c.inFlight, m.dest.inFlight, h.inFlight = c.inFlight-1, m.dest.inFlight-1, h.inFlight-1
-		h.unit.calls = without(h.unit.calls, k)
+		h.unit.calls = without(h.unit.calls, call)
 		c.countUnitCalls(h.dest, -1)
 		c.noteIfIdle(m.dest)
 	}
--- a/choice/manual.go
+++ b/choice/manual.go
@@ -21,7 +21,7 @@
 	case e.Disabled:
 		c.disabled[e.Host] = true
 		if h != nil && h.unit.state == healthy {
-			h.unit.baseRate = h.unit.servedRate // the cold budget goes by it where no rate is listed
+			h.unit.baseRate = h.unit.servedRate // used for the cold budget where no rate is listed
 		}
 		c.log("endpoint %s is out by hand", e.Host)
 	case c.disabled[e.Host] || e.Ago > 0:
@@ -59,8 +59,8 @@
 	return c.withinBudget(h.recentSends, h.unit, returnedAt, h.unitShare())
 }
 
-// resetShare restarts the count of a host whose share of the budget is less than one call.
-// Otherwise the calls of all relays may come in step.
+// resetShare has assumedSends draw again how much of a host's share of the budget is used up, if
+// the share is less than one call. Otherwise the calls of all relays may coincide.
 func (c *Chooser) resetShare(h *host) {
 	if window, _ := c.coldBudget(h.unit, c.now-c.enabledAt[h.Addr]); window*h.unitShare() < 1 {
 		h.recentSends = nil
@@ -69,7 +69,7 @@
 
 // assumedSends stands in for the send times since a return where they are unknown. If the host
 // returned before this relay started, a whole window counts as used up. Of a share of less than one
-// call, a random part counts as used, so that relays don't call in step.
+// call, a random part counts as used, so that relays don't call together.
 func (c *Chooser) assumedSends(h *host, sinceReturn time.Duration) []time.Duration {
 	window, sumNow := c.coldBudget(h.unit, sinceReturn)
 	started := h.unit.createdAt + time.Second
--- a/choice/manual_test.go
+++ b/choice/manual_test.go
@@ -83,7 +83,7 @@
 }
 
 // TestSmallBudgetSharesAreSpread guards against relays with shares of less than one call that make
-// it in step: after a restart during the warm-up, as an endpoint is enabled once more, and as its
+// it together: after a restart during the warm-up, as an endpoint is enabled once more, and as its
 // listed rate changes, the part of a call that they have saved must be spread evenly from none to
 // all.
 func TestSmallBudgetSharesAreSpread(t *testing.T) {
--- a/choice/pending_scale_test.go
+++ b/choice/pending_scale_test.go
@@ -89,18 +89,18 @@
 // asked to wait, or are in an outage between two trials. In "slow" the outage is of destinations
 // whose pace is far from steady; in "unsafe" trials are due, but no waiting message may be a trial.
 func BenchmarkScaleHeld(b *testing.B) {
-	for _, how := range []string{"draining", "told", "suspect", "slow", "unsafe"} {
+	for _, condition := range []string{"draining", "told", "suspect", "slow", "unsafe"} {
 		for _, many := range []bool{false, true} {
-			for _, held := range []int{100, 1000, 10000, 100000} {
-				if how == "unsafe" && many && held > 1000 {
+			for _, pending := range []int{100, 1000, 10000, 100000} {
+				if condition == "unsafe" && many && pending > 1000 {
 					continue // not flat: destinations with a trial due are checked in each Step, 3 us each
 				}
-				down, each, at := 1, held, "one"
+				down, each, at := 1, pending, "one"
 				if many {
-					down, each, at = held, 1, "many"
+					down, each, at = pending, 1, "many"
 				}
-				b.Run(fmt.Sprintf("%s/at=%s/held=%d", how, at, held), func(b *testing.B) {
-					f := newPendingBench(b, down, each, 0, how)
+				b.Run(fmt.Sprintf("%s/at=%s/held=%d", condition, at, pending), func(b *testing.B) {
+					f := newPendingBench(b, down, each, 0, condition)
 					for range 200 {
 						f.serveHealthy(b, down)
 					}
@@ -117,23 +117,23 @@
 // BenchmarkScaleQueue measures a Step while many messages wait for a destination that is up: the
 // calls that its share of the slots allows end, and as many messages arrive and are sent.
 func BenchmarkScaleQueue(b *testing.B) {
-	for _, held := range []int{100, 1000, 10000, 100000} {
-		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
-			f := newPendingBench(b, 1, held, 0, "up")
+	for _, pending := range []int{100, 1000, 10000, 100000} {
+		b.Run(fmt.Sprint("held=", pending), func(b *testing.B) {
+			f := newPendingBench(b, 1, pending, 0, "up")
 			for b.Loop() {
 				f.now += 10 * ms
-				var come []Event
+				var events []Event
 				for _, a := range f.actions {
 					if s, ok := a.(Send); ok {
 						f.count++
-						come = append(come, Result{ID: s.ID, Host: s.Host, Outcome: Served, Took: 5 * ms, Done: true},
+						events = append(events, Result{ID: s.ID, Host: s.Host, Outcome: Served, Took: 5 * ms, Done: true},
 							Arrival{ID: fmt.Sprint("m", f.count), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1})
 					}
 				}
-				if len(come) == 0 {
+				if len(events) == 0 {
 					b.Fatal("nothing was sent")
 				}
-				f.step(come...)
+				f.step(events...)
 			}
 		})
 	}
@@ -141,10 +141,10 @@
 
 // BenchmarkScaleCrowded measures a message that displaces another while too many are pending.
 func BenchmarkScaleCrowded(b *testing.B) {
-	for _, held := range []int{100, 1000, 10000, 100000} {
-		b.Run(fmt.Sprint("held=", held), func(b *testing.B) {
-			f := newPendingBench(b, 1, held, 0, "told")
-			f.chooser.settings.MaxPending = held * 10 / 9 // each arrival has one message refused
+	for _, pending := range []int{100, 1000, 10000, 100000} {
+		b.Run(fmt.Sprint("held=", pending), func(b *testing.B) {
+			f := newPendingBench(b, 1, pending, 0, "told")
+			f.chooser.settings.MaxPending = pending * 10 / 9 // each arrival has one message refused
 			for b.Loop() {
 				f.count++
 				f.now += time.Microsecond
@@ -175,12 +175,12 @@
 // BenchmarkScaleTakeOn measures accepting messages for one destination that is down, one in a Step,
 // until the given number is pending.
 func BenchmarkScaleTakeOn(b *testing.B) {
-	for _, held := range []int{100, 1000, 10000, 100000} {
-		b.Run(fmt.Sprint("messages=", held), func(b *testing.B) {
+	for _, pending := range []int{100, 1000, 10000, 100000} {
+		b.Run(fmt.Sprint("messages=", pending), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
 				f := newPendingBench(b, 1, 0, 0, "suspect")
-				for i := range held {
+				for i := range pending {
 					f.step(Arrival{ID: fmt.Sprint("m", i), Class: 1, Dest: 0, Left: time.Hour, Tenant: -1})
 				}
 			}
@@ -190,13 +190,13 @@
 
 // TestScaleBenchmarkSetup checks that the benchmarks set up what their names say.
 func TestScaleBenchmarkSetup(t *testing.T) {
-	for _, how := range []string{"draining", "told", "suspect", "slow", "unsafe"} {
-		f := newPendingBench(t, 3, 20, 5, how)
+	for _, condition := range []string{"draining", "told", "suspect", "slow", "unsafe"} {
+		f := newPendingBench(t, 3, 20, 5, condition)
 		for range 50 {
 			f.serveHealthy(t, 3)
 		}
 		if f.chooser.pending != 60 {
-			t.Errorf("%s: %d messages pending, want 60 for the destinations that are down", how, f.chooser.pending)
+			t.Errorf("%s: %d messages pending, want 60 for the destinations that are down", condition, f.chooser.pending)
 		}
 	}
 }
--- a/choice/setup.go
+++ b/choice/setup.go
@@ -30,11 +30,12 @@
 // emit adds an action to those that the current Step returns.
 func (c *Chooser) emit(a Action) { c.actions = append(c.actions, a) }
 
+// log emits a line for the operators.
 func (c *Chooser) log(format string, args ...any) { c.emit(Log{fmt.Sprintf(format, args...)}) }
 
 // FinalAnswerMargin returns how long before its deadline a waiting message gets its final answer at
-// the latest. It includes the interval at which wake-ups are asked for. It changes only by a Step
-// with Reconfigured, which changes it for waiting messages too.
+// the latest. It includes checkInterval, after which a wake-up is asked for while messages are
+// pending. It changes only by a Step with Reconfigured, which changes it for waiting messages too.
 func (c *Chooser) FinalAnswerMargin() time.Duration {
 	return finalAnswerTicks*c.settings.Tick + c.checkInterval
 }
@@ -42,15 +43,15 @@
 // latencyTable is a histogram of the latencies of one destination. Old samples fade: each new one
 // weighs a little more than the one before it.
 type latencyTable struct {
-	width       time.Duration
-	weight      float64
+	width       time.Duration // of a bucket
+	weight      float64       // of the next sample
 	counts      []float64     // weighted samples by bucket; made with the first sample
 	sums        []float64     // weighted sum of the samples by bucket, in seconds
 	overBound   float64       // weighted number of attempts with no answer within the last bucket
 	samples     float64       // number of samples, unweighted
 	bestTimeout time.Duration // edge of a bucket, see refresh; 0 for none
 	p98         time.Duration // edge of the bucket below which 98% of the answers lie; 0 if unknown
-	outdated    bool
+	outdated    bool          // samples were added since refresh
 }
 
 // destination returns the record of a destination, creating it at first use.
--- a/choice/slowstart_rule_test.go
+++ b/choice/slowstart_rule_test.go
@@ -30,10 +30,10 @@
 // allowed returns N of a window that ends at the given time. Calls before a change of the rate, or
 // before all relays received it, were allowed by the earlier rate.
 func (s *slowStartPlay) allowed(at time.Duration) float64 {
-	k := s.settings(0).Rules
-	rate := max(s.rateAt(at), s.rateAt(at-k.OverloadWindow-slowStartDelay))
-	share := min(1, k.ColdShare+(1-k.ColdShare)*(at-s.returnedAt).Seconds()/k.WarmUp.Seconds())
-	return k.OverloadFactor * rate * share * k.OverloadWindow.Seconds()
+	rules := s.settings(0).Rules
+	rate := max(s.rateAt(at), s.rateAt(at-rules.OverloadWindow-slowStartDelay))
+	share := min(1, rules.ColdShare+(1-rules.ColdShare)*(at-s.returnedAt).Seconds()/rules.WarmUp.Seconds())
+	return rules.OverloadFactor * rate * share * rules.OverloadWindow.Seconds()
 }
 
 // slowStartBound returns the most calls in a window, where the settings allow n in the mean.
@@ -77,13 +77,13 @@
 	t.Helper()
 	for name, p := range cases {
 		t.Run(name, func(t *testing.T) {
-			plays, used, excess, worst, bound := 0, 0, math.Inf(-1), 0.0, 0.0
+			plays, playsWithCalls, excess, worst, bound := 0, 0, math.Inf(-1), 0.0, 0.0
 			for _, size := range slowStartSizes {
 				if testing.Short() && size.fleet*int(size.window) > 1000 {
 					continue
 				}
-				k := p.settings(0).Rules
-				p.fleet, p.rate = size.fleet, size.window/(k.OverloadFactor*k.ColdShare*k.OverloadWindow.Seconds())
+				rules := p.settings(0).Rules
+				p.fleet, p.rate = size.fleet, size.window/(rules.OverloadFactor*rules.ColdShare*rules.OverloadWindow.Seconds())
 				for p.seed = range size.draws {
 					got, most := p.play(t).worst()
 					if got > most {
@@ -91,15 +91,15 @@
 							p.fleet, size.window, p.seed, got, most)
 					}
 					if plays++; got > 0 {
-						used++
+						playsWithCalls++
 					}
 					if got > 0 && got-most > excess {
 						excess, worst, bound = got-most, got, most
 					}
 				}
 			}
-			if used < plays*3/4 { // in a large fleet, none of the relays that know of the outage may call during the warm-up
-				t.Errorf("calls in only %d of %d plays", used, plays)
+			if playsWithCalls < plays*3/4 { // in a large fleet, none of the relays that know of the outage may call during the warm-up
+				t.Errorf("calls in only %d of %d plays", playsWithCalls, plays)
 			}
 			t.Logf("%d plays, worst window %.0f of %.1f", plays, worst, bound)
 		})
@@ -154,7 +154,7 @@
 }
 
 // TestSlowStartAfterManualEnableInSmallShares guards against relays whose shares are less than one
-// call each, and which make their calls in step.
+// call each, and which make their calls together.
 func TestSlowStartAfterManualEnableInSmallShares(t *testing.T) {
 	checkSlowStart(t, map[string]slowStartCase{
 		"all restart": {load: 1.5, manual: true, restartPercent: 100, restartTogether: true},
--- a/choice/slowstart_test.go
+++ b/choice/slowstart_test.go
@@ -64,17 +64,17 @@
 	event Event
 }
 
-func (re *slowStartRelay) schedule(at time.Duration, e Event) {
-	re.due = append(re.due, slowStartEvent{at, e})
+func (relay *slowStartRelay) schedule(at time.Duration, e Event) {
+	relay.due = append(relay.due, slowStartEvent{at, e})
 }
 
 // takeDue removes and returns the events that are due.
-func (re *slowStartRelay) takeDue(now time.Duration) (events []Event) {
-	re.due = slices.DeleteFunc(re.due, func(e slowStartEvent) bool {
+func (relay *slowStartRelay) takeDue(now time.Duration) (events []Event) {
+	relay.due = slices.DeleteFunc(relay.due, func(e slowStartEvent) bool {
 		if e.at <= now {
 			events = append(events, e.event)
-			if said, ok := e.event.(ManualChange); ok && said.Ago == 0 {
-				re.manualChanges[said.Host] = slowStartEvent{now, said}
+			if change, ok := e.event.(ManualChange); ok && change.Ago == 0 {
+				relay.manualChanges[change.Host] = slowStartEvent{now, change}
 			}
 		}
 		return e.at <= now
@@ -101,54 +101,54 @@
 		calls: map[string][]time.Duration{}}
 	s.returnedAt = slowStartHealthySpan + time.Duration((5+5*s.random.Float64())*float64(time.Second))
 	s.outages = [][2]time.Duration{{slowStartHealthySpan, s.returnedAt}}
-	cold := p.settings(0).Rules.WarmUp
+	warmUp := p.settings(0).Rules.WarmUp
 	if p.secondOutageAfter > 0 {
 		s.outages = append(s.outages, [2]time.Duration{s.returnedAt + p.secondOutageAfter,
 			s.returnedAt + p.secondOutageAfter + p.secondOutageSpan})
 		s.returnedAt += p.secondOutageAfter + p.secondOutageSpan
 	}
-	s.end = s.returnedAt + cold
-	s.rateChangeAt = s.returnedAt + time.Duration(s.random.Float64()*float64(cold))
+	s.end = s.returnedAt + warmUp
+	s.rateChangeAt = s.returnedAt + time.Duration(s.random.Float64()*float64(warmUp))
 	restartAt := s.returnedAt + time.Duration((s.random.Float64()*8-1)*float64(time.Second))
-	sum := 0.0
+	trafficSum := 0.0
 	for i := range p.fleet {
-		re := &slowStartRelay{trafficShare: math.Exp(p.skew * s.random.NormFloat64()),
+		relay := &slowStartRelay{trafficShare: math.Exp(p.skew * s.random.NormFloat64()),
 			pending: map[string]time.Duration{}, outages: map[string]float64{},
 			manualChanges: map[string]slowStartEvent{}}
-		sum += re.trafficShare
-		s.relays = append(s.relays, re)
-		s.start(re, i, 0)
+		trafficSum += relay.trafficShare
+		s.relays = append(s.relays, relay)
+		s.start(relay, i, 0)
 		if at := s.rateChangeAt + s.delay(); p.rateFactor > 0 {
-			re.schedule(at, s.listing(s.rateChangeAt))
+			relay.schedule(at, s.listing(s.rateChangeAt))
 		}
 		for _, o := range s.outages {
 			if p.manual {
 				for _, host := range s.hosts() {
-					re.schedule(o[0]+s.delay(), ManualChange{Host: host, Disabled: true})
-					re.schedule(o[1]+s.delay(), ManualChange{Host: host})
+					relay.schedule(o[0]+s.delay(), ManualChange{Host: host, Disabled: true})
+					relay.schedule(o[1]+s.delay(), ManualChange{Host: host})
 				}
 			}
 		}
 		if s.random.IntN(100) < p.restartPercent || i == 0 && p.restartPercent > 0 {
 			at := restartAt
 			if !p.restartTogether {
-				at = s.returnedAt + time.Duration(s.random.Float64()*float64(cold))
+				at = s.returnedAt + time.Duration(s.random.Float64()*float64(warmUp))
 			}
-			re.restartAt = []time.Duration{at}
+			relay.restartAt = []time.Duration{at}
 			for _, gap := range p.restartGaps {
 				at += gap
-				re.restartAt = append(re.restartAt, at)
+				relay.restartAt = append(relay.restartAt, at)
 			}
 		}
 	}
 	for now := time.Duration(0); now < s.end; now += slowStartTick {
-		for i, re := range s.relays {
-			if len(re.restartAt) > 0 && now >= re.restartAt[0] {
-				re.restartAt = re.restartAt[1:]
-				s.start(re, i, now)
+		for i, relay := range s.relays {
+			if len(relay.restartAt) > 0 && now >= relay.restartAt[0] {
+				relay.restartAt = relay.restartAt[1:]
+				s.start(relay, i, now)
 			}
-			s.arrivals(re, now, p.load*p.rate*float64(max(1, p.perCall))*re.trafficShare/sum)
-			s.step(re, now)
+			s.arrivals(relay, now, p.load*p.rate*float64(max(1, p.perCall))*relay.trafficShare/trafficSum)
+			s.step(relay, now)
 		}
 	}
 	return s
@@ -190,9 +190,9 @@
 		relay.schedule(now, KnownOutage{Host: host, BaseRate: relay.outages[host]})
 	}
 	for _, host := range slices.Sorted(maps.Keys(relay.manualChanges)) {
-		said := relay.manualChanges[host]
-		relay.schedule(now, ManualChange{Host: host, Disabled: said.event.(ManualChange).Disabled,
-			Ago: max(ms, now-said.at)})
+		change := relay.manualChanges[host]
+		relay.schedule(now, ManualChange{Host: host, Disabled: change.event.(ManualChange).Disabled,
+			Ago: max(ms, now-change.at)})
 	}
 	for _, id := range slices.Sorted(maps.Keys(relay.pending)) {
 		relay.schedule(now, Restored{Arrival: Arrival{ID: id, Dest: 1, Left: relay.pending[id] - now}})
--- a/choice/snapshot.go
+++ b/choice/snapshot.go
@@ -43,12 +43,15 @@
 	Units  []UnitSnapshot
 	Hosts  []HostSnapshot
 	Dests  []DestSnapshot
-	Pool   TableSnapshot
-	Luck   []float64
-	Shares []float64
+	Pool   TableSnapshot // latencies of all destinations together
+	Luck   []float64     // by kind: share served of the calls after a refusal
+	Shares []float64     // by tenant: messages left of its share
 }
 
-// UnitSnapshot is the state of a unit, identified by the address of one of its endpoints.
+// UnitSnapshot is the state of a unit, identified by the address of one of its endpoints. Its
+// fields stand for these of unit: Wait is retryAfter, Pause pauseUntil, Trial trialAt, Recent
+// recentFailures, Streak servedStreak, Trials failedTrials, Bad badStreak, Errors sawErrors, Risky
+// mayHaveRun, Pace latencySec, Listed knownRate, Limit pace, Cut paceCutAt and Down connRefusedAt.
 type UnitSnapshot struct {
 	Host                                      string
 	State                                     int
@@ -65,8 +68,8 @@
 type HostSnapshot struct {
 	Host   string
 	Fails  int
-	Retry  time.Duration
-	Liking float64
+	Retry  time.Duration // until it is used at no extra cost
+	Liking float64       // preference
 	Sends  []time.Duration
 }
 
@@ -80,7 +83,7 @@
 // TableSnapshot is a latency table.
 type TableSnapshot struct {
 	Width                 time.Duration
-	Weight, Beyond, Total float64
+	Weight, Beyond, Total float64 // Beyond is overBound, Total samples
 	Count, Sum            []float64
 }
 
--- a/choice/state.go
+++ b/choice/state.go
@@ -24,7 +24,7 @@
 	mayHaveRun   bool          // an attempt may have run
 	firstRunAt   time.Duration // when the first such attempt was sent
 	firstRunZone int
-	lastHost     *host
+	lastHost     *host         // of the last attempt that ended
 	uncertainAt  time.Duration // time of the last uncertain outcome, after which its key pauses; below 0 for none
 	ended        bool          // answered or withdrawn
 	overShare    bool          // its tenant's share was used up on arrival
@@ -49,15 +49,13 @@
 // host is one endpoint.
 type host struct {
 	Host
-	dest       *dest
-	unit       *unit
-	inFlight   int
-	preference float64       // random, so that relays prefer different hosts
-	failures   int           // in a row
-	retryAt    time.Duration // earliest time of use at no extra cost after failures
-	// pauseUntil is when the host is called again after a refusal which suggests that it drains,
-	// before the list says so.
-	pauseUntil  time.Duration
+	dest        *dest
+	unit        *unit
+	inFlight    int
+	preference  float64         // random, so that relays prefer different hosts
+	failures    int             // in a row
+	retryAt     time.Duration   // earliest time of use at no extra cost after failures
+	pauseUntil  time.Duration   // no calls before this time, after a refusal as by one that drains
 	recentSends []time.Duration // send times while it is cold after operators enabled it
 }
 
@@ -70,8 +68,7 @@
 	recovering        // gets calls within the budget of a cold destination
 )
 
-// unit is what health, limits and waits are kept for: a destination, or one of its endpoints where
-// these are separate routes.
+// unit is what health, limits and waits are kept for: a destination, or one of its separate routes.
 type unit struct {
 	name           string
 	createdAt      time.Duration
@@ -99,8 +96,8 @@
 	baseRate       float64         // servedRate when the outage began
 	pace           float64         // calls per second this relay allows itself; 0 for no limit
 	paceAt         time.Duration   // when pace and tokens were last updated
-	paceCutAt      time.Duration
-	tokens         float64
+	paceCutAt      time.Duration   // when a refusal last lowered the pace
+	tokens         float64         // calls that the pace allows now
 }
 
 // dest is one destination.
@@ -113,14 +110,12 @@
 	inFlight      int
 	lastSentAt    time.Duration
 	latencies     latencyTable
-	refusalStreak int      // refusals since the last attempt served
-	retrySuccess  *float64 // entry of its kind in Chooser.retrySuccess
-	pauseUntil    time.Duration
-	timeoutStreak int // time-outs in a row with nothing served in between
-	// Bookkeeping of index: sequence numbers of when the destination became known and when it came
-	// to have messages, the calls in flight at its units, the step up to which its paces are
-	// updated, the number of its endpoints that are excluded, its schedule state, and its place in
-	// deferredDests.
+	refusalStreak int           // refusals since the last attempt served
+	retrySuccess  *float64      // entry of its kind in Chooser.retrySuccess
+	pauseUntil    time.Duration // no calls before this time, by this relay's own choice
+	timeoutStreak int           // time-outs in a row with nothing served in between
+	// Of index: numbers by order of becoming known and of entering liveDests, calls in flight at the units,
+	// step up to which paces are updated, number of excluded endpoints, schedule, place in deferredDests.
 	knownNumber, liveNumber, unitCalls, pacedStep, excluded, schedule, heapIndex int
 	deferredUntil                                                                time.Duration // while deferred
 	// Until blockedUntil, none of the waiting messages with a queue number of up to blockedThrough
@@ -137,23 +132,23 @@
 type keyQueue struct {
 	key        string
 	messages   linkedList[message]
-	pauseUntil time.Duration
-	heapIndex  int
+	pauseUntil time.Duration // after an uncertain outcome
+	heapIndex  int           // in pausedKeys
 }
 
 // Chooser decides for one relay. It is not safe for concurrent use.
 type Chooser struct {
 	index
 	settings        Settings
-	now             time.Duration
+	now             time.Duration // of the current Step
 	maxTimeout      time.Duration // longest time-out that is derived from latencies
-	minAim          time.Duration
+	minAim          time.Duration // shortest aim of all classes
 	messages        map[string]*message
 	dests           map[int]*dest
 	hosts           map[string]*host
 	keyQueues       map[string]*keyQueue
-	inFlight        int
-	pending         int
+	inFlight        int           // calls
+	pending         int           // messages without a final answer
 	wakeAt          time.Duration // time of the next wake-up asked for
 	rand            *rand.Rand
 	checkInterval   time.Duration // time between checks without events
@@ -164,8 +159,7 @@
 	tenantShares    []tenantShare            // by tenant
 	disabled        map[string]bool          // endpoints that operators disabled
 	enabledAt       map[string]time.Duration // when operators enabled an endpoint again
-	// listExpired is set while the list may be too old, so that nothing may be sent.
-	listExpired bool
+	listExpired     bool                     // the list may be too old, so nothing may be sent
 }
 
 // recordOutcome records whether the last attempt failed.
@@ -187,8 +181,7 @@
 	return n
 }
 
-// unitShare returns a host's share of the budget of its unit: that is divided evenly among the
-// listed endpoints that don't drain.
+// unitShare returns a host's even share, among the listed endpoints that don't drain, of its unit's budget.
 func (h *host) unitShare() float64 {
 	ready := 0
 	for _, other := range h.dest.hosts {
@@ -199,8 +192,7 @@
 	return 1 / float64(max(1, ready))
 }
 
-// rebucket changes the width of the buckets. The samples of one old bucket stay together, at their
-// mean.
+// rebucket changes the width of the buckets. Samples of one bucket stay together, at their mean.
 func (t *latencyTable) rebucket(width time.Duration) {
 	if t.width == width {
 		return
