--- a/internal/relay/accept_test.go
+++ b/internal/relay/accept_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// failing is a listener whose system call fails some times before it accepts.
+// failingListener is a listener whose system call fails with the given errors before it accepts.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -25,8 +25,8 @@
 	return f.Listener.Accept()
 }
 
-// Guards against a listener that is given up for an error which accept may return at any moment (accept(2)): nobody could connect
-// any more, and nothing would say so.
+// Guards against closing the listener because of an error that accept may return at any time (accept(2)): nobody
+// could connect any more, and nothing would report it.
 func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for _, err := range []error{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 		syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH,
@@ -49,7 +49,7 @@
 			resp.Body.Close()
 			select {
 			case err := <-served:
-				t.Errorf("serving has ended: %v", err)
+				t.Errorf("the server has stopped: %v", err)
 			default:
 			}
 		})
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -13,19 +13,19 @@
 	"larchrouter/internal/steady"
 )
 
-// The second address is for the operators and their tools. It has a server of its own, apart from
-// the clients', and nothing here waits for a caller while it holds what the loop needs.
+// The admin address serves operators and their tools. It has its own server, separate from the clients' one, and no
+// handler here waits for a caller while holding anything that the loop needs.
 
 const (
-	adminTimeout  = 2 * time.Second // for a call to come in whole: callers wait 1 s
-	maxAdminConns = 24              // connections; the one longest without a call makes room for the next
+	adminTimeout  = 2 * time.Second // for a whole request and its response; callers wait 1 s
+	maxAdminConns = 24              // when all are in use, the connection that has gone longest without a request is closed for the next
 )
 
-// listenAdmin serves the second address from now on: a process that cannot serve yet says so.
+// listenAdmin starts to serve the admin address, so that a process that is not ready yet can report that.
 func (r *Relay) listenAdmin(addr string) error {
 	tcpListener, err := listen.TCP(addr)
 	if err != nil {
-		return fmt.Errorf("second address: %w", err)
+		return fmt.Errorf("admin address: %w", err)
 	}
 	limited := newLimitListener(tcpListener, maxAdminConns)
 	r.adminListener = limited
@@ -55,7 +55,8 @@
 	w.Write(r.metrics.text())
 }
 
-// serveByHand takes an endpoint out, or gives it back. The answer comes once it holds.
+// serveSetDisabled returns the handler that disables or enables an endpoint for operators. It responds once the
+// change is in effect.
 func (r *Relay) serveSetDisabled(disable bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		reply := make(chan error, 1)
@@ -76,17 +77,17 @@
 	}
 }
 
-// errNoHost says that operators named an endpoint that nobody has.
+// errUnknownEndpoint means that operators named an endpoint that is neither on the list nor disabled.
 var errUnknownEndpoint = errors.New("no such endpoint")
 
-// errHandedOver says that the next process is the one to ask.
+// errHandedOver means that the request has to go to the next process.
 var errHandedOver = errors.New("handed over to the next process")
 
-// isOut tells whether operators took an endpoint out.
+// isManuallyDisabled reports whether operators disabled an endpoint.
 func (r *Relay) isManuallyDisabled(id string) bool { return r.journal.Out(id) }
 
-// byHand does what operators ask for an endpoint. Asking twice is as good as once. It is recorded
-// first: what they were told outlasts the process.
+// setManuallyDisabled disables or enables an endpoint on behalf of operators. It is idempotent. The change is
+// recorded before it takes effect, because what operators were told has to survive the process. It runs in the loop.
 func (r *Relay) setManuallyDisabled(id string, disable bool) error {
 	if r.heir != nil {
 		return errHandedOver
@@ -99,7 +100,7 @@
 		return errUnknownEndpoint
 	}
 	if err := r.bind([]journal.Record{{Op: journal.OpByHand, ID: id, Ran: disable, At: steady.UnixMilli()}}, 0, nil); err != nil {
-		slog.Error("not taken out or given back", "endpoint", id, "err", err)
+		slog.Error("endpoint not disabled or enabled", "endpoint", id, "err", err)
 		return err
 	}
 	if h != nil {
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -16,7 +16,7 @@
 
 func withAdminAddr(conf *Config) { conf.AdminAddr = "127.0.0.1:0" }
 
-// operate makes one call of an operator and returns its status and body.
+// operatorCall makes one operator's call and returns the status and the body of the response.
 func operatorCall(t *testing.T, r *Relay, method, path string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+r.adminAddr.String()+path, nil)
@@ -32,7 +32,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// shows waits until the figures hold all of the given lines: they may trail what a test sees elsewhere.
+// awaitMetrics waits until the metrics contain all of the given lines, as they may lag behind what a test sees
+// elsewhere.
 func awaitMetrics(t *testing.T, r *Relay, lines ...string) {
 	t.Helper()
 	var body string
@@ -48,11 +49,11 @@
 			return
 		}
 	}
-	t.Fatalf("figures are\n%s\nwant %v among them", body, lines)
+	t.Fatalf("metrics are\n%s\nwant %v among them", body, lines)
 }
 
-// Guards against figures that do not tell what happened: an end of each kind, a refused attempt, a
-// message sent again by its client, and one that nobody takes.
+// Guards against metrics that miscount: each outcome once, a refused attempt, a message submitted twice by its
+// client, and one for an unknown destination.
 func TestMetricsCountOutcomes(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -65,7 +66,7 @@
 	awaitMetrics(t, r, "svc.attempts=1", "svc.in_flight=1", "svc.requests.payment.served=0")
 	first.answer <- 200
 	hand(t, r.Addr(), "m2", "payment")
-	wait(t, calls, "call").answer <- 500 // it may have run, and may not be repeated
+	wait(t, calls, "call").answer <- 500 // it may have been executed, and must not be repeated
 	hand(t, r.Addr(), "m3", "status-update")
 	wait(t, calls, "call").answer <- 429
 	wait(t, calls, "call").answer <- 200
@@ -75,7 +76,7 @@
 		"svc.requests.job-order.failed=1", "svc.attempts=4", "svc.in_flight=0")
 }
 
-// Guards against an attempt that is counted before its last byte is written, or only with its answer.
+// Guards against counting an attempt before its last byte is written, or only when it is answered.
 func TestAttemptIsCountedWhenWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -95,16 +96,16 @@
 	want(t, "written", body.written.Load(), true)
 
 	far.Close()
-	failedRequest := newHostRequest(nil, func() { t.Error("counted though the write failed") })
+	failedRequest := newHostRequest(nil, func() { t.Error("the attempt was counted although the write failed") })
 	conn.sending.Store(failedRequest)
 	if _, err := conn.Write([]byte("head")); err == nil {
-		t.Fatal("a write to a closed connection went well")
+		t.Fatal("a write to a closed connection succeeded")
 	}
 	want(t, "written", failedRequest.written.Load(), false)
 }
 
-// Guards against a second address that says yes too early or too late, keeps connections, or is held up
-// by callers that finish no call and by a loop that is busy.
+// Guards against an admin address that reports readiness too early or too late, keeps connections open, or is blocked
+// by callers that send incomplete requests or by a busy loop.
 func TestAdminAddressRespondsPromptly(t *testing.T) {
 	p := newPlatform(t)
 	r := startRelay(t, p, withAdminAddr)
@@ -121,7 +122,7 @@
 	<-loopBlocked
 	defer close(done)
 	for path, status := range map[string]int{"/ready": 200, "/metrics": 200, "/else": 404} {
-		// Places that are all taken by calls under way are free again after adminIn at the latest.
+		// If requests in progress occupy all places, they are free again after adminTimeout at the latest.
 		var resp *http.Response
 		var err error
 		for range 30000 {
@@ -139,10 +140,10 @@
 	}
 	r.ready.Store(false)
 	status, _ := operatorCall(t, r, "GET", "/ready")
-	want(t, "not ready", status, 503)
+	want(t, "status when not ready", status, 503)
 }
 
-// Guards against a figure of endpoints in use that counts those the decisions keep away from.
+// Guards against a metric of excluded endpoints that omits those the chooser avoids.
 func TestSuspectedEndpointIsExcludedInMetrics(t *testing.T) {
 	p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"), at("s-2", "127.0.0.1:1", "taller"))
 	r := startRelay(t, p, withAdminAddr)
@@ -150,8 +151,9 @@
 	awaitMetrics(t, r, "svc.endpoints_known=2", "svc.endpoints_excluded=1")
 }
 
-// Guards against calls to an endpoint that operators took out: across the list, an endpoint's new
-// address and a kill; against a no for what they may ask, and a yes for an endpoint that nobody has.
+// Guards against calls to a manually disabled endpoint: it has to stay disabled when it leaves the list, returns with
+// a new address, and after a kill. Also guards against rejecting a valid request of operators, and accepting one for
+// an unknown endpoint.
 func TestManuallyDisabledEndpoint(t *testing.T) {
 	calls := make(chan *seen, 10)
 	one, two := fakeHost(t, "a", calls), fakeHost(t, "b", calls)
@@ -168,7 +170,7 @@
 		t.Helper()
 		hand(t, r.Addr(), id, "payment")
 		c := wait(t, calls, "call")
-		want(t, "host of "+id, c.host, host)
+		want(t, "endpoint of "+id, c.host, host)
 		c.answer <- 200
 	}
 	operate(r, 404, "disable", "s-9")
@@ -182,7 +184,7 @@
 	}
 	p.publish(2, true, at("s-2", two, "taller"))
 	awaitMetrics(t, r, "svc.endpoints_known=1")
-	operate(r, 200, "disable", "s-1") // it is out, though it is not on the list
+	operate(r, 200, "disable", "s-1") // it is disabled although it is not on the list
 	p.publish(3, true, at("s-1", one, "taller"))
 	awaitMetrics(t, r, "svc.endpoints_known=1", "svc.endpoints_excluded=1")
 	hand(t, r.Addr(), "m4", "payment")
@@ -192,12 +194,12 @@
 	awaitMetrics(t, next, "svc.in_flight=1", "svc.attempts=0", "svc.endpoints_excluded=1")
 	operate(next, 200, "enable", "s-1")
 	c := wait(t, calls, "call")
-	want(t, "what waited goes", c.id+c.host, "m4a")
+	want(t, "delivery of the waiting message", c.id+c.host, "m4a")
 	c.answer <- 200
 	awaitMetrics(t, next, "svc.in_flight=0", "svc.endpoints_excluded=0")
 }
 
-// Guards against a crash, or a second address that stays taken, where a relay cannot start.
+// Guards against a crash, or an admin address that stays occupied, when a relay fails to start.
 func TestFailedStartReleasesAdminAddress(t *testing.T) {
 	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -212,7 +214,7 @@
 	conf.AdminAddr, conf.Listen = "127.0.0.1:0", occupied.Addr().String()
 	r, err := New(conf)
 	if err == nil {
-		t.Fatalf("a relay started at an address that is taken: %v", r)
+		t.Fatalf("a relay started at an occupied address: %v", r)
 	}
 	if !strings.Contains(err.Error(), "address already in use") {
 		t.Fatal(err)
--- a/internal/relay/api.go
+++ b/internal/relay/api.go
@@ -18,15 +18,16 @@
 const (
 	maxBodyBytes      = 64 << 10
 	maxNameBytes      = 200              // bytes of an id or a key
-	maxDeadline       = 24 * time.Hour   // a longer deadline is a mistake
-	defaultRetryAfter = time.Second      // advice where the decisions give none
-	idleConnTimeout   = 60 * time.Second // for a client's idle connection
-	// requestIn is for a request to come in whole, from connecting on. Whoever sends too little
-	// is owed a close within 3 s, and its place is wanted: a client stops waiting after 400 ms.
+	maxDeadline       = 24 * time.Hour   // a longer deadline is considered a mistake
+	defaultRetryAfter = time.Second      // if the chooser gives no advice
+	idleConnTimeout   = 60 * time.Second // of a client's connection
+	// requestTimeout limits how long a complete request may take, counted from the start of the connection. A client
+	// that sends too little has to be disconnected within 3 s, and others need its place: clients stop waiting after
+	// 400 ms.
 	requestTimeout = 2200 * time.Millisecond
 )
 
-// intake is a message that waits for the answer whether it is taken on.
+// apiRequest is a submitted message whose client waits to learn whether it is accepted.
 type apiRequest struct {
 	entry *journal.Entry
 	due   time.Duration
@@ -36,7 +37,7 @@
 
 type apiResponse struct {
 	status     int
-	retryAfter time.Duration // Retry-After
+	retryAfter time.Duration // Retry-After header; 0 for none
 	text       string
 }
 
@@ -52,7 +53,7 @@
 	var response apiResponse
 	select {
 	case response = <-apiReq.reply:
-	case <-r.halted: // what the loop has answered by then holds: the record says so
+	case <-r.halted: // what the loop has answered before it ended is valid: it is in the record
 		select {
 		case response = <-apiReq.reply:
 		default:
@@ -74,7 +75,7 @@
 	http.Error(w, response.text, response.status)
 }
 
-// read checks a request; its error is the client's.
+// readAPIRequest reads and checks a request. The error text and the status are for the client.
 func (r *Relay) readAPIRequest(w http.ResponseWriter, req *http.Request, arrivedAt time.Duration) (*apiRequest, int, error) {
 	badRequest := func(text string) (*apiRequest, int, error) { return nil, http.StatusBadRequest, errors.New(text) }
 	entry := &journal.Entry{ID: req.Header.Get("X-Request-Id"), Class: req.Header.Get("X-Class"),
@@ -82,7 +83,7 @@
 	if !isValidName(entry.ID) {
 		return badRequest("X-Request-Id is missing or malformed")
 	}
-	if active := r.settingsAtRequestStart(req); active != nil { // the next process may know other classes
+	if active := r.settingsAtRequestStart(req); active != nil { // nil: the next process may have other classes
 		terms, err := messageTerms(active, entry, arrivedAt)
 		if err != nil {
 			return badRequest(err.Error())
@@ -113,8 +114,8 @@
 	return &apiRequest{entry: entry, due: arrivedAt + timeLeft, ctx: req.Context(), reply: make(chan apiResponse, 1)}, 0, nil
 }
 
-// standingAt are the settings by which a request came: those in force as its first byte did, for its client wrote it by
-// them. It is nil for one that is the next process's to judge.
+// settingsAtRequestStart returns the settings that apply to a request: those in effect when its first byte arrived,
+// since its client wrote it under these. It returns nil for a request that the next process has to judge.
 func (r *Relay) settingsAtRequestStart(req *http.Request) *activeSettings {
 	if active, ok := inboundConnOf(req).settingsAtRequestStart().(*activeSettings); ok {
 		return active
@@ -122,7 +123,8 @@
 	return r.currentSettings()
 }
 
-// snapshot are the settings that hold for a request which begins now.
+// currentSettings returns the settings that apply to a request which begins now, or nil after the handover to the
+// next process.
 func (r *Relay) currentSettings() *activeSettings {
 	if r.passedAt.Load() > 0 {
 		return nil
@@ -130,7 +132,8 @@
 	return r.set.Load()
 }
 
-// admit finds the terms of a message's class, and tells what the class wants of it.
+// messageTerms returns the terms of a message's class, or an error for the client if the message does not meet the
+// class's requirements.
 func messageTerms(active *activeSettings, entry *journal.Entry, now time.Duration) (*choice.Terms, error) {
 	class := active.classIndex(entry.Class, now)
 	switch {
@@ -146,12 +149,12 @@
 	return terms, nil
 }
 
-// isName tells whether text can stand in a header and in a line of /receive-many.
+// isValidName reports whether a text can stand in a header and in a line of /receive-many.
 func isValidName(s string) bool {
 	return s != "" && len(s) <= maxNameBytes && strings.IndexFunc(s, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
-// destOf reads the number of the destination.
+// parseDest parses the number of the destination.
 func parseDest(s string) (int, bool) {
 	for part := range strings.FieldsFuncSeq(s, func(c rune) bool { return c == ';' || c == ',' || c == ' ' }) {
 		if v, ok := strings.CutPrefix(part, "dest="); ok {
@@ -162,18 +165,18 @@
 	return 0, false
 }
 
-// take decides with the next Step whether a message is taken on.
+// submit decides, with the next step of the loop, whether a message is accepted.
 func (r *Relay) submit(apiReq *apiRequest) {
 	id, active := apiReq.entry.ID, r.set.Load()
 	var err error
-	if apiReq.entry.Terms == nil { // it came by way of the process before this one, and under this one's settings
+	if apiReq.entry.Terms == nil { // it came through the process before this one, under the settings of this one
 		apiReq.entry.Terms, err = messageTerms(active, apiReq.entry, r.now())
 	}
 	refusal := apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "no room"}
 	switch {
 	case r.heir != nil:
 		r.pass(apiReq)
-	case len(r.askers) > 0 && r.copies != nil: // the next process is to have all that counts first
+	case len(r.askers) > 0 && r.copies != nil: // the next process has to receive all that counts first
 		r.deferred = append(r.deferred, apiReq)
 	case r.held[id] != nil: // the client sent it again after its connection broke
 		msg := r.held[id]
@@ -188,7 +191,7 @@
 		apiReq.reply <- apiResponse{status: http.StatusAccepted}
 	case r.journal.Entry(id) != nil:
 		r.respondRecorded(apiReq, r.journal.Entry(id))
-	case apiReq.ctx.Err() != nil: // the client has gone; its handler still waits, and holds the connection
+	case apiReq.ctx.Err() != nil: // the client has disconnected; its handler still waits and occupies the connection
 		apiReq.reply <- refusal
 	case err != nil:
 		apiReq.reply <- apiResponse{status: http.StatusBadRequest, text: err.Error()}
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -15,13 +15,13 @@
 	"larchrouter/internal/smallfile"
 )
 
-// Config is what a relay is told at its start.
+// Config is the configuration of a relay at its start.
 type Config struct {
 	Listen      string
-	AdminAddr   string // second address; empty for none
+	AdminAddr   string // admin address; empty for none
 	Discovery   string
-	SourceIP    net.IP // that all its connections go out from; nil for whichever the machine takes
-	StateDir    string // folder that lasts
+	SourceIP    net.IP // local address of all outgoing connections; nil lets the system choose
+	StateDir    string // directory that persists across restarts
 	Seed        uint64
 	Cores       float64
 	MemoryMB    float64
@@ -30,14 +30,14 @@
 	InitialList discovery.List
 	Settings    settings.Settings
 	Name        string
-	Fleet       *fleet.Config // nil for a relay that shares nothing
-	Backlog     *Backlog      // nil for a relay that keeps no backlog on disk
+	Fleet       *fleet.Config // nil for a relay that is not part of a fleet
+	Backlog     *Backlog      // nil for a relay without a backlog on disk
 
-	rawSettings json.RawMessage // as the file has them
-	fileData    []byte          // the file, against which the next one is checked
+	rawSettings json.RawMessage // as they stand in the file
+	fileData    []byte          // the whole file; a reloaded file is checked against it
 }
 
-// file is the configuration as it stands on disk.
+// configFile is the configuration in its stored form.
 type configFile struct {
 	Listen    string `json:"listen"`
 	Admin     string `json:"admin_addr"`
@@ -59,16 +59,16 @@
 
 // Backlog is the object backlog of the configuration.
 type Backlog struct {
-	DiskMB float64 `json:"disk_mb"` // of limits.disk_mb
+	DiskMB float64 `json:"disk_mb"` // part of limits.disk_mb
 }
 
-// journalLeast is what the journal must have of the disk beside a backlog, in MB.
+// minJournalMB is the disk space, in MB, that the journal needs beside a backlog.
 const minJournalMB = 1
 
-// smallFiles is what the steady clock and the list's lease take of the disk.
+// smallFilesBytes is the disk space of the files of the steady clock and of the list's lease.
 const smallFilesBytes = 2 * smallfile.Most
 
-// journalBytes is what the journal has of the disk.
+// journalBytes is the part of the disk limit, in bytes, that is left for the journal.
 func (c *Config) journalBytes() int64 {
 	available := int64(c.DiskMB*1e6) - smallFilesBytes
 	if c.Fleet != nil {
@@ -83,14 +83,14 @@
 	return available
 }
 
-// checkBacklog tells what is wrong with the object backlog.
+// checkBacklog checks the object backlog against the rest of the configuration.
 func (c *Config) checkBacklog() error {
 	switch b := c.Backlog; {
 	case b == nil:
 	case !(b.DiskMB > 0):
 		return &BacklogError{fmt.Sprintf("disk_mb is %g, must be above 0", b.DiskMB), "give it what messages that wait may take of the disk, or leave the object out"}
 	case c.Fleet != nil && c.Fleet.Copies > 0:
-		return &BacklogError{"fleet.copies is set as well: holders would not have what lies on disk", "take out one of the two and restart the relay"}
+		return &BacklogError{"fleet.copies is set as well: replicas would not have the messages on disk", "take out one of the two and restart the relay"}
 	case c.journalBytes() < minJournalMB*1e6:
 		return &BacklogError{fmt.Sprintf("disk_mb is %g of limits.disk_mb %g, which leaves %.1f MB for the journal", b.DiskMB, c.DiskMB, float64(c.journalBytes())/1e6),
 			fmt.Sprintf("raise limits.disk_mb or lower backlog.disk_mb until %d MB are left", minJournalMB)}
@@ -98,15 +98,15 @@
 	return nil
 }
 
-// BadBacklog is a backlog that cannot be kept as the configuration has it.
+// BacklogError describes a backlog that the relay cannot keep as configured.
 type BacklogError struct{ Text, Advice string }
 
 func (b *BacklogError) Error() string { return "backlog: " + b.Text }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (b *BacklogError) Remedy() string { return b.Advice }
 
-// readFile reads the file that BALANCER_CONFIG names.
+// readConfigFile reads and parses the file that BALANCER_CONFIG names.
 func readConfigFile(env func(string) string) (path string, data []byte, parsed configFile, err error) {
 	if path = env("BALANCER_CONFIG"); path == "" {
 		return path, nil, parsed, &ConfigError{"", errors.New("BALANCER_CONFIG is not set")}
@@ -120,7 +120,8 @@
 	return path, data, parsed, nil
 }
 
-// ReadConfig reads the file that BALANCER_CONFIG names. The other variables win over it.
+// ReadConfig reads the file that BALANCER_CONFIG names. The other environment variables take precedence over its
+// keys. Errors are of type *ConfigError.
 func ReadConfig(env func(string) string) (Config, error) {
 	path, data, parsed, err := readConfigFile(env)
 	if err != nil {
@@ -148,7 +149,7 @@
 			return conf, &ConfigError{path, err}
 		}
 		if conf.Name == "" {
-			return conf, &ConfigError{path, errors.New("name is missing, by which the fleet knows a relay")}
+			return conf, &ConfigError{path, errors.New("name is missing; the fleet identifies relays by it")}
 		}
 	}
 	if err := conf.checkBacklog(); err != nil {
@@ -156,7 +157,7 @@
 	}
 	if parsed.Source != "" {
 		if conf.SourceIP = net.ParseIP(parsed.Source); conf.SourceIP == nil {
-			return conf, &ConfigError{path, fmt.Errorf("source: %q is no IP address", parsed.Source)}
+			return conf, &ConfigError{path, fmt.Errorf("source: %q is not an IP address", parsed.Source)}
 		}
 	}
 	if parsed.Seed != "" {
@@ -170,8 +171,8 @@
 	return conf, nil
 }
 
-// readNext reads a configuration that was put in place while the relay runs: all of it, or an
-// error. The environment is as old as the process, so here the file wins.
+// readReloadedConfig reads a configuration that was put in place while the relay runs: all of it, or an error. Here
+// the file takes precedence over the environment, which dates from the start of the process.
 func readReloadedConfig(env func(string) string, running []byte) (data []byte, discovery string, nextSettings fleet.File, err error) {
 	path, data, parsed, err := readConfigFile(env)
 	if err != nil {
@@ -193,19 +194,20 @@
 	return data, parsed.Discovery, nextSettings, nil
 }
 
-// sameBacklog tells whether a configuration has the backlog of the one that runs: it is opened at the start.
+// checkSameBacklog returns an error if a new configuration changes the backlog of the running one, which is opened
+// only at the start.
 func checkSameBacklog(running []byte, next *Backlog) error {
 	var parsed configFile
 	if err := json.Unmarshal(running, &parsed); err != nil {
 		return err
 	}
 	if (parsed.Backlog == nil) != (next == nil) || next != nil && *next != *parsed.Backlog {
-		return &BacklogError{"it is read at the start only, and is not as it was then", "put it back as it was, or restart the relay"}
+		return &BacklogError{"it is read only at the start, and differs from the running configuration", "put it back as it was, or restart the relay"}
 	}
 	return nil
 }
 
-// BadConfig is a configuration that the relay cannot act by.
+// ConfigError describes a configuration that the relay cannot use.
 type ConfigError struct {
 	Path string
 	Err  error
@@ -220,7 +222,7 @@
 
 func (b *ConfigError) Unwrap() error { return b.Err }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (b *ConfigError) Remedy() string {
 	if advice := remedy.Of(b.Err); advice != "" {
 		return advice + "; a relay that runs goes on by the file before, whole"
--- a/internal/relay/conn_audit_test.go
+++ b/internal/relay/conn_audit_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// audit watches the connections of a server from below: what it read, and has not answered as it ends its side, was lost.
-// It is for clients that send one request at a time.
+// connAudit observes the connections of a server below the relay's code, and counts as lost each request that was
+// read but not answered when the server closed its side. It requires clients that send one request at a time.
 type connAudit struct {
 	lost     atomic.Int32
 	answers  atomic.Int32
@@ -42,7 +42,7 @@
 	*net.TCPConn
 	*connAudit
 	mu          sync.Mutex
-	unanswered  bool // bytes of a request were read, and nothing was written since
+	unanswered  bool // bytes of a request were read, and nothing has been written since
 	writeClosed bool
 }
 
@@ -80,7 +80,7 @@
 	c.writeClosed = true
 }
 
-// askUntilTheEnd sends one request after the other until its connection ends, a refusal being an end as well.
+// submitUntilClosed submits one message after the other until its connection is closed or a request is refused.
 func (a *connAudit) submitUntilClosed(t *testing.T, server *testServer, prefix string) {
 	conn, err := net.Dial("tcp", server.Addr().String())
 	if err != nil {
@@ -98,7 +98,7 @@
 		switch {
 		case err != nil:
 			if server.acceptedCount(id) != 0 {
-				t.Errorf("%s got no answer, and was taken on", id)
+				t.Errorf("%s got no response but was accepted", id)
 			}
 			return
 		case status == http.StatusAccepted:
@@ -106,15 +106,15 @@
 		case status == http.StatusServiceUnavailable:
 			a.refusals.Add(1)
 			if server.acceptedCount(id) != 0 {
-				t.Errorf("%s was refused, and taken on", id)
+				t.Errorf("%s was refused but accepted", id)
 			}
 			return
 		}
 	}
 }
 
-// Guards against any instant of a stop, or of a lack of places, at which a request that was read gets no answer, under more
-// work than there are cores.
+// Guards against any point during a stop, or during a shortage of connections, at which a request that was read gets
+// no answer. More goroutines are busy than there are cores.
 func TestEveryReadRequestIsAnsweredUnderLoad(t *testing.T) {
 	var spinners sync.WaitGroup
 	stopSpinning := make(chan struct{})
@@ -135,7 +135,7 @@
 	for round := range 20 {
 		server := newTestServer(t, 24, audit.wrap)
 		var clients sync.WaitGroup
-		for k := range 32 { // more than there are places
+		for k := range 32 { // more than the limit of connections
 			clients.Go(func() { audit.submitUntilClosed(t, server, fmt.Sprint(round, "-", k)) })
 		}
 		for len(server.arrived) < 40 {
@@ -148,6 +148,6 @@
 		server.closeAll(server.httpServer)
 		clients.Wait()
 	}
-	t.Logf("%d answered, %d refused", audit.answers.Load(), audit.refusals.Load())
-	want(t, "requests read and lost", audit.lost.Load(), 0)
+	t.Logf("%d accepted, %d refused", audit.answers.Load(), audit.refusals.Load())
+	want(t, "requests read but not answered", audit.lost.Load(), 0)
 }
--- a/internal/relay/conn_close.go
+++ b/internal/relay/conn_close.go
@@ -7,32 +7,35 @@
 	"time"
 )
 
-// How connections of clients end. A connection ends in order: this side ends its sending, and then reads to the other
-// side's end, within bounds. What comes meanwhile is read as nobody's request: the client sees an end that crossed it,
-// and sends it anew. To close at once would reset the connection over bytes that were not read, and with it an answer that
-// is still on its way; and to serve what was read after the end would deliver what its client hands in once more.
+// How client connections end. This side closes its sending direction and then reads until the remote side has closed
+// as well, within limits. Anything that arrives meanwhile is discarded: the client sees that the connection was
+// closed before its request was answered, and sends it again. Closing at once would reset the connection because of
+// unread bytes, and lose a response that is still being transmitted. Serving what was read after the close would
+// deliver a message that the client submits a second time.
 //
-// A request that has begun to be read is never dropped in silence: it is refused before the connection ends.
+// A request of which bytes have been read is never dropped silently: it is refused before the connection ends.
 
 const (
-	// lingerIn bounds how long the other side may take to end, once this side has: a round trip and what a busy
-	// machine adds to that.
+	// lingerTimeout is how long the remote side may take to close after this side has: a round trip and the delays of
+	// a busy machine.
 	lingerTimeout = 500 * time.Millisecond
-	// lingerMost bounds what is read of it meanwhile, in bytes: a request of the longest body, and some more.
+	// maxLingerBytes limits the bytes that are read and discarded meanwhile: a request with the largest body, and
+	// some more.
 	maxLingerBytes = 4 * maxBodyBytes
-	// lastReadsIn bounds for how long bytes are read that come in all the time, before a close.
+	// drainInputTimeout limits how long input that keeps arriving is read before the final close.
 	drainInputTimeout = 50 * time.Millisecond
-	// hurriedMost bounds how many connections without a place are still to be closed.
+	// maxForcedCloses limits the connections that no longer count towards the limit but are not closed yet.
 	maxForcedCloses = 8
-	// refuseIn bounds the writing of a refusal. It blocks only for a client that does not read its answers.
+	// refusalTimeout limits the writing of a refusal, which blocks only if the client does not read its responses.
 	refusalTimeout = 100 * time.Millisecond
 )
 
-// refusal answers a request that was read, in part or whole, and is not served.
+// refusalResponse answers a request that was read, partly or completely, and is not served.
 const refusalResponse = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
 
-// end ends this side; whoever reads the connection reads on to its end. A request that has begun, and that no handler
-// answers, is refused first, also one behind the last that the server answers. The mutex is held.
+// beginClose closes the sending direction; the reader of the connection continues until the remote side has closed. A
+// request that has begun and that no handler answers is refused first, including one pipelined behind the last
+// request that the server answers. The caller holds the mutex.
 func (c *inboundConn) beginClose() {
 	mustRefuse := (c.hasUnansweredRequest() || c.pipelined) && !c.remoteClosed
 	c.locallyClosed, c.closeRequested, c.stateSince = true, false, time.Now()
@@ -47,7 +50,7 @@
 	go c.writeRefusal()
 }
 
-// refuse writes the refusal, and then ends this side's sending.
+// writeRefusal writes the refusal and then closes the sending direction.
 func (c *inboundConn) writeRefusal() {
 	defer close(c.refusalDone)
 	c.Conn.SetWriteDeadline(time.Now().Add(refusalTimeout))
@@ -55,14 +58,14 @@
 	c.closeWrite()
 }
 
-// shut ends this side's sending.
+// closeWrite closes the sending direction.
 func (c *inboundConn) closeWrite() {
 	if s, ok := c.Conn.(interface{ CloseWrite() error }); !ok || s.CloseWrite() != nil {
-		c.Conn.Close() // broken, or in memory
+		c.Conn.Close() // the connection is broken, or in memory
 	}
 }
 
-// Close ends the connection in order, without holding its caller up.
+// Close begins an orderly end of the connection, without blocking its caller.
 func (c *inboundConn) Close() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -83,7 +86,7 @@
 	return nil
 }
 
-// linger reads to the other side's end, and closes the connection.
+// linger reads until the remote side has closed, and then closes the connection.
 func (c *inboundConn) linger() {
 	for buf := make([]byte, 4<<10); ; {
 		if _, err := c.Read(buf); err != nil {
@@ -103,7 +106,7 @@
 	c.Conn.Close()
 }
 
-// drain reads what lies there, within bounds: to close over it would reset the connection.
+// drainInput reads the input that is already there, within limits: closing the connection over it would reset it.
 func (c *inboundConn) drainInput() {
 	start, buf := time.Now(), make([]byte, 4<<10)
 	for total := 0; total < maxLingerBytes; {
@@ -115,8 +118,9 @@
 	}
 }
 
-// hurry frees the place of a connection that waits for its other side: its reader waits no longer, and closes it. If many
-// are in a hurry, it is closed at once. The mutex is held.
+// forceClose stops waiting for the remote side: the reader of the connection is interrupted and closes it, and the
+// connection no longer counts towards the limit. If too many are in this state, the connection is closed at once. The
+// caller holds the mutex.
 func (c *inboundConn) forceClose() {
 	c.remove()
 	if c.listener.forcedCloses >= maxForcedCloses {
@@ -128,14 +132,16 @@
 	c.Conn.SetReadDeadline(time.Unix(1, 0))
 }
 
-// trim hurries those that have waited longest for their other side, if they are too many. The mutex is held.
+// limitLingering forces the close of the connections that have waited longest for the remote side, if there are too
+// many. The caller holds the mutex.
 func (p *limitListener) limitLingering() {
 	for p.lingering > p.maxLingering() {
 		p.longestLingering().forceClose()
 	}
 }
 
-// longestEnded is the connection that has waited longest for its other side; nil if none does. The mutex is held.
+// longestLingering returns the connection that has waited longest for the remote side, or nil if none does. The
+// caller holds the mutex.
 func (p *limitListener) longestLingering() (longest *inboundConn) {
 	for c := range p.open {
 		if c.locallyClosed && (longest == nil || c.stateSince.Before(longest.stateSince)) {
@@ -145,7 +151,7 @@
 	return longest
 }
 
-// turnAway ends a connection for which there is no place: its request, if one comes, is refused.
+// refuseConn ends a connection beyond the limit. Its request, if one arrives, is refused.
 func (p *limitListener) refuseConn(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -167,7 +173,7 @@
 	}()
 }
 
-// forget frees the connection's place. The mutex is held.
+// remove takes the connection out of the open ones. The caller holds the mutex.
 func (c *inboundConn) remove() {
 	if _, ok := c.listener.open[c]; !ok {
 		return
@@ -178,7 +184,8 @@
 	}
 }
 
-// enter has a request be served, unless its connection was ended before that: then it has been refused.
+// beginHandling reports whether a request may be served. It may not if its connection was closed before, since the
+// request has been refused then.
 func (c *inboundConn) beginHandling() bool {
 	if c == nil {
 		return true
@@ -193,7 +200,7 @@
 	return true
 }
 
-// served lets through only what came before its connection was ended.
+// skipClosedConns serves only requests that were read before their connection was closed.
 func skipClosedConns(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if !inboundConnOf(req).beginHandling() {
--- a/internal/relay/conn_close_test.go
+++ b/internal/relay/conn_close_test.go
@@ -15,13 +15,13 @@
 	"time"
 )
 
-// intakes is the intake's server on a real address, with a handler that keeps what it has taken on.
+// testServer is the server for clients on a real address, with a handler that counts the accepted messages.
 type testServer struct {
 	*limitListener
 	httpServer   *http.Server
 	mu           sync.Mutex
 	accepted     map[string]int
-	responseGate chan struct{} // if not nil, answers wait for it
+	responseGate chan struct{} // if not nil, responses wait for it
 	arrived      chan string
 }
 
@@ -75,7 +75,8 @@
 	return "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nContent-Length: 5\r\n\r\nhello"
 }
 
-// answered reads one answer: its status, or 0 and how the connection ended.
+// readResponse reads one response and returns its status and whether it closes the connection, or how the connection
+// ended.
 func readResponse(reader *bufio.Reader) (int, bool, error) {
 	resp, err := http.ReadResponse(reader, nil)
 	if err != nil {
@@ -94,10 +95,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want(t, "answer to "+id, status, http.StatusAccepted)
+	want(t, "response to "+id, status, http.StatusAccepted)
 }
 
-// idles waits until the server takes so many connections for resting ones.
+// awaitIdle waits until the server considers n connections idle.
 func (in *testServer) awaitIdle(t *testing.T, n int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
@@ -111,7 +112,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections rest, want %d", rest, n)
+			t.Fatalf("%d connections are idle, want %d", rest, n)
 		}
 	}
 }
@@ -124,8 +125,8 @@
 	}
 }
 
-// Guards against ending a connection on which the next request has begun, though net/http takes it for idle until all of
-// the request's head has come: its client would get no answer to what is then delivered.
+// Guards against closing a connection on which the next request has begun. net/http considers it idle until the whole
+// request head has arrived, and its client would get no answer for a message that is then delivered.
 func TestBegunRequestIsAnswered(t *testing.T) {
 	server := newTestServer(t, 8)
 	conn := server.dial(t)
@@ -134,10 +135,10 @@
 	server.awaitIdle(t, 1)
 	text := apiRequestText("second")
 	io.WriteString(conn, text[:20])
-	for begun := false; !begun; { // the bytes have been read
+	for begun := false; !begun; { // until the bytes have been read
 		server.eachConn(func(c *inboundConn) { begun = !c.requestStart.IsZero() })
 	}
-	want(t, "connections left", server.closeIdle(false), 1)
+	want(t, "open connections", server.closeIdle(false), 1)
 	io.WriteString(conn, text[20:])
 	status, _, err := readResponse(reader)
 	if err != nil {
@@ -147,11 +148,12 @@
 	server.awaitIdle(t, 1)
 	server.closeIdle(false)
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Fatalf("the connection that rests ended with %v, want an end in order", err)
+		t.Fatalf("the idle connection ended with %v, want EOF", err)
 	}
 }
 
-// Guards against serving what crossed the end of a connection, and against a reset for it: an answer may be on its way.
+// Guards against serving a request that arrives after the close of its connection, and against a reset because of it,
+// which could lose a response in transit.
 func TestRequestAfterConnectionCloseIsIgnored(t *testing.T) {
 	server := newTestServer(t, 8)
 	conn := server.dial(t)
@@ -159,26 +161,26 @@
 	mustSubmit(t, conn, reader, "first")
 	server.awaitIdle(t, 1)
 	server.closeIdle(false)
-	for i := range 3 { // all of it comes after the end
+	for i := range 3 { // all of it arrives after the close
 		io.WriteString(conn, apiRequestText(fmt.Sprint("late", i)))
 	}
 	if _, err := reader.ReadByte(); err != io.EOF {
-		t.Fatalf("connection ended with %v, want an end in order", err)
+		t.Fatalf("connection ended with %v, want EOF", err)
 	}
 	conn.(*net.TCPConn).CloseWrite()
 	for server.connCount() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	want(t, "taken on", len(server.accepted), 1)
+	want(t, "accepted messages", len(server.accepted), 1)
 }
 
-// Guards against a close over bytes that were not read, which resets the connection with the answer on it.
+// Guards against closing a connection over unread bytes, which resets it and loses the response.
 func TestResponseSurvivesUnreadInput(t *testing.T) {
 	server := newTestServer(t, 8)
 	for what, text := range map[string]string{
-		"a length that is not accepted": "POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n" + strings.Repeat("x", 20000),
-		"its last request":              "GET /none HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + strings.Repeat("y", 20000),
-		"no HTTP":                       "\x16\x03\x01 what\r\n\r\n" + strings.Repeat("z", 20000),
+		"unsupported transfer encoding": "POST /api HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n" + strings.Repeat("x", 20000),
+		"last request":                  "GET /none HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + strings.Repeat("y", 20000),
+		"not HTTP":                      "\x16\x03\x01 what\r\n\r\n" + strings.Repeat("z", 20000),
 	} {
 		t.Run(what, func(t *testing.T) {
 			conn := server.dial(t)
@@ -188,13 +190,13 @@
 				t.Errorf("after %d bytes: %v", len(all), err)
 			}
 			if !strings.HasPrefix(string(all), "HTTP/1.1 4") {
-				t.Errorf("answer is %.40q", all)
+				t.Errorf("response is %.40q", all)
 			}
 		})
 	}
 }
 
-// Guards against descriptors that are held for ever by clients who do not end their side.
+// Guards against descriptors that clients occupy forever by not closing their side.
 func TestLingeringCloseIsBounded(t *testing.T) {
 	server := newTestServer(t, 8)
 	conn := server.dial(t)
@@ -203,13 +205,13 @@
 	server.closeIdle(false)
 	for end := time.Now().Add(30 * time.Second); server.connCount() > 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the connection is still held")
+			t.Fatal("the connection is still open")
 		}
 	}
 }
 
-// Guards against any order of a request and the end of its connection in which a request gets no answer, or two, or is
-// taken on though its client was to send it anew. The two are let loose together, 2,400 times.
+// Guards against any order of a request and the close of its connection in which the request gets no answer, or two,
+// or is accepted although its client has to send it again. Both are started together, 2,400 times.
 func TestRequestsRacingConnectionClose(t *testing.T) {
 	server := newTestServer(t, 64)
 	const rounds, clients = 300, 8
@@ -223,13 +225,13 @@
 			mustSubmit(t, conn, reader, id+"-first")
 			all.Go(func() {
 				<-start
-				unanswered := func() bool { // the request went out, and no answer came
+				unanswered := func() bool { // the request was sent, and no response arrived
 					if _, err := io.WriteString(conn, apiRequestText(id)); err != nil {
 						return true
 					}
 					status, _, err := readResponse(reader)
 					if err == nil && status != http.StatusAccepted {
-						t.Errorf("%s is answered %d", id, status)
+						t.Errorf("status of %s is %d", id, status)
 					}
 					if err != nil && err != io.EOF && !errors.Is(err, syscall.ECONNRESET) && err != io.ErrUnexpectedEOF {
 						t.Errorf("%s: %v", id, err)
@@ -238,10 +240,10 @@
 				}()
 				if unanswered {
 					if n := server.acceptedCount(id); n != 0 {
-						t.Errorf("%s got no answer, and was taken on %d times", id, n)
+						t.Errorf("%s got no response but was accepted %d times", id, n)
 					}
 				} else if n := server.acceptedCount(id); n != 1 {
-					t.Errorf("%s was answered, and taken on %d times", id, n)
+					t.Errorf("%s got a response and was accepted %d times, want 1", id, n)
 				}
 				conn.Close()
 			})
@@ -260,7 +262,7 @@
 	}
 }
 
-// lacking is a listener that has no descriptors for a while: what comes waits in its queue.
+// exhaustedListener is a listener without descriptors for a while: connections wait in its queue.
 type exhaustedListener struct {
 	net.Listener
 	failures atomic.Int32
@@ -283,7 +285,8 @@
 	return c, nil
 }
 
-// Guards against a relay that is out of descriptors and waits for its clients to go: those that rest make room.
+// Guards against a relay without descriptors that waits for its clients to disconnect, instead of closing idle
+// connections.
 func TestDescriptorShortageClosesIdleConnections(t *testing.T) {
 	exhausted := &exhaustedListener{}
 	server := newTestServer(t, 64, func(l net.Listener) net.Listener { exhausted.Listener = l; return exhausted })
@@ -297,15 +300,15 @@
 	conn := server.dial(t)
 	mustSubmit(t, conn, bufio.NewReader(conn), "one more")
 	server.awaitIdle(t, 24-shortageReduction)
-	want(t, "connections that may be", func() int {
+	want(t, "limit of connections", func() int {
 		server.limitListener.mu.Lock()
 		defer server.limitListener.mu.Unlock()
 		return server.limit
 	}(), 24-shortageReduction)
 }
 
-// Guards against a connection that was ended as its request's head had just been read: the server then takes it for active
-// for a moment, and room that finds no other to close must not take none for one.
+// Guards against a false lack of space: a connection that was closed just after its request's head was read looks
+// active to the server for a moment, and makeSpace may find no other connection to close.
 func TestMakeSpaceWithClosedConnectionsMarkedActive(t *testing.T) {
 	limited := newLimitListener(nil, 8)
 	for range limited.maxLingering() + 1 {
@@ -316,5 +319,5 @@
 		limited.setConnState(c, http.StateActive)
 	}
 	want(t, "room", limited.makeSpace(), true)
-	want(t, "ended connections that are left", limited.lingering, limited.maxLingering())
+	want(t, "lingering connections", limited.lingering, limited.maxLingering())
 }
--- a/internal/relay/conn_limit_test.go
+++ b/internal/relay/conn_limit_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Guards against closing a new connection over its request because every place has a request under way: it is refused. The
-// requests under way keep their answers.
+// Guards against closing a new connection without an answer to its request because every connection has a request in
+// progress: the request is refused. The requests in progress keep their responses.
 func TestFullServerRefusesRequests(t *testing.T) {
 	server := newTestServer(t, 2)
 	server.responseGate = make(chan struct{})
@@ -26,13 +26,13 @@
 		<-server.arrived
 		readers = append(readers, bufio.NewReader(conn))
 	}
-	for i := range 20 { // more than may wait for their other side
+	for i := range 20 { // more than may wait for the remote side
 		conn := server.dial(t)
 		io.WriteString(conn, apiRequestText(fmt.Sprint("more", i)))
 		reader := bufio.NewReader(conn)
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
-			t.Fatalf("answer to the %dth: %v", i, err)
+			t.Fatalf("response to request %d: %v", i, err)
 		}
 		want(t, "answer", resp.StatusCode, http.StatusServiceUnavailable)
 		want(t, "Retry-After", resp.Header.Get("Retry-After"), "1")
@@ -40,12 +40,12 @@
 	}
 	close(server.responseGate)
 	for _, reader := range readers {
-		wantStatus(t, "answer to a request under way", reader, http.StatusAccepted)
+		wantStatus(t, "response to a request in progress", reader, http.StatusAccepted)
 	}
-	want(t, "taken on", len(server.accepted), 2)
+	want(t, "accepted messages", len(server.accepted), 2)
 }
 
-// Guards against holding a connection for ever for which there was no place, and which stays silent.
+// Guards against keeping a silent connection beyond the limit forever.
 func TestSilentConnectionsBeyondLimitAreClosed(t *testing.T) {
 	server := newTestServer(t, 1)
 	server.responseGate = make(chan struct{})
@@ -57,25 +57,25 @@
 	}
 	for end := time.Now().Add(30 * time.Second); server.connCount() > 1; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are held, want 1", server.connCount())
+			t.Fatalf("%d connections are open, want 1", server.connCount())
 		}
 	}
 }
 
-// Guards against closing a connection that waits for its other side over bytes that were not read: the reset takes the
-// answer along that its client has not read yet.
+// Guards against closing a connection that waits for the remote side while there are unread bytes: the reset would
+// destroy the response that its client has not read yet.
 func TestResponseSurvivesDescriptorShortage(t *testing.T) {
 	at := newInstants()
 	server := newTestServer(t, 8, at.wrap)
 	conn := server.dial(t)
 	io.WriteString(conn, "GET /none HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-	for ended := false; !ended; { // answered, and ended from this side
+	for ended := false; !ended; { // until it is answered and closed by this side
 		server.eachConn(func(c *inboundConn) { ended = c.locallyClosed })
 	}
 	at.read.arm()
 	io.WriteString(conn, "x")
 	<-at.read.reached
-	io.WriteString(conn, "y") // nobody has read it as the connection is to go
+	io.WriteString(conn, "y") // nobody has read it when the connection has to close
 	server.onDescriptorShortage(syscall.EMFILE)
 	close(at.read.release)
 	for server.connCount() > 0 {
@@ -84,11 +84,11 @@
 	reader := bufio.NewReader(conn)
 	wantStatus(t, "answer", reader, http.StatusNotFound)
 	wantEnd(t, "connection", reader)
-	want(t, "error of the connection", socketError(t, conn), 0)
+	want(t, "socket error of the connection", socketError(t, conn), 0)
 }
 
-// socketError is the error that the system has noted for a connection: one that was reset has one, though what had come
-// before can still be read.
+// socketError returns the error that the system has recorded for a connection: one that was reset has an error,
+// although earlier data can still be read.
 func socketError(t *testing.T, conn net.Conn) syscall.Errno {
 	t.Helper()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -105,7 +105,8 @@
 	return syscall.Errno(got)
 }
 
-// Guards against giving up more connections than a lack of descriptors needs, and those first that have just been ended.
+// Guards against closing more connections than a shortage of descriptors requires, and against closing first those
+// whose close began last.
 func TestDescriptorShortageClosesLongestLingering(t *testing.T) {
 	limited := newLimitListener(nil, 400)
 	start := time.Now()
@@ -121,11 +122,11 @@
 		left = append(left, c.stateSince.Sub(start))
 	}
 	slices.Sort(left)
-	want(t, "ended connections that are left", len(left), 20-shortageReduction)
-	want(t, "the longest ended of them", left[0], shortageReduction*time.Second)
+	want(t, "remaining lingering connections", len(left), 20-shortageReduction)
+	want(t, "the longest lingering of them", left[0], shortageReduction*time.Second)
 }
 
-// Guards against descriptors that stay open beyond all bounds for connections that gave up their place.
+// Guards against an unlimited number of descriptors in connections that were forced to close.
 func TestForcedClosesAreBounded(t *testing.T) {
 	limited := newLimitListener(nil, 8)
 	for i := range maxForcedCloses + 1 {
@@ -142,7 +143,7 @@
 	}
 }
 
-// Guards against a client that holds a connection which is to be closed by sending all the time.
+// Guards against a client that keeps a closing connection open by sending continuously.
 func TestFinalReadIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		near, far := net.Pipe()
@@ -159,6 +160,6 @@
 		})
 		start := time.Now()
 		(&inboundConn{Conn: near}).drainInput()
-		want(t, "read for no longer", time.Since(start) <= drainInputTimeout+firstReadTimeout, true)
+		want(t, "reading stopped in time", time.Since(start) <= drainInputTimeout+firstReadTimeout, true)
 	})
 }
--- a/internal/relay/delay.go
+++ b/internal/relay/delay.go
@@ -8,47 +8,49 @@
 	"golang.org/x/sys/unix"
 )
 
-// A message's time runs from the moment its last byte reached this machine, whether or not the relay had a core then, and
-// its end has to reach the platform a short while after that time. The relay therefore asks the system when a request
-// arrived, and ends messages early enough that a process which gets no core for a while is not late with it.
+// A message's time starts when its last byte reaches this machine, whether or not the relay is scheduled then, and
+// its end has to reach the platform shortly after that time is up. The relay therefore asks the system when a request
+// arrived, and ends messages early enough that a process that is not scheduled for a while still reports the end in
+// time.
 
 const (
-	// endMarginLeast is how long before its time is up a message ends at the latest, where the relay runs on time. A notice
-	// counts up to 350 ms after that time; a process without a core for 400 ms, just as it is to end a message, keeps this
-	// with 100 ms to spare.
+	// minEndMargin is how long before its time is up a message ends at the latest in a relay whose timers are on
+	// time. A notice counts up to 350 ms after that time. A process that is not scheduled for 400 ms, just when it
+	// has to end a message, still keeps that limit with 100 ms to spare.
 	minEndMargin = 150 * time.Millisecond
-	// endMarginMost bounds the margin of a relay that runs late all the time.
+	// maxEndMargin limits the margin in a relay whose timers are always late.
 	maxEndMargin = time.Second
-	// delaysToEnd is how many times a goroutine has to be scheduled, at most, between the end of a message's time and its
-	// notice: a timer, the loop, the sender of notices, and the writer of its connection.
+	// schedulingsBeforeNotice is the maximum number of times that a goroutine has to be scheduled between the end of
+	// a message's time and its notice: a timer, the loop, the sender of notices, and the writer of its connection.
 	schedulingsBeforeNotice = 4
-	// marginShare is the part of a message's time that the margin takes at most.
+	// endMarginDivisor limits the margin to this fraction (1/4) of a message's time.
 	endMarginDivisor = 4
-	// delayMemory is for how long, at least, a delay is taken to come again.
+	// delayPeriod is how long, at least, an observed delay is expected to occur again.
 	delayPeriod = 10 * time.Second
-	// arrivalMost bounds how long before it was read a request is taken to have arrived: by then its client has left.
+	// maxArrivalAge is the maximum time from the arrival of a request to its being read; after that its client has
+	// left.
 	maxArrivalAge = time.Second
 )
 
-// delayMeter keeps the longest delay of the relay's own timers of the last 10 to 20 seconds. It belongs to the loop.
+// delayMeter records the longest delay of the relay's timers over the last 10 to 20 seconds. It belongs to the loop.
 type delayMeter struct {
-	currentMax, previousMax time.Duration // the longest of this period, and of the one before it
-	periodStart             time.Duration // the start of this period
+	currentMax, previousMax time.Duration // longest delay of the current period and of the previous one
+	periodStart             time.Duration // start of the current period
 }
 
-// observe takes in how late a timer was.
+// observe records the lateness of a timer.
 func (d *delayMeter) observe(now, lateness time.Duration) {
 	d.rotate(now)
 	d.currentMax = max(d.currentMax, lateness)
 }
 
-// longest is the longest delay that is remembered.
+// longest returns the longest delay of the current and the previous period.
 func (d *delayMeter) longest(now time.Duration) time.Duration {
 	d.rotate(now)
 	return max(d.currentMax, d.previousMax)
 }
 
-// turn begins a new period once this one is over.
+// rotate begins a new period once the current one is over.
 func (d *delayMeter) rotate(now time.Duration) {
 	switch elapsed := now - d.periodStart; {
 	case elapsed >= 2*delayPeriod:
@@ -58,29 +60,31 @@
 	}
 }
 
-// observeWake takes in how late the wake-up came that the decisions asked for.
+// observeWakeDelay records how late the wake-up was that the chooser had asked for.
 func (r *Relay) observeWakeDelay() {
 	if r.wakeAt > 0 {
 		r.delays.observe(r.now(), r.now()-r.wakeAt)
 	}
 }
 
-// longestEndMargin is how long before its time is up a message with much time has to be over, so that its notice comes in time.
+// longestEndMargin returns how long before its time is up a message with plenty of time has to end, so that its
+// notice is in time.
 func (r *Relay) longestEndMargin() time.Duration {
 	return min(max(minEndMargin, schedulingsBeforeNotice*r.delays.longest(r.now())), maxEndMargin)
 }
 
-// endMargin is the same for a message of a lifetime, its whole time.
+// endMargin returns the same for a message with the given total time.
 func (r *Relay) endMargin(lifetime time.Duration) time.Duration {
 	return min(r.longestEndMargin(), max(0, lifetime/endMarginDivisor))
 }
 
-// lastLook is how long before its time is up a message that waits is ended at the latest.
+// latestEndLead returns how long before its time is up a waiting message is ended at the latest.
 func (r *Relay) latestEndLead() time.Duration {
 	return r.chooser.LastLook() + r.longestEndMargin()
 }
 
-// sinceArrival is how long ago the last bytes of a connection arrived, as the system knows it; 0 where it does not.
+// sinceArrival returns how long ago the last bytes arrived on a connection, according to the system, or 0 if that is
+// unknown.
 func sinceArrival(conn net.Conn) time.Duration {
 	c, ok := conn.(syscall.Conn)
 	if !ok {
@@ -96,7 +100,7 @@
 			since = time.Duration(info.Last_data_recv) * time.Millisecond
 		}
 	})
-	if since > maxArrivalAge { // nothing has come yet, or the system counts otherwise
+	if since > maxArrivalAge { // nothing has arrived yet, or the system counts differently
 		return 0
 	}
 	return since
--- a/internal/relay/delay_test.go
+++ b/internal/relay/delay_test.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	clientTimeout = 400 * time.Millisecond // a client waits so long for its answer
-	maxEndDelay   = 350 * time.Millisecond // a message may end so long after its time
+	clientTimeout = 400 * time.Millisecond // how long a client waits for its answer
+	maxEndDelay   = 350 * time.Millisecond // how long after its time a message may end
 )
 
-// withoutCore stops a process for a while, as a machine does that has no core for it, and tells whether this test's own
-// timers kept to that while.
+// suspend stops a process for a while, as if the machine had no core for it, and reports whether this test's own
+// timers kept to that duration.
 func suspend(t *testing.T, cmd *exec.Cmd, duration time.Duration) bool {
 	t.Helper()
 	start := time.Now()
@@ -31,10 +31,12 @@
 	return time.Since(start)-duration < maxTimerDelay
 }
 
-// timerSlack is how late a test's own timers may be: a round in which they are later says nothing, and is played again.
+// maxTimerDelay is how late the test's own timers may be: a round in which they are later proves nothing and is
+// repeated.
 const maxTimerDelay = 20 * time.Millisecond
 
-// handIn writes a message whose time is short to a connection, and tells when its last byte was written.
+// writeMessage writes a message with a short deadline to a connection and returns the time at which its last byte was
+// written.
 func writeMessage(t *testing.T, conn net.Conn, id string, left time.Duration) time.Time {
 	t.Helper()
 	_, err := fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: payment\r\nX-Deadline-Ms: %d\r\n"+
@@ -45,8 +47,8 @@
 	return time.Now()
 }
 
-// Guards against counting a message's time from when the relay came to read it: a relay that gets no core as the request
-// arrives would tell its end later than it may.
+// Guards against counting a message's time from when the relay read it: a relay that is not scheduled when the
+// request arrives would report its end too late.
 func TestDeadlineCountsFromRequestArrival(t *testing.T) {
 	calls := make(chan *seen, 10) // never answered
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -61,7 +63,7 @@
 	newConns := make(chan net.Conn, 1)
 	sent := make(chan time.Time, 2)
 	go func() {
-		time.Sleep(20 * time.Millisecond) // the process has been stopped
+		time.Sleep(20 * time.Millisecond) // until the process has been stopped
 		sent <- writeMessage(t, keptConn, "kept", left)
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -85,20 +87,20 @@
 		n := wait(t, p.notices, "notice")
 		due := map[string]time.Time{"kept": first, "fresh": second}[n.ID].Add(left)
 		if lateness := time.Since(due); lateness > maxEndDelay-clientTimeout/2 {
-			t.Errorf("the end of %s was told %v after its time, though the relay had a core since long before", n.ID, lateness)
+			t.Errorf("the end of %s was reported %v after its time, although the relay was scheduled long before", n.ID, lateness)
 		}
 	}
 }
 
-// Guards against ends that come too late where the relay gets no core as they are due: messages whose times are spread over
-// the while in which it has none, some of them out in calls that hang, all end in time.
+// Guards against late ends when the relay is not scheduled as they are due: messages whose deadlines fall into the
+// suspension, some of them in calls that hang, all have to end in time.
 func TestMessagesEndInTimeWhileSuspended(t *testing.T) {
 	for range 5 {
 		if messagesEndInTime(t) {
 			return
 		}
 	}
-	t.Fatal("this machine's timers were late in each round")
+	t.Fatal("the test's own timers were late in each round")
 }
 
 func messagesEndInTime(t *testing.T) (valid bool) {
@@ -115,7 +117,7 @@
 	reader := bufio.NewReader(conn)
 	due := map[string]time.Time{}
 	start := time.Now()
-	const messages = 45 // as many as the relay holds without making room
+	const messages = 45 // as many as a relay with most-held 50 keeps pending without making space
 	for k := range messages {
 		id := fmt.Sprint("m", k)
 		left := 3*time.Second + time.Duration(k)*10*time.Millisecond - time.Since(start)
@@ -139,30 +141,31 @@
 	for range messages {
 		e := wait(t, ends, "notice")
 		if lateness := e.at.Sub(due[e.id]); valid && lateness > maxEndDelay {
-			t.Errorf("the end of %s was told %v after its time", e.id, lateness)
+			t.Errorf("the end of %s was reported %v after its time", e.id, lateness)
 		}
 	}
 	return valid
 }
 
-// Guards against a margin that does not follow the delays of the relay's timers, or that takes too much of a short time.
+// Guards against a margin that does not follow the delays of the relay's timers, or that takes too much of a short
+// time.
 func TestEndMarginFollowsTimerDelays(t *testing.T) {
 	var meter delayMeter
 	meter.observe(time.Second, 30*time.Millisecond)
 	meter.observe(2*time.Second, 5*time.Millisecond)
 	want(t, "longest delay", meter.longest(3*time.Second), 30*time.Millisecond)
-	want(t, "longest delay of the period before", meter.longest(delayPeriod), 30*time.Millisecond)
+	want(t, "longest delay of the previous period", meter.longest(delayPeriod), 30*time.Millisecond)
 	meter.observe(delayPeriod+time.Second, 7*time.Millisecond)
 	want(t, "longest delay of two periods", meter.longest(delayPeriod+time.Second), 30*time.Millisecond)
-	want(t, "longest delay once the first is forgotten", meter.longest(2*delayPeriod), 7*time.Millisecond)
-	want(t, "longest delay after a rest", meter.longest(9*delayPeriod), 0)
+	want(t, "longest delay after the first has expired", meter.longest(2*delayPeriod), 7*time.Millisecond)
+	want(t, "longest delay after a pause", meter.longest(9*delayPeriod), 0)
 
 	r := &Relay{began: time.Now()}
-	want(t, "margin of a relay that runs on time", r.endMargin(time.Minute), minEndMargin)
+	want(t, "margin with timers on time", r.endMargin(time.Minute), minEndMargin)
 	want(t, "margin of a short time", r.endMargin(200*time.Millisecond), 50*time.Millisecond)
-	want(t, "margin of a time that is up", r.endMargin(-time.Second), 0)
+	want(t, "margin of an expired time", r.endMargin(-time.Second), 0)
 	r.delays.observe(r.now(), 100*time.Millisecond)
-	want(t, "margin of a relay that runs late", r.endMargin(time.Minute), schedulingsBeforeNotice*100*time.Millisecond)
+	want(t, "margin with late timers", r.endMargin(time.Minute), schedulingsBeforeNotice*100*time.Millisecond)
 	r.delays.observe(r.now(), time.Second)
-	want(t, "margin of one that runs far too late", r.endMargin(time.Minute), maxEndMargin)
+	want(t, "margin with very late timers", r.endMargin(time.Minute), maxEndMargin)
 }
--- a/internal/relay/descriptor_limit_test.go
+++ b/internal/relay/descriptor_limit_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/discovery"
 )
 
-// limitDescriptors lowers how many descriptors a process may have (prlimit(2)).
+// limitDescriptors lowers the number of descriptors that a process may have (prlimit(2)).
 func limitDescriptors(t *testing.T, pid int, n uint64) {
 	t.Helper()
 	limit := syscall.Rlimit{Cur: n, Max: n}
@@ -20,8 +20,8 @@
 	}
 }
 
-// Guards against idle clients who hold all descriptors, fewer of them by now than the settings say, while discovery is down:
-// what comes is taken on and delivered, and the list is heard of once discovery is back.
+// Guards against idle clients that occupy all descriptors, of which there are fewer now than configured, while
+// discovery is down: messages still have to be accepted and delivered, and the list updated once discovery is back.
 func TestIdleClientsWithLoweredDescriptorLimit(t *testing.T) {
 	calls := make(chan *seen, 100)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -42,9 +42,9 @@
 	for i := range 20 {
 		id := string(rune('a' + i))
 		status := 0
-		for end := time.Now().Add(30 * time.Second); status == 0; { // an end without an answer is tried anew, as clients do
+		for end := time.Now().Add(30 * time.Second); status == 0; { // a connection that closes without an answer is retried, as clients do
 			if time.Now().After(end) {
-				t.Fatalf("%s gets no answer", id)
+				t.Fatalf("%s gets no response", id)
 			}
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -68,5 +68,5 @@
 	for len(p.asked) > 0 {
 		<-p.asked
 	}
-	wait(t, p.asked, "query after discovery is back")
+	wait(t, p.asked, "query after the return of discovery")
 }
--- a/internal/relay/descriptors.go
+++ b/internal/relay/descriptors.go
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// The descriptors of a relay are few, and whoever likes may hold some: each use has a part of its own, so that idle clients
-// leave enough for endpoints, discovery, notices, the journal, the second address and the next process.
+// A relay has few file descriptors, and any client may occupy some. Each use therefore has its own share, so that
+// idle clients leave enough for endpoints, discovery, notices, the journal, the admin address and the next process.
 
 const (
-	// Standard streams, the poller, listeners, journal and its copy, discovery, hand-over; and notices, whose second attempts
-	// may have one more on its way out.
+	// Standard streams, the poller, listeners, the journal and its copy, discovery, handover; and notices, whose
+	// second attempts may each have one more connection that is being closed.
 	reservedDescriptors = 15 + noticeBatches + 2*noticeHedges
-	fleetDescriptors    = 24 // keepers, holders, their streams and folders
+	fleetDescriptors    = 24 // keepers, replicas, their streams and directories
 )
 
-// parts is how many connections clients may have, and how many to endpoints are kept while they rest.
+// connectionLimits returns how many connections clients may have, and how many idle connections to endpoints are
+// retained.
 func (c *Config) connectionLimits(workers int) (clients, idleHostConns int) {
 	total, reserved := c.Sockets, reservedDescriptors
 	var limit syscall.Rlimit
@@ -33,18 +34,19 @@
 	}
 	available := max(total-reserved-workers, total/4)
 	idleHostConns = max(1, min(total/4, available/3))
-	return max(2, min(total/2, (available-idleHostConns)*8/9)), idleHostConns // an eighth more may be on its way out
+	return max(2, min(total/2, (available-idleHostConns)*8/9)), idleHostConns // another eighth may be closing
 }
 
 // dialFunc opens a connection.
 type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// outOf tells whether there was no descriptor.
+// isDescriptorShortage reports whether an operation failed for lack of a file descriptor.
 func isDescriptorShortage(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// dial opens connections that go out. Without a descriptor it says nothing of the other side: those that rest make room.
+// newDialFunc returns a function that opens outgoing connections. A lack of descriptors says nothing about the remote
+// side, so idle connections are closed and the dial is repeated.
 func (r *Relay) newDialFunc(timeout time.Duration) dialFunc {
 	dialer := newDialer(r.conf.SourceIP, timeout)
 	if timeout == 0 {
@@ -53,11 +55,11 @@
 	return r.retryDescriptorShortage(retryLocalErrors(dialer.DialContext, timeout))
 }
 
-// localFor is for how long an error of this machine is lived through where no time is set for a connection to come up.
+// localErrorTimeout is how long errors of this machine are retried if no dial timeout is set.
 const localErrorTimeout = time.Second
 
-// ofThisMachine tells whether a connection was not even tried for, for want of an address, a buffer, memory or a network of this
-// machine's (connect(2), socket(2)): that says nothing of the other side.
+// isLocalError reports whether a connection was not even attempted because this machine lacked an address, a buffer,
+// memory or a network (connect(2), socket(2)). Such an error says nothing about the remote side.
 func isLocalError(err error) bool {
 	for _, e := range []error{syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENOBUFS, syscall.ENOMEM, syscall.ENETUNREACH, syscall.ENETDOWN,
 		syscall.EAGAIN, syscall.EINTR, syscall.ECONNABORTED, syscall.EPERM} {
@@ -68,8 +70,8 @@
 	return false
 }
 
-// patient tries again while this machine cannot make a connection, for as long as one may take to come up: an endpoint must
-// not be taken for down for it.
+// retryLocalErrors repeats a dial that fails because of this machine, for as long as a connection may take to be
+// established: an endpoint must not be considered down because of such an error.
 func retryLocalErrors(dial dialFunc, timeout time.Duration) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		start := time.Now()
@@ -87,7 +89,7 @@
 	}
 }
 
-// localPause is the first pause after an error of this machine.
+// localRetryDelay is the first delay after an error of this machine; later ones double.
 const localRetryDelay = 10 * time.Millisecond
 
 func (r *Relay) retryDescriptorShortage(dial dialFunc) dialFunc {
--- a/internal/relay/dialer.go
+++ b/internal/relay/dialer.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// dialer opens connections, from an address of this machine if one is given: partners that know relays by their
-// address can tell them apart on a machine that has several.
+// newDialer returns a dialer whose connections have the given local address, if there is one: on a machine with
+// several addresses, partners that identify relays by their address can then tell them apart.
 func newDialer(source net.IP, timeout time.Duration) *net.Dialer {
 	d := &net.Dialer{Timeout: timeout}
 	if source == nil {
@@ -15,7 +15,8 @@
 	}
 	d.LocalAddr = &net.TCPAddr{IP: source}
 	d.Control = func(_, _ string, raw syscall.RawConn) error {
-		// The port is chosen as the connection is made, not before: else no two could share one, whoever they go to.
+		// Let the system choose the port at connect, not at bind. A port chosen at bind cannot be shared by two
+		// connections, not even to different remote addresses.
 		var err error
 		if controlErr := raw.Control(func(fd uintptr) {
 			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, ipBindAddressNoPort, 1)
@@ -27,5 +28,5 @@
 	return d
 }
 
-// ipBindAddressNoPort is Linux's IP_BIND_ADDRESS_NO_PORT (ip(7)), which package syscall does not have.
+// ipBindAddressNoPort is Linux's IP_BIND_ADDRESS_NO_PORT (ip(7)), which package syscall does not define.
 const ipBindAddressNoPort = 24
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -8,27 +8,28 @@
 	"time"
 )
 
-// How the connections of clients end with the process: the listener closes once its queue is empty, connections that rest
-// end, and what was read is answered.
+// How client connections end when the process stops: the listener closes once its accept queue is empty, idle
+// connections are closed, and requests that were read are answered.
 
 const (
-	// queueTick bounds a try to accept while the queue is emptied.
+	// queueAcceptTimeout limits one Accept while the queue is being emptied.
 	queueAcceptTimeout = 20 * time.Millisecond
-	// queueTicks is how many tries in a row have to run out: one may have done so before it asked the system, in a process
-	// that got no core.
+	// queueEmptyTimeouts is how many consecutive Accepts have to time out before the queue counts as empty. One may
+	// time out before it asked the system, in a process that was not scheduled.
 	queueEmptyTimeouts = 3
-	// queueWait is how long a try takes at least for a connection that was not in the queue before it, and queueWaits how
-	// many tries in a row have to take so long: with no core, one may do so over a queue that is not empty.
+	// slowAcceptMin is the minimum duration of an Accept that had to wait for a connection, because there was none in
+	// the queue, and maxSlowAccepts is how many consecutive Accepts have to take that long. In a process that is not
+	// scheduled, a single one may do so although the queue is not empty.
 	slowAcceptMin  = 5 * time.Millisecond
 	maxSlowAccepts = 10
-	// freshPeer is how long a connection that has just come may be without a request: clients wait 400 ms for their answer.
+	// newConnGrace is how long a new connection may remain without a request: clients wait 400 ms for their answer.
 	newConnGrace = 400 * time.Millisecond
-	// emptyIn is how long connections may take to end once nothing more is decided.
+	// closeAllTimeout is how long connections may take to end once no more decisions are made.
 	closeAllTimeout = 250 * time.Millisecond
 )
 
-// stopAccepting has the listener close once nobody waits in its queue, and tells whether it has. What is closed over a queue
-// resets the connections there, with the requests that they may hold.
+// stopAccepting makes the listener close once its queue is empty, and reports whether it is closed. Closing it
+// earlier would reset the connections in the queue, together with the requests that they may hold.
 func (p *limitListener) stopAccepting() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,19 +38,19 @@
 	}
 	p.draining = true
 	l, ok := p.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || l.SetDeadline(time.Now().Add(queueAcceptTimeout)) != nil { // in memory; or the next process has it
+	if !ok || l.SetDeadline(time.Now().Add(queueAcceptTimeout)) != nil { // in memory, or the next process has it
 		p.closeListener()
 	}
 	return p.listenerClosed
 }
 
-// closeListener closes the listener. The mutex is held.
+// closeListener closes the listener. The caller holds the mutex.
 func (p *limitListener) closeListener() {
 	p.listenerClosed = true
 	p.Listener.Close()
 }
 
-// willAccept bounds the next try to accept while the queue is emptied.
+// beforeAccept limits the next Accept while the queue is being emptied.
 func (p *limitListener) beforeAccept() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,8 +60,9 @@
 	}
 }
 
-// foundNothing tells whether a try to accept ran out. After some in a row the listener is closed; those count, too, that had
-// to wait for their connection, so that new ones do not go on for ever.
+// afterAccept reports whether an Accept timed out. It closes the listener after several timeouts in a row, and also
+// after several Accepts in a row that had to wait for their connection, so that new connections cannot keep it open
+// forever.
 func (p *limitListener) afterAccept(err error) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,8 +85,8 @@
 	return timedOut
 }
 
-// retire ends connections between requests: those that rest, and with all those that have not sent a whole head yet. It
-// tells how many connections are left, whatever their state.
+// closeIdle closes connections between requests: idle ones, and with includePartial also those that have not sent a
+// complete request head yet. It returns how many connections remain, in any state.
 func (p *limitListener) closeIdle(includePartial bool) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,14 +104,14 @@
 	return len(p.open)
 }
 
-// answerUntil sets until when answers under way may go out as the process ends.
+// setResponseDeadline sets until when responses in progress may be written while the process stops.
 func (p *limitListener) setResponseDeadline(deadline time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.responseDeadline = deadline
 }
 
-// empty ends all connections, each after its answer.
+// closeAll closes all connections, each after its response.
 func (p *limitListener) closeAll(server *http.Server) {
 	start := time.Now()
 	for {
@@ -124,8 +126,8 @@
 	server.Close()
 }
 
-// awaited tells whether the process stays for a connection, or for the listener's queue: answers go out as long as the stop
-// lasts; what waits for its other side has emptyIn.
+// mustWait reports whether the process has to stay for a connection or for the listener's queue. Responses may be
+// written until the response deadline; connections that wait for the remote side to close have closeAllTimeout.
 func (p *limitListener) mustWait(start time.Time, listenerClosed bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -143,7 +145,7 @@
 	return false
 }
 
-// refusing tells whether a refusal is on its way. The mutex is held.
+// refusalInProgress reports whether a refusal is being written. The caller holds the mutex.
 func (c *inboundConn) refusalInProgress() bool {
 	if c.refusalDone == nil || c.requestStart.IsZero() {
 		return false
--- a/internal/relay/draining_test.go
+++ b/internal/relay/draining_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// stalled is a listener in a process that gets no core: from the moment at which it is armed nothing is accepted, until
-// somebody has asked for its end.
+// stalledListener is a listener in a process that is not scheduled: once armed, it accepts nothing until its close is
+// requested.
 type stalledListener struct {
 	*net.TCPListener
 	stall          *instant
@@ -25,7 +25,7 @@
 	return &stalledListener{TCPListener: listener.(*net.TCPListener), stall: newInstant(), closeRequested: make(chan struct{})}
 }
 
-// Accept stalls with the connection that it has in its hands.
+// Accept stalls after it has taken a connection from the queue.
 func (l *stalledListener) Accept() (net.Conn, error) {
 	conn, err := l.TCPListener.Accept()
 	l.stall.pass()
@@ -42,8 +42,8 @@
 	return l.TCPListener.Close()
 }
 
-// Guards against closing the listener over connections that were not accepted yet: the reset takes their requests along.
-// The process gets no core from before they come until the listener is to close.
+// Guards against closing the listener while connections are in its queue, which resets them together with their
+// requests. The process is not scheduled from before they connect until the listener has to close.
 func TestQueuedConnectionsAreAnsweredOnDrain(t *testing.T) {
 	calls := make(chan *seen, 100)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -77,7 +77,7 @@
 	<-stalled.closeRequested
 	close(stalled.stall.release)
 	for i, conn := range conns {
-		wantStatus(t, fmt.Sprint("answer to m", i), bufio.NewReader(conn), http.StatusAccepted)
+		wantStatus(t, fmt.Sprint("response to m", i), bufio.NewReader(conn), http.StatusAccepted)
 	}
 	for range conns {
 		wait(t, calls, "call").answer <- 200
@@ -85,7 +85,7 @@
 	<-ended
 }
 
-// Guards against a listener that stays open because somebody comes all the time.
+// Guards against a listener that stays open because new connections keep arriving.
 func TestListenerClosesDespiteNewConnections(t *testing.T) {
 	server := newTestServer(t, 64)
 	stop := make(chan struct{})
@@ -112,8 +112,8 @@
 	clients.Wait()
 }
 
-// emptied runs a server on the fake clock whose only request is answered after some time, ends its connections, and tells
-// how long that took and what the client read.
+// runCloseAll runs a server on the fake clock whose only request is answered after responseTime, closes its
+// connections, and returns how long that took and the status that the client read.
 func runCloseAll(t *testing.T, responseTime, timeout time.Duration, clientCloses bool) (took time.Duration, status int) {
 	pipe := &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	limited := newLimitListener(pipe, 8)
@@ -140,25 +140,26 @@
 	return took, status
 }
 
-// Guards against cutting an answer that is under way as the process ends, though the stop has time left.
+// Guards against cutting off a response in progress when the process stops, although there is time left.
 func TestResponsesInProgressSurviveClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const responseTime = 4 * closeAllTimeout
 		defer time.Sleep(responseTime)
 		took, status := runCloseAll(t, responseTime, 2*responseTime, true)
 		want(t, "answer", status, http.StatusOK)
-		want(t, "ended by its client, not by the time", took < responseTime+closeAllTimeout, true)
+		want(t, "closed by its client before the timeout", took < responseTime+closeAllTimeout, true)
 	})
 }
 
-// Guards against a stop that an answer under way, or a client that does not end its side, holds beyond its time.
+// Guards against a stop that takes too long because of a response in progress, or of a client that does not close its
+// side.
 func TestCloseAllIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const timeout = 4 * closeAllTimeout
 		defer time.Sleep(time.Minute)
 		took, status := runCloseAll(t, time.Minute, timeout, true)
 		want(t, "answer", status, 0)
-		want(t, "the end took no longer", took <= timeout+10*time.Millisecond, true)
+		want(t, "closed within the timeout", took <= timeout+10*time.Millisecond, true)
 	})
 	server := newTestServer(t, 8)
 	conn := server.dial(t)
--- a/internal/relay/idle_close.go
+++ b/internal/relay/idle_close.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// How a connection between two requests ends. Nobody but its reader knows that nothing has been read of the next one: the
-// system may have handed bytes to a Read that has not returned yet, and the server may hold bytes in its buffer, read with
-// the request before. So whoever wants such a connection to end asks for it (part), and its reader ends it as soon as it
-// waits for a request's first byte. A request that comes before that is served, and the connection stays.
+// How a connection between two requests is closed. Only its reader knows that nothing of the next request has been
+// read: the system may have passed bytes to a Read that has not returned yet, and the server may have bytes in its
+// buffer that were read with the previous request. A close is therefore only requested (requestClose), and the reader
+// carries it out when it next waits for the first byte of a request. If a request arrives before that, it is served,
+// and the connection stays open.
 
 const (
-	// firstLook is how long the first Read of a connection may still find what lies there: new connections mostly come
-	// with a request.
+	// firstReadTimeout is how long the first Read of a connection may still find input that is already there: new
+	// connections mostly bring a request with them.
 	firstReadTimeout = time.Millisecond
-	// partIn bounds how long room and retire wait for connections to end or to show their requests.
+	// idleCloseTimeout limits how long makeSpace and closeIdle wait for connections to close or to show their
+	// requests.
 	idleCloseTimeout = 100 * time.Millisecond
 )
 
-// part has the connection end as soon as it rests. The mutex is held.
+// requestClose makes the connection close as soon as it is idle. The caller holds the mutex.
 func (c *inboundConn) requestClose() {
 	c.closeRequested = true
 	if c.idle && !c.interrupted {
@@ -23,7 +25,7 @@
 	}
 }
 
-// wake has the Read that waits return. The mutex is held.
+// interruptRead makes the waiting Read return. The caller holds the mutex.
 func (c *inboundConn) interruptRead() {
 	c.interrupted = true
 	until := time.Unix(1, 0)
@@ -33,7 +35,7 @@
 	c.Conn.SetReadDeadline(until)
 }
 
-// stay takes back that the connection is to end: a request has begun. The mutex is held.
+// keepOpen cancels a requested close because a request has begun. The caller holds the mutex.
 func (c *inboundConn) keepOpen() {
 	if !c.closeRequested {
 		return
@@ -45,8 +47,8 @@
 	c.listener.changed.Broadcast()
 }
 
-// reads notes that the server waits for bytes, and has room for so many. What its buffer holds already is of the next
-// request, and is known by the room that is left.
+// beforeRead records that the server waits for bytes and has the given space in its buffer. Bytes that are in the
+// buffer already belong to the next request; their number follows from the remaining space.
 func (c *inboundConn) beforeRead(space int) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -69,7 +71,8 @@
 	}
 }
 
-// beginBuffered notes that a request has begun whose bytes the server had already. The mutex is held.
+// beginBufferedRequest records that a request has begun whose bytes the server has already read. The caller holds the
+// mutex.
 func (c *inboundConn) beginBufferedRequest() {
 	if c.requestStart.IsZero() {
 		c.requestStart, c.responded = time.Now(), false
@@ -77,15 +80,15 @@
 	}
 }
 
-// parted waits until a connection has ended, or stays for a request that came. It tells whether one of them happened in
-// time. The mutex is held, but not while it waits.
+// closedOrKept waits until a connection is closed, or is kept open for a request that arrived. It reports whether
+// either happened in time. The caller holds the mutex, which is released during the wait.
 func (p *limitListener) closedOrKept(c *inboundConn) bool {
 	c.requestClose()
 	return p.waitFor(func() bool { return !c.closeRequested })
 }
 
-// await waits until a condition on the connections holds, and tells whether it came to hold in time. The mutex is held, but
-// not while it waits.
+// waitFor waits until a condition on the connections is true, and reports whether that happened in time. The caller
+// holds the mutex, which is released during the wait.
 func (p *limitListener) waitFor(condition func() bool) bool {
 	if condition() {
 		return true
@@ -107,7 +110,8 @@
 	return true
 }
 
-// noneWoken tells whether every Read that was to return for an end has returned. The mutex is held.
+// noReadInterrupted reports whether every Read that was interrupted for a close has returned. The caller holds the
+// mutex.
 func (p *limitListener) noReadInterrupted() bool {
 	for c := range p.open {
 		if c.interrupted && c.closeRequested {
--- a/internal/relay/inbound_conn.go
+++ b/internal/relay/inbound_conn.go
@@ -8,36 +8,37 @@
 	"time"
 )
 
-// peer is one connection that came in. Its fields belong to the mutex of peers.
+// inboundConn is a connection that a client or an operator opened. Its fields are protected by the mutex of its
+// limitListener.
 type inboundConn struct {
 	net.Conn
 	listener         *limitListener
-	stateSince       time.Time // the last change of state
-	requestStart     time.Time // the first byte of the request under way came; zero between requests
-	requestSettings  any       // what held then
-	latestSettings   any       // what held as the last bytes came
-	responded        bool      // written to since the last byte came
+	stateSince       time.Time // last change of state
+	requestStart     time.Time // arrival of the first byte of the current request; zero between requests
+	requestSettings  any       // settings in effect at requestStart
+	latestSettings   any       // settings in effect when the last bytes arrived
+	responded        bool      // something was written since the last bytes arrived
 	active           bool      // the head of a request has been read
-	handling         bool      // a handler has the request under way, and answers it
-	received         int64     // bytes read since the request under way began, those of one behind it among them
-	pipelined        bool      // the first byte of the request behind the one under way has come
-	served           bool      // a request before
-	submittedMessage bool      // has handed in a message
-	locallyClosed    bool      // this side has ended: nothing is served any more
-	remoteClosed     bool      // the other side has ended, or the connection is broken
-	closed           bool      // by whoever serves it
-	forced           bool      // waits for the other side no longer
-	discarded        int       // bytes read since this side ended
-	bufferSize       int       // the size of the server's read buffer, as its first Read shows it
+	handling         bool      // a handler has the current request and will answer it
+	received         int64     // bytes read since the current request began, including those of a pipelined one
+	pipelined        bool      // the first byte of the request behind the current one has arrived
+	served           bool      // an earlier request was served
+	submittedMessage bool      // a message was accepted from it
+	locallyClosed    bool      // this side has closed its sending direction; nothing is served any more
+	remoteClosed     bool      // the remote side has closed, or the connection is broken
+	closed           bool      // by the server
+	forced           bool      // no longer waits for the remote side
+	discarded        int       // bytes read since this side closed
+	bufferSize       int       // size of the server's read buffer, known from its first Read
 	idle             bool      // a Read waits for the first byte of a request
-	closeRequested   bool      // ends as soon as it rests
-	interrupted      bool      // for that: its Read does not wait any longer
-	readDeadline     time.Time // for reading, as the server set it
+	closeRequested   bool      // to be closed as soon as it is idle
+	interrupted      bool      // its Read has been interrupted for the requested close
+	readDeadline     time.Time // as set by the server
 
-	refusalDone chan struct{} // closed once the refusal has been written; nil for none
+	refusalDone chan struct{} // closed once the refusal has been written; nil if there is none
 }
 
-// Read marks where a request begins. After this side has ended, nothing that comes is passed on.
+// Read records where a request begins. After this side has closed, it returns no more input.
 func (c *inboundConn) Read(p []byte) (int, error) {
 	for {
 		c.beforeRead(len(p))
@@ -51,17 +52,17 @@
 	}
 }
 
-// reading is what becomes of what was read.
+// readAction is what happens to bytes that were read.
 type readAction int
 
 const (
-	deliverRead readAction = iota // to the server
-	discardRead                   // drop it, and read more
-	reportEOF                     // nothing more comes for the server
+	deliverRead readAction = iota // pass them to the server
+	discardRead                   // drop them and read more
+	reportEOF                     // report the end of the input to the server
 )
 
-// came notes what was read, and tells what becomes of it. For one byte the server asks only behind a request, to see its
-// client leave.
+// afterRead records the result of a Read and returns what happens to the bytes. The server asks for a single byte
+// only while a request is being handled, to detect that its client disconnects.
 func (c *inboundConn) afterRead(n, requested int, err error) readAction {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -83,14 +84,14 @@
 		c.pipelined = c.pipelined || c.handling && requested == 1
 		c.beginRequest()
 	}
-	if timedOut && (c.closeRequested || c.hasUnansweredRequest()) { // of what has begun, its client may have sent all by now
+	if timedOut && (c.closeRequested || c.hasUnansweredRequest()) { // the client may have sent the whole request by now
 		c.beginClose()
 		return discardRead
 	}
 	return deliverRead
 }
 
-// begin notes that bytes of a request have come. The mutex is held.
+// beginRequest records that bytes of a request have arrived. The caller holds the mutex.
 func (c *inboundConn) beginRequest() {
 	if c.listener.settingsSnapshot != nil {
 		c.latestSettings = c.listener.settingsSnapshot()
@@ -102,13 +103,13 @@
 	c.keepOpen()
 }
 
-// unanswered tells whether a request has begun that nobody but this connection can answer: neither a handler nor the
-// server has begun to. The mutex is held.
+// hasUnansweredRequest reports whether a request has begun that only this connection can answer, because neither a
+// handler nor the server has begun to. The caller holds the mutex.
 func (c *inboundConn) hasUnansweredRequest() bool {
 	return !c.requestStart.IsZero() && !c.responded && !c.handling
 }
 
-// Write marks what comes next as another request's. After this side has ended, nothing is written any more.
+// Write records that bytes read from now on belong to another request. After this side has closed, it writes nothing.
 func (c *inboundConn) Write(p []byte) (int, error) {
 	c.listener.mu.Lock()
 	locallyClosed := c.locallyClosed
@@ -120,7 +121,7 @@
 	return c.Conn.Write(p)
 }
 
-// SetWriteDeadline leaves that of a connection that this side has ended alone.
+// SetWriteDeadline has no effect after this side has closed.
 func (c *inboundConn) SetWriteDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	locallyClosed := c.locallyClosed
@@ -131,7 +132,7 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// SetReadDeadline leaves that of a connection that this side has ended alone.
+// SetReadDeadline has no effect after this side has closed.
 func (c *inboundConn) SetReadDeadline(t time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -144,18 +145,18 @@
 
 type connKey struct{}
 
-// withPeer lets a handler find the connection that its request came on.
+// withConn lets a handler find the connection of its request.
 func withConn(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// peerOf is the connection of a request; nil for one that came without.
+// inboundConnOf returns the connection of a request, or nil if it has none.
 func inboundConnOf(req *http.Request) *inboundConn {
 	c, _ := req.Context().Value(connKey{}).(*inboundConn)
 	return c
 }
 
-// connOf is the connection on which a request came, as the system has it; nil for one that came without.
+// netConnOf returns the underlying connection of a request, or nil if it has none.
 func netConnOf(req *http.Request) net.Conn {
 	if c := inboundConnOf(req); c != nil {
 		return c.Conn
@@ -163,7 +164,7 @@
 	return nil
 }
 
-// termsOf is what held as the request under way began; nil if that is not known.
+// settingsAtRequestStart returns the settings in effect when the current request began, or nil if they are unknown.
 func (c *inboundConn) settingsAtRequestStart() any {
 	if c == nil {
 		return nil
@@ -173,7 +174,7 @@
 	return c.requestSettings
 }
 
-// isClient marks the connection of a request as that of one who hands in messages.
+// markSubmitter marks the connection of a request as one that submits messages.
 func markSubmitter(req *http.Request) {
 	if c := inboundConnOf(req); c != nil {
 		c.listener.mu.Lock()
--- a/internal/relay/limit_listener.go
+++ b/internal/relay/limit_listener.go
@@ -10,37 +10,38 @@
 	"larchrouter/internal/listen"
 )
 
-// peers bounds how many connections come in at once. A listener that stops accepting when
-// it is full leaves everyone after that unanswered, clients among them, for as long as those
-// who hold the places like. This one goes on accepting and ends the connection that has
-// been longest without a request: first those that never handed in a message.
+// limitListener limits how many connections are open at once. A listener that stops accepting when it is full would
+// leave all later connections unanswered, clients among them, for as long as the open ones last. This one continues
+// to accept, and closes the connection that has gone longest without a request, first those that never submitted a
+// message.
 //
-// It alone ends connections that rest (see retire and part). net/http would close one whose next request is being read.
+// Only the limitListener closes idle connections (see closeIdle and requestClose); net/http would also close one
+// whose next request is being read.
 type limitListener struct {
 	net.Listener
-	settingsSnapshot func() any // of what holds for a request from its first byte on; nil for nothing
-	freeDescriptors  func()     // gives back what others hold and can do without; nil for nothing
+	settingsSnapshot func() any // settings for a request whose first byte arrives now; nil if there are none
+	freeDescriptors  func()     // closes connections elsewhere that can be spared; nil if there are none
 
 	mu              sync.Mutex
 	limit           int
-	configuredLimit int       // most, as long as there are descriptors
-	lastShortage    time.Time // that there were not
+	configuredLimit int       // value of limit without a shortage of descriptors
+	lastShortage    time.Time // time of the last shortage of descriptors
 	open            map[*inboundConn]struct{}
-	lingering       int // of open: ended from this side, and waiting for the other
+	lingering       int // number of open connections closed by this side, waiting for the remote side
 
-	forcedCloses int // no longer open, and about to be closed
+	forcedCloses int // connections no longer in open that are about to be closed
 
 	draining         bool      // the listener closes once its queue is empty
-	acceptStarted    time.Time // the last try to accept began
-	acceptTimeouts   int       // tries in a row that did
-	slowAccepts      int       // tries in a row that had to wait for their connection
+	acceptStarted    time.Time // start of the last Accept
+	acceptTimeouts   int       // consecutive Accepts that timed out
+	slowAccepts      int       // consecutive Accepts that had to wait for their connection
 	listenerClosed   bool      // the listener has been closed
-	responseDeadline time.Time // until then answers under way may go out as the process ends
+	responseDeadline time.Time // responses in progress may be written until then while the process stops
 
-	changed *sync.Cond // a connection has ended, or is to stay
+	changed *sync.Cond // signals that a connection was closed or is kept open
 }
 
-// partialIn is how long a request that has begun, but whose head is not whole, is left alone while places are short.
+// partialRequestGrace is how long a request whose head is incomplete is protected while connections are at the limit.
 const partialRequestGrace = 250 * time.Millisecond
 
 func newLimitListener(l net.Listener, limit int) *limitListener {
@@ -49,21 +50,21 @@
 	return p
 }
 
-// count tells how many connections there are.
+// connCount returns the number of open connections.
 func (p *limitListener) connCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.open)
 }
 
-// allow sets how many there may be; those that are too many stay until they end.
+// setLimit sets the maximum number of connections; those beyond it stay until they end.
 func (p *limitListener) setLimit(limit int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.limit, p.configuredLimit = limit, limit
 }
 
-// Accept makes room for the connection that it returns.
+// Accept makes space for the connection that it returns.
 func (p *limitListener) Accept() (net.Conn, error) {
 	var backoff listen.Backoff
 	for {
@@ -83,14 +84,14 @@
 		if err != nil {
 			return nil, err
 		}
-		if !p.makeSpace() { // every place has a request under way
+		if !p.makeSpace() { // every connection has a request in progress
 			p.refuseConn(conn)
 			continue
 		}
 		c := &inboundConn{Conn: conn, listener: p, stateSince: time.Now()}
 		p.mu.Lock()
 		p.open[c] = struct{}{}
-		if p.limit < p.configuredLimit && time.Since(p.lastShortage) > shortageRecovery { // one more with each that fits
+		if p.limit < p.configuredLimit && time.Since(p.lastShortage) > shortageRecovery { // raise the limit by one with each connection that fits
 			p.limit++
 		}
 		p.mu.Unlock()
@@ -98,8 +99,9 @@
 	}
 }
 
-// short gives back descriptors that others need as much as clients do, for there are fewer than the settings say: for a
-// while there are so many places fewer. It pauses, so that nobody spins while there are none.
+// onDescriptorShortage closes connections to free descriptors, which other parts of the relay need as much as clients
+// do, since there are fewer than configured. The limit stays lower by shortageReduction for a while. It pauses at the
+// end, so that callers do not spin while there are no descriptors.
 func (p *limitListener) onDescriptorShortage(err error) {
 	if p.freeDescriptors != nil {
 		p.freeDescriptors()
@@ -122,10 +124,10 @@
 const (
 	shortageReduction  = 8
 	shortageRetryDelay = 20 * time.Millisecond
-	shortageRecovery   = 10 * time.Second // until there may be more again
+	shortageRecovery   = 10 * time.Second // time without a shortage after which the limit rises again
 )
 
-// room makes room for one more connection, and tells whether there is.
+// makeSpace makes space for one more connection, and reports whether there is space.
 func (p *limitListener) makeSpace() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -144,10 +146,11 @@
 	return true
 }
 
-// leftMost is how many connections may wait for their other side, beside those that are served.
+// maxLingering returns how many connections may wait for the remote side, in addition to those that are served.
 func (p *limitListener) maxLingering() int { return max(2, p.limit/8) }
 
-// oldest is the connection that goes for another; nil if each serves a request. The mutex is held.
+// evictionCandidate returns the connection to close for a new one, or nil if each serves a request. The caller holds
+// the mutex.
 func (p *limitListener) evictionCandidate() (candidate *inboundConn) {
 	now := time.Now()
 	rank := func(c *inboundConn) int {
@@ -170,7 +173,7 @@
 	return candidate
 }
 
-// note follows the server's view of a connection.
+// setConnState follows the server's view of a connection.
 func (p *limitListener) setConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*inboundConn); ok && (state == http.StateActive || state == http.StateIdle) {
 		p.mu.Lock()
@@ -181,7 +184,7 @@
 		switch {
 		case c.active:
 			c.keepOpen()
-		case c.responded: // what was read ahead shows at the next Read, and came with the last bytes
+		case c.responded: // input that was read ahead shows at the next Read, and arrived with the last bytes
 			c.requestStart, c.requestSettings = time.Time{}, c.latestSettings
 		}
 		if state == http.StateIdle {
--- a/internal/relay/limit_listener_test.go
+++ b/internal/relay/limit_listener_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// pipes is a listener whose connections stay in memory, so that a test can run on a fake clock.
+// pipeListener is a listener whose connections stay in memory, so that a test can run on a fake clock.
 type pipeListener struct {
 	conns  chan net.Conn
 	closed chan struct{}
@@ -37,7 +37,7 @@
 	return near
 }
 
-// servePipes runs the intake's server, with room for so many connections, until the test ends.
+// servePipeListener runs the server for clients, with the given limit of connections, until stop is called.
 func servePipeListener(limit int) (p *pipeListener, stop func()) {
 	p = &pipeListener{conns: make(chan net.Conn), closed: make(chan struct{})}
 	mux := http.NewServeMux()
@@ -53,14 +53,14 @@
 	return p, func() { server.Close() }
 }
 
-// Guards against peers that hold a place: one that does not send a whole request is owed a close,
-// or an error, within 3 s of connecting.
+// Guards against clients that occupy a connection: one that does not send a complete request has to be disconnected,
+// or get an error, within 3 s of connecting.
 func TestSlowClientsAreClosed(t *testing.T) {
 	for name, sends := range map[string][]string{
 		"nothing":       nil,
 		"half a header": {"POST /api HTTP/1.1\r\nHost: x\r\n"},
 		"half a body":   {"POST /api HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\n", "abc"},
-		"a drip":        strings.Split("POST /api HTTP/1.1", ""),
+		"byte by byte":  strings.Split("POST /api HTTP/1.1", ""),
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -83,7 +83,7 @@
 					t.Errorf("neither answered nor closed: %v", err)
 				}
 				if took := time.Since(start); took >= 3*time.Second {
-					t.Errorf("left for %v, want less than 3 s", took)
+					t.Errorf("open for %v, want less than 3 s", took)
 				}
 				conn.Close()
 				<-sent
@@ -92,8 +92,8 @@
 	}
 }
 
-// Guards against peers that keep clients out: with all places taken a further connection is served
-// still, and one that hands in messages goes last.
+// Guards against idle connections that keep clients out: at the limit, a new connection is still served, and
+// connections that have submitted messages are closed last.
 func TestIdleConnectionsDoNotBlockClients(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p, stop := servePipeListener(4)
@@ -104,18 +104,18 @@
 				return false
 			}
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-			synctest.Wait() // the server's view has caught up
+			synctest.Wait() // until the server's view is up to date
 			return err == nil && resp.StatusCode == http.StatusOK
 		}
 		client := p.dial()
-		want(t, "first request of the client served", served(client, "POST /api"), true)
+		want(t, "first request of the client is served", served(client, "POST /api"), true)
 		for range 20 {
 			time.Sleep(10 * time.Millisecond)
-			want(t, "one of a crowd served", served(p.dial(), "GET /up"), true)
+			want(t, "request of another connection is served", served(p.dial(), "GET /up"), true)
 			time.Sleep(10 * time.Millisecond)
 			p.dial() // sends nothing
 		}
-		want(t, "a later client served", served(p.dial(), "POST /api"), true)
-		want(t, "next request of the first client served", served(client, "POST /api"), true)
+		want(t, "request of a later client is served", served(p.dial(), "POST /api"), true)
+		want(t, "next request of the first client is served", served(client, "POST /api"), true)
 	})
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/fleet/hold"
 )
 
-// ending is how a message ended, as the figures tell it.
+// messageOutcome is how a message ended, as the metrics report it.
 type messageOutcome int
 
 const (
@@ -21,46 +21,46 @@
 	outcomeFailed
 )
 
-// ends counts the messages of one class by their ends.
+// outcomeCounts counts the messages of one class by their outcomes.
 type outcomeCounts [outcomeFailed + 1]int
 
-// figures are what this process has done and holds, for the operators. Each is counted where it
-// happens. They have a lock of their own, so that whoever reads them asks nothing of the loop.
+// relayMetrics are the counters and gauges of this process for operators. Each is updated where the event occurs.
+// They have a lock of their own, so that reading them does not involve the loop.
 type relayMetrics struct {
 	mu                                sync.Mutex
 	classes                           map[string]*outcomeCounts
-	attempts                          int                      // messages written whole to endpoints
-	withheldMessages                  [withholdReasonCount]int // messages whose call was not written, by the reason
-	inFlight                          int
-	endpointsKnown, endpointsExcluded int // endpoints
+	attempts                          int                      // messages written completely to endpoints
+	withheldMessages                  [withholdReasonCount]int // messages whose call was not written, by reason
+	pendingMessages                   int
+	endpointsKnown, endpointsExcluded int // numbers of endpoints
 	reloadsOK, reloadsFailed          int
 	listLease                         discovery.Lease
 	listExpired                       bool
-	fleetState                        *hold.Acts // by what the relay acts; nil for one that shares nothing
+	fleetState                        *hold.Acts // agreed state that the relay applies; nil for one outside a fleet
 	copies                            replicationMetrics
 	backlog                           backlogMetrics
 }
 
-// backlogFigures are what waits on disk.
+// backlogMetrics describe the messages on disk.
 type backlogMetrics struct {
 	enabled           bool
 	messages, refused int
 	bytes             int64
-	unavailable       bool // the folder cannot be opened
+	unavailable       bool // the directory cannot be opened
 }
 
-// copiesFigures are how copies stand.
+// replicationMetrics describe the copies that relays store for each other.
 type replicationMetrics struct {
-	enabled         bool     // the relay copies what it holds
-	ownedGroups     int      // estates that it writes
-	underReplicated int      // of them, with too few holders
-	pendingRecords  int      // records that something waits for
-	messagesAtRisk  int      // messages that are on the own disk alone
-	storedCopies    int      // of others
-	copiedRelays    []string // relays whose estates this one writes, with enough holders that have them
+	enabled         bool     // the relay has its pending messages copied
+	ownedGroups     int      // replication groups that it writes to
+	underReplicated int      // of these, the ones with too few replicas
+	pendingRecords  int      // records whose confirmation something waits for
+	messagesAtRisk  int      // messages stored on this relay's disk alone
+	storedCopies    int      // copies stored for other relays
+	copiedRelays    []string // relays to whose groups this one writes, with enough replicas that are up to date
 }
 
-// declare has a class stand among the figures before its first message ends.
+// declareClass makes a class appear in the metrics before its first message ends.
 func (f *relayMetrics) declareClass(class string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -89,7 +89,7 @@
 	f.attempts += messages
 }
 
-// withheld counts messages whose call was not written.
+// countWithheld counts messages whose call was not written.
 func (f *relayMetrics) countWithheld(reason withholdReason, messages int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -106,28 +106,28 @@
 	}
 }
 
-// listed tells how the list stands.
+// setListLease sets the state of the list's lease.
 func (f *relayMetrics) setListLease(lease discovery.Lease, expired bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.listLease, f.listExpired = lease, expired
 }
 
-// agree tells by what the relay acts now.
+// setFleetState sets the agreed state that the relay applies.
 func (f *relayMetrics) setFleetState(state hold.Acts) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.fleetState = &state
 }
 
-// copied tells how copies stand now.
+// setReplication sets the state of the copies.
 func (f *relayMetrics) setReplication(replication replicationMetrics) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.copies = replication
 }
 
-// waiting tells what waits on disk now.
+// setBacklog sets the state of the messages on disk.
 func (f *relayMetrics) setBacklog(overflow *overflow) {
 	var backlog backlogMetrics
 	if overflow != nil {
@@ -141,14 +141,14 @@
 	f.backlog = backlog
 }
 
-// hold tells what there is now.
-func (f *relayMetrics) setTotals(inFlight, known, excluded int) {
+// setTotals sets the numbers of pending messages, of endpoints and of excluded endpoints.
+func (f *relayMetrics) setTotals(pending, known, excluded int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.inFlight, f.endpointsKnown, f.endpointsExcluded = inFlight, known, excluded
+	f.pendingMessages, f.endpointsKnown, f.endpointsExcluded = pending, known, excluded
 }
 
-// text has a figure a line.
+// text returns the metrics, one per line.
 func (f *relayMetrics) text() []byte {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,7 +160,7 @@
 	}
 	fmt.Fprintf(&buf, "svc.attempts=%d\nsvc.in_flight=%d\nsvc.endpoints_known=%d\nsvc.endpoints_excluded=%d\n"+
 		"svc.reloads_ok=%d\nsvc.reloads_failed=%d\n",
-		f.attempts, f.inFlight, f.endpointsKnown, f.endpointsExcluded, f.reloadsOK, f.reloadsFailed)
+		f.attempts, f.pendingMessages, f.endpointsKnown, f.endpointsExcluded, f.reloadsOK, f.reloadsFailed)
 	for reason := notWithheld + 1; reason < withholdReasonCount; reason++ {
 		fmt.Fprintf(&buf, "svc.withheld.%v=%d\n", reason, f.withheldMessages[reason])
 	}
@@ -185,7 +185,7 @@
 	return buf.Bytes()
 }
 
-// oneIf is a condition as a figure.
+// boolMetric returns 1 for true and 0 for false.
 func boolMetric(condition bool) int {
 	if condition {
 		return 1
--- a/internal/relay/pipelined.go
+++ b/internal/relay/pipelined.go
@@ -2,12 +2,14 @@
 
 import "net/http"
 
-// Which bytes of a connection are those of a request behind the one under way. The server reads ahead into a buffer of its own,
-// and tells nobody what it holds as it closes a connection after an answer. So the connection counts what was read, and takes
-// from it what the request under way has of that: a client that sent one more has a right to an answer.
+// This file determines which bytes of a connection belong to a request pipelined behind the current one. The server
+// reads ahead into a buffer of its own, and does not tell what the buffer holds when it closes a connection after a
+// response. The connection therefore counts the bytes read and subtracts the size of the current request: a client
+// that sent another request has to get an answer.
 
-// requestSize is how many bytes a request takes on its connection, as it is commonly written: one space after the colon of each
-// header, and lines that end in CR LF. Below 0 if its length is not known.
+// requestSize returns how many bytes a request occupies on its connection if it is written in the usual form: one
+// space after the colon of each header, and lines that end in CR LF. It is negative if the length of the body is
+// unknown.
 func requestSize(req *http.Request) int64 {
 	if req.ContentLength < 0 {
 		return -1
@@ -25,7 +27,8 @@
 	return size + lineEnd + req.ContentLength
 }
 
-// handled notes that a handler has read a request to its end. What was read beyond that is of the one behind it.
+// endHandling records that a handler has read a request completely. Bytes read beyond it belong to the pipelined
+// request.
 func (c *inboundConn) endHandling(req *http.Request) {
 	size := requestSize(req)
 	if c == nil || size < 0 {
--- a/internal/relay/readahead_test.go
+++ b/internal/relay/readahead_test.go
@@ -9,13 +9,14 @@
 	"testing"
 )
 
-// betweenRequests are the ways in which a server ends connections between requests.
+// idleCloses are the ways in which a server closes connections between requests.
 var idleCloses = map[string]func(*testServer){
 	"stop": func(in *testServer) { in.closeIdle(false) },
 	"room": func(in *testServer) { in.makeSpace() },
 }
 
-// Guards against ending a connection whose next request's bytes have left the system, but were not seen yet.
+// Guards against closing a connection whose next request has been copied out of the system while the Read has not
+// returned yet.
 func TestRequestInReturningReadIsAnswered(t *testing.T) {
 	for name, closeConns := range idleCloses {
 		for _, served := range []bool{false, true} {
@@ -34,17 +35,17 @@
 				closeConns(server)
 				close(at.read.release)
 				wantStatus(t, "answer", reader, http.StatusAccepted)
-				want(t, "taken on", server.acceptedCount("second"), 1)
+				want(t, "times accepted", server.acceptedCount("second"), 1)
 			})
 		}
 	}
 }
 
-// Guards against ending a connection whose next request was read in part behind the one before: by the server's watch for
-// the client's leaving, which reads one byte, or with the same read.
+// Guards against closing a connection whose next request was read in part behind the previous one: either as the one
+// byte that the server reads to detect a disconnect, or by the same Read.
 func TestPartlyReadAheadRequestIsAnswered(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 40} {
-		for name, withFirst := range map[string]bool{"while the first is served": false, "in one read with the first": true} {
+		for name, withFirst := range map[string]bool{"while the first is handled": false, "in one Read with the first": true} {
 			t.Run(name, func(t *testing.T) {
 				at := newInstants()
 				server := newTestServer(t, 1, at.wrap)
@@ -64,19 +65,19 @@
 				}
 				close(server.responseGate)
 				reader := bufio.NewReader(conn)
-				wantStatus(t, "answer to the first", reader, http.StatusAccepted)
+				wantStatus(t, "response to the first", reader, http.StatusAccepted)
 				server.awaitIdle(t, 1)
 				server.closeIdle(false)
 				io.WriteString(conn, text[n:])
-				wantStatus(t, "answer to the second", reader, http.StatusAccepted)
-				want(t, "taken on", server.acceptedCount("second"), 1)
+				wantStatus(t, "response to the second", reader, http.StatusAccepted)
+				want(t, "times accepted", server.acceptedCount("second"), 1)
 			})
 		}
 	}
 }
 
-// Guards against taking the byte that the server reads while it watches for the client's leaving for one of the request
-// under way: the answer goes out behind it.
+// Guards against attributing the byte that the server reads to detect a disconnect to the current request, whose
+// response is written after it.
 func TestByteReadDuringRequestBelongsToNext(t *testing.T) {
 	tcpListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -110,11 +111,11 @@
 	limited.setConnState(conn, http.StateIdle)
 	limited.closeIdle(false)
 	read(4095, 9)
-	want(t, "connections left", limited.closeIdle(false), 1)
+	want(t, "open connections", limited.closeIdle(false), 1)
 	want(t, "ended", conn.(*inboundConn).locallyClosed, false)
 }
 
-// Guards against ending a connection whose next request was read whole behind the one before, at the instant at which no
+// Guards against closing a connection whose next request was read completely behind the previous one, while no
 // handler has it yet.
 func TestFullyReadAheadRequestIsAnswered(t *testing.T) {
 	for name, closeConns := range idleCloses {
@@ -125,20 +126,21 @@
 			conn := server.dial(t)
 			io.WriteString(conn, apiRequestText("first")+apiRequestText("second"))
 			<-server.arrived
-			at.dispatched.arm() // for the second
+			at.dispatched.arm() // for the second request
 			close(server.responseGate)
 			<-at.dispatched.reached
 			closeConns(server)
 			close(at.dispatched.release)
 			reader := bufio.NewReader(conn)
-			wantStatus(t, "answer to the first", reader, http.StatusAccepted)
-			wantStatus(t, "answer to the second", reader, http.StatusAccepted)
-			want(t, "taken on", server.acceptedCount("second"), 1)
+			wantStatus(t, "response to the first", reader, http.StatusAccepted)
+			wantStatus(t, "response to the second", reader, http.StatusAccepted)
+			want(t, "times accepted", server.acceptedCount("second"), 1)
 		})
 	}
 }
 
-// Guards against connections that stay because they were once held to have begun a request: each ends as it rests again.
+// Guards against connections that stay open forever because a close was once cancelled for a request: each has to
+// close when it is idle again.
 func TestKeptConnectionClosesWhenIdle(t *testing.T) {
 	server := newTestServer(t, 1)
 	conn := server.dial(t)
@@ -155,7 +157,7 @@
 	wantEnd(t, "connection", reader)
 }
 
-// Guards against ending a connection with its last answer over the request behind that one, of which a byte was read.
+// Guards against closing a connection after its last response although a byte of a pipelined request was read.
 func TestPipelinedRequestAfterLastResponseIsRefused(t *testing.T) {
 	at := newInstants()
 	server := newTestServer(t, 8, at.wrap)
@@ -169,26 +171,26 @@
 	close(server.responseGate)
 	close(at.read.release)
 	reader := bufio.NewReader(conn)
-	wantStatus(t, "answer to the first", reader, http.StatusAccepted)
-	wantStatus(t, "answer to the one behind", reader, http.StatusServiceUnavailable)
+	wantStatus(t, "response to the first", reader, http.StatusAccepted)
+	wantStatus(t, "response to the pipelined request", reader, http.StatusServiceUnavailable)
 	wantEnd(t, "connection", reader)
-	want(t, "taken on", server.acceptedCount("behind"), 0)
+	want(t, "times accepted", server.acceptedCount("behind"), 0)
 }
 
-// Guards against ending a connection with its last answer over requests that came with the same read: two or three at once, a
-// part of one, and behind one whose body comes later than its head.
+// Guards against closing a connection after its last response although more requests were read together with the last
+// one: two or three at once, a part of one, and one behind a request whose body arrives later than its head.
 func TestRequestReadWithLastOneIsRefused(t *testing.T) {
 	last := func(id string) string {
 		return strings.Replace(apiRequestText(id), "Host: x", "Host: x\r\nConnection: close", 1)
 	}
 	for name, writes := range map[string][]string{
-		"whole":                       {last("last") + apiRequestText("behind")},
-		"part of it":                  {last("last") + apiRequestText("behind")[:3]},
-		"behind an earlier one":       {apiRequestText("first") + last("last") + apiRequestText("behind")},
-		"behind one in parts":         {last("last")[:10], last("last")[10:60], last("last")[60:] + apiRequestText("behind")},
-		"behind a body by itself":     {last("last")[:len(last("last"))-5], "hello" + apiRequestText("behind")},
-		"after one that came alone":   {apiRequestText("first"), last("last") + apiRequestText("behind")},
-		"behind one begun by another": {apiRequestText("first") + last("last")[:7], last("last")[7:] + apiRequestText("behind")},
+		"whole":                     {last("last") + apiRequestText("behind")},
+		"a part":                    {last("last") + apiRequestText("behind")[:3]},
+		"after two requests":        {apiRequestText("first") + last("last") + apiRequestText("behind")},
+		"behind a request in parts": {last("last")[:10], last("last")[10:60], last("last")[60:] + apiRequestText("behind")},
+		"behind a separate body":    {last("last")[:len(last("last"))-5], "hello" + apiRequestText("behind")},
+		"after a separate request":  {apiRequestText("first"), last("last") + apiRequestText("behind")},
+		"behind a request begun by the previous read": {apiRequestText("first") + last("last")[:7], last("last")[7:] + apiRequestText("behind")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := newTestServer(t, 8)
@@ -205,20 +207,21 @@
 			for range strings.Count(strings.Join(writes, ""), "hello") - strings.Count(strings.Join(writes, ""), "X-Request-Id: behind") {
 				wantStatus(t, "answer", reader, http.StatusAccepted)
 			}
-			wantStatus(t, "answer to the one behind", reader, http.StatusServiceUnavailable)
+			wantStatus(t, "response to the pipelined request", reader, http.StatusServiceUnavailable)
 			wantEnd(t, "connection", reader)
-			want(t, "taken on", server.acceptedCount("behind"), 0)
+			want(t, "times accepted", server.acceptedCount("behind"), 0)
 		})
 	}
 }
 
-// Guards against a refusal that answers nothing: what was read ahead of an earlier request was served since.
+// Guards against a refusal without a request: input that was read ahead during an earlier request has been served
+// since.
 func TestNoRefusalFollowsLastResponse(t *testing.T) {
 	last := strings.Replace(apiRequestText("last"), "Host: x", "Host: x\r\nConnection: close", 1)
 	for name, writes := range map[string][]string{
 		"one request":             {last},
-		"three in one read":       {apiRequestText("a") + apiRequestText("b") + last},
-		"one after the other":     {apiRequestText("a"), apiRequestText("b"), last},
+		"three in one Read":       {apiRequestText("a") + apiRequestText("b") + last},
+		"one by one":              {apiRequestText("a"), apiRequestText("b"), last},
 		"a part read ahead":       {apiRequestText("a") + last[:9], last[9:]},
 		"without spaces":          {strings.ReplaceAll(last, ": ", ":")},
 		"a longer target, a body": {strings.Replace(last, "/api", "/api?x=1", 1)},
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -12,22 +12,23 @@
 	"larchrouter/internal/settings"
 )
 
-// retiredFor is how long a class that the settings dropped is still taken: clients hear of a change
-// later than the relay does. Tests set it.
+// retiredClassGrace is how long messages of a class that was removed from the settings are still accepted: clients
+// learn of a change later than the relay does. Tests change it.
 var retiredClassGrace = 2 * time.Second
 
-// standing are the settings in force. They are replaced, never changed.
+// activeSettings are the settings in effect. They are replaced, never modified.
 type activeSettings struct {
 	settings.Settings
-	retiredUntil []time.Duration // when a class that was dropped is no longer taken, by class; 0 for one in force
-	// was are the classes before these, and wasUntil when nobody goes by them any more: of one that has changed under its
-	// name, a client may know either until then.
+	retiredUntil []time.Duration // end of acceptance by class, for classes that were removed; 0 for current ones
+	// previousClasses are the classes before these. If a class changed under its name, a client may know either
+	// version until previousUntil.
 	previousClasses []choice.Class
 	previousUntil   time.Duration
 }
 
-// terms are what a message of a class comes under. While clients may know the class as it was or as it is, what both allow
-// holds; but one without a key can only be of one that wants none.
+// termsFor returns the terms for a message of a class. While clients may know the previous or the current version of
+// a class, the stricter of both applies; but a message without a key can only belong to the version that requires
+// none.
 func (s *activeSettings) termsFor(class int, keyed bool, now time.Duration) *choice.Terms {
 	current := s.Classes[class]
 	i := slices.IndexFunc(s.previousClasses, func(c choice.Class) bool { return c.Name == current.Name })
@@ -42,7 +43,7 @@
 	return &choice.Terms{Class: current, Attempts: s.MaxAttempts}
 }
 
-// class finds the class of a new message, or returns -1.
+// classIndex returns the index of the class for a new message, or -1 if there is none.
 func (s *activeSettings) classIndex(name string, now time.Duration) int {
 	i := slices.IndexFunc(s.Classes, func(class choice.Class) bool { return class.Name == name })
 	if i >= 0 && s.retiredUntil[i] > 0 && now >= s.retiredUntil[i] {
@@ -51,7 +52,7 @@
 	return i
 }
 
-// succeed returns the settings that follow on these: the classes that they drop come last.
+// replacedBy returns the settings that replace these. Removed classes that are still accepted come last.
 func (s *activeSettings) replacedBy(next settings.Settings, now time.Duration) *activeSettings {
 	updated := &activeSettings{Settings: next, retiredUntil: make([]time.Duration, len(next.Classes)), previousClasses: s.Classes, previousUntil: now + retiredClassGrace}
 	updated.Classes = slices.Clone(next.Classes)
@@ -67,8 +68,7 @@
 	return updated
 }
 
-// Reload takes up a configuration that was put in the old one's place: settings and discovery's
-// address. On an error all stays as it was.
+// Reload applies the configuration file anew: its settings and the address of discovery. On an error nothing changes.
 func (r *Relay) Reload(env func(string) string) (err error) {
 	defer func() { r.metrics.countReload(err) }()
 	data, discoveryAddr, file, err := readReloadedConfig(env, r.conf.fileData)
@@ -80,7 +80,7 @@
 	select {
 	case err = <-done:
 	case <-r.quit:
-		err = fmt.Errorf("the relay stops")
+		err = fmt.Errorf("the relay is stopping")
 	}
 	if err == nil {
 		r.conf.fileData = data
@@ -88,7 +88,7 @@
 	return err
 }
 
-// retune takes another file up, in the loop.
+// applyConfig applies a reloaded file. It runs in the loop.
 func (r *Relay) applyConfig(file fleet.File, discoveryAddr string) error {
 	if r.heir != nil {
 		return errHandedOver
@@ -97,9 +97,9 @@
 		r.platformAt.Set(discoveryAddr)
 		r.platform.CloseIdleConnections()
 		r.notices.conns.CloseIdleConnections()
-		slog.Info("discovery has moved", "to", discoveryAddr)
+		slog.Info("discovery address changed", "to", discoveryAddr)
 	}
-	if r.kept != nil { // the file is what is left where nothing agreed on can be acted by
+	if r.kept != nil { // the file applies only where no agreed settings can be used
 		r.kept.SetFile(file)
 		r.look()
 		return nil
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// actBy puts settings in force, in the loop. What is open keeps those that it came under.
+// applySettings puts settings into effect, in the loop. Open messages keep the terms that they were accepted under.
 func (r *Relay) applySettings(next settings.Settings) {
 	previous := r.set.Load()
 	active := previous.replacedBy(next, r.now())
@@ -116,13 +116,13 @@
 	if next.DialTimeout != previous.DialTimeout || next.IdleConn != previous.IdleConn || next.Workers != previous.Workers {
 		_, idleHostConns := r.conf.connectionLimits(next.Workers)
 		oldTransport := r.hostSide.Swap(newTransport(&next, idleHostConns, r.newDialFunc(next.DialTimeout)))
-		oldTransport.CloseIdleConnections() // those in use end when they have been idle for the old time
+		oldTransport.CloseIdleConnections() // connections in use close after the old idle time
 	}
 	for _, class := range active.Classes {
 		r.metrics.declareClass(class.Name)
 	}
 	r.events = append(r.events, choice.Reconfigured{Settings: active.Settings.Settings})
-	list := discovery.List{Version: r.version, Full: true} // kinds may have got other numbers
+	list := discovery.List{Version: r.version, Full: true} // the numbers of kinds may have changed
 	for _, h := range r.hosts {
 		list.Servers = append(list.Servers, h.entry)
 	}
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/settings"
 )
 
-// reload puts a configuration in place and has the relay take it up.
+// reloadConfig writes a configuration file and makes the relay reload it.
 func reloadConfig(t *testing.T, r *Relay, data []byte) error {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -25,15 +25,15 @@
 	t.Helper()
 	for i := 0; i < len(pairs); i += 2 {
 		if !bytes.Contains(data, []byte(pairs[i])) {
-			t.Fatalf("nothing to change: %s", pairs[i])
+			t.Fatalf("text to replace not found: %s", pairs[i])
 		}
 		data = bytes.Replace(data, []byte(pairs[i]), []byte(pairs[i+1]), 1)
 	}
 	return data
 }
 
-// Guards against settings that are not followed, or by half; against open messages that follow them; and
-// against clients turned away who have not heard yet that their class is dropped.
+// Guards against settings that are not applied, or only in part; against open messages that change with them; and
+// against rejecting clients that do not know yet that their class was removed.
 func TestReload(t *testing.T) {
 	defer func(d time.Duration) { retiredClassGrace = d }(retiredClassGrace)
 	retiredClassGrace = time.Hour
@@ -50,14 +50,14 @@
 		replaceOnce(t, trapped, `"settings":`, `"setting":`), replaceOnce(t, trapped, `"effect":"deduplicated",`, ``),
 		replaceOnce(t, trapped, moved.addr(), "nowhere")} {
 		if err := reloadConfig(t, r, broken); err == nil {
-			t.Errorf("broken file %d is taken", n)
+			t.Errorf("broken file %d was applied", n)
 		}
 	}
 	addr, _ := r.platformAt.Get()
-	want(t, "discovery after broken files", addr, p.addr())
+	want(t, "discovery address after broken files", addr, p.addr())
 	awaitMetrics(t, r, "svc.reloads_ok=0", "svc.reloads_failed=8")
 	status, _ := hand(t, r.Addr(), "trapped", "trap")
-	want(t, "class of a broken file", status, 400)
+	want(t, "status for a class of a broken file", status, 400)
 
 	next := replaceOnce(t, original, p.addr(), moved.addr(), `"max-attempts":6`, `"max-attempts":1`,
 		`"effect":"idempotent"`, `"effect":"at_most_once"`, `"name":"status-update"`, `"name":"dispatch"`, `"conn-idle":5`, `"conn-idle":8`,
@@ -70,25 +70,25 @@
 	want(t, "first query at the new address", wait(t, moved.asked, "query"), "")
 	perCall := make(chan int, 1)
 	r.post(func() { perCall <- r.hosts["s-1"].perCall })
-	want(t, "messages in a call to an endpoint whose kind has another number", wait(t, perCall, "number"), 5)
+	want(t, "messages per call to an endpoint whose kind has a new number", wait(t, perCall, "number"), 5)
 	hand(t, r.Addr(), "new", "dispatch")
 	newCall := wait(t, calls, "call")
 	want(t, "id", newCall.id, "new")
 	status, _ = hand(t, r.Addr(), "late", "status-update")
-	want(t, "a class just dropped", status, 202)
+	want(t, "status for a class just dropped", status, 202)
 	lateCall := wait(t, calls, "call")
 	lateCall.answer <- 200
-	newCall.answer <- 500 // at most once now
+	newCall.answer <- 500 // its class is at_most_once now
 	want(t, "notice", wait(t, moved.notices, "notice"), notice{ID: "new", Status: undeliverable})
-	openCall.answer <- 500 // it may be repeated, as it could when it came
+	openCall.answer <- 500 // it may be repeated, as its class allowed when it was accepted
 	repeated := wait(t, calls, "call")
 	want(t, "id of the repeat", repeated.id, "old")
 	repeated.answer <- 200
 	awaitMetrics(t, r, "svc.requests.dispatch.failed=1", "svc.requests.status-update.served=2")
 }
 
-// Guards against a class that is never given up, or at once, after settings dropped it; and against one
-// that is dropped twice and comes back.
+// Guards against a class that is accepted forever, or not at all, after the settings dropped it, and against one
+// that stays retired across a second reload and later returns.
 func TestDroppedClassesAreAcceptedTemporarily(t *testing.T) {
 	parse := func(names ...string) settings.Settings {
 		var classes []string
@@ -105,13 +105,13 @@
 	active := (&activeSettings{}).replacedBy(parse("a", "b"), 0)
 	want(t, "a", active.classIndex("a", time.Hour), 0)
 	active = active.replacedBy(parse("b", "c"), time.Minute)
-	want(t, "a in its time", active.classIndex("a", time.Minute+retiredClassGrace-1), 2)
-	want(t, "a after it", active.classIndex("a", time.Minute+retiredClassGrace), -1)
+	want(t, "a within the grace period", active.classIndex("a", time.Minute+retiredClassGrace-1), 2)
+	want(t, "a after the grace period", active.classIndex("a", time.Minute+retiredClassGrace), -1)
 	want(t, "c", active.classIndex("c", time.Minute), 1)
 	later := time.Minute + retiredClassGrace/2
 	active = active.replacedBy(parse("c"), later)
-	want(t, "a in its time", active.classIndex("a", time.Minute+retiredClassGrace-1), 2)
-	want(t, "a after it, counted from when it was dropped", active.classIndex("a", time.Minute+retiredClassGrace), -1)
+	want(t, "a within the grace period", active.classIndex("a", time.Minute+retiredClassGrace-1), 2)
+	want(t, "a after the grace period, counted from its removal", active.classIndex("a", time.Minute+retiredClassGrace), -1)
 	want(t, "b", active.classIndex("b", time.Minute+retiredClassGrace), 1)
 	active = active.replacedBy(parse("a", "c"), time.Hour)
 	want(t, "a is back", active.classIndex("a", 2*time.Hour), 0)
--- a/internal/relay/request_settings_test.go
+++ b/internal/relay/request_settings_test.go
@@ -12,15 +12,15 @@
 	"larchrouter/choice"
 )
 
-// Guards against a request that comes under one file of settings and is judged by the next, which was taken up while it
-// came: its class may have another place, name or effect there, or be gone.
+// Guards against judging a request by settings that were reloaded while it arrived: its class may have another index,
+// name or effect there, or be gone.
 func TestRequestKeepsSettingsOfItsFirstByte(t *testing.T) {
 	defer func(d time.Duration) { retiredClassGrace = d }(retiredClassGrace)
-	retiredClassGrace = 0 // nothing of the old settings is left but what requests hold of them
+	retiredClassGrace = 0 // nothing but the requests themselves refers to the old settings
 	for name, pairs := range map[string][]string{
 		"renamed":        {`"name":"status-update"`, `"name":"other"`},
 		"another effect": {`"effect":"idempotent"`, `"effect":"at_most_once"`},
-		"another place":  {`"name":"payment"`, `"name":"status-update"`, `"name":"status-update"`, `"name":"payment"`},
+		"another index":  {`"name":"payment"`, `"name":"status-update"`, `"name":"status-update"`, `"name":"payment"`},
 		"fewer attempts": {`"max-attempts":6`, `"max-attempts":1`},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -33,7 +33,7 @@
 			}
 			defer conn.Close()
 			reader := bufio.NewReader(conn)
-			send := func(id, class, head, rest string) { // the file changes between the two
+			send := func(id, class, head, rest string) { // the file changes between head and rest
 				text := fmt.Sprintf("X-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: 15000\r\nIdempotency-Key: k\r\n"+
 					"X-Addressing: dest=7\r\nContent-Length: 2\r\n\r\nhi", id, class)
 				io.WriteString(conn, head)
@@ -56,14 +56,14 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			want(t, "answer to one that began before", status, http.StatusAccepted)
+			want(t, "response to a request that began before the reload", status, http.StatusAccepted)
 			terms := make(chan choice.Terms, 1)
 			r.post(func() { terms <- *r.held["first"].Terms })
 			got := wait(t, terms, "terms")
-			want(t, "its attempts", got.Attempts, 6)
-			want(t, "its effect", got.Class.Effect, choice.Safe)
-			want(t, "its aim", got.Class.Aim, 3*time.Second)
-			wait(t, calls, "call").answer <- 500 // it may be repeated, as it could when it came
+			want(t, "attempts of its terms", got.Attempts, 6)
+			want(t, "effect of its class", got.Class.Effect, choice.Safe)
+			want(t, "aim of its class", got.Class.Aim, 3*time.Second)
+			wait(t, calls, "call").answer <- 500 // it may be repeated, as its class allowed when it was accepted
 			repeated := wait(t, calls, "call")
 			want(t, "repeat", repeated.id, "first")
 			repeated.answer <- 200
@@ -71,7 +71,7 @@
 	}
 }
 
-// Guards against a client that is held to the class as it is now when it knows it as it was, or the other way round.
+// Guards against applying the current version of a class to a client that knows the previous one, and the reverse.
 func TestChangedClassAppliesStricterTerms(t *testing.T) {
 	class := func(e choice.Effect, window time.Duration) choice.Class {
 		return choice.Class{Name: "a", Aim: time.Second, Deadline: time.Minute, Effect: e, Window: window}
@@ -92,12 +92,12 @@
 		{choice.Safe, choice.Keyed, false, choice.Safe}, {choice.Safe, choice.Keyed, true, choice.Keyed},
 	} {
 		active := follow(class(c.was, 9*time.Second), class(c.is, 9*time.Second))
-		want(t, fmt.Sprint(c, " while either may be known"), active.termsFor(0, c.keyed, time.Hour+retiredClassGrace-1).Class.Effect, c.want)
+		want(t, fmt.Sprint(c, " while clients may know either version"), active.termsFor(0, c.keyed, time.Hour+retiredClassGrace-1).Class.Effect, c.want)
 		want(t, fmt.Sprint(c, " later"), active.termsFor(0, c.keyed, time.Hour+retiredClassGrace).Class.Effect, c.is)
 	}
 	active := follow(class(choice.Keyed, 9*time.Second), class(choice.Keyed, time.Second))
 	want(t, "window", active.termsFor(0, true, time.Hour).Class.Window, time.Second)
 	active = follow(class(choice.Keyed, time.Second), class(choice.Keyed, 9*time.Second))
 	want(t, "window", active.termsFor(0, true, time.Hour).Class.Window, time.Second)
-	want(t, "window later", active.termsFor(0, true, 2*time.Hour).Class.Window, 9*time.Second)
+	want(t, "window after the grace period", active.termsFor(0, true, 2*time.Hour).Class.Window, 9*time.Second)
 }
--- a/internal/relay/sendgate.go
+++ b/internal/relay/sendgate.go
@@ -6,24 +6,25 @@
 	"time"
 )
 
-// errWithheld is why a request was not written: something forbids it since it was decided.
+// errWithheld means that a request was not written because something has forbidden it since it was decided.
 var errWithheld = errors.New("withheld")
 
-// sendGate counts requests between the last look at what may forbid them and their first write. Whoever forbids something waits
-// until those that may have looked before have been written, so that nothing begins behind its back.
+// sendGate counts requests between their last check for anything that forbids them and their first write. Whoever
+// forbids something then waits until the requests that may have been checked before are written, so that none begins
+// afterwards without noticing.
 type sendGate struct {
 	mutex   sync.Mutex
 	current *senders
 }
 
-// senders are the requests that entered a gate between two settlements.
+// senders are the requests that entered a gate between two calls of drain.
 type senders struct {
 	count   int
-	drained chan struct{} // closed once the count is zero for good
-	closed  bool          // nobody enters any more
+	drained chan struct{} // closed once the count has reached zero for good
+	closed  bool          // no more requests enter
 }
 
-// enter counts a request in, before it looks.
+// enter counts a request before its check.
 func (g *sendGate) enter() *senders {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -34,7 +35,7 @@
 	return g.current
 }
 
-// leave counts a request out, once it has been written or withheld.
+// leave stops counting a request that has been written or withheld.
 func (g *sendGate) leave(s *senders) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
@@ -42,7 +43,8 @@
 	s.signalIfDrained()
 }
 
-// settle waits until all that entered before have left, for so long at the most, and tells whether they have.
+// drain waits, at most for the timeout, until all requests that entered before have left, and reports whether they
+// have.
 func (g *sendGate) drain(timeout time.Duration) bool {
 	g.mutex.Lock()
 	entered := g.current
@@ -65,14 +67,15 @@
 	}
 }
 
-// settleIfEmpty ends the wait of whoever settles, if nobody is left to wait for.
+// signalIfDrained ends the wait in drain if no requests are left.
 func (s *senders) signalIfDrained() {
 	if s.closed && s.count == 0 {
 		close(s.drained)
 	}
 }
 
-// admit lets a request begin, or withholds it; leave is to be called once its first bytes have been written.
+// beginSend allows a request to be written, or withholds it. The caller has to call finish once the first bytes have
+// been written.
 func (r *Relay) beginSend(c *call, messages int) (finish func(), err error) {
 	entered := r.sending.enter()
 	if reason := r.checkWithhold(c); reason != notWithheld {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -8,7 +8,7 @@
 	"larchrouter/internal/discovery"
 )
 
-// Serve runs the relay until Drain has ended it.
+// Serve runs the relay until Drain has stopped it.
 func (r *Relay) Serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.endPlatform = cancel
@@ -37,7 +37,7 @@
 	r.closeConnections()
 }
 
-// endConnections ends all that came in, on both addresses at once: the time for it is short.
+// closeConnections closes the connections at both addresses concurrently, since time is short.
 func (r *Relay) closeConnections() {
 	var closing sync.WaitGroup
 	closing.Go(func() { r.clientListener.closeAll(r.clientServer) })
@@ -47,23 +47,23 @@
 	closing.Wait()
 }
 
-// The times of an orderly stop, from SIGTERM. New connections come for 0.4 s
-// more, SIGKILL after 3.7 s.
+// Times of an orderly stop, counted from SIGTERM. New connections arrive for another 0.4 s; SIGKILL follows after 3.7
+// s.
 const (
-	closeIdleAfter       = 500 * time.Millisecond  // then connections end between requests
-	stopAcceptAfter      = 800 * time.Millisecond  // then those that wait are accepted, and no more
-	handedOverCloseAfter = 2300 * time.Millisecond // after a hand-over: then connections without a request end
-	stopCallsAfter       = 2600 * time.Millisecond // then no more calls go out
-	stopAfter            = 3300 * time.Millisecond // then calls still out are left to the journal
+	closeIdleAfter       = 500 * time.Millisecond  // then idle connections are closed
+	stopAcceptAfter      = 800 * time.Millisecond  // then the connections in the queue are accepted, and no more
+	handedOverCloseAfter = 2300 * time.Millisecond // after a handover: then connections without a request are closed
+	stopCallsAfter       = 2600 * time.Millisecond // then no more calls are started
+	stopAfter            = 3300 * time.Millisecond // then calls still in flight are left to the journal
 )
 
-// Drain stops the relay in order: it takes on and delivers while clients still
-// come, lets calls out finish, and leaves the rest to the journal.
+// Drain stops the relay in order: it accepts and delivers while clients still connect, lets calls in flight finish,
+// and leaves the rest to the journal.
 func (r *Relay) Drain() {
 	r.draining.Store(true)
 	start, closeAfter, acceptUntil := time.Now(), closeIdleAfter, stopAcceptAfter
 	if r.passedAt.Load() > 0 {
-		// The clients' connections end with their next answer, none of them under a request.
+		// Clients' connections end with their next response, so none is closed during a request.
 		closeAfter, acceptUntil = handedOverCloseAfter, handedOverCloseAfter
 	}
 	r.clientListener.setResponseDeadline(start.Add(stopAfter + closeAllTimeout))
@@ -92,27 +92,27 @@
 	r.stop()
 }
 
-// idle tells whether nothing is left that a relay which stops should wait for.
+// isIdle reports whether a stopping relay has nothing left to wait for.
 func (r *Relay) isIdle() bool {
 	inFlight := r.out
-	if r.heritage != nil { // the process before this one may have calls out, whose ends come here
+	if r.heritage != nil { // the process before this one may have calls in flight, whose outcomes arrive here
 		inFlight += len(r.heritage.calls)
 	}
 	if r.heir != nil {
 		return inFlight == 0 && len(r.asked) == 0
 	}
-	if r.copies.waiting() { // clients among them: they are answered, or their messages taken out of the record
+	if r.copies.waiting() { // among them of clients that get an answer, or whose messages are removed from the record
 		return false
 	}
 	return inFlight == 0 && (r.stopped || len(r.held)+r.owed == 0)
 }
 
-// stop ends the relay as it is; the journal has the rest.
+// stop ends the loop at once; everything else is in the journal.
 func (r *Relay) stop() { r.once.Do(func() { close(r.quit) }) }
 
 func (r *Relay) now() time.Duration { return time.Since(r.began) }
 
-// post hands the loop something to do.
+// post queues a function for the loop.
 func (r *Relay) post(f func()) {
 	select {
 	case r.inbox <- f:
@@ -120,12 +120,12 @@
 	}
 }
 
-// atOnce is always ready.
+// alwaysReady is a closed channel.
 var alwaysReady = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
 
 func (r *Relay) loop() {
 	for {
-		if r.kept != nil { // a process that was stopped acts by nothing that has run out meanwhile
+		if r.kept != nil { // a process that was suspended must not act on agreements that expired meanwhile
 			r.look()
 		}
 		r.step()
@@ -136,11 +136,11 @@
 			}
 		}
 		var runAgain <-chan struct{}
-		if len(r.events) > 0 { // the step left some; nothing else may come in for long
+		if len(r.events) > 0 { // the step left events, which must not wait long for other input
 			runAgain = alwaysReady
 		} else if len(r.askers) > 0 && !r.copies.waiting() {
 			r.handOverToFirst()
-			runAgain = alwaysReady // there may be a second one
+			runAgain = alwaysReady // there may be another one
 		} else if r.overflow.unfinished() {
 			runAgain = alwaysReady
 		}
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -2,10 +2,10 @@
 
 import "net/http"
 
-// newServer serves what comes on p.
-func newHTTPServer(h http.Handler, p *limitListener) *http.Server {
-	return &http.Server{Handler: skipClosedConns(h), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: idleConnTimeout,
-		MaxHeaderBytes: 16 << 10, ConnState: p.setConnState, ConnContext: withConn}
+// newHTTPServer returns a server for the connections of a listener.
+func newHTTPServer(handler http.Handler, listener *limitListener) *http.Server {
+	return &http.Server{Handler: skipClosedConns(handler), ReadTimeout: requestTimeout, WriteTimeout: requestTimeout, IdleTimeout: idleConnTimeout,
+		MaxHeaderBytes: 16 << 10, ConnState: listener.setConnState, ConnContext: withConn}
 }
 
 func (r *Relay) handler() http.Handler {
@@ -15,7 +15,7 @@
 	return r.closeWhileStopping(requireContentLength(mux))
 }
 
-// leaving ends connections with their answers while the relay stops.
+// closeWhileStopping closes connections after their responses while the relay stops.
 func (r *Relay) closeWhileStopping(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.closeIfStopping(w)
@@ -23,10 +23,10 @@
 	})
 }
 
-// framed lets through only requests whose length Content-Length tells, as every client's
-// does. Where a Transfer-Encoding stands beside it, net/http follows that and hides the
-// other: what the sender's side holds to be the rest of the body would be read as the next
-// request. The connection ends with the answer, for nobody knows where the next one begins.
+// requireContentLength serves only requests whose length is given by Content-Length, as it is by every client. If
+// there is a Transfer-Encoding as well, net/http follows it and hides the Content-Length, so what the sender regards
+// as the rest of the body would be read as the next request. The connection is closed with the response, because
+// nobody knows where the next request begins.
 func requireContentLength(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if len(req.TransferEncoding) > 0 {
@@ -38,8 +38,9 @@
 	})
 }
 
-// leave ends a client's connection with the answer that follows, once the relay stops or the next process has taken
-// over: the client's next one comes elsewhere. It is asked as the answer goes out, for a request may have been read before.
+// closeIfStopping closes a client's connection with the response that follows once the relay stops or the next
+// process has taken over, so that the client connects elsewhere. It is called when the response is written, because
+// the request may have been read before.
 func (r *Relay) closeIfStopping(w http.ResponseWriter) {
 	if r.closeAfterResponse.Load() || r.passedAt.Load() > 0 {
 		w.Header().Set("Connection", "close")
--- a/internal/relay/unread_log_test.go
+++ b/internal/relay/unread_log_test.go
@@ -14,8 +14,8 @@
 	"net"
 )
 
-// Guards against a relay that stops with the reader of its log: it starts, takes messages on and tells their ends while
-// nobody reads the pipe that it logs to.
+// Guards against a relay that blocks when nobody reads its log: it has to start, accept messages and report their
+// ends while the pipe that it logs to is full.
 func TestServesWhileLogPipeIsFull(t *testing.T) {
 	path, err := program()
 	if err != nil {
@@ -63,7 +63,7 @@
 	want(t, "notice", wait(t, p.notices, "notice").ID, "m1")
 }
 
-// fill writes to a pipe until it takes no more.
+// fillPipe writes to a pipe until it is full.
 func fillPipe(t *testing.T, writer *os.File) {
 	t.Helper()
 	raw, err := writer.SyscallConn()
--- a/internal/relay/withdraw.go
+++ b/internal/relay/withdraw.go
@@ -9,13 +9,14 @@
 	"larchrouter/internal/remedy"
 )
 
-// afterLeaving is the answer to a client that ended its sending, or left, before it was told that its message is taken on:
-// it may hand the message in again under another id. One that only ended its sending still reads, and must not be told 202 of
-// what is given up here, nor that it may come again with what is not.
+// responseAfterDisconnect returns the response for a client that disconnected, or closed its sending direction,
+// before it learned that its message was accepted. Such a client may submit the message again under another id. One
+// that closed only its sending direction still reads; it must not get 202 for a message that is withdrawn here, nor
+// be told to retry one that is not.
 func (r *Relay) responseAfterDisconnect(apiReq *apiRequest) apiResponse {
 	withdrawn := apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "withdrawn"}
 	replies := make(chan apiResponse, 1)
-	withdrawing := false // belongs to the loop until that has ended
+	withdrawing := false // belongs to the loop until the loop has ended
 	r.post(func() {
 		withdrawing = r.withdraw(apiReq.entry.ID, func(confirmed bool) {
 			if confirmed {
@@ -35,21 +36,22 @@
 	select {
 	case response := <-replies:
 		return response
-	case <-r.halted: // what the loop has said by then holds: the record says so
+	case <-r.halted: // what the loop has answered before it ended is valid: it is in the record
 	}
 	select {
 	case response := <-replies:
 		return response
 	default:
 	}
-	if withdrawing { // it waited for holders of copies
+	if withdrawing { // it waited for replicas
 		return withdrawnLocally(apiReq.entry)
 	}
 	return apiResponse{status: http.StatusAccepted}
 }
 
-// withdrawnHere is the answer to the client of a message that has ended here, while a holder of a copy may not know of that: an
-// heir may deliver it. Where that must not happen twice, its client is not told that it may come again.
+// withdrawnLocally returns the response for a client whose message has ended here while a replica may not know of
+// that, so that a successor may deliver it. If the message must not be delivered twice, the client is not told to
+// retry.
 func withdrawnLocally(entry *journal.Entry) apiResponse {
 	if entry.Terms != nil && entry.Terms.Class.Effect == choice.Unsafe {
 		return apiResponse{status: http.StatusInternalServerError, text: "it is not known whether it will be delivered"}
@@ -57,9 +59,10 @@
 	return apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "too few copies"}
 }
 
-// withdraw ends a message whose client left unanswered: it may hand it in again under
-// another id. It tells whether it did, and calls then once it is known whether that counts. One that was sent, or came twice, goes
-// on; its id may still be in use. So does one whose end cannot be recorded at once: the next start would deliver it.
+// withdraw ends a message whose client disconnected without an answer and may submit it again under another id. It
+// reports whether it did; if so, it calls onResult once it is known whether the withdrawal is confirmed. A message
+// that was sent, or submitted twice, is not withdrawn: its id may still be in use. Nor is one whose end cannot be
+// recorded at once, because it would be delivered after a restart.
 func (r *Relay) withdraw(id string, onResult func(confirmed bool)) bool {
 	msg := r.held[id]
 	if r.heir != nil || msg == nil || msg.Tries > 0 || msg.twice {
@@ -75,8 +78,9 @@
 	return true
 }
 
-// answerRecorded answers a client whose message is on record, but not held. It must not be recorded a second time: the end
-// of the one on record would end both. One whose notice is owed has ended; of any other it is not known yet who delivers it.
+// respondRecorded answers a client whose message is on record but not pending. The message must not be recorded
+// again, because the end of the recorded one would end both. One with a pending notice has ended; for any other it is
+// not known yet who delivers it.
 func (r *Relay) respondRecorded(apiReq *apiRequest, entry *journal.Entry) {
 	if entry.Status != "" {
 		apiReq.reply <- apiResponse{status: http.StatusAccepted}
--- a/internal/relay/withdraw_test.go
+++ b/internal/relay/withdraw_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// leaving is a request whose client is there so many times that it is asked for.
+// submitAndDisconnect submits a message for a client that counts as connected for the given number of checks.
 func submitAndDisconnect(r *Relay, id string, connectedChecks int32) (w *httptest.ResponseRecorder, answered chan bool) {
 	req := httptest.NewRequest("POST", "/api", strings.NewReader("x"))
 	for k, v := range map[string]string{"X-Request-Id": id, "X-Class": "payment", "X-Deadline-Ms": "9000", "X-Addressing": "dest=7"} {
@@ -25,14 +25,15 @@
 	return w, answered
 }
 
-// turn runs what has come in, and lets the decisions step: one turn of the loop.
+// runLoopTurn runs the next function in the inbox and lets the chooser decide, like one turn of the loop.
 func runLoopTurn(t *testing.T, r *Relay) {
 	t.Helper()
 	wait(t, r.inbox, "request")()
 	r.step()
 }
 
-// Guards against 503 for a message that is still on record: the next start would deliver it, and the client hand it in again.
+// Guards against answering 503 for a message that is still on record: it would be delivered after a restart, and also
+// submitted again by its client.
 func TestWithdrawalRequiresItsRecord(t *testing.T) {
 	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
 	w, answered := submitAndDisconnect(r, "m1", 1)
@@ -42,7 +43,7 @@
 	withdrawal()
 	wait(t, answered, "answer")
 	want(t, "status while nothing can be written", w.Code, http.StatusAccepted)
-	want(t, "it is held", r.held["m1"] != nil, true)
+	want(t, "it is pending", r.held["m1"] != nil, true)
 	if err := r.journal.Compact(); err != nil {
 		t.Fatal(err)
 	}
@@ -54,8 +55,8 @@
 	want(t, "it is on record", r.journal.Entry("m2") != nil, false)
 }
 
-// Guards against 202 for a message that is withdrawn as the loop ends: its handler may find both at once. On one processor it
-// does so in each round, and went by the one or the other by chance.
+// Guards against answering 202 for a message that is withdrawn just as the loop ends, when its handler may find both
+// the response and the end of the loop, and could choose either. On one processor that happens in each round.
 func TestWithdrawalStandsWhenLoopEnds(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
 	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
@@ -68,7 +69,7 @@
 		r.halted = make(chan struct{})
 		responses := make(chan apiResponse)
 		go func() { responses <- r.responseAfterDisconnect(apiReq) }()
-		for range 100 { // until the handler stands before the loop's inbox
+		for range 100 { // until the handler waits to send to the loop's inbox
 			runtime.Gosched()
 		}
 		wait(t, r.inbox, "withdrawal")()
@@ -78,7 +79,8 @@
 	}
 }
 
-// Guards against either answer to a withdrawal that the loop did not come to: the message is on record, and owed its end.
+// Guards against any answer other than 202 if the loop did not process the withdrawal: the message is on record, and
+// its end is still to be reported.
 func TestWithdrawalNotSeenByLoop(t *testing.T) {
 	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
 	apiReq := request(t, r, context.Background(), "m1", "payment", time.Minute)
@@ -90,8 +92,9 @@
 	want(t, "it is on record", r.journal.Entry("m1") != nil, true)
 }
 
-// Guards each order in which a client that ended its sending and a second connection with the same message can come. Whoever
-// hears 202 is owed an end; whoever hears 503 has a message that is neither held nor on record.
+// Covers each order of a client that closes its sending direction and a second connection with the same message. For
+// a client that gets 202 an end has to follow; for one that gets 503 the message must be neither pending nor on
+// record.
 func TestSameMessageOnTwoConnections(t *testing.T) {
 	second := func(r *Relay) *apiRequest {
 		apiReq := request(t, r, context.Background(), "m1", "payment", time.Minute)
@@ -101,13 +104,13 @@
 	for _, c := range []struct {
 		when              string
 		one, two          int
-		first, last       func(r *Relay) *apiRequest // before the first is taken on, and after its withdrawal
-		between, recorded func(r *Relay) *apiRequest // of take and step, and of record and withdrawal
+		first, last       func(r *Relay) *apiRequest // before the first submission is accepted, and after its withdrawal
+		between, recorded func(r *Relay) *apiRequest // between submit and step, and between record and withdrawal
 	}{
-		{when: "before it", first: second, one: http.StatusAccepted, two: http.StatusAccepted},
-		{when: "between take and step", between: second, one: http.StatusAccepted, two: http.StatusAccepted},
+		{when: "before the first", first: second, one: http.StatusAccepted, two: http.StatusAccepted},
+		{when: "between submit and step", between: second, one: http.StatusAccepted, two: http.StatusAccepted},
 		{when: "between record and withdrawal", recorded: second, one: http.StatusAccepted, two: http.StatusAccepted},
-		{when: "in the turn of the withdrawal, after it", last: second, one: http.StatusServiceUnavailable, two: http.StatusAccepted},
+		{when: "in the loop turn of the withdrawal, after it", last: second, one: http.StatusServiceUnavailable, two: http.StatusAccepted},
 	} {
 		t.Run(c.when, func(t *testing.T) {
 			state := t.TempDir()
@@ -120,9 +123,9 @@
 				}
 			}
 			at(c.first)
-			connectedChecks := int32(1) // as the loop takes the message on
+			connectedChecks := int32(1) // the check when the loop accepts the message
 			if c.first != nil {
-				connectedChecks = 0 // that is not asked for one that is held
+				connectedChecks = 0 // a message that is already pending is not checked
 			}
 			w, answered := submitAndDisconnect(r, "m1", connectedChecks)
 			wait(t, r.inbox, "request")()
@@ -134,16 +137,16 @@
 			at(c.last)
 			r.step()
 			wait(t, answered, "answer")
-			want(t, "status on the first", w.Code, c.one)
-			want(t, "status on the second", status(two), c.two)
-			want(t, "messages held", len(r.held), 1)
+			want(t, "status on the first connection", w.Code, c.one)
+			want(t, "status on the second connection", status(two), c.two)
+			want(t, "pending messages", len(r.held), 1)
 			next := restartAfterKill(t, p, r, state)
-			want(t, "messages held after a kill", len(next.held), 1)
+			want(t, "pending messages after a kill", len(next.held), 1)
 		})
 	}
 }
 
-// reopened is the next process, after a kill of this one.
+// restartAfterKill kills the relay and returns its next process.
 func restartAfterKill(t *testing.T, p *platform, r *Relay, state string) *Relay {
 	t.Helper()
 	r.endCalls(errStopping)
@@ -151,14 +154,14 @@
 	return unserved(t, p, state)
 }
 
-// Guards against 503 on a second connection, whose client has ended its sending, for a message that the first one was told is
-// taken on: it is delivered, and the client would hand it in once more.
+// Guards against answering 503 on a second connection, whose client has closed its sending direction, for a message
+// that was accepted on the first: it is delivered, and the client would submit it once more.
 func TestSecondConnectionLearnsOfPendingMessage(t *testing.T) {
 	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
 	first := request(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.submit(first)
 	r.step()
-	want(t, "status on the first", status(first), http.StatusAccepted)
+	want(t, "status on the first connection", status(first), http.StatusAccepted)
 	for _, name := range []string{"held", "ended"} {
 		ended := name == "ended"
 		if ended {
@@ -174,7 +177,7 @@
 				done = true
 			}
 		}
-		want(t, "status on the second, of one that is "+name, w.Code, http.StatusAccepted)
-		want(t, "it is held", r.held["m1"] != nil, !ended)
+		want(t, "status on the second connection, message "+name, w.Code, http.StatusAccepted)
+		want(t, "it is pending", r.held["m1"] != nil, !ended)
 	}
 }
--- a/internal/relay/withhold.go
+++ b/internal/relay/withhold.go
@@ -2,21 +2,21 @@
 
 import "fmt"
 
-// withheld is why a request was not written to its endpoint, though the decisions had sent it there.
+// withholdReason is why a request was not written to its endpoint, although the chooser had decided to send it.
 type withholdReason int
 
 const (
 	notWithheld         withholdReason = iota
-	endpointUnavailable                // it drains, is gone, or is out by hand
-	retryAfterPending                  // its destination has told to wait
+	endpointUnavailable                // it is leaving, not on the list, or manually disabled
+	retryAfterPending                  // its destination's retry-after delay has not elapsed
 	handedOver                         // the next process has had the relay's messages for so long that it may send them itself
-	timeExpired                        // the message's time, or the window in which a repeat is dropped, is over
-	agreementExpired                   // what the relays agreed on no longer holds
-	listLeaseExpired                   // changes of the list that the relay has not heard of may count as told
+	timeExpired                        // the message's time is over, or the window in which the endpoint drops a repeat
+	agreementExpired                   // what the relays agreed on is no longer valid
+	listLeaseExpired                   // the platform may rely on list changes that the relay has not received
 	withholdReasonCount
 )
 
-// String is the reason as figures and logs name it.
+// String returns the reason as metrics and logs name it.
 func (w withholdReason) String() string {
 	switch w {
 	case notWithheld:
@@ -37,9 +37,9 @@
 	return fmt.Sprintf("withheld(%d)", int(w))
 }
 
-// withhold tells whether a call must not be written now, whatever was decided when it was started: its connection may have
-// taken long to come up. It is asked right before the first write (see admit): what ended between an earlier look and the write
-// would not hold the call back.
+// checkWithhold reports whether, and why, a call must not be written now, whatever was decided when it was started:
+// establishing its connection may have taken long. It is called right before the first write (see beginSend), because
+// a check further ahead of the write would miss what changed in between.
 func (r *Relay) checkWithhold(c *call) withholdReason {
 	switch now := r.now(); {
 	case c.host.closed.Load():
@@ -50,7 +50,7 @@
 		return retryAfterPending
 	case r.late():
 		return handedOver
-	case over(c.before) || over(c.fresh): // nobody would drop the repeat any more, or an heir may not know of it
+	case over(c.before) || over(c.fresh): // the endpoint may no longer drop the repeat, or a successor may not know of it
 		return timeExpired
 	case c.agreed.over(now):
 		return agreementExpired
