--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -18,7 +18,7 @@
 
 const (
 	adminTimeout  = 2 * time.Second // for a whole request and its response; callers wait 1 s
-	maxAdminConns = 24              // when all are in use, the connection that has gone longest without a request is closed for the next
+	maxAdminConns = 24              // beyond that, the one that has gone longest without a request is closed
 )
 
 // listenAdmin starts to serve the admin address, so that a process that is not ready yet can report that.
@@ -42,6 +42,7 @@
 	return nil
 }
 
+// serveReady responds 200 while clients may connect, and 503 otherwise.
 func (r *Relay) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.ready.Load() || r.draining.Load() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -50,6 +51,7 @@
 	fmt.Fprintln(w, "ready")
 }
 
+// serveMetrics responds with the metrics as text.
 func (r *Relay) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.Write(r.metrics.text())
--- a/internal/relay/api.go
+++ b/internal/relay/api.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	maxBodyBytes      = 64 << 10
+	maxBodyBytes      = 64 << 10         // of a message
 	maxNameBytes      = 200              // bytes of an id or a key
 	maxDeadline       = 24 * time.Hour   // a longer deadline is considered a mistake
 	defaultRetryAfter = time.Second      // if the chooser gives no advice
@@ -30,17 +30,19 @@
 // apiRequest is a submitted message whose client waits to learn whether it is accepted.
 type apiRequest struct {
 	entry *journal.Entry
-	due   time.Duration
+	due   time.Duration   // when the message's time is up, on the relay's clock
 	ctx   context.Context // of the client's request
 	reply chan apiResponse
 }
 
+// apiResponse is the answer to a submitted message.
 type apiResponse struct {
 	status     int
 	retryAfter time.Duration // Retry-After header; 0 for none
 	text       string
 }
 
+// serveAPI handles the submission of a message. It responds once the message is accepted or rejected.
 func (r *Relay) serveAPI(w http.ResponseWriter, req *http.Request) {
 	arrivedAt := r.now() - sinceArrival(netConnOf(req))
 	apiReq, status, err := r.readAPIRequest(w, req, arrivedAt)
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -101,10 +101,10 @@
 // BacklogError describes a backlog that the relay cannot keep as configured.
 type BacklogError struct{ Text, Advice string }
 
-func (b *BacklogError) Error() string { return "backlog: " + b.Text }
+func (e *BacklogError) Error() string { return "backlog: " + e.Text }
 
 // Remedy returns what an operator can do about the error.
-func (b *BacklogError) Remedy() string { return b.Advice }
+func (e *BacklogError) Remedy() string { return e.Advice }
 
 // readConfigFile reads and parses the file that BALANCER_CONFIG names.
 func readConfigFile(env func(string) string) (path string, data []byte, parsed configFile, err error) {
@@ -213,18 +213,18 @@
 	Err  error
 }
 
-func (b *ConfigError) Error() string {
-	if b.Path == "" {
-		return b.Err.Error()
+func (e *ConfigError) Error() string {
+	if e.Path == "" {
+		return e.Err.Error()
 	}
-	return b.Path + ": " + b.Err.Error()
+	return e.Path + ": " + e.Err.Error()
 }
 
-func (b *ConfigError) Unwrap() error { return b.Err }
+func (e *ConfigError) Unwrap() error { return e.Err }
 
 // Remedy returns what an operator can do about the error.
-func (b *ConfigError) Remedy() string {
-	if advice := remedy.Of(b.Err); advice != "" {
+func (e *ConfigError) Remedy() string {
+	if advice := remedy.Of(e.Err); advice != "" {
 		return advice + "; a relay that runs goes on by the file before, whole"
 	}
 	return "correct that key of the file; a relay that runs goes on by the file before, whole"
--- a/internal/relay/conn_audit_test.go
+++ b/internal/relay/conn_audit_test.go
@@ -135,8 +135,8 @@
 	for round := range 20 {
 		server := newTestServer(t, 24, audit.wrap)
 		var clients sync.WaitGroup
-		for k := range 32 { // more than the limit of connections
-			clients.Go(func() { audit.submitUntilClosed(t, server, fmt.Sprint(round, "-", k)) })
+		for client := range 32 { // more than the limit of connections
+			clients.Go(func() { audit.submitUntilClosed(t, server, fmt.Sprint(round, "-", client)) })
 		}
 		for len(server.arrived) < 40 {
 			time.Sleep(time.Millisecond)
--- a/internal/relay/conn_close.go
+++ b/internal/relay/conn_close.go
@@ -134,16 +134,16 @@
 
 // limitLingering forces the close of the connections that have waited longest for the remote side, if there are too
 // many. The caller holds the mutex.
-func (p *limitListener) limitLingering() {
-	for p.lingering > p.maxLingering() {
-		p.longestLingering().forceClose()
+func (l *limitListener) limitLingering() {
+	for l.lingering > l.maxLingering() {
+		l.longestLingering().forceClose()
 	}
 }
 
 // longestLingering returns the connection that has waited longest for the remote side, or nil if none does. The
 // caller holds the mutex.
-func (p *limitListener) longestLingering() (longest *inboundConn) {
-	for c := range p.open {
+func (l *limitListener) longestLingering() (longest *inboundConn) {
+	for c := range l.open {
 		if c.locallyClosed && (longest == nil || c.stateSince.Before(longest.stateSince)) {
 			longest = c
 		}
@@ -152,19 +152,19 @@
 }
 
 // refuseConn ends a connection beyond the limit. Its request, if one arrives, is refused.
-func (p *limitListener) refuseConn(conn net.Conn) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	c := &inboundConn{Conn: conn, listener: p, stateSince: time.Now(), locallyClosed: true, closed: true, refusalDone: make(chan struct{})}
+func (l *limitListener) refuseConn(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c := &inboundConn{Conn: conn, listener: l, stateSince: time.Now(), locallyClosed: true, closed: true, refusalDone: make(chan struct{})}
 	c.Conn.SetReadDeadline(c.stateSince.Add(lingerTimeout))
-	p.open[c] = struct{}{}
-	p.lingering++
-	p.limitLingering()
+	l.open[c] = struct{}{}
+	l.lingering++
+	l.limitLingering()
 	go func() {
 		if n, _ := c.Conn.Read(make([]byte, 4<<10)); n > 0 {
-			p.mu.Lock()
+			l.mu.Lock()
 			c.requestStart = time.Now()
-			p.mu.Unlock()
+			l.mu.Unlock()
 			c.writeRefusal()
 		} else {
 			close(c.refusalDone)
--- a/internal/relay/conn_close_test.go
+++ b/internal/relay/conn_close_test.go
@@ -54,15 +54,15 @@
 	return server
 }
 
-func (in *testServer) acceptedCount(id string) int {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.accepted[id]
+func (s *testServer) acceptedCount(id string) int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.accepted[id]
 }
 
-func (in *testServer) dial(t *testing.T) net.Conn {
+func (s *testServer) dial(t *testing.T) net.Conn {
 	t.Helper()
-	conn, err := net.Dial("tcp", in.Addr().String())
+	conn, err := net.Dial("tcp", s.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,29 +98,29 @@
 	want(t, "response to "+id, status, http.StatusAccepted)
 }
 
-// awaitIdle waits until the server considers n connections idle.
-func (in *testServer) awaitIdle(t *testing.T, n int) {
+// awaitIdle waits until the server considers count connections idle.
+func (s *testServer) awaitIdle(t *testing.T, count int) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; time.Sleep(time.Millisecond) {
-		rest := 0
-		in.eachConn(func(c *inboundConn) {
+		idle := 0
+		s.eachConn(func(c *inboundConn) {
 			if c.served && !c.active && !c.locallyClosed {
-				rest++
+				idle++
 			}
 		})
-		if rest == n {
+		if idle == count {
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections are idle, want %d", rest, n)
+			t.Fatalf("%d connections are idle, want %d", idle, count)
 		}
 	}
 }
 
-func (in *testServer) eachConn(do func(*inboundConn)) {
-	in.limitListener.mu.Lock()
-	defer in.limitListener.mu.Unlock()
-	for c := range in.open {
+func (s *testServer) eachConn(do func(*inboundConn)) {
+	s.limitListener.mu.Lock()
+	defer s.limitListener.mu.Unlock()
+	for c := range s.open {
 		do(c)
 	}
 }
@@ -216,14 +216,14 @@
 	server := newTestServer(t, 64)
 	const rounds, clients = 300, 8
 	for round := range rounds {
-		var all sync.WaitGroup
+		var running sync.WaitGroup
 		start := make(chan struct{})
-		for k := range clients {
+		for client := range clients {
 			conn := server.dial(t)
 			reader := bufio.NewReader(conn)
-			id := fmt.Sprintf("%d-%d", round, k)
+			id := fmt.Sprintf("%d-%d", round, client)
 			mustSubmit(t, conn, reader, id+"-first")
-			all.Go(func() {
+			running.Go(func() {
 				<-start
 				unanswered := func() bool { // the request was sent, and no response arrived
 					if _, err := io.WriteString(conn, apiRequestText(id)); err != nil {
@@ -248,14 +248,14 @@
 				conn.Close()
 			})
 		}
-		all.Go(func() {
+		running.Go(func() {
 			<-start
 			for range 3 {
 				server.closeIdle(false)
 			}
 		})
 		close(start)
-		all.Wait()
+		running.Wait()
 		if t.Failed() {
 			return
 		}
--- a/internal/relay/conn_limit_test.go
+++ b/internal/relay/conn_limit_test.go
@@ -95,14 +95,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got int
-	if controlErr := raw.Control(func(fd uintptr) { got, err = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR) }); controlErr != nil {
+	var socketErrno int
+	if controlErr := raw.Control(func(fd uintptr) {
+		socketErrno, err = syscall.GetsockoptInt(int(fd), syscall.SOL_SOCKET, syscall.SO_ERROR)
+	}); controlErr != nil {
 		t.Fatal(controlErr)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return syscall.Errno(got)
+	return syscall.Errno(socketErrno)
 }
 
 // Guards against closing more connections than a shortage of descriptors requires, and against closing first those
--- a/internal/relay/delay_test.go
+++ b/internal/relay/delay_test.go
@@ -118,9 +118,9 @@
 	due := map[string]time.Time{}
 	start := time.Now()
 	const messages = 45 // as many as a relay with most-held 50 keeps pending without making space
-	for k := range messages {
-		id := fmt.Sprint("m", k)
-		left := 3*time.Second + time.Duration(k)*10*time.Millisecond - time.Since(start)
+	for index := range messages {
+		id := fmt.Sprint("m", index)
+		left := 3*time.Second + time.Duration(index)*10*time.Millisecond - time.Since(start)
 		due[id] = writeMessage(t, conn, id, left).Add(left)
 		if status, _, err := readResponse(reader); err != nil || status != http.StatusAccepted {
 			t.Fatal(status, err)
--- a/internal/relay/descriptors.go
+++ b/internal/relay/descriptors.go
@@ -92,6 +92,8 @@
 // localRetryDelay is the first delay after an error of this machine; later ones double.
 const localRetryDelay = 10 * time.Millisecond
 
+// retryDescriptorShortage repeats a dial that fails for lack of a descriptor, up to 3 times, after closing idle
+// connections.
 func (r *Relay) retryDescriptorShortage(dial dialFunc) dialFunc {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -30,67 +30,67 @@
 
 // stopAccepting makes the listener close once its queue is empty, and reports whether it is closed. Closing it
 // earlier would reset the connections in the queue, together with the requests that they may hold.
-func (p *limitListener) stopAccepting() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.draining || p.listenerClosed {
-		return p.listenerClosed
+func (l *limitListener) stopAccepting() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.draining || l.listenerClosed {
+		return l.listenerClosed
 	}
-	p.draining = true
-	l, ok := p.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || l.SetDeadline(time.Now().Add(queueAcceptTimeout)) != nil { // in memory, or the next process has it
-		p.closeListener()
+	l.draining = true
+	deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
+	if !ok || deadliner.SetDeadline(time.Now().Add(queueAcceptTimeout)) != nil { // in memory, or the next process has it
+		l.closeListener()
 	}
-	return p.listenerClosed
+	return l.listenerClosed
 }
 
 // closeListener closes the listener. The caller holds the mutex.
-func (p *limitListener) closeListener() {
-	p.listenerClosed = true
-	p.Listener.Close()
+func (l *limitListener) closeListener() {
+	l.listenerClosed = true
+	l.Listener.Close()
 }
 
 // beforeAccept limits the next Accept while the queue is being emptied.
-func (p *limitListener) beforeAccept() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.acceptStarted = time.Now()
-	if l, ok := p.Listener.(interface{ SetDeadline(time.Time) error }); ok && p.draining {
-		l.SetDeadline(p.acceptStarted.Add(queueAcceptTimeout))
+func (l *limitListener) beforeAccept() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.acceptStarted = time.Now()
+	if deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok && l.draining {
+		deadliner.SetDeadline(l.acceptStarted.Add(queueAcceptTimeout))
 	}
 }
 
 // afterAccept reports whether an Accept timed out. It closes the listener after several timeouts in a row, and also
 // after several Accepts in a row that had to wait for their connection, so that new connections cannot keep it open
 // forever.
-func (p *limitListener) afterAccept(err error) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	timedOut := p.draining && errors.Is(err, os.ErrDeadlineExceeded)
+func (l *limitListener) afterAccept(err error) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	timedOut := l.draining && errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case errors.Is(err, net.ErrClosed):
-		p.listenerClosed = true
-	case !p.draining || p.listenerClosed:
+		l.listenerClosed = true
+	case !l.draining || l.listenerClosed:
 	case timedOut:
-		p.acceptTimeouts++
+		l.acceptTimeouts++
 	default:
-		p.acceptTimeouts = 0
-		if p.slowAccepts++; time.Since(p.acceptStarted) < slowAcceptMin {
-			p.slowAccepts = 0
+		l.acceptTimeouts = 0
+		if l.slowAccepts++; time.Since(l.acceptStarted) < slowAcceptMin {
+			l.slowAccepts = 0
 		}
 	}
-	if !p.listenerClosed && (p.acceptTimeouts >= queueEmptyTimeouts || p.slowAccepts >= maxSlowAccepts) {
-		p.closeListener()
+	if !l.listenerClosed && (l.acceptTimeouts >= queueEmptyTimeouts || l.slowAccepts >= maxSlowAccepts) {
+		l.closeListener()
 	}
 	return timedOut
 }
 
 // closeIdle closes connections between requests: idle ones, and with includePartial also those that have not sent a
 // complete request head yet. It returns how many connections remain, in any state.
-func (p *limitListener) closeIdle(includePartial bool) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c := range p.open {
+func (l *limitListener) closeIdle(includePartial bool) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.open {
 		isNew := !c.served && time.Since(c.stateSince) < newConnGrace
 		switch {
 		case c.locallyClosed || c.active:
@@ -100,44 +100,44 @@
 			c.beginClose()
 		}
 	}
-	p.waitFor(p.noReadInterrupted)
-	return len(p.open)
+	l.waitFor(l.noReadInterrupted)
+	return len(l.open)
 }
 
 // setResponseDeadline sets until when responses in progress may be written while the process stops.
-func (p *limitListener) setResponseDeadline(deadline time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.responseDeadline = deadline
+func (l *limitListener) setResponseDeadline(deadline time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.responseDeadline = deadline
 }
 
 // closeAll closes all connections, each after its response.
-func (p *limitListener) closeAll(server *http.Server) {
+func (l *limitListener) closeAll(server *http.Server) {
 	start := time.Now()
 	for {
-		listenerClosed := p.stopAccepting()
-		p.closeIdle(true)
-		if !p.mustWait(start, listenerClosed) {
+		listenerClosed := l.stopAccepting()
+		l.closeIdle(true)
+		if !l.mustWait(start, listenerClosed) {
 			break
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	p.Listener.Close()
+	l.Listener.Close()
 	server.Close()
 }
 
 // mustWait reports whether the process has to stay for a connection or for the listener's queue. Responses may be
 // written until the response deadline; connections that wait for the remote side to close have closeAllTimeout.
-func (p *limitListener) mustWait(start time.Time, listenerClosed bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if time.Since(start) >= closeAllTimeout && time.Now().After(p.responseDeadline) {
+func (l *limitListener) mustWait(start time.Time, listenerClosed bool) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if time.Since(start) >= closeAllTimeout && time.Now().After(l.responseDeadline) {
 		return false
 	}
 	if !listenerClosed {
 		return true
 	}
-	for c := range p.open {
+	for c := range l.open {
 		if !c.locallyClosed || c.refusalInProgress() || time.Since(c.stateSince) < closeAllTimeout {
 			return true
 		}
--- a/internal/relay/idle_close.go
+++ b/internal/relay/idle_close.go
@@ -82,38 +82,38 @@
 
 // closedOrKept waits until a connection is closed, or is kept open for a request that arrived. It reports whether
 // either happened in time. The caller holds the mutex, which is released during the wait.
-func (p *limitListener) closedOrKept(c *inboundConn) bool {
+func (l *limitListener) closedOrKept(c *inboundConn) bool {
 	c.requestClose()
-	return p.waitFor(func() bool { return !c.closeRequested })
+	return l.waitFor(func() bool { return !c.closeRequested })
 }
 
 // waitFor waits until a condition on the connections is true, and reports whether that happened in time. The caller
 // holds the mutex, which is released during the wait.
-func (p *limitListener) waitFor(condition func() bool) bool {
+func (l *limitListener) waitFor(condition func() bool) bool {
 	if condition() {
 		return true
 	}
 	timedOut := false
 	timer := time.AfterFunc(idleCloseTimeout, func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
+		l.mu.Lock()
+		defer l.mu.Unlock()
 		timedOut = true
-		p.changed.Broadcast()
+		l.changed.Broadcast()
 	})
 	defer timer.Stop()
 	for !condition() {
 		if timedOut {
 			return false
 		}
-		p.changed.Wait()
+		l.changed.Wait()
 	}
 	return true
 }
 
 // noReadInterrupted reports whether every Read that was interrupted for a close has returned. The caller holds the
 // mutex.
-func (p *limitListener) noReadInterrupted() bool {
-	for c := range p.open {
+func (l *limitListener) noReadInterrupted() bool {
+	for c := range l.open {
 		if c.interrupted && c.closeRequested {
 			return false
 		}
--- a/internal/relay/inbound_conn.go
+++ b/internal/relay/inbound_conn.go
@@ -143,6 +143,7 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 // withConn lets a handler find the connection of its request.
--- a/internal/relay/limit_listener.go
+++ b/internal/relay/limit_listener.go
@@ -44,6 +44,7 @@
 // partialRequestGrace is how long a request whose head is incomplete is protected while connections are at the limit.
 const partialRequestGrace = 250 * time.Millisecond
 
+// newLimitListener returns a listener that limits the connections accepted by another one.
 func newLimitListener(l net.Listener, limit int) *limitListener {
 	p := &limitListener{Listener: l, limit: limit, configuredLimit: limit, open: map[*inboundConn]struct{}{}}
 	p.changed = sync.NewCond(&p.mu)
@@ -51,107 +52,109 @@
 }
 
 // connCount returns the number of open connections.
-func (p *limitListener) connCount() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return len(p.open)
+func (l *limitListener) connCount() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.open)
 }
 
 // setLimit sets the maximum number of connections; those beyond it stay until they end.
-func (p *limitListener) setLimit(limit int) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.limit, p.configuredLimit = limit, limit
+func (l *limitListener) setLimit(limit int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.limit, l.configuredLimit = limit, limit
 }
 
 // Accept makes space for the connection that it returns.
-func (p *limitListener) Accept() (net.Conn, error) {
+func (l *limitListener) Accept() (net.Conn, error) {
 	var backoff listen.Backoff
 	for {
-		p.beforeAccept()
-		conn, err := p.Listener.Accept()
-		if p.afterAccept(err) {
+		l.beforeAccept()
+		conn, err := l.Listener.Accept()
+		if l.afterAccept(err) {
 			continue
 		}
 		if isDescriptorShortage(err) {
-			p.onDescriptorShortage(err)
+			l.onDescriptorShortage(err)
 			continue
 		}
 		if listen.Passes(err) {
-			backoff.Wait(p.Addr(), err)
+			backoff.Wait(l.Addr(), err)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		if !p.makeSpace() { // every connection has a request in progress
-			p.refuseConn(conn)
+		if !l.makeSpace() { // every connection has a request in progress
+			l.refuseConn(conn)
 			continue
 		}
-		c := &inboundConn{Conn: conn, listener: p, stateSince: time.Now()}
-		p.mu.Lock()
-		p.open[c] = struct{}{}
-		if p.limit < p.configuredLimit && time.Since(p.lastShortage) > shortageRecovery { // raise the limit by one with each connection that fits
-			p.limit++
+		c := &inboundConn{Conn: conn, listener: l, stateSince: time.Now()}
+		l.mu.Lock()
+		l.open[c] = struct{}{}
+		if l.limit < l.configuredLimit && time.Since(l.lastShortage) > shortageRecovery { // rises by one per connection
+			l.limit++
 		}
-		p.mu.Unlock()
+		l.mu.Unlock()
 		return c, nil
 	}
 }
 
 // onDescriptorShortage closes connections to free descriptors, which other parts of the relay need as much as clients
-// do, since there are fewer than configured. The limit stays lower by shortageReduction for a while. It pauses at the
-// end, so that callers do not spin while there are no descriptors.
-func (p *limitListener) onDescriptorShortage(err error) {
-	if p.freeDescriptors != nil {
-		p.freeDescriptors()
+// do, since there are fewer than configured. If no connection was waiting for the remote side, the limit becomes
+// shortageReduction less than the open connections, and rises again later. It pauses at the end, so that callers do not
+// spin while there are no descriptors.
+func (l *limitListener) onDescriptorShortage(err error) {
+	if l.freeDescriptors != nil {
+		l.freeDescriptors()
 	}
-	p.mu.Lock()
-	hadLingering := p.lingering > 0
-	for n := 0; n < shortageReduction && p.lingering > 0; n++ {
-		p.longestLingering().forceClose()
+	l.mu.Lock()
+	hadLingering := l.lingering > 0
+	for closed := 0; closed < shortageReduction && l.lingering > 0; closed++ {
+		l.longestLingering().forceClose()
 	}
-	if p.lastShortage = time.Now(); !hadLingering {
-		p.limit = max(1, min(p.limit, len(p.open)-shortageReduction))
-		slog.Error("out of descriptors", "err", err, "connections", len(p.open), "most from now on", p.limit,
+	if l.lastShortage = time.Now(); !hadLingering {
+		l.limit = max(1, min(l.limit, len(l.open)-shortageReduction))
+		slog.Error("out of descriptors", "err", err, "connections", len(l.open), "most from now on", l.limit,
 			"remedy", "allow the process as many descriptors as limits.sockets says")
 	}
-	p.mu.Unlock()
-	p.makeSpace()
+	l.mu.Unlock()
+	l.makeSpace()
 	time.Sleep(shortageRetryDelay)
 }
 
+// How a shortage of descriptors is handled.
 const (
-	shortageReduction  = 8
-	shortageRetryDelay = 20 * time.Millisecond
-	shortageRecovery   = 10 * time.Second // time without a shortage after which the limit rises again
+	shortageReduction  = 8                     // connections to close at a shortage
+	shortageRetryDelay = 20 * time.Millisecond // pause before the next attempt
+	shortageRecovery   = 10 * time.Second      // time without a shortage after which the limit rises again
 )
 
 // makeSpace makes space for one more connection, and reports whether there is space.
-func (p *limitListener) makeSpace() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for len(p.open)-p.lingering >= p.limit {
-		victim := p.evictionCandidate()
+func (l *limitListener) makeSpace() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for len(l.open)-l.lingering >= l.limit {
+		victim := l.evictionCandidate()
 		switch {
 		case victim == nil:
 			return false
 		case !victim.requestStart.IsZero():
 			victim.beginClose()
-		case !p.closedOrKept(victim):
+		case !l.closedOrKept(victim):
 			return false
 		}
 	}
-	p.limitLingering()
+	l.limitLingering()
 	return true
 }
 
 // maxLingering returns how many connections may wait for the remote side, in addition to those that are served.
-func (p *limitListener) maxLingering() int { return max(2, p.limit/8) }
+func (l *limitListener) maxLingering() int { return max(2, l.limit/8) }
 
 // evictionCandidate returns the connection to close for a new one, or nil if each serves a request. The caller holds
 // the mutex.
-func (p *limitListener) evictionCandidate() (candidate *inboundConn) {
+func (l *limitListener) evictionCandidate() (candidate *inboundConn) {
 	now := time.Now()
 	rank := func(c *inboundConn) int {
 		switch partial := !c.requestStart.IsZero(); {
@@ -162,7 +165,7 @@
 		}
 		return 2
 	}
-	for c := range p.open {
+	for c := range l.open {
 		if c.locallyClosed || c.active {
 			continue
 		}
@@ -174,9 +177,9 @@
 }
 
 // setConnState follows the server's view of a connection.
-func (p *limitListener) setConnState(conn net.Conn, state http.ConnState) {
+func (l *limitListener) setConnState(conn net.Conn, state http.ConnState) {
 	if c, ok := conn.(*inboundConn); ok && (state == http.StateActive || state == http.StateIdle) {
-		p.mu.Lock()
+		l.mu.Lock()
 		c.active = state == http.StateActive
 		if !c.locallyClosed {
 			c.stateSince = time.Now()
@@ -190,6 +193,6 @@
 		if state == http.StateIdle {
 			c.served, c.handling, c.pipelined = true, false, false
 		}
-		p.mu.Unlock()
+		l.mu.Unlock()
 	}
 }
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -61,74 +61,78 @@
 }
 
 // declareClass makes a class appear in the metrics before its first message ends.
-func (f *relayMetrics) declareClass(class string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.countsOf(class)
+func (m *relayMetrics) declareClass(class string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.countsOf(class)
 }
 
-func (f *relayMetrics) countsOf(class string) *outcomeCounts {
-	if f.classes == nil {
-		f.classes = map[string]*outcomeCounts{}
+// countsOf returns the counts of a class. The caller holds the mutex.
+func (m *relayMetrics) countsOf(class string) *outcomeCounts {
+	if m.classes == nil {
+		m.classes = map[string]*outcomeCounts{}
 	}
-	if f.classes[class] == nil {
-		f.classes[class] = new(outcomeCounts)
+	if m.classes[class] == nil {
+		m.classes[class] = new(outcomeCounts)
 	}
-	return f.classes[class]
+	return m.classes[class]
 }
 
-func (f *relayMetrics) countOutcome(class string, outcome messageOutcome) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.countsOf(class)[outcome]++
+// countOutcome counts a message of a class that has ended.
+func (m *relayMetrics) countOutcome(class string, outcome messageOutcome) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.countsOf(class)[outcome]++
 }
 
-func (f *relayMetrics) countAttempts(messages int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.attempts += messages
+// countAttempts counts messages that were written completely to an endpoint.
+func (m *relayMetrics) countAttempts(messages int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.attempts += messages
 }
 
 // countWithheld counts messages whose call was not written.
-func (f *relayMetrics) countWithheld(reason withholdReason, messages int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.withheldMessages[reason] += messages
+func (m *relayMetrics) countWithheld(reason withholdReason, messages int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.withheldMessages[reason] += messages
 }
 
-func (f *relayMetrics) countReload(err error) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// countReload counts a reload of the configuration, which failed if err is not nil.
+func (m *relayMetrics) countReload(err error) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	if err != nil {
-		f.reloadsFailed++
+		m.reloadsFailed++
 	} else {
-		f.reloadsOK++
+		m.reloadsOK++
 	}
 }
 
 // setListLease sets the state of the list's lease.
-func (f *relayMetrics) setListLease(lease discovery.Lease, expired bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.listLease, f.listExpired = lease, expired
+func (m *relayMetrics) setListLease(lease discovery.Lease, expired bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.listLease, m.listExpired = lease, expired
 }
 
 // setFleetState sets the agreed state that the relay applies.
-func (f *relayMetrics) setFleetState(state hold.Acts) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.fleetState = &state
+func (m *relayMetrics) setFleetState(state hold.Acts) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.fleetState = &state
 }
 
 // setReplication sets the state of the copies.
-func (f *relayMetrics) setReplication(replication replicationMetrics) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.copies = replication
+func (m *relayMetrics) setReplication(replication replicationMetrics) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.copies = replication
 }
 
 // setBacklog sets the state of the messages on disk.
-func (f *relayMetrics) setBacklog(overflow *overflow) {
+func (m *relayMetrics) setBacklog(overflow *overflow) {
 	var backlog backlogMetrics
 	if overflow != nil {
 		backlog = backlogMetrics{enabled: true, messages: overflow.len(), refused: overflow.refused, unavailable: overflow.broken()}
@@ -136,49 +140,49 @@
 	if overflow != nil && overflow.store != nil {
 		backlog.bytes = overflow.store.Bytes()
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.backlog = backlog
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.backlog = backlog
 }
 
 // setTotals sets the numbers of pending messages, of endpoints and of excluded endpoints.
-func (f *relayMetrics) setTotals(pending, known, excluded int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.pendingMessages, f.endpointsKnown, f.endpointsExcluded = pending, known, excluded
+func (m *relayMetrics) setTotals(pending, known, excluded int) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.pendingMessages, m.endpointsKnown, m.endpointsExcluded = pending, known, excluded
 }
 
 // text returns the metrics, one per line.
-func (f *relayMetrics) text() []byte {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (m *relayMetrics) text() []byte {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	var buf bytes.Buffer
-	for _, name := range slices.Sorted(maps.Keys(f.classes)) {
-		counts := f.classes[name]
+	for _, name := range slices.Sorted(maps.Keys(m.classes)) {
+		counts := m.classes[name]
 		fmt.Fprintf(&buf, "svc.requests.%s.served=%d\nsvc.requests.%s.refused=%d\nsvc.requests.%s.failed=%d\n",
 			name, counts[outcomeServed], name, counts[outcomeRefused], name, counts[outcomeFailed])
 	}
 	fmt.Fprintf(&buf, "svc.attempts=%d\nsvc.in_flight=%d\nsvc.endpoints_known=%d\nsvc.endpoints_excluded=%d\n"+
 		"svc.reloads_ok=%d\nsvc.reloads_failed=%d\n",
-		f.attempts, f.pendingMessages, f.endpointsKnown, f.endpointsExcluded, f.reloadsOK, f.reloadsFailed)
+		m.attempts, m.pendingMessages, m.endpointsKnown, m.endpointsExcluded, m.reloadsOK, m.reloadsFailed)
 	for reason := notWithheld + 1; reason < withholdReasonCount; reason++ {
-		fmt.Fprintf(&buf, "svc.withheld.%v=%d\n", reason, f.withheldMessages[reason])
+		fmt.Fprintf(&buf, "svc.withheld.%v=%d\n", reason, m.withheldMessages[reason])
 	}
-	if lease := f.listLease; !lease.Confirmed.IsZero() {
+	if lease := m.listLease; !lease.Confirmed.IsZero() {
 		fmt.Fprintf(&buf, "svc.list.age_ms=%d\nsvc.list.calls_failed=%d\nsvc.list.expired=%d\n",
-			time.Since(lease.Confirmed).Milliseconds(), lease.Failures, boolMetric(f.listExpired))
+			time.Since(lease.Confirmed).Milliseconds(), lease.Failures, boolMetric(m.listExpired))
 	}
-	if state := f.fleetState; state != nil {
+	if state := m.fleetState; state != nil {
 		fmt.Fprintf(&buf, "svc.fleet.turn=%d\nsvc.fleet.generation=%d\nsvc.fleet.joined=%d\nsvc.fleet.mode=%d\n", state.Turn, state.Force, state.Next, state.Mode)
 	}
-	if replication := f.copies; replication.enabled {
+	if replication := m.copies; replication.enabled {
 		fmt.Fprintf(&buf, "svc.estates.owned=%d\nsvc.estates.short=%d\nsvc.estates.waiting=%d\nsvc.estates.at_risk=%d\nsvc.estates.copies=%d\n",
 			replication.ownedGroups, replication.underReplicated, replication.pendingRecords, replication.messagesAtRisk, replication.storedCopies)
 		for _, name := range replication.copiedRelays {
 			fmt.Fprintf(&buf, "svc.estates.of.%s=1\n", name)
 		}
 	}
-	if backlog := f.backlog; backlog.enabled {
+	if backlog := m.backlog; backlog.enabled {
 		fmt.Fprintf(&buf, "svc.backlog.messages=%d\nsvc.backlog.bytes=%d\nsvc.backlog.refused=%d\nsvc.backlog.shut=%d\n",
 			backlog.messages, backlog.bytes, backlog.refused, boolMetric(backlog.unavailable))
 	}
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -47,8 +47,8 @@
 	closing.Wait()
 }
 
-// Times of an orderly stop, counted from SIGTERM. New connections arrive for another 0.4 s; SIGKILL follows after 3.7
-// s.
+// Times of an orderly stop, counted from SIGTERM. New connections arrive for another 0.4 s; SIGKILL follows after
+// 3.7 s.
 const (
 	closeIdleAfter       = 500 * time.Millisecond  // then idle connections are closed
 	stopAcceptAfter      = 800 * time.Millisecond  // then the connections in the queue are accepted, and no more
@@ -101,7 +101,7 @@
 	if r.heir != nil {
 		return inFlight == 0 && len(r.asked) == 0
 	}
-	if r.copies.waiting() { // among them of clients that get an answer, or whose messages are removed from the record
+	if r.copies.waiting() { // clients wait for some: they get an answer, or their messages are removed from the record
 		return false
 	}
 	return inFlight == 0 && (r.stopped || len(r.held)+r.owed == 0)
@@ -110,6 +110,7 @@
 // stop ends the loop at once; everything else is in the journal.
 func (r *Relay) stop() { r.once.Do(func() { close(r.quit) }) }
 
+// now returns the time since the relay was created, its clock for all decisions.
 func (r *Relay) now() time.Duration { return time.Since(r.began) }
 
 // post queues a function for the loop.
@@ -123,6 +124,8 @@
 // alwaysReady is a closed channel.
 var alwaysReady = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
 
+// loop runs the functions in the inbox, in batches of up to batchMost, and takes a step after each batch, until the
+// relay stops.
 func (r *Relay) loop() {
 	for {
 		if r.kept != nil { // a process that was suspended must not act on agreements that expired meanwhile
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -8,6 +8,7 @@
 		MaxHeaderBytes: 16 << 10, ConnState: listener.setConnState, ConnContext: withConn}
 }
 
+// handler returns the handler of the clients' address.
 func (r *Relay) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /up", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
