--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -85,8 +85,9 @@
 	return timedOut
 }
 
-// closeIdle closes connections between requests: idle ones, and with includePartial also those that have not sent a
-// complete request head yet. It returns how many connections remain, in any state.
+// closeIdle closes connections between requests: idle ones, except new ones within newConnGrace. With includePartial
+// it also closes these, and connections that have not sent a complete request head yet. It returns how many
+// connections remain, in any state.
 func (l *limitListener) closeIdle(includePartial bool) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
