--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -70,7 +70,7 @@
 			default:
 				fmt.Fprintln(w, "done")
 			}
-		case <-r.halted:
+		case <-r.loopEnded:
 			http.Error(w, "stopping", http.StatusServiceUnavailable)
 		}
 	}
@@ -103,7 +103,7 @@
 		return err
 	}
 	if h != nil {
-		h.closed.Store(out || h.listed != choice.Ready)
+		h.closed.Store(out || h.state != choice.Ready)
 	}
 	r.events = append(r.events, choice.ByHand{Host: id, Out: out})
 	return nil
--- a/internal/relay/admin_test.go
+++ b/internal/relay/admin_test.go
@@ -54,22 +54,22 @@
 // Guards against figures that do not tell what happened: an end of each kind, a refused attempt, a
 // message sent again by its client, and one that nobody takes.
 func TestFigures(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	r := startRelay(t, p, withAdmin)
 	shows(t, r, "svc.requests.payment.served=0", "svc.attempts=0", "svc.in_flight=0", "svc.endpoints_known=1",
 		"svc.endpoints_excluded=0", "svc.reloads_ok=0", "svc.reloads_failed=0")
-	hand(t, r.Addr(), "m1", "payment")
-	hand(t, r.Addr(), "m1", "payment")
-	first := wait(t, calls, "call")
+	postMessage(t, r.Addr(), "m1", "payment")
+	postMessage(t, r.Addr(), "m1", "payment")
+	first := receive(t, calls, "call")
 	shows(t, r, "svc.attempts=1", "svc.in_flight=1", "svc.requests.payment.served=0")
 	first.answer <- 200
-	hand(t, r.Addr(), "m2", "payment")
-	wait(t, calls, "call").answer <- 500 // it may have run, and may not be repeated
-	hand(t, r.Addr(), "m3", "status-update")
-	wait(t, calls, "call").answer <- 429
-	wait(t, calls, "call").answer <- 200
-	hand(t, r.Addr(), "m4", "job-order", "X-Addressing", "dest=99")
+	postMessage(t, r.Addr(), "m2", "payment")
+	receive(t, calls, "call").answer <- 500 // it may have run, and may not be repeated
+	postMessage(t, r.Addr(), "m3", "status-update")
+	receive(t, calls, "call").answer <- 429
+	receive(t, calls, "call").answer <- 200
+	postMessage(t, r.Addr(), "m4", "job-order", "X-Addressing", "dest=99")
 	shows(t, r, "svc.requests.payment.served=1", "svc.requests.payment.failed=1", "svc.requests.payment.refused=0",
 		"svc.requests.status-update.served=1", "svc.requests.status-update.refused=0",
 		"svc.requests.job-order.failed=1", "svc.attempts=4", "svc.in_flight=0")
@@ -79,34 +79,34 @@
 func TestAttemptCountsOnceWritten(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	r := caller()
+	r := newCallingRelay()
 	conn := &hostConn{Conn: near}
 	body := newHostRequest(bytes.Repeat([]byte{7}, 10), func() { r.figures.attempted(3) })
-	conn.sending.Store(body)
+	conn.writing.Store(body)
 	go io.Copy(io.Discard, far)
 	w := bufio.NewWriterSize(conn, 16)
 	w.WriteString("a head that is longer than the buffer")
 	want(t, "attempts after the head", r.figures.attempts, 0)
-	io.Copy(w, body.reader())
+	io.Copy(w, body.requestBody())
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
 	}
 	want(t, "attempts", r.figures.attempts, 3)
-	want(t, "written", body.written.Load(), true)
+	want(t, "written", body.fullyWritten.Load(), true)
 
 	far.Close()
 	lost := newHostRequest(nil, func() { t.Error("counted though the write failed") })
-	conn.sending.Store(lost)
+	conn.writing.Store(lost)
 	if _, err := conn.Write([]byte("head")); err == nil {
 		t.Fatal("a write to a closed connection went well")
 	}
-	want(t, "written", lost.written.Load(), false)
+	want(t, "written", lost.fullyWritten.Load(), false)
 }
 
 // Guards against a second address that says yes too early or too late, keeps connections, or is held up
 // by callers that finish no call and by a loop that is busy.
 func TestSecondAddressAnswersAtOnce(t *testing.T) {
-	p := newPlatform(t)
+	p := newFakePlatform(t)
 	r := startRelay(t, p, withAdmin)
 	for range 2 * adminMost {
 		conn, err := net.Dial("tcp", r.adminAt.String())
@@ -144,7 +144,7 @@
 
 // Guards against a figure of endpoints in use that counts those the decisions keep away from.
 func TestExcludedBySuspicion(t *testing.T) {
-	p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"), at("s-2", "127.0.0.1:1", "taller"))
+	p := newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"), testEndpoint("s-2", "127.0.0.1:1", "taller"))
 	r := startRelay(t, p, withAdmin)
 	r.post(func() { r.events = append(r.events, choice.Unwell{Host: "s-1", Base: 1}) })
 	shows(t, r, "svc.endpoints_known=2", "svc.endpoints_excluded=1")
@@ -153,9 +153,9 @@
 // Guards against calls to an endpoint that operators took out: across the list, an endpoint's new
 // address and a kill; against a no for what they may ask, and a yes for an endpoint that nobody has.
 func TestEndpointOutByHand(t *testing.T) {
-	calls := make(chan *seen, 10)
-	one, two := fakeHost(t, "a", calls), fakeHost(t, "b", calls)
-	p := newPlatform(t, at("s-1", one, "taller"), at("s-2", two, "taller"))
+	calls := make(chan *receivedCall, 10)
+	one, two := newFakeHost(t, "a", calls), newFakeHost(t, "b", calls)
+	p := newFakePlatform(t, testEndpoint("s-1", one, "taller"), testEndpoint("s-2", two, "taller"))
 	state := t.TempDir()
 	r := startRelay(t, p, func(conf *Config) { withAdmin(conf); conf.State = state })
 	do := func(r *Relay, want int, what, id string) {
@@ -166,8 +166,8 @@
 	}
 	goesTo := func(r *Relay, id, host string) {
 		t.Helper()
-		hand(t, r.Addr(), id, "payment")
-		c := wait(t, calls, "call")
+		postMessage(t, r.Addr(), id, "payment")
+		c := receive(t, calls, "call")
 		want(t, "host of "+id, c.host, host)
 		c.answer <- 200
 	}
@@ -180,18 +180,18 @@
 	for i := range 4 {
 		goesTo(r, fmt.Sprint("m", i), "b")
 	}
-	p.publish(2, true, at("s-2", two, "taller"))
+	p.publish(2, true, testEndpoint("s-2", two, "taller"))
 	shows(t, r, "svc.endpoints_known=1")
 	do(r, 200, "disable", "s-1") // it is out, though it is not on the list
-	p.publish(3, true, at("s-1", one, "taller"))
+	p.publish(3, true, testEndpoint("s-1", one, "taller"))
 	shows(t, r, "svc.endpoints_known=1", "svc.endpoints_excluded=1")
-	hand(t, r.Addr(), "m4", "payment")
+	postMessage(t, r.Addr(), "m4", "payment")
 	r.stop()
 
 	next := startRelay(t, p, func(conf *Config) { withAdmin(conf); conf.State = state })
 	shows(t, next, "svc.in_flight=1", "svc.attempts=0", "svc.endpoints_excluded=1")
 	do(next, 200, "enable", "s-1")
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	want(t, "what waited goes", c.id+c.host, "m4a")
 	c.answer <- 200
 	shows(t, next, "svc.in_flight=0", "svc.endpoints_excluded=0")
@@ -204,7 +204,7 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	p := newPlatform(t)
+	p := newFakePlatform(t)
 	conf, err := readTestConfig(t, testConfig(t, p), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/relay/agreement.go
@@ -0,0 +1,114 @@
+package relay
+
+import (
+	"fmt"
+	"log/slog"
+	"math"
+	"net/http"
+	"runtime/debug"
+	"sync/atomic"
+	"time"
+
+	"crypto/rand"
+
+	"larchrouter/internal/fleet"
+	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/keeper/api"
+	"larchrouter/internal/remedy"
+)
+
+// agreement is what the fleet has agreed on.
+type agreement struct {
+	fleetConfig *fleet.Kept // nil for a relay that shares nothing
+	// agreed is by what calls go out, for other goroutines; nil for a relay that shares nothing.
+	currentAgreed atomic.Pointer[agreedConfig]
+}
+
+// acting is by what the relay acts, for goroutines other than the loop. It is replaced with each turn; only the end of
+// its lease moves.
+type agreedConfig struct {
+	header    string       // the turn, the generation, the one that is joined to it or 0, and the mode
+	expiresAt atomic.Int64 // of the lease, by the relay's clock
+}
+
+// over tells whether what was decided by it may no longer go out: the lease has run out since.
+func (a *agreedConfig) expired(now time.Duration) bool {
+	return a != nil && now >= time.Duration(a.expiresAt.Load())
+}
+
+// newInstance names this process among all that have had the relay's name.
+func newInstanceID() string { return rand.Text()[:16] }
+
+// version is that of the program, as it was built.
+func buildVersion() string {
+	info, ok := debug.ReadBuildInfo()
+	if !ok {
+		return ""
+	}
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" {
+			return setting.Value[:min(12, len(setting.Value))]
+		}
+	}
+	return info.Main.Version
+}
+
+// session is the one with the keepers, which hands what it hears to the loop.
+func (r *Relay) newKeeperSession() *fleet.Session {
+	transport := &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: dialer(r.config.Source, 0).DialContext,
+		MaxIdleConnsPerHost: 2, MaxConnsPerHost: 2}
+	return &fleet.Session{Client: &api.Client{HTTP: &http.Client{Transport: transport}, Keepers: r.config.Fleet.Keepers}, Name: r.config.Name,
+		Zone: r.config.Fleet.Zone, Version: buildVersion(), Seed: r.config.Seed, Instance: r.fleetConfig.Instance, Before: r.fleetConfig.Before,
+		Fleet: func() int { return r.settings.Load().Fleet }, Now: r.now, Hear: r.handleKeeperAnswer}
+}
+
+// hear has the loop take in an answer of the keepers, and act by it.
+func (r *Relay) handleKeeperAnswer(heard fleet.Heard) (have []uint64, reply fleet.Word, ok bool) {
+	if r.copies != nil {
+		r.copies.owner.Hear(heard.Standing.Owned)
+	}
+	done := make(chan struct{})
+	r.post(func() {
+		defer close(done)
+		if r.heir != nil { // the next process speaks for the relay
+			return
+		}
+		var err error
+		if reply, err = r.fleetConfig.Hear(r.now(), heard.Asked, heard.Standing); err != nil {
+			slog.Warn("an answer of the keepers is not taken", "err", err, "remedy", remedy.Of(err))
+		}
+		r.refreshAgreed()
+		have, ok = r.fleetConfig.Have(), err == nil
+	})
+	select {
+	case <-done:
+	case <-r.quit:
+		return nil, fleet.Word{}, false
+	}
+	return have, reply, ok
+}
+
+// look has the relay act by what it may act by now.
+func (r *Relay) refreshAgreed() {
+	now := r.now()
+	settings, changed := r.fleetConfig.Look(now)
+	if changed {
+		agreed, active := &agreedConfig{}, r.fleetConfig.Acting()
+		agreed.header = fmt.Sprintf("%d %d %d %s", active.Turn, active.Force, active.Next, active.Mode)
+		r.figures.agree(active)
+		r.currentAgreed.Store(agreed)
+		r.actBy(settings)
+	}
+	agreed := r.currentAgreed.Load()
+	if agreed == nil { // it has never held anything
+		return
+	}
+	remaining := r.fleetConfig.Left(now)
+	expiresAt := int64(math.MaxInt64) // the fallback has no end
+	if mode := r.fleetConfig.Acting().Mode; mode == hold.Alone || mode == hold.Joined {
+		expiresAt = int64(now + remaining)
+	}
+	if agreed.expiresAt.Swap(expiresAt) != expiresAt && remaining > 0 {
+		time.AfterFunc(remaining, func() { r.post(func() {}) }) // the loop looks again
+	}
+}
--- a/internal/relay/ahead_test.go
+++ b/internal/relay/ahead_test.go
@@ -20,7 +20,7 @@
 	for name, end := range betweenRequests {
 		for _, served := range []bool{false, true} {
 			t.Run(name, func(t *testing.T) {
-				at := newInstants()
+				at := newConnPausePoints()
 				in := newIntakes(t, 1, at.wrap)
 				conn := in.dial(t)
 				r := bufio.NewReader(conn)
@@ -46,7 +46,7 @@
 	for _, n := range []int{1, 2, 3, 4, 40} {
 		for name, withFirst := range map[string]bool{"while the first is served": false, "in one read with the first": true} {
 			t.Run(name, func(t *testing.T) {
-				at := newInstants()
+				at := newConnPausePoints()
 				in := newIntakes(t, 1, at.wrap)
 				in.hold = make(chan struct{})
 				conn := in.dial(t)
@@ -119,7 +119,7 @@
 func TestARequestReadAheadWholeIsAnswered(t *testing.T) {
 	for name, end := range betweenRequests {
 		t.Run(name, func(t *testing.T) {
-			at := newInstants()
+			at := newConnPausePoints()
 			in := newIntakes(t, 1, at.wrap)
 			in.hold = make(chan struct{})
 			conn := in.dial(t)
@@ -145,19 +145,19 @@
 	r := bufio.NewReader(conn)
 	for _, id := range []string{"first", "second"} {
 		io.WriteString(conn, message7(id)[:20])
-		in.begins(t)
+		in.waitForRequest(t)
 		in.retire(false)
 		io.WriteString(conn, message7(id)[20:])
 		wantStatus(t, "answer", r, http.StatusAccepted)
 		in.idles(t, 1)
 	}
 	in.retire(false)
-	wantEnd(t, "connection", r)
+	wantEOF(t, "connection", r)
 }
 
 // Guards against ending a connection with its last answer over the request behind that one, of which a byte was read.
 func TestARequestBehindTheLastAnswerIsRefused(t *testing.T) {
-	at := newInstants()
+	at := newConnPausePoints()
 	in := newIntakes(t, 8, at.wrap)
 	in.hold = make(chan struct{})
 	conn := in.dial(t)
@@ -171,7 +171,7 @@
 	r := bufio.NewReader(conn)
 	wantStatus(t, "answer to the first", r, http.StatusAccepted)
 	wantStatus(t, "answer to the one behind", r, http.StatusServiceUnavailable)
-	wantEnd(t, "connection", r)
+	wantEOF(t, "connection", r)
 	want(t, "taken on", in.took("behind"), 0)
 }
 
@@ -198,7 +198,7 @@
 				if i > 0 && strings.HasPrefix(writes[0], message7("first")) {
 					in.idles(t, 1)
 				} else if i > 0 {
-					in.begins(t)
+					in.waitForRequest(t)
 				}
 				io.WriteString(conn, text)
 			}
@@ -206,7 +206,7 @@
 				wantStatus(t, "answer", r, http.StatusAccepted)
 			}
 			wantStatus(t, "answer to the one behind", r, http.StatusServiceUnavailable)
-			wantEnd(t, "connection", r)
+			wantEOF(t, "connection", r)
 			want(t, "taken on", in.took("behind"), 0)
 		})
 	}
@@ -236,7 +236,7 @@
 			for range strings.Count(strings.Join(writes, ""), "hello") {
 				wantStatus(t, "answer", r, http.StatusAccepted)
 			}
-			wantEnd(t, "connection", r)
+			wantEOF(t, "connection", r)
 		})
 	}
 }
--- a/internal/relay/answers.go
+++ b/internal/relay/answers.go
@@ -14,78 +14,78 @@
 )
 
 // single reads an answer that holds for the whole call.
-func single(resp *http.Response, many bool) end {
+func singleResult(resp *http.Response, batch bool) memberResult {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return end{outcome: choice.Served}
+		return memberResult{outcome: choice.Served}
 	case http.StatusTooManyRequests:
-		return end{outcome: choice.Refused}
+		return memberResult{outcome: choice.Refused}
 	case http.StatusServiceUnavailable:
 		if resp.Header.Get("X-Over-Slots") == "1" {
-			return end{outcome: choice.NotSent}
+			return memberResult{outcome: choice.NotSent}
 		}
-		return end{outcome: choice.Refused}
+		return memberResult{outcome: choice.Refused}
 	case http.StatusGatewayTimeout:
-		return end{outcome: choice.NotSent}
+		return memberResult{outcome: choice.NotSent}
 	case http.StatusGone:
-		return end{outcome: choice.NotSent, done: true}
+		return memberResult{outcome: choice.NotSent, done: true}
 	case http.StatusRequestEntityTooLarge, http.StatusBadRequest:
-		if many {
-			return end{outcome: choice.NotSent}
+		if batch {
+			return memberResult{outcome: choice.NotSent}
 		}
 	}
-	return end{outcome: choice.Error}
+	return memberResult{outcome: choice.Error}
 }
 
 // toldOf reads what the answer of a call with several messages tells of one.
-func toldOf(what string) end {
-	switch what {
+func parseMemberStatus(status string) memberResult {
+	switch status {
 	case "ok":
-		return end{outcome: choice.Served}
+		return memberResult{outcome: choice.Served}
 	case "later":
-		return end{outcome: choice.Refused}
+		return memberResult{outcome: choice.Refused}
 	case "gone":
-		return end{outcome: choice.NotSent, done: true}
+		return memberResult{outcome: choice.NotSent, done: true}
 	case "exhausted":
-		return end{outcome: choice.NotSent}
+		return memberResult{outcome: choice.NotSent}
 	}
-	return end{outcome: choice.Error}
+	return memberResult{outcome: choice.Error}
 }
 
 // batchEnds reads the answer of a call with several messages. One that is not told of, or is told of in two ways, may have run.
-func batchEnds(body []byte, ids []string) []end {
-	told := map[string]end{}
+func parseBatchResults(body []byte, ids []string) []memberResult {
+	byID := map[string]memberResult{}
 	for line := range strings.Lines(string(body)) {
-		id, what, _ := strings.Cut(strings.TrimSpace(line), " ")
-		e := toldOf(strings.TrimSpace(what))
-		if before, twice := told[id]; twice && before != e {
-			e = end{outcome: choice.Error}
+		id, status, _ := strings.Cut(strings.TrimSpace(line), " ")
+		result := parseMemberStatus(strings.TrimSpace(status))
+		if previous, repeated := byID[id]; repeated && previous != result {
+			result = memberResult{outcome: choice.Error}
 		}
-		told[id] = e
+		byID[id] = result
 	}
-	ends := make([]end, len(ids))
+	results := make([]memberResult, len(ids))
 	for i, id := range ids {
-		e, ok := told[id]
+		result, ok := byID[id]
 		if !ok {
-			e = end{outcome: choice.Error}
+			result = memberResult{outcome: choice.Error}
 		}
-		ends[i] = e
+		results[i] = result
 	}
-	return ends
+	return results
 }
 
 // retryAfter reads a wait in seconds, whole or decimal, rounded up to milliseconds.
-func retryAfter(h http.Header) time.Duration {
-	s, err := strconv.ParseFloat(strings.TrimSpace(h.Get("Retry-After")), 64)
-	if err != nil || !(s > 0) {
+func parseRetryAfter(header http.Header) time.Duration {
+	seconds, err := strconv.ParseFloat(strings.TrimSpace(header.Get("Retry-After")), 64)
+	if err != nil || !(seconds > 0) {
 		return 0
 	}
-	return time.Duration(math.Ceil(min(s, 3600)*1000)) * time.Millisecond
+	return time.Duration(math.Ceil(min(seconds, 3600)*1000)) * time.Millisecond
 }
 
 // loadReport reads what a host tells of its load, where the settings say that answers tell
 // it. A report that cannot be read is none.
-func loadReport(text string, fields []string) []float64 {
+func parseLoadReport(text string, fields []string) []float64 {
 	if text == "" || len(fields) == 0 {
 		return nil
 	}
@@ -102,11 +102,11 @@
 
 // reportOf reads a call's report by the settings that the decisions go by when they hear of it: others may have been
 // taken up since the call began.
-func (r *Relay) reportOf(t told) []float64 {
-	if t.report == "" {
+func (r *Relay) loadReportOf(feedback hostFeedback) []float64 {
+	if feedback.loadReport == "" {
 		return nil
 	}
-	return loadReport(t.report, r.set.Load().ReportFields)
+	return parseLoadReport(feedback.loadReport, r.settings.Load().ReportFields)
 }
 
 // appendFrame adds a message as it stands in the body of a call with several.
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -44,8 +44,8 @@
 
 // openBacklog takes up what lies on disk; the journal is open. Without the key there must be nothing.
 func (r *Relay) openBacklog() error {
-	dir := filepath.Join(r.conf.State, backlogName)
-	if r.conf.Backlog == nil {
+	dir := filepath.Join(r.config.State, backlogName)
+	if r.config.Backlog == nil {
 		if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 			return nil
 		}
@@ -57,14 +57,14 @@
 		if s.Close(); n > 0 {
 			return &Owing{dir, n}
 		}
-		return errors.Join(os.RemoveAll(dir), journal.Unfence(r.conf.State))
+		return errors.Join(os.RemoveAll(dir), journal.Unfence(r.config.State))
 	}
-	memory := r.conf.MemoryMB
+	memory := r.config.MemoryMB
 	if memory <= 0 {
 		memory = noKeyMemory
 	}
-	bytes := min(int(memory*1e6/6), int(r.conf.journalBytes()/4))
-	r.overflow = newOverflow(dir, int64(r.conf.Backlog.DiskMB*1e6), state.Load{N: windowMost, Bytes: bytes})
+	bytes := min(int(memory*1e6/6), int(r.config.journalBytes()/4))
+	r.overflow = newOverflow(dir, int64(r.config.Backlog.DiskMB*1e6), state.Load{N: windowMost, Bytes: bytes})
 	return r.openFolder()
 }
 
@@ -174,7 +174,7 @@
 		return &backlog.Failure{Did: "is given up", Path: o.dir, Err: errStopping}
 	}
 	if !o.fenced {
-		if err := journal.Fence(r.conf.State, "The folder backlog holds messages that are owed their end. Start a version of larchrouter that knows it."); err != nil {
+		if err := journal.Fence(r.config.State, "The folder backlog holds messages that are owed their end. Start a version of larchrouter that knows it."); err != nil {
 			return err
 		}
 		o.fenced = true
@@ -193,9 +193,9 @@
 	}
 	after := comeBack
 	if full := (*backlog.Full)(nil); errors.As(err, &full) && full.Wait > 0 {
-		after = min(full.Wait, r.set.Load().MaxRetryAfter)
+		after = min(full.Wait, r.settings.Load().MaxRetryAfter)
 	}
-	if r.overflow.refused++; !r.stopped && r.overflow.refused%batchMost == 1 {
+	if r.overflow.refused++; !r.stopped && r.overflow.refused%maxEventsPerStep == 1 {
 		slog.Error("message not put on disk", "err", err, "remedy", remedy.Of(err), "refused", r.overflow.refused)
 	}
 	r.refuse(m, after)
--- a/internal/relay/backlog_config_test.go
+++ b/internal/relay/backlog_config_test.go
@@ -14,7 +14,7 @@
 // Guards against settings that make no sense together, that are half taken up, or that have what is owed be passed over.
 func TestBacklogConfiguration(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false))
+	p := newFakePlatform(t, ps.cell(7, false))
 	whole := changed(t, testConfig(t, p), `"disk_mb":3}`, `"disk_mb":12},"backlog":{"disk_mb":8}`)
 	for name, data := range map[string][]byte{
 		"none":           changed(t, whole, `"backlog":{"disk_mb":8}`, `"backlog":{}`),
@@ -37,7 +37,7 @@
 	}
 
 	r, stop := startKeeping(t, p, keeping{state: conf.State})
-	r.conf.whole = whole
+	r.config.whole = whole
 	for name, next := range map[string][]byte{
 		"less":  changed(t, whole, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":4}`),
 		"gone":  changed(t, whole, `,"backlog":{"disk_mb":8}`, ``),
@@ -47,7 +47,7 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	want(t, "attempts after files that are not taken up", r.set.Load().MaxAttempts, 6)
+	want(t, "attempts after files that are not taken up", r.settings.Load().MaxAttempts, 6)
 	if err := reload(t, r, changed(t, whole, `"max-attempts":6`, `"max-attempts":5`)); err != nil {
 		t.Error(err)
 	}
@@ -59,7 +59,7 @@
 	if owing := (*Owing)(nil); !errors.As(err, &owing) || owing.Messages == 0 || owing.Remedy() == "" {
 		t.Fatalf("a start without the key: %v", err)
 	}
-	p = newPlatform(t, ps.cell(7, true))
+	p = newFakePlatform(t, ps.cell(7, true))
 	r, stop = startKeeping(t, p, keeping{state: conf.State})
 	ps.await(t, 20)
 	shows(t, r, "svc.in_flight=0")
@@ -84,7 +84,7 @@
 func TestOlderVersionsAreKeptOut(t *testing.T) {
 	ps := newPartners(t)
 	k := keeping{state: t.TempDir()}
-	r, _ := startKeeping(t, newPlatform(t, ps.cell(7, false)), k)
+	r, _ := startKeeping(t, newFakePlatform(t, ps.cell(7, false)), k)
 	old := filepath.Join(k.state, "journal.tmp")
 	promised(t, r, many(2, 7, "few", given{})...)
 	if _, err := os.Stat(old); !os.IsNotExist(err) {
--- a/internal/relay/backlog_faults_test.go
+++ b/internal/relay/backlog_faults_test.go
@@ -52,10 +52,10 @@
 }
 
 // startFaulty starts a relay whose destination 7 is down, with 30 messages of which most are on disk.
-func startFaulty(t *testing.T, class string) (r *Relay, f *faulty, ps *partners, p *platform, ids []string) {
+func startFaulty(t *testing.T, class string) (r *Relay, f *faulty, ps *partners, p *fakePlatform, ids []string) {
 	t.Helper()
 	ps, f = newPartners(t), &faulty{}
-	p = newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+	p = newFakePlatform(t, ps.cell(7, false), ps.cell(8, true))
 	r, _ = startKeeping(t, p, keeping{wrap: func(s store) store { f.store = s; return f }})
 	return r, f, ps, p, promised(t, r, many(30, 7, "m", given{class: class})...)
 }
@@ -87,7 +87,7 @@
 // Guards against a store that is full for one large message and turns all of a turn away with it.
 func TestWhatFitsIsTakenOn(t *testing.T) {
 	ps := newPartners(t)
-	r, _ := startKeeping(t, newPlatform(t, ps.cell(7, false)), keeping{change: func(c *Config) { c.Backlog.DiskMB = 0.2 }})
+	r, _ := startKeeping(t, newFakePlatform(t, ps.cell(7, false)), keeping{change: func(c *Config) { c.Backlog.DiskMB = 0.2 }})
 	promised(t, r, many(9, 7, "first", given{})...)
 	var all []given
 	for i := range 12 {
@@ -128,7 +128,7 @@
 // against one after a kill at any Out, as of a message that was withdrawn.
 func TestKillBetweenJournalAndOut(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+	p := newFakePlatform(t, ps.cell(7, false), ps.cell(8, true))
 	f, k := &faulty{}, keeping{state: t.TempDir()}
 	k.wrap = func(s store) store { f.store = s; return f }
 	r, stop := startKeeping(t, p, k)
@@ -166,7 +166,7 @@
 	}
 	for dir, ids := range owed {
 		ps := newPartners(t)
-		p := newPlatform(t, ps.cell(7, true))
+		p := newFakePlatform(t, ps.cell(7, true))
 		r, stop := startKeeping(t, p, keeping{state: dir})
 		promised(t, r, given{id: "last", dest: 7, left: 20 * time.Second}) // it goes behind all of them
 		ids["last"] = true
--- a/internal/relay/backlog_rig_test.go
+++ b/internal/relay/backlog_rig_test.go
@@ -95,7 +95,7 @@
 
 // cell is an endpoint of a destination, ready or not.
 func (p *partners) cell(dest int, ready bool) discovery.Server {
-	s := at(fmt.Sprint("s-", dest), p.addr, "taller")
+	s := testEndpoint(fmt.Sprint("s-", dest), p.addr, "taller")
 	if s.Cell = dest; !ready {
 		s.State = "leaving"
 	}
@@ -117,7 +117,7 @@
 }
 
 // newKeeping makes a relay with a backlog; serving starts it.
-func newKeeping(t testing.TB, p *platform, k keeping) (*Relay, error) {
+func newKeeping(t testing.TB, p *fakePlatform, k keeping) (*Relay, error) {
 	t.Helper()
 	if k.state == "" {
 		k.state = t.TempDir()
@@ -152,7 +152,7 @@
 	return stop
 }
 
-func startKeeping(t testing.TB, p *platform, k keeping) (*Relay, func()) {
+func startKeeping(t testing.TB, p *fakePlatform, k keeping) (*Relay, func()) {
 	t.Helper()
 	r, err := newKeeping(t, p, k)
 	if err != nil {
@@ -184,7 +184,7 @@
 			g.body = "body of " + g.id
 		}
 		e := &journal.Entry{ID: g.id, Class: g.class, Dest: g.dest, Order: g.order, Key: "key-" + g.id, Body: []byte(g.body), Due: time.Now().Add(g.left).UnixMilli()}
-		terms, err := admit(r.set.Load(), e, r.now())
+		terms, err := admit(r.settings.Load(), e, r.now())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -223,11 +223,11 @@
 }
 
 // ends collects notices until there are so many, and wants them to be of different messages.
-func (p *platform) ends(t *testing.T, n int) map[string]string {
+func (p *fakePlatform) ends(t *testing.T, n int) map[string]string {
 	t.Helper()
 	ends := map[string]string{}
 	for len(ends) < n {
-		v := wait(t, p.notices, "notice")
+		v := receive(t, p.notices, "notice")
 		if ends[v.ID] != "" {
 			t.Fatalf("%s ended twice", v.ID)
 		}
--- a/internal/relay/backlog_start_test.go
+++ b/internal/relay/backlog_start_test.go
@@ -25,7 +25,7 @@
 // restart between; and against one that overtakes itself at another destination.
 func TestOrderOfAKey(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+	p := newFakePlatform(t, ps.cell(7, false), ps.cell(8, true))
 	k := keeping{state: t.TempDir(), change: ordered}
 	r, stop := startKeeping(t, p, k)
 	var ids []string
@@ -69,13 +69,13 @@
 // destination that its list does not have.
 func TestAStartWithLess(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, false))
+	p := newFakePlatform(t, ps.cell(7, false), ps.cell(8, false))
 	k := keeping{state: t.TempDir()}
 	r, stop := startKeeping(t, p, k)
 	kept := promised(t, r, many(30, 7, "kept", given{class: "payment"})...)
 	gone := promised(t, r, many(20, 8, "gone", given{left: 2 * time.Second})...)
 	stop()
-	p = newPlatform(t, ps.cell(7, true))
+	p = newFakePlatform(t, ps.cell(7, true))
 	k.change = func(conf *Config) {
 		conf.Backlog.DiskMB = 0.001
 		conf.Settings.Classes = conf.Settings.Classes[:2:2]
@@ -93,7 +93,7 @@
 // Guards against a stop that waits for what lies on disk, and against its loss by that.
 func TestStopLeavesTheBacklogOnDisk(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false))
+	p := newFakePlatform(t, ps.cell(7, false))
 	k := keeping{state: t.TempDir()}
 	r, _ := startKeeping(t, p, k)
 	promised(t, r, many(20, 7, "m", given{})...)
@@ -112,7 +112,7 @@
 	if took := time.Since(begin); took > stopSending {
 		t.Errorf("the stop took %v", took)
 	}
-	r, _ = startKeeping(t, newPlatform(t, ps.cell(7, true)), k)
+	r, _ = startKeeping(t, newFakePlatform(t, ps.cell(7, true)), k)
 	want(t, "messages that came", len(ps.await(t, disk)), disk)
 	shows(t, r, "svc.in_flight=0")
 }
@@ -120,10 +120,10 @@
 // Guards against a hand-over that loses, doubles or reorders what lies on disk, or that leaves the relay without it as it fails.
 func TestHandOverWithABacklog(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+	p := newFakePlatform(t, ps.cell(7, false), ps.cell(8, true))
 	k := keeping{state: t.TempDir(), change: ordered}
 	old, _ := startKeeping(t, p, k)
-	up(t, old.Addr())
+	checkUp(t, old.Addr())
 	var ids []string
 	hand := func(r *Relay, n int) {
 		for range n {
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -16,7 +16,7 @@
 // lost, doubled or mixed up as it is back.
 func TestOneDownWhileOthersAreServed(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+	p := newFakePlatform(t, ps.cell(7, false), ps.cell(8, true))
 	r, _ := startKeeping(t, p, keeping{})
 	ids := promised(t, r, many(300, 7, "down", given{})...)
 	held, disk := counts(t, r)
@@ -48,7 +48,7 @@
 	for d := range dests {
 		all = append(all, ps.cell(d, false))
 	}
-	p := newPlatform(t, all...)
+	p := newFakePlatform(t, all...)
 	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 64, Bytes: 1 << 20}})
 	var gs []given
 	for n := range 3 {
@@ -77,7 +77,7 @@
 // once and stop what can still be served.
 func TestManyOutOfTimeAtOnce(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+	p := newFakePlatform(t, ps.cell(7, false), ps.cell(8, true))
 	p.notices = make(chan notice, 10000)
 	r, _ := startKeeping(t, p, keeping{})
 	stay := promised(t, r, many(10, 7, "stay", given{})...) // so that nothing comes in for want of room
@@ -112,11 +112,11 @@
 		for k, v := range map[string]string{"X-Request-Id": id, "X-Class": "status-update", "X-Deadline-Ms": "60000", "X-Addressing": "dest=7"} {
 			req.Header.Set(k, v)
 		}
-		gone := &leaver{Context: t.Context()}
-		gone.there.Store(1)
+		gone := &leavingContext{Context: t.Context()}
+		gone.checksLeft.Store(1)
 		w, done := httptest.NewRecorder(), make(chan bool)
 		go func() { r.serveAPI(w, req.WithContext(gone)); close(done) }()
-		wait(t, done, "answer")
+		receive(t, done, "answer")
 		return w.Code
 	}
 	want(t, "a client that leaves", leave("left"), 503)
@@ -164,7 +164,7 @@
 // Guards against a message that never goes for its size: it is larger than all of the window.
 func TestAMessageLargerThanTheWindow(t *testing.T) {
 	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false))
+	p := newFakePlatform(t, ps.cell(7, false))
 	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 4, Bytes: 8 << 10}})
 	var all []given
 	for i := range 6 {
--- a/internal/relay/bequeath.go
+++ b/internal/relay/bequeath.go
@@ -21,7 +21,7 @@
 // awaitHeir listens for the next process of this relay. Without it the relay runs all the same, but
 // cannot be followed by another under load.
 func (r *Relay) awaitHeir() {
-	path := filepath.Join(r.conf.State, handoverName)
+	path := filepath.Join(r.config.State, handoverName)
 	os.Remove(path) // of a process that is gone, or has handed over
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -87,7 +87,7 @@
 		r.openAgain()
 		return
 	}
-	slog.Info("handed over", "held", len(r.held), "calls", r.out)
+	slog.Info("handed over", "held", len(r.held), "calls", r.callsInFlight)
 	r.heir, r.asked = l, map[int64]*intake{}
 	r.overflow = nil
 	r.figures.hold(0, 0, 0) // they are the next process's
@@ -97,9 +97,9 @@
 	r.journal.Close()
 	r.heirs.Close()
 	r.endCopies()
-	r.endPlatform()
-	r.tcp.Close()                            // the next process has the socket, and all in its queue
-	r.hostSide.Load().CloseIdleConnections() // descriptors count for both processes together
+	r.cancelPlatform()
+	r.tcp.Close()                                 // the next process has the socket, and all in its queue
+	r.hostTransport.Load().CloseIdleConnections() // descriptors count for both processes together
 	go func() {
 		hear(l, func(v returned) { r.post(func() { r.answered(v) }) })
 		r.post(r.heirGone)
@@ -134,9 +134,9 @@
 }
 
 func (r *Relay) bequest() bequest {
-	e := bequest{Version: r.version, Memory: r.chooser.Memory(r.now()), Past: r.past.all(), Peers: r.listener.count()}
+	e := bequest{Version: r.appliedVersion, Memory: r.chooser.Memory(r.now()), Past: r.past.all(), Peers: r.listener.count()}
 	if r.copies != nil {
-		e.Writer = r.copies.writer(r.kept.Instance)
+		e.Writer = r.copies.writer(r.fleetConfig.Instance)
 	}
 	listed := map[string]bool{}
 	for id, h := range r.hosts {
@@ -153,7 +153,7 @@
 			n = len(e.Calls)
 			numbers[m.call] = n
 			h := m.call.host
-			e.Calls = append(e.Calls, callOut{Host: h.id, Ago: time.Since(m.call.began)})
+			e.Calls = append(e.Calls, callOut{Host: h.id, Ago: time.Since(m.call.startedAt)})
 			if !listed[h.id] {
 				e.Gone = append(e.Gone, h.entry)
 				listed[h.id] = true
@@ -176,7 +176,7 @@
 // answered takes in what the next process tells.
 func (r *Relay) answered(v returned) {
 	if m := r.held[v.Cancel]; m != nil && m.call != nil {
-		m.call.cancel(errCalled)
+		m.call.cancel(errCancelled)
 	}
 	if in := r.asked[v.N]; in != nil {
 		delete(r.asked, v.N)
--- a/internal/relay/books.go
+++ b/internal/relay/books.go
@@ -80,7 +80,7 @@
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	id := e.ID
 	if e.Status != "" {
-		r.owe(notice{ID: e.ID, Status: e.Status, Again: e.Again})
+		r.owe(notice{ID: e.ID, Status: e.Status, RetryAfterMS: e.Again})
 		r.past.add(e.ID)
 		return
 	}
@@ -88,7 +88,7 @@
 		// The process died before the outcome was recorded: it may have run.
 		r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: true})
 	}
-	class := r.set.Load().class(e.Class, 0)
+	class := r.settings.Load().class(e.Class, 0)
 	if class < 0 && e.Terms == nil { // taken on by a version that did not record them
 		r.give(&message{Entry: e}, notice{ID: e.ID, Status: undeliverable})
 		return
@@ -100,11 +100,11 @@
 	r.overflow.enter(m)
 	adopted := r.heritage.callOf(id)
 	ev := choice.Restored{Arrival: choice.Arrival{ID: id, Class: class, Dest: e.Dest, Left: left,
-		Key: e.Order, Tenant: slices.Index(r.set.Load().TenantNames, e.Tenant), Terms: e.Terms},
+		Key: e.Order, Tenant: slices.Index(r.settings.Load().TenantNames, e.Tenant), Terms: e.Terms},
 		Attempts: e.Tries, Timeout: ms(e.Wait), Ran: e.Ran, RanAgo: ms(wall - e.RanAt), RanZone: e.Zone}
 	if adopted != nil {
 		m.call = adopted
-		ev.Out = &choice.Running{Host: adopted.host.id, Call: adopted.number, Ago: time.Since(adopted.began)}
+		ev.Out = &choice.Running{Host: adopted.host.id, Call: adopted.number, Ago: time.Since(adopted.startedAt)}
 	} else if e.Out && !e.Ran {
 		ev.Ran, ev.RanAgo, ev.RanZone = true, ms(wall-e.OutAt), e.OutTo
 	}
@@ -124,7 +124,7 @@
 
 // give ends a message undelivered.
 func (r *Relay) give(m *message, n notice) {
-	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: n.Status, Again: n.Again})
+	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: n.Status, Again: n.RetryAfterMS})
 	n.class, n.due = m.Class, r.now()+steady.Until(m.Due)
 	r.owe(n)
 	r.drop(m)
--- a/internal/relay/bring.go
+++ b/internal/relay/bring.go
@@ -85,7 +85,7 @@
 
 // mayEnd tells whether messages on disk whose time is up may come in: taking on never waits for their notices.
 func (r *Relay) mayEnd() bool {
-	return r.owed < maxOwed/2 && (!r.journal.Crowded() || r.owed < 4*moveMost)
+	return r.owed < maxPendingNotices/2 && (!r.journal.Crowded() || r.owed < 4*moveMost)
 }
 
 // cannotRead has the folder be left alone for a while.
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -9,35 +9,35 @@
 
 // call is one call out, with one message or several.
 type call struct {
-	number  int // in what the process before this one handed over; 0 for one of this process
-	began   time.Time
-	host    *host
-	members []*message
-	sends   []choice.Send
-	body    []byte
-	key     string
-	size    int           // of its members' frames
-	timeout time.Duration // the longest of its members'
-	before  time.Time     // its last byte must be written by then; zero for at any time
-	cancel  context.CancelCauseFunc
-	agreed  *acting   // by what it was decided; nil for a relay that shares nothing
-	fresh   time.Time // by which it must begin to go out, or an heir may not know that it is over; zero for at any time
+	number    int // in what the process before this one handed over; 0 for one of this process
+	startedAt time.Time
+	host      *host
+	members   []*message
+	sends     []choice.Send
+	body      []byte
+	key       string
+	size      int           // of its members' frames
+	timeout   time.Duration // the longest of its members'
+	writeBy   time.Time     // its last byte must be written by then; zero for at any time
+	cancel    context.CancelCauseFunc
+	agreed    *agreedConfig // by what it was decided; nil for a relay that shares nothing
+	startBy   time.Time     // by which it must begin to go out, or an heir may not know that it is over; zero for at any time
 }
 
 // told is what a call tells of its host, whatever became of the messages.
-type told struct {
-	took   time.Duration
-	wait   time.Duration // send nothing there for so long
-	report string        // X-Load, read by the settings in force when the decisions hear of it
-	stale  bool          // a kept connection broke at once
+type hostFeedback struct {
+	elapsed    time.Duration
+	retryAfter time.Duration // send nothing there for so long
+	loadReport string        // X-Load, read by the settings in force when the decisions hear of it
+	staleConn  bool          // a kept connection broke at once
 }
 
 // staleIn is within which a kept connection that its machine has given up breaks, once it is
 // written to: the reset takes a round trip, less than a host needs for a call. Tests set it.
-var staleIn = 50 * time.Millisecond
+var staleConnWindow = 50 * time.Millisecond
 
 // end is what a call tells of one message.
-type end struct {
+type memberResult struct {
 	outcome choice.Outcome
 	done    bool // the host holds the message to be over
 }
@@ -45,7 +45,7 @@
 // longestFirst puts the member that has the most time left at the head of the call. The other side knows a call by
 // its first message: once that has ended here, by its own time, what is answered for all the others came for an ended
 // call, and counts for none of them.
-func (c *call) longestFirst() {
+func (c *call) putLongestFirst() {
 	for i, m := range c.members {
 		if m.due > c.members[0].due {
 			c.members[0], c.members[i] = m, c.members[0]
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -16,26 +16,26 @@
 )
 
 var (
-	errTimeout  = errors.New("time-out")
-	errCalled   = errors.New("called off")
-	errStopping = errors.New("relay stops")
+	errTimeout   = errors.New("time-out")
+	errCancelled = errors.New("called off")
+	errStopping  = errors.New("relay stops")
 )
 
 // newTransport returns the client side towards hosts. It keeps so many idle connections at most.
-func newTransport(set *settings.Settings, conns int, dial dialFunc) *http.Transport {
+func newHostTransport(settings *settings.Settings, maxIdleConns int, dial dialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			c, err := dial(ctx, network, addr)
+			conn, err := dial(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return &hostConn{Conn: c}, nil
+			return &hostConn{Conn: conn}, nil
 		},
-		MaxIdleConns: conns,
+		MaxIdleConns: maxIdleConns,
 		// A host may get all of the slots at once; the library's 2 would close the rest after each call.
-		MaxIdleConnsPerHost: set.Workers,
+		MaxIdleConnsPerHost: settings.Workers,
 		// Hosts end idle connections; a request that crosses that is lost as a reset.
-		IdleConnTimeout:    set.IdleConn - min(500*time.Millisecond, set.IdleConn/4),
+		IdleConnTimeout:    settings.IdleConn - min(500*time.Millisecond, settings.IdleConn/4),
 		DisableCompression: true,
 		// The library's 10 MB for each call would put the relay's memory in the hands of its hosts.
 		MaxResponseHeaderBytes: 16 << 10,
@@ -43,15 +43,15 @@
 }
 
 // start builds the call here in the loop, so that its goroutine shares nothing with it.
-func (r *Relay) start(c *call) {
+func (r *Relay) startCall(c *call) {
 	now := r.now()
-	c.began, c.agreed = time.Now(), r.agreed.Load()
-	c.longestFirst()
+	c.startedAt, c.agreed = time.Now(), r.currentAgreed.Load()
+	c.putLongestFirst()
 	for i, m := range c.members {
 		m.call = c
 		c.timeout = max(c.timeout, c.sends[i].Timeout)
-		if b := c.sends[i].Before; b > 0 && (c.before.IsZero() || r.began.Add(b).Before(c.before)) {
-			c.before = r.began.Add(b)
+		if before := c.sends[i].Before; before > 0 && (c.writeBy.IsZero() || r.startedAt.Add(before).Before(c.writeBy)) {
+			c.writeBy = r.startedAt.Add(before)
 		}
 	}
 	if len(c.members) == 1 {
@@ -66,34 +66,34 @@
 		// is up before that gets its end then; before it, a restart would be a second copy. A call that has not
 		// gone out whole by that time must not go: it would bear a message that has ended.
 		for _, m := range c.members {
-			if left := m.due - now; left < c.timeout {
-				if due := r.began.Add(m.due); c.before.IsZero() || due.Before(c.before) {
-					c.before = due
+			if remaining := m.due - now; remaining < c.timeout {
+				if deadline := r.startedAt.Add(m.due); c.writeBy.IsZero() || deadline.Before(c.writeBy) {
+					c.writeBy = deadline
 				}
-				time.AfterFunc(left, func() {
-					r.post(func() { r.ended(c, m, end{outcome: choice.Timeout}, told{took: left}) })
+				time.AfterFunc(remaining, func() {
+					r.post(func() { r.attemptEnded(c, m, memberResult{outcome: choice.Timeout}, hostFeedback{elapsed: remaining}) })
 				})
 			}
 		}
 	}
-	ctx, cancel := context.WithCancelCause(r.calls)
+	ctx, cancel := context.WithCancelCause(r.callContext)
 	c.cancel = cancel
-	r.out++
+	r.callsInFlight++
 	ids := make([]string, len(c.members))
 	for i, m := range c.members {
 		ids[i] = m.ID
 	}
 	go func() {
 		defer cancel(nil)
-		ends, told := r.exchange(ctx, c, ids)
+		results, feedback := r.exchange(ctx, c, ids)
 		if errors.Is(context.Cause(ctx), errStopping) {
-			r.post(func() { r.out-- }) // no outcome: the journal has it as one that may have run
+			r.post(func() { r.callsInFlight-- }) // no outcome: the journal has it as one that may have run
 			return
 		}
 		r.post(func() {
-			r.out--
+			r.callsInFlight--
 			for i, m := range c.members {
-				r.ended(c, m, ends[i], told)
+				r.attemptEnded(c, m, results[i], feedback)
 			}
 		})
 	}()
@@ -101,114 +101,116 @@
 
 // exchange makes one call and tells each member's end. The time it took is taken here, so
 // that no delay of the loop is learnt as latency.
-func (r *Relay) exchange(ctx context.Context, c *call, ids []string) (ends []end, t told) {
-	left := c.timeout
-	if !c.began.IsZero() { // this goroutine may have waited for a core since
-		left -= time.Since(c.began)
-	}
-	ctx, stop := context.WithTimeoutCause(ctx, left, errTimeout)
-	defer stop()
-	all := func(o choice.Outcome) []end {
-		ends := make([]end, len(ids))
-		for i := range ends {
-			ends[i].outcome = o
+func (r *Relay) exchange(ctx context.Context, c *call, ids []string) (results []memberResult, feedback hostFeedback) {
+	remaining := c.timeout
+	if !c.startedAt.IsZero() { // this goroutine may have waited for a core since
+		remaining -= time.Since(c.startedAt)
+	}
+	ctx, cancel := context.WithTimeoutCause(ctx, remaining, errTimeout)
+	defer cancel()
+	sameResult := func(outcome choice.Outcome) []memberResult {
+		results := make([]memberResult, len(ids))
+		for i := range results {
+			results[i].outcome = outcome
 		}
-		return ends
+		return results
 	}
-	begin := time.Now()
-	sent := begin
-	a := r.send(ctx, stop, c, ids)
+	startedAt := time.Now()
+	sentAt := startedAt
+	attempt := r.sendRequest(ctx, cancel, c, ids)
 	// A kept connection that had ended before anything was written is no call yet: once more on another.
-	for tries := 0; a.err != nil && a.never && a.reused && ctx.Err() == nil && !a.gated.Load() && tries < 3; tries++ {
-		sent = time.Now()
-		a = r.send(ctx, stop, c, ids)
-	}
-	t.took = time.Since(begin)
-	if a.err == nil {
-		defer a.resp.Body.Close()
-		t.wait = retryAfter(a.resp.Header)
-		c.host.waiting.heed(r.now() + t.wait)
-		t.report = a.resp.Header.Get("X-Load")
-		if len(ids) == 1 || a.resp.StatusCode != http.StatusOK {
-			defer time.AfterFunc(drainIn, stop).Stop()
-			a.body() // so that the connection is kept; its outcome does not wait for more
-			ends = all(choice.Error)
-			for i := range ends {
-				ends[i] = single(a.resp, len(ids) > 1)
+	for tries := 0; attempt.err != nil && attempt.neverRan && attempt.reusedConn && ctx.Err() == nil && !attempt.withheld.Load() && tries < 3; tries++ {
+		sentAt = time.Now()
+		attempt = r.sendRequest(ctx, cancel, c, ids)
+	}
+	feedback.elapsed = time.Since(startedAt)
+	if attempt.err == nil {
+		defer attempt.response.Body.Close()
+		feedback.retryAfter = parseRetryAfter(attempt.response.Header)
+		c.host.wait.extend(r.now() + feedback.retryAfter)
+		feedback.loadReport = attempt.response.Header.Get("X-Load")
+		if len(ids) == 1 || attempt.response.StatusCode != http.StatusOK {
+			defer time.AfterFunc(drainTimeout, cancel).Stop()
+			attempt.readBody() // so that the connection is kept; its outcome does not wait for more
+			results = sameResult(choice.Error)
+			for i := range results {
+				results[i] = singleResult(attempt.response, len(ids) > 1)
 			}
-			return ends, t
+			return results, feedback
 		}
-		body, err := a.body()
-		if t.took = time.Since(begin); err == nil {
-			return batchEnds(body, ids), t
+		body, err := attempt.readBody()
+		if feedback.elapsed = time.Since(startedAt); err == nil {
+			return parseBatchResults(body, ids), feedback
 		}
-		a.never, a.err = false, err
+		attempt.neverRan, attempt.err = false, err
 	}
-	t.report = "" // what came with an answer that was cut off is not relied on, but for the wait
-	t.stale = a.resp == nil && a.reused && time.Since(sent) < staleIn
+	feedback.loadReport = "" // what came with an answer that was cut off is not relied on, but for the wait
+	feedback.staleConn = attempt.response == nil && attempt.reusedConn && time.Since(sentAt) < staleConnWindow
 	switch cause := context.Cause(ctx); {
-	case a.gated.Load():
-		t.wait = c.host.waiting.left(r.now())
-		return all(choice.NotSent), t
-	case len(ids) == 1 && a.out.delivered.Load():
-		return all(choice.Served), t
-	case a.never:
-		return all(choice.NoConnection), t
-	case cause == errCalled:
-		return all(choice.Cancelled), t
+	case attempt.withheld.Load():
+		feedback.retryAfter = c.host.wait.remaining(r.now())
+		return sameResult(choice.NotSent), feedback
+	case len(ids) == 1 && attempt.request.delivered.Load():
+		return sameResult(choice.Served), feedback
+	case attempt.neverRan:
+		return sameResult(choice.NoConnection), feedback
+	case cause == errCancelled:
+		return sameResult(choice.Cancelled), feedback
 	case cause == errTimeout:
-		return all(choice.Timeout), t
+		return sameResult(choice.Timeout), feedback
 	}
-	return all(choice.Reset), t
+	return sameResult(choice.Reset), feedback
 }
 
 // over tells whether a time has come; the zero time never does.
-func over(at time.Time) bool { return !at.IsZero() && !time.Now().Before(at) }
+func deadlinePassed(deadline time.Time) bool {
+	return !deadline.IsZero() && !time.Now().Before(deadline)
+}
 
 // sending is what became of one request.
-type sending struct {
-	out    *hostRequest
-	conn   *hostConn // nil if none came up
-	resp   *http.Response
-	err    error
-	never  bool        // it certainly did not run; unsure counts as one that did
-	reused bool        // the connection was kept from before
-	gated  atomic.Bool // nothing may go there any more
+type callAttempt struct {
+	request    *hostRequest
+	conn       *hostConn // nil if none came up
+	response   *http.Response
+	err        error
+	neverRan   bool        // it certainly did not run; unsure counts as one that did
+	reusedConn bool        // the connection was kept from before
+	withheld   atomic.Bool // nothing may go there any more
 }
 
 // body reads the rest of the answer, as far as one may be long.
-func (a *sending) body() ([]byte, error) {
-	body, err := io.ReadAll(io.LimitReader(a.resp.Body, maxBody))
+func (a *callAttempt) readBody() ([]byte, error) {
+	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBody))
 	if err == nil && len(body) < maxBody && a.conn != nil {
-		a.conn.asked.CompareAndSwap(a.out, nil) // unless it has the next request by now
+		a.conn.unanswered.CompareAndSwap(a.request, nil) // unless it has the next request by now
 	}
 	return body, err
 }
 
 // send writes one request, and waits for the head of its answer.
-func (r *Relay) send(ctx context.Context, giveUp func(), c *call, ids []string) *sending {
-	a := &sending{out: newHostRequest(c.body, func() { r.figures.attempted(len(ids)) })}
+func (r *Relay) sendRequest(ctx context.Context, cancel func(), c *call, ids []string) *callAttempt {
+	attempt := &callAttempt{request: newHostRequest(c.body, func() { r.figures.attempted(len(ids)) })}
 	if len(ids) == 1 {
-		a.out.giveUp = giveUp
+		attempt.request.cancel = cancel
 	}
-	a.out.admit = func() (func(), error) {
+	attempt.request.admit = func() (func(), error) {
 		leave, err := r.admit(c, len(ids))
 		if err != nil {
-			a.gated.Store(true)
+			attempt.withheld.Store(true)
 			return nil, err
 		}
 		r.logRequest(ctx, c, ids)
 		return leave, nil
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(i httptrace.GotConnInfo) {
-			a.reused = i.Reused
-			if conn, ok := i.Conn.(*hostConn); ok {
-				a.conn = conn
-				conn.sending.Store(a.out)
+		GotConn: func(info httptrace.GotConnInfo) {
+			attempt.reusedConn = info.Reused
+			if conn, ok := info.Conn.(*hostConn); ok {
+				attempt.conn = conn
+				conn.writing.Store(attempt.request)
 			}
 			// For what a slow host leaves unread; a kept connection still has the deadline of the call before.
-			i.Conn.SetWriteDeadline(c.before)
+			info.Conn.SetWriteDeadline(c.writeBy)
 		},
 	})
 	path := "/receive"
@@ -217,10 +219,10 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.host.addr+path, nil)
 	if err != nil {
-		a.never, a.err = true, err
-		return a
+		attempt.neverRan, attempt.err = true, err
+		return attempt
 	}
-	req.Body, req.ContentLength = a.out.reader(), int64(len(c.body))
+	req.Body, req.ContentLength = attempt.request.requestBody(), int64(len(c.body))
 	if len(ids) == 1 {
 		req.Header.Set("X-Request-Id", ids[0])
 		if c.key != "" {
@@ -229,12 +231,12 @@
 	}
 	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, c.timeout.Milliseconds()), 10))
 	if c.agreed != nil {
-		req.Header.Set("X-Agreed", c.agreed.text)
+		req.Header.Set("X-Agreed", c.agreed.header)
 	}
-	a.resp, a.err = r.hostSide.Load().RoundTrip(req)
-	if rest := a.out.rests.Load(); rest != nil {
-		rest.Stop()
+	attempt.response, attempt.err = r.hostTransport.Load().RoundTrip(req)
+	if timer := attempt.request.answerTimer.Load(); timer != nil {
+		timer.Stop()
 	}
-	a.never = a.err != nil && a.out.neverRan()
-	return a
+	attempt.neverRan = attempt.err != nil && attempt.request.neverRan()
+	return attempt
 }
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -19,38 +19,38 @@
 	"larchrouter/internal/settings"
 )
 
-func caller() *Relay {
-	r := &Relay{began: time.Now()}
+func newCallingRelay() *Relay {
+	r := &Relay{startedAt: time.Now()}
 	set := settings.Settings{DialTimeout: time.Second, IdleConn: time.Minute}
 	set.Workers = 7
-	r.hostSide.Store(newTransport(&set, 64, dialer(nil, set.DialTimeout).DialContext))
-	r.set.Store(&standing{})
+	r.hostTransport.Store(newHostTransport(&set, 64, dialer(nil, set.DialTimeout).DialContext))
+	r.settings.Store(&standing{})
 	r.notices = newNoticeSender(nil, nil, nil, nil)
 	return r
 }
 
-func oneCall(addr, body string) *call {
-	return &call{host: &host{addr: addr, waiting: &waiting{}}, body: []byte(body), key: "k", timeout: 20 * time.Second}
+func newSingleCall(addr, body string) *call {
+	return &call{host: &host{addr: addr, wait: &hostWait{}}, body: []byte(body), key: "k", timeout: 20 * time.Second}
 }
 
-func outcome(r *Relay, ctx context.Context, c *call) choice.Outcome {
-	o, _ := outcomeAndStale(r, ctx, c)
+func callOutcome(r *Relay, ctx context.Context, c *call) choice.Outcome {
+	o, _ := callOutcomeAndStale(r, ctx, c)
 	return o
 }
 
-func outcomeAndStale(r *Relay, ctx context.Context, c *call) (choice.Outcome, bool) {
+func callOutcomeAndStale(r *Relay, ctx context.Context, c *call) (choice.Outcome, bool) {
 	ends, told := r.exchange(ctx, c, []string{"m1"})
-	return ends[0].outcome, told.stale
+	return ends[0].outcome, told.staleConn
 }
 
 // Guards against net/http sending a request again by itself: one with an Idempotency-Key goes out
 // twice if its connection was kept from before and breaks. An empty body needs the guard too.
 func TestNoResendAfterReset(t *testing.T) {
-	defer func(d time.Duration) { staleIn = d }(staleIn)
-	staleIn = time.Hour
+	defer func(d time.Duration) { staleConnWindow = d }(staleConnWindow)
+	staleConnWindow = time.Hour
 	for _, body := range []string{"hello", ""} {
 		var got atomic.Int32
-		addr := bareHost(t, func(conn net.Conn) {
+		addr := newRawHost(t, func(conn net.Conn) {
 			for in := bufio.NewReader(conn); ; {
 				req, err := http.ReadRequest(in)
 				if err != nil {
@@ -63,19 +63,19 @@
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 		})
-		r := caller()
-		want(t, "first outcome", outcome(r, context.Background(), oneCall(addr, body)), choice.Served)
-		o, stale := outcomeAndStale(r, context.Background(), oneCall(addr, body))
+		r := newCallingRelay()
+		want(t, "first outcome", callOutcome(r, context.Background(), newSingleCall(addr, body)), choice.Served)
+		o, stale := callOutcomeAndStale(r, context.Background(), newSingleCall(addr, body))
 		want(t, "outcome of a call that breaks", o, choice.Reset)
 		want(t, "it says that a kept connection was stale", stale, true)
-		staleIn = 0
-		outcome(r, context.Background(), oneCall(addr, body))
+		staleConnWindow = 0
+		callOutcome(r, context.Background(), newSingleCall(addr, body))
 		got.Store(1)
-		_, stale = outcomeAndStale(r, context.Background(), oneCall(addr, body))
+		_, stale = callOutcomeAndStale(r, context.Background(), newSingleCall(addr, body))
 		want(t, "the same of one that broke late", stale, false)
-		staleIn = time.Hour
+		staleConnWindow = time.Hour
 		got.Store(1)
-		_, stale = outcomeAndStale(r, context.Background(), oneCall(addr, body))
+		_, stale = callOutcomeAndStale(r, context.Background(), newSingleCall(addr, body))
 		want(t, "the same of a new connection", stale, false)
 		got.Store(2)
 		want(t, "requests on the wire", got.Load(), 2)
@@ -90,86 +90,86 @@
 	}
 	addr := l.Addr().String()
 	l.Close()
-	want(t, "outcome", outcome(caller(), context.Background(), oneCall(addr, "x")), choice.NoConnection)
+	want(t, "outcome", callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), choice.NoConnection)
 }
 
 // Guards against sending over a connection that came up only after its host began to drain or told another
 // call to wait, or once a repeat would be taken for a new message.
-func TestDrainWhileConnecting(t *testing.T) {
+func TestCallIsWithheldAfterConnecting(t *testing.T) {
 	for name, test := range map[string]struct {
 		while  func(*Relay, *call)
 		reason withheld
 	}{
 		"drains":               {func(_ *Relay, c *call) { c.host.closed.Store(true) }, endpointShut},
 		"may drain, unheard":   {func(r *Relay, _ *call) { r.sendUntil.Store(1) }, listTooOld},
-		"tells to wait":        {func(r *Relay, c *call) { c.host.waiting.heed(r.now() + time.Hour) }, toldToWait},
-		"no longer a repeat":   {func(_ *Relay, c *call) { c.before = time.Now().Add(-time.Nanosecond) }, outOfTime},
+		"tells to wait":        {func(r *Relay, c *call) { c.host.wait.extend(r.now() + time.Hour) }, toldToWait},
+		"no longer a repeat":   {func(_ *Relay, c *call) { c.writeBy = time.Now().Add(-time.Nanosecond) }, outOfTime},
 		"handed over long ago": {func(r *Relay, _ *call) { r.passedAt.Store(time.Now().Add(-lateCall).UnixNano()) }, handedOver},
 	} {
-		t.Run(name, func(t *testing.T) { drainWhileConnecting(t, test.while, test.reason) })
+		t.Run(name, func(t *testing.T) { testWithheldAfterConnecting(t, test.while, test.reason) })
 	}
 }
 
-func drainWhileConnecting(t *testing.T, while func(*Relay, *call), reason withheld) {
-	var got atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { got.Add(1) }))
+func testWithheldAfterConnecting(t *testing.T, duringDial func(*Relay, *call), reason withheld) {
+	var requests atomic.Int32
+	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
 	defer s.Close()
-	r := caller()
-	c := oneCall(s.Listener.Addr().String(), "x")
-	dial := r.hostSide.Load().DialContext
-	r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		while(r, c)
+	r := newCallingRelay()
+	c := newSingleCall(s.Listener.Addr().String(), "x")
+	dial := r.hostTransport.Load().DialContext
+	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		duringDial(r, c)
 		return dial(ctx, network, addr)
 	}
-	want(t, "outcome", outcome(r, context.Background(), c), choice.NotSent)
-	want(t, "requests", got.Load(), 0)
+	want(t, "outcome", callOutcome(r, context.Background(), c), choice.NotSent)
+	want(t, "requests", requests.Load(), 0)
 	want(t, "withheld by "+reason.String(), r.figures.unwritten[reason], 1)
 }
 
 // Guards against a call that gets its connection only when one of its messages has ended, for its own time was up:
 // it would be sent after its end.
-func TestNothingIsSentAfterItsEnd(t *testing.T) {
-	var got atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { got.Add(1) }))
+func TestSharedCallIsNotSentAfterMemberTimeout(t *testing.T) {
+	var requests atomic.Int32
+	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
 	defer s.Close()
-	r := caller()
-	r.began, r.inbox, r.calls = time.Now(), make(chan func(), 10), context.Background()
-	over := make(chan struct{})
-	dial := r.hostSide.Load().DialContext
-	r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		<-over
+	r := newCallingRelay()
+	r.startedAt, r.inbox, r.callContext = time.Now(), make(chan func(), 10), context.Background()
+	connect := make(chan struct{})
+	dial := r.hostTransport.Load().DialContext
+	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		<-connect
 		return dial(ctx, network, addr)
 	}
-	c := &call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}}
+	c := &call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}}
 	for id, due := range map[string]time.Duration{"short": 10 * time.Millisecond, "long": time.Hour} {
 		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, due: due})
 		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
-	r.start(c)
+	r.startCall(c)
 	ends := map[string]choice.Outcome{}
-	take := func() {
-		wait(t, r.inbox, "end")()
+	runNext := func() {
+		receive(t, r.inbox, "end")()
 		for _, e := range r.events {
 			ends[e.(choice.Result).ID] = e.(choice.Result).Outcome
 		}
 		r.events = nil
 	}
-	take()
+	runNext()
 	want(t, "end of the one whose time is up", ends["short"], choice.Timeout)
 	want(t, "ends", len(ends), 1)
-	close(over)
-	take()
+	close(connect)
+	runNext()
 	want(t, "end of the other", ends["long"], choice.NotSent)
-	want(t, "calls that went out", got.Load(), 0)
+	want(t, "calls that went out", requests.Load(), 0)
 }
 
 // deadlines remembers the last one set for writing.
-type deadlines struct {
+type deadlineRecorder struct {
 	net.Conn
 	last atomic.Pointer[time.Time]
 }
 
-func (d *deadlines) SetWriteDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetWriteDeadline(t time.Time) error {
 	d.last.Store(&t)
 	return d.Conn.SetWriteDeadline(t)
 }
@@ -179,87 +179,87 @@
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer s.Close()
-	r, addr := caller(), s.Listener.Addr().String()
-	dial := r.hostSide.Load().DialContext
-	var conns []*deadlines
-	r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	r, addr := newCallingRelay(), s.Listener.Addr().String()
+	dial := r.hostTransport.Load().DialContext
+	var conns []*deadlineRecorder
+	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		own := conn.(*hostConn)
-		conns = append(conns, &deadlines{Conn: own.Conn})
-		own.Conn = conns[len(conns)-1]
-		return own, nil
+		recorded := conn.(*hostConn)
+		conns = append(conns, &deadlineRecorder{Conn: recorded.Conn})
+		recorded.Conn = conns[len(conns)-1]
+		return recorded, nil
 	}
-	c := oneCall(addr, "x")
-	c.before = time.Now().Add(time.Hour)
-	want(t, "outcome within the window", outcome(r, context.Background(), c), choice.Served)
-	want(t, "deadline of a repeat", *conns[0].last.Load(), c.before)
-	want(t, "outcome of the next call", outcome(r, context.Background(), oneCall(addr, "x")), choice.Served)
+	c := newSingleCall(addr, "x")
+	c.writeBy = time.Now().Add(time.Hour)
+	want(t, "outcome within the window", callOutcome(r, context.Background(), c), choice.Served)
+	want(t, "deadline of a repeat", *conns[0].last.Load(), c.writeBy)
+	want(t, "outcome of the next call", callOutcome(r, context.Background(), newSingleCall(addr, "x")), choice.Served)
 	want(t, "connections", len(conns), 1)
 	want(t, "deadline of the next call", *conns[0].last.Load(), time.Time{})
 }
 
 // Guards against mixing up the ends of a call that nobody answers.
 func TestUnansweredCalls(t *testing.T) {
-	came := make(chan bool, 10)
+	received := make(chan bool, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
-		came <- true
+		received <- true
 		<-req.Context().Done()
 	}))
 	defer s.Close()
-	r := caller()
-	c := oneCall(s.Listener.Addr().String(), "x")
+	r := newCallingRelay()
+	c := newSingleCall(s.Listener.Addr().String(), "x")
 	c.timeout = 50 * time.Millisecond
-	if o := outcome(r, context.Background(), c); o != choice.Timeout {
+	if o := callOutcome(r, context.Background(), c); o != choice.Timeout {
 		// A machine so busy that the request was not even written in time proves it never ran.
 		want(t, "outcome", o, choice.NoConnection)
 	} else {
-		wait(t, came, "call")
+		receive(t, received, "call")
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
 	c.timeout = time.Minute
-	go func() { <-came; cancel(errCalled) }()
-	want(t, "outcome", outcome(r, ctx, c), choice.Cancelled)
+	go func() { <-received; cancel(errCancelled) }()
+	want(t, "outcome", callOutcome(r, ctx, c), choice.Cancelled)
 }
 
-func TestStatuses(t *testing.T) {
-	for status, o := range map[int]end{200: {choice.Served, false}, 500: {choice.Error, false}, 429: {choice.Refused, false},
+func TestSingleResultByStatus(t *testing.T) {
+	for status, o := range map[int]memberResult{200: {choice.Served, false}, 500: {choice.Error, false}, 429: {choice.Refused, false},
 		503: {choice.Refused, false}, 504: {choice.NotSent, false}, 410: {choice.NotSent, true}, 418: {choice.Error, false}} {
-		want(t, fmt.Sprint("end after ", status), single(&http.Response{StatusCode: status}, false), o)
+		want(t, fmt.Sprint("end after ", status), singleResult(&http.Response{StatusCode: status}, false), o)
 	}
-	over := &http.Response{StatusCode: 503, Header: http.Header{"X-Over-Slots": {"1"}}}
-	want(t, "end without a slot", single(over, false), end{choice.NotSent, false})
-	want(t, "end of a call too large", single(&http.Response{StatusCode: 413}, true), end{choice.NotSent, false})
+	noSlot := &http.Response{StatusCode: 503, Header: http.Header{"X-Over-Slots": {"1"}}}
+	want(t, "end without a slot", singleResult(noSlot, false), memberResult{choice.NotSent, false})
+	want(t, "end of a call too large", singleResult(&http.Response{StatusCode: 413}, true), memberResult{choice.NotSent, false})
 }
 
 // Guards against hosts whose answers fill the memory: a head without end is no answer, but for what its first line says of
 // a single message.
-func TestVastAnswerIsBounded(t *testing.T) {
+func TestResponseHeadSizeIsBounded(t *testing.T) {
 	for status, o := range map[int]choice.Outcome{200: choice.Served, 500: choice.Reset, 503: choice.Reset} {
-		var wrote atomic.Int64
-		addr := bareHost(t, func(conn net.Conn) {
+		var written atomic.Int64
+		addr := newRawHost(t, func(conn net.Conn) {
 			http.ReadRequest(bufio.NewReader(conn))
 			fmt.Fprintf(conn, "HTTP/1.1 %d what\r\n", status)
 			for {
 				n, err := io.WriteString(conn, "X-Pad: "+strings.Repeat("p", 1000)+"\r\n")
-				wrote.Add(int64(n))
+				written.Add(int64(n))
 				if err != nil {
 					return
 				}
 			}
 		})
-		want(t, fmt.Sprint("outcome of ", status), outcome(caller(), context.Background(), oneCall(addr, "x")), o)
-		if n := wrote.Load(); n > 32<<20 {
+		want(t, fmt.Sprint("outcome of ", status), callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), o)
+		if n := written.Load(); n > 32<<20 {
 			t.Errorf("%d bytes were taken of a head", n)
 		}
 	}
 }
 
 // Guards against a connection for each message.
-func TestConnectionsAreKept(t *testing.T) {
+func TestConnectionsAreReused(t *testing.T) {
 	var conns atomic.Int32
 	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, strings.Repeat("x", 10000))
@@ -271,14 +271,14 @@
 	}
 	s.Start()
 	defer s.Close()
-	r := caller()
+	r := newCallingRelay()
 	for range 5 {
-		want(t, "outcome", outcome(r, context.Background(), oneCall(s.Listener.Addr().String(), "x")), choice.Served)
+		want(t, "outcome", callOutcome(r, context.Background(), newSingleCall(s.Listener.Addr().String(), "x")), choice.Served)
 	}
 	want(t, "connections", conns.Load(), 1)
 }
 
-func TestBatch(t *testing.T) {
+func TestBatchCall(t *testing.T) {
 	bodies := make(chan string, 1)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		b, _ := io.ReadAll(req.Body)
@@ -287,19 +287,19 @@
 		io.WriteString(w, "a ok\r\nb error\r\nc later\r\nd gone\r\ne exhausted\r\n")
 	}))
 	defer s.Close()
-	r := caller()
-	r.began, r.inbox = time.Now(), make(chan func(), 1)
-	r.calls = context.Background()
-	c := &call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}}
+	r := newCallingRelay()
+	r.startedAt, r.inbox = time.Now(), make(chan func(), 1)
+	r.callContext = context.Background()
+	c := &call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}}
 	ids := []string{"a", "b", "c", "d", "e", "f"}
 	for _, id := range ids {
 		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id, Key: strings.Repeat("k", len(c.members)), Body: []byte("\r\n" + id)},
 			due: time.Hour, over: true})
 		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
-	r.start(c)
-	want(t, "start of the request", strings.HasPrefix(wait(t, bodies, "call"), "/receive-many\na - 3\r\n\r\na\r\nb k 3\r\n"), true)
-	wait(t, r.inbox, "result")()
+	r.startCall(c)
+	want(t, "start of the request", strings.HasPrefix(receive(t, bodies, "call"), "/receive-many\na - 3\r\n\r\na\r\nb k 3\r\n"), true)
+	receive(t, r.inbox, "result")()
 	var got []choice.Outcome
 	for _, e := range r.events {
 		got = append(got, e.(choice.Result).Outcome)
@@ -314,36 +314,36 @@
 
 // Guards against a wait that is forgotten because the rest of the answer that told it was cut off, and one
 // told to messages that are over by then: nothing may go there all the same.
-func TestWaitOfACutAnswerIsKept(t *testing.T) {
+func TestRetryAfterOfTruncatedAnswerIsHonoured(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1000")
 		w.Header().Set("Content-Length", "100")
 		io.WriteString(w, "a ok\r\n") // and no more: the library breaks the connection
 	}))
 	defer s.Close()
-	r, c := caller(), oneCall(s.Listener.Addr().String(), "x")
+	r, c := newCallingRelay(), newSingleCall(s.Listener.Addr().String(), "x")
 	ends, told := r.exchange(context.Background(), c, []string{"a", "b"})
 	want(t, "outcome", ends[0].outcome, choice.Reset)
-	want(t, "wait", told.wait, 1000*time.Second)
+	want(t, "wait", told.retryAfter, 1000*time.Second)
 	ends, told = r.exchange(context.Background(), c, []string{"c"})
 	want(t, "outcome of the next call", ends[0].outcome, choice.NotSent)
-	if told.wait <= 0 || told.wait > 1000*time.Second {
-		t.Errorf("the decisions hear of %v to wait, want what is left of 1000s", told.wait)
+	if told.retryAfter <= 0 || told.retryAfter > 1000*time.Second {
+		t.Errorf("the decisions hear of %v to wait, want what is left of 1000s", told.retryAfter)
 	}
 }
 
 // Guards against decisions that never hear the limits that hosts tell in their answers.
-func TestLoadReportReachesTheDecisions(t *testing.T) {
+func TestLoadReportReachesChooser(t *testing.T) {
 	for text, want := range map[string][]float64{`{"x0":0.4,"x1":25}`: {25, 0.4}, `{"x1":3,"other":1}`: {3, 0},
 		"": nil, "{": nil, `{"x1":"many"}`: nil, "[1]": nil} {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Load", text)
 		}))
-		r := caller()
-		r.set.Store(&standing{Settings: settings.Settings{ReportFields: []string{"x1", "x0"}}})
-		r.calls, r.inbox = context.Background(), make(chan func(), 1)
+		r := newCallingRelay()
+		r.settings.Store(&standing{Settings: settings.Settings{ReportFields: []string{"x1", "x0"}}})
+		r.callContext, r.inbox = context.Background(), make(chan func(), 1)
 		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Hour, over: true}
-		r.start(&call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}, members: []*message{m},
+		r.startCall(&call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}, members: []*message{m},
 			sends: []choice.Send{{ID: "m1", Timeout: 20 * time.Second}}})
 		(<-r.inbox)()
 		s.Close()
@@ -355,10 +355,10 @@
 
 // Guards against a body over 64 KiB, which a host need not take: sends that do not fit one call go in another.
 func TestLargeMessagesDoNotShareACall(t *testing.T) {
-	r := caller()
-	r.began, r.inbox, r.calls = time.Now(), make(chan func(), 10), context.Background()
+	r := newCallingRelay()
+	r.startedAt, r.inbox, r.callContext = time.Now(), make(chan func(), 10), context.Background()
 	r.journal = openJournal(t)
-	h := &host{id: "s-1", addr: "127.0.0.1:1", dest: 7, perCall: 5, waiting: &waiting{}}
+	h := &host{id: "s-1", addr: "127.0.0.1:1", dest: 7, maxPerCall: 5, wait: &hostWait{}}
 	r.hosts, r.held = map[string]*host{"s-1": h}, map[string]*message{}
 	var sends []choice.Send
 	for i, size := range []int{maxBody, maxBody / 2, 10} {
@@ -370,18 +370,18 @@
 		sends = append(sends, choice.Send{ID: id, Host: "s-1", Timeout: time.Minute})
 	}
 	r.dispatch(sends)
-	want(t, "calls", r.out, 2)
+	want(t, "calls", r.callsInFlight, 2)
 	want(t, "messages in the second", len(r.held["m1"].call.members), 2)
 }
 
 // Guards against taking a message for safe to repeat that a garbled answer says nothing sure of.
-func FuzzBatchEnds(f *testing.F) {
+func FuzzParseBatchResults(f *testing.F) {
 	f.Add("a ok\r\nb later\r\n")
 	f.Add("a  gone\nb")
 	f.Add("\x00 ok\r\na exhausted")
 	f.Fuzz(func(t *testing.T, body string) {
 		ids := []string{"a", "b"}
-		ends := batchEnds([]byte(body), ids)
+		ends := parseBatchResults([]byte(body), ids)
 		if len(ends) != len(ids) {
 			t.Fatalf("%d ends for %d messages", len(ends), len(ids))
 		}
@@ -394,7 +394,7 @@
 }
 
 // Guards against a relay that its partners cannot know by its address on a machine that has several.
-func TestConnectionsGoOutFromTheSource(t *testing.T) {
+func TestConnectionsUseSourceAddress(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -17,13 +17,13 @@
 // carry takes copies of others, and keeps up with this relay's own, until the context ends. Without a holder's address it only
 // keeps up the session.
 func (r *Relay) carry(ctx context.Context, s *fleet.Session) {
-	conf := r.conf.Fleet
+	conf := r.config.Fleet
 	if conf.Listen == "" {
 		s.Run(ctx)
 		return
 	}
 	signed := make(chan error, 1)
-	r.post(func() { signed <- r.kept.Sign() })
+	r.post(func() { signed <- r.fleetConfig.Sign() })
 	select {
 	case err := <-signed:
 		if err != nil {
@@ -56,7 +56,7 @@
 // openHolder opens the folder of copies and the fleet address, once the process before this one has left them.
 func (r *Relay) openHolder(ctx context.Context) (h *estate.Holder, l net.Listener, err error) {
 	for end := time.Now().Add(bindIn); ; {
-		if l, err = net.Listen("tcp", r.conf.Fleet.Listen); err == nil {
+		if l, err = net.Listen("tcp", r.config.Fleet.Listen); err == nil {
 			break
 		}
 		if ctx.Err() != nil || time.Now().After(end) {
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if h, err = estate.OpenHolder(r.conf.State, int64(r.conf.DiskMB*copiesPart*1e6)); err != nil {
+	if h, err = estate.OpenHolder(r.config.State, int64(r.config.DiskMB*copiesPart*1e6)); err != nil {
 		l.Close()
 		return nil, nil, err
 	}
@@ -85,7 +85,7 @@
 		}
 		cctx, cancel := context.WithTimeout(ctx, sweepEvery/2)
 		var held []uint64
-		err := client.Call(cctx, http.MethodGet, api.HeldPath(r.conf.Name), nil, &held)
+		err := client.Call(cctx, http.MethodGet, api.HeldPath(r.config.Name), nil, &held)
 		cancel()
 		if err != nil {
 			continue
@@ -127,12 +127,12 @@
 // newOwner is what keeps up with the keepers and holders for a relay that copies.
 func (r *Relay) newOwner() {
 	c := r.copies
-	conns := &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: dialer(r.conf.Source, time.Second).DialContext,
+	conns := &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: dialer(r.config.Source, time.Second).DialContext,
 		MaxIdleConnsPerHost: 4}
 	c.client = &http.Client{Transport: conns}
 	keepers := &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn,
-		DialContext: dialer(r.conf.Source, time.Second).DialContext, MaxIdleConnsPerHost: 1}}, Keepers: r.conf.Fleet.Keepers}
-	c.owner = &estate.Owner{Name: r.conf.Name, Instance: r.kept.Instance, Adopted: c.adopted, Copies: c.conf.Copies, Client: c.client, Books: (*ownBooks)(r),
+		DialContext: dialer(r.config.Source, time.Second).DialContext, MaxIdleConnsPerHost: 1}}, Keepers: r.config.Fleet.Keepers}
+	c.owner = &estate.Owner{Name: r.config.Name, Instance: r.fleetConfig.Instance, Adopted: c.adopted, Copies: c.conf.Copies, Client: c.client, Books: (*ownBooks)(r),
 		Say: func(ctx context.Context, e state.Event) (all []*state.Estate, err error) {
 			err = keepers.Call(ctx, http.MethodPost, api.EstatesPath, e, &all)
 			return all, err
--- a/internal/relay/contended_rig_test.go
+++ b/internal/relay/contended_rig_test.go
@@ -72,7 +72,7 @@
 // noticeTaker is a platform whose connections fall silent after some POSTs of notices each: what is sent on them from then
 // on is read by nobody.
 type noticeTaker struct {
-	*platform
+	*fakePlatform
 	outcomes *outcomes
 }
 
@@ -80,7 +80,7 @@
 
 type postsKey struct{}
 
-func startNoticeTaker(t *testing.T, o *outcomes, p *platform) string {
+func startNoticeTaker(t *testing.T, o *outcomes, p *fakePlatform) string {
 	taker := &noticeTaker{p, o}
 	s := httptest.NewUnstartedServer(http.HandlerFunc(taker.serve))
 	s.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
@@ -93,7 +93,7 @@
 
 func (n *noticeTaker) serve(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/status" {
-		n.platform.serve(w, req)
+		n.fakePlatform.serve(w, req)
 		return
 	}
 	posts := req.Context().Value(postsKey{}).(*int)
@@ -162,7 +162,7 @@
 
 // start starts a process, and waits until it is ready.
 func (r *restarted) start(t *testing.T) {
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/contended_test.go
+++ b/internal/relay/contended_test.go
@@ -38,9 +38,9 @@
 func contended(t *testing.T) (valid bool) {
 	const relays, clients, lasts = 10, 4, 10 * time.Second
 	told := newOutcomes()
-	some, none := at("s-1", endpoint(t, told, 0.5), "taller"), at("s-2", endpoint(t, told, 0), "almacen")
+	some, none := testEndpoint("s-1", endpoint(t, told, 0.5), "taller"), testEndpoint("s-2", endpoint(t, told, 0), "almacen")
 	none.Cell = 8
-	p := newPlatform(t, some, none)
+	p := newFakePlatform(t, some, none)
 	config := strings.NewReplacer(p.addr(), startNoticeTaker(t, told, p), `"workers":7`, `"workers":40`,
 		`"most-held":50`, `"most-held":500`, `"cores":1`, `"cores":4`).Replace(string(testConfig(t, p)))
 	var cores unix.CPUSet
--- a/internal/relay/copies.go
+++ b/internal/relay/copies.go
@@ -38,7 +38,7 @@
 	looks   bool        // and will do so in a while
 	fresh   int64       // bytes of a copy that messages take which are not on record yet
 	// uncounted are notices that wait for their records to count.
-	uncounted []*uncountedNotices
+	uncounted []*uncommittedNotices
 	adopted   string // writer that the process before this one was, in an upgrade
 	holder    atomic.Pointer[estate.Holder]
 	begun     chan struct{} // closed once new messages can be copied
@@ -157,7 +157,7 @@
 		s.gates.Pass(st.Counted, risk, now)
 		waits = waits || s.gates.Len() > 0 || s.short > 0
 	}
-	r.tellDue()
+	r.sendDueNotices()
 	if waits {
 		r.lookSoon()
 	}
--- a/internal/relay/copies_room.go
+++ b/internal/relay/copies_room.go
@@ -20,7 +20,7 @@
 		return true
 	}
 	size := journal.CopySize(e)
-	if r.journal.CopyHeld(c.main)+c.fresh+size > journal.CopyMost(r.conf.copyBudget()) {
+	if r.journal.CopyHeld(c.main)+c.fresh+size > journal.CopyMost(r.config.copyBudget()) {
 		return false
 	}
 	c.fresh += size
--- a/internal/relay/copies_room_test.go
+++ b/internal/relay/copies_room_test.go
@@ -29,12 +29,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 1024), quit: make(chan struct{}), conf: Config{DiskMB: diskMB},
+	r := &Relay{startedAt: time.Now().Add(-time.Minute), inbox: make(chan func(), 1024), quit: make(chan struct{}), config: Config{DiskMB: diskMB},
 		books: books{journal: own, held: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
 			copies: &copying{conf: fleet.Config{Copies: holders - 1}, streams: map[uint64]*stream{}, begun: make(chan struct{}), client: &http.Client{}}}}
-	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
-	r.dests = map[int]*waiting{7: {}}
-	r.set.Store(&standing{})
+	r.fleetConfig = fleet.Open(t.TempDir(), "w", fleet.File{})
+	r.destWaits = map[int]*hostWait{7: {}}
+	r.settings.Store(&standing{})
 	t.Cleanup(func() { close(r.quit) })
 	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: holders - 1}
 	for i := range holders {
@@ -67,7 +67,7 @@
 		case f := <-r.inbox:
 			f()
 			r.flush()
-			r.takeOn()
+			r.acceptNew()
 		case <-deadline:
 			t.Fatalf("it does not come about: %s", what)
 		}
@@ -79,7 +79,7 @@
 	in := &intake{ctx: context.Background(), reply: make(chan answer, 1), due: r.now() + time.Hour, entry: &journal.Entry{ID: id, Class: "c", Dest: 7,
 		Due: time.Now().Add(time.Hour).UnixMilli(), Body: make([]byte, body), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}}
 	r.take(in)
-	r.takeOn()
+	r.acceptNew()
 	return in.reply
 }
 
--- a/internal/relay/copies_test.go
+++ b/internal/relay/copies_test.go
@@ -15,10 +15,10 @@
 // copier is a relay that copies to holders of whom none answers.
 func copier(t *testing.T, short string) (*Relay, *stream) {
 	t.Helper()
-	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 64), quit: make(chan struct{}),
+	r := &Relay{startedAt: time.Now().Add(-time.Minute), inbox: make(chan func(), 64), quit: make(chan struct{}),
 		books: books{journal: openJournal(t), held: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
 			copies: &copying{conf: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*stream{}, begun: make(chan struct{}), client: http.DefaultClient}}}
-	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
+	r.fleetConfig = fleet.Open(t.TempDir(), "w", fleet.File{})
 	t.Cleanup(func() { close(r.quit) })
 	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Holders: []state.Holder{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
 	if err := r.markEstate(e, 1); err != nil {
@@ -58,7 +58,7 @@
 	if len(keyed)+len(once) > 0 {
 		t.Fatal("a client is answered before its message counts")
 	}
-	r.began = r.began.Add(-countIn) // so long later
+	r.startedAt = r.startedAt.Add(-countIn) // so long later
 	r.counted()
 	if a := <-keyed; a.status != http.StatusServiceUnavailable || a.after <= 0 {
 		t.Errorf("one that may come again: %+v", a)
@@ -83,7 +83,7 @@
 	r, _ := copier(t, fleet.OwnDisk)
 	_, reply := takeOn(t, r, "m1", choice.Unsafe)
 	r.counted()
-	r.began = r.began.Add(-countIn)
+	r.startedAt = r.startedAt.Add(-countIn)
 	r.counted()
 	if a := <-reply; a.status != http.StatusAccepted || !r.copies.takes(r.now()) {
 		t.Errorf("answered %+v", a)
@@ -100,7 +100,7 @@
 	for name, written := range map[string]time.Time{"not counted": time.Now(), "too late": time.Now().Add(-freshIn)} {
 		r.events = nil
 		c := &call{host: &host{id: "h"}, members: []*message{m}, sends: []choice.Send{{ID: "m1", Host: "h", Timeout: time.Minute}}}
-		r.startCounted(c, written, name == "too late")
+		r.startRecorded(c, written, name == "too late")
 		if len(r.events) != 1 || r.events[0].(choice.Result).Outcome != choice.NotSent || m.call != nil {
 			t.Errorf("%s: %+v", name, r.events)
 		}
@@ -135,9 +135,9 @@
 	want(t, "it is withdrawn", r.withdraw(m.ID, func(counts bool) { said <- counts }), true)
 	r.counted()
 	want(t, "words on it before it counts", len(said), 0)
-	r.began = r.began.Add(-countIn) // so long later
+	r.startedAt = r.startedAt.Add(-countIn) // so long later
 	r.counted()
-	want(t, "it counts", wait(t, said, "word"), false)
+	want(t, "it counts", receive(t, said, "word"), false)
 	r.flush()
 	want(t, "messages on record", r.journal.Len(), 0)
 	for effect, status := range map[choice.Effect]int{choice.Keyed: http.StatusServiceUnavailable, choice.Unsafe: http.StatusInternalServerError} {
@@ -152,13 +152,13 @@
 	for name, atOnce := range map[string]bool{"r": true, "another": false} {
 		r, s := copier(t, fleet.Refuse)
 		delete(r.copies.streams, s.ID)
-		r.set.Store(&standing{})
+		r.settings.Store(&standing{})
 		now := time.Now().UnixMilli()
 		e := &journal.Entry{ID: "m1", Class: "c", Dest: 7, Estate: 1, Due: now + time.Minute.Milliseconds(), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}
 		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: e}, journal.Record{Op: journal.OpTry, ID: "m1", At: now, Wait: 30_000}); err != nil {
 			t.Fatal(err)
 		}
-		r.conf.Name = "r"
+		r.config.Name = "r"
 		begun, err := r.beginEstate(state.Estate{ID: 1, Name: name, Epoch: 2, Owner: "r", Writer: "w2", Main: true, Copies: 1}, nil)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -47,8 +47,8 @@
 }
 
 // leanHost answers each call at once: 200, and ok for each message of one with several.
-func leanHost(tb testing.TB) string {
-	return bareHost(tb, func(conn net.Conn) {
+func newLeanHost(tb testing.TB) string {
+	return newRawHost(tb, func(conn net.Conn) {
 		in := bufio.NewReaderSize(conn, 64<<10)
 		single := []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		for {
@@ -81,14 +81,14 @@
 
 // costRig is a relay with room for whatever a benchmark brings, and one client on a kept connection.
 type costRig struct {
-	tb   testing.TB
-	r    *Relay
-	conn net.Conn
-	in   *bufio.Reader
-	body []byte
-	held int // messages that stay
-	buf  []byte
-	n    int
+	tb              testing.TB
+	r               *Relay
+	conn            net.Conn
+	in              *bufio.Reader
+	body            []byte
+	pendingBaseline int // messages that stay
+	buf             []byte
+	sent            int
 }
 
 func newCostRig(tb testing.TB, bodySize int, change func(*Config), more ...discovery.Server) *costRig {
@@ -96,7 +96,7 @@
 	log := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	tb.Cleanup(func() { slog.SetDefault(log) })
-	p := newPlatform(tb, append(more, at("s-1", leanHost(tb), "taller"))...)
+	p := newFakePlatform(tb, append(more, testEndpoint("s-1", newLeanHost(tb), "taller"))...)
 	r := startRelay(tb, p, func(c *Config) {
 		c.DiskMB, c.Settings.MaxHeld = 4096, 0 // no compaction comes between
 		if change != nil {
@@ -112,11 +112,11 @@
 }
 
 // hand posts one message and returns the status of its answer.
-func (c *costRig) hand() string {
-	c.n++
+func (c *costRig) post() string {
+	c.sent++
 	c.buf = fmt.Appendf(c.buf[:0], "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: 9b1f03aa5c7e%08d\r\nX-Class: job-order\r\n"+
 		"X-Tenant: acme\r\nX-Deadline-Ms: 15000\r\nIdempotency-Key: 5c0f6e1a2b3d4c59a8b7c6d5%08d\r\nContent-Length: %d\r\n"+
-		"X-Addressing: dest=7\r\n\r\n%s", c.n, c.n, len(c.body), c.body)
+		"X-Addressing: dest=7\r\n\r\n%s", c.sent, c.sent, len(c.body), c.body)
 	if _, err := c.conn.Write(c.buf); err != nil {
 		c.tb.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 	held := make(chan int, 1)
 	for {
 		c.r.post(func() { held <- len(c.r.held) })
-		if <-held <= c.held {
+		if <-held <= c.pendingBaseline {
 			return
 		}
 		time.Sleep(200 * time.Microsecond)
@@ -145,10 +145,10 @@
 // serve has one message served. Messages follow each other while earlier ones are out, as they do in service;
 // looking whether all have ended costs too, and is done seldom.
 func (c *costRig) serve() {
-	if status := c.hand(); status != "202" {
+	if status := c.post(); status != "202" {
 		c.tb.Fatalf("status %s, want 202", status)
 	}
-	if c.n%64 == 0 {
+	if c.sent%64 == 0 {
 		c.settle()
 	}
 }
@@ -161,11 +161,11 @@
 }
 
 // together has several messages come in one turn of the loop, so that they share a call.
-func (c *costRig) together(n int) {
+func (c *costRig) serveTogether(n int) {
 	c.r.post(func() {
 		for range n {
-			c.n++
-			e := &journal.Entry{ID: fmt.Sprint("together-", c.n), Class: "job-order", Key: fmt.Sprint("key-", c.n), Dest: 7,
+			c.sent++
+			e := &journal.Entry{ID: fmt.Sprint("together-", c.sent), Class: "job-order", Key: fmt.Sprint("key-", c.sent), Dest: 7,
 				Due: time.Now().Add(15 * time.Second).UnixMilli(), Body: c.body}
 			c.r.take(&intake{entry: e, due: c.r.now() + 15*time.Second, ctx: context.Background(), reply: make(chan answer, 1)})
 		}
@@ -216,9 +216,9 @@
 		full := make(chan struct{})
 		c.r.post(func() { c.r.held["one"] = &message{Entry: &journal.Entry{ID: "one"}}; close(full) })
 		<-full
-		c.held = 1
+		c.pendingBaseline = 1
 		measure(b, c, 1, func() {
-			if status := c.hand(); status != "503" {
+			if status := c.post(); status != "503" {
 				b.Fatalf("status %s, want 503", status)
 			}
 		})
@@ -227,7 +227,7 @@
 		c := newCostRig(b, 200, func(c *Config) {
 			c.Known.Servers[0].Kind = "marketplace"
 		})
-		measure(b, c, 5, func() { c.together(5) })
+		measure(b, c, 5, func() { c.serveTogether(5) })
 	})
 }
 
@@ -259,7 +259,7 @@
 }
 
 // heldBytes is what is on the heap and on stacks once all garbage is gone.
-func heldBytes() float64 {
+func retainedBytes() float64 {
 	var m runtime.MemStats
 	for range 3 { // pools are emptied by the second collection
 		runtime.GC()
@@ -268,7 +268,7 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-func descriptors(tb testing.TB) int {
+func countDescriptors(tb testing.TB) int {
 	names, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		tb.Fatal(err)
@@ -277,28 +277,28 @@
 }
 
 // holding reports what one of many things takes that a relay holds, in bytes.
-func holding(tb testing.TB, n int, what func()) float64 {
-	before := heldBytes()
+func retainedPer(tb testing.TB, n int, what func()) float64 {
+	before := retainedBytes()
 	what()
-	return (heldBytes() - before) / float64(n)
+	return (retainedBytes() - before) / float64(n)
 }
 
 // open has the relay hold so many messages that wait, for their endpoint is not to be reached.
-func (c *costRig) open(n int) {
+func (c *costRig) addPending(n int) {
 	for range n {
-		if status := c.hand(); status != "202" {
+		if status := c.post(); status != "202" {
 			c.tb.Fatalf("status %s, want 202", status)
 		}
 	}
 }
 
-func drains(c *Config) {
+func drainingEndpoint(c *Config) {
 	c.Known.Servers[0].State = "leaving"
 	c.Known.Full, c.Discovery = true, "127.0.0.1:1"
 }
 
 // crowd connects idle clients, each of which has handed in a message once.
-func (c *costRig) crowd(n int) (end func()) {
+func (c *costRig) connectClients(n int) (end func()) {
 	var conns []net.Conn
 	for range n {
 		conn, err := net.Dial("tcp", c.r.Addr())
@@ -333,12 +333,12 @@
 // side of a client's connection is in the same process and counted with it.
 func BenchmarkHeld(b *testing.B) {
 	report := func(b *testing.B, n int, what func(c *costRig, n int) func()) {
-		c := newCostRig(b, 200, drains)
-		c.open(20)
+		c := newCostRig(b, 200, drainingEndpoint)
+		c.addPending(20)
 		var end func()
-		fds := descriptors(b)
-		held := holding(b, n, func() { end = what(c, n) })
-		fds = descriptors(b) - fds
+		fds := countDescriptors(b)
+		held := retainedPer(b, n, func() { end = what(c, n) })
+		fds = countDescriptors(b) - fds
 		if end != nil {
 			end()
 		}
@@ -349,15 +349,15 @@
 		b.ReportMetric(0, "ns/op")
 	}
 	b.Run("message", func(b *testing.B) {
-		report(b, 500, func(c *costRig, n int) func() { c.open(n); return nil })
+		report(b, 500, func(c *costRig, n int) func() { c.addPending(n); return nil })
 	})
 	b.Run("client", func(b *testing.B) {
-		report(b, 200, func(c *costRig, n int) func() { return c.crowd(n) })
+		report(b, 200, func(c *costRig, n int) func() { return c.connectClients(n) })
 	})
 	b.Run("endpoint", func(b *testing.B) {
 		report(b, 2000, func(c *costRig, n int) func() {
 			l, done := longList(n), make(chan struct{})
-			c.r.post(func() { c.r.listed(l) })
+			c.r.post(func() { c.r.applyList(l) })
 			c.r.post(func() { close(done) })
 			<-done
 			return nil
@@ -389,12 +389,12 @@
 	}
 	// Messages that are out together have a connection each, and how many are depends on the machine. One
 	// after the other they share those there are: a call's connection is idle before its end is told.
-	fds := descriptors(t)
+	fds := countDescriptors(t)
 	for range messages {
 		c.serve()
 		c.settle()
 	}
-	if n := descriptors(t) - fds; n > 0 {
+	if n := countDescriptors(t) - fds; n > 0 {
 		t.Errorf("%d messages, one after the other on one connection, leave %d more descriptors", messages, n)
 	}
 }
--- a/internal/relay/delay.go
+++ b/internal/relay/delay.go
@@ -61,13 +61,13 @@
 // observeWake takes in how late the wake-up came that the decisions asked for.
 func (r *Relay) observeWake() {
 	if r.wakeAt > 0 {
-		r.delays.observe(r.now(), r.now()-r.wakeAt)
+		r.timerDelays.observe(r.now(), r.now()-r.wakeAt)
 	}
 }
 
 // longestEndMargin is how long before its time is up a message with much time has to be over, so that its notice comes in time.
 func (r *Relay) longestEndMargin() time.Duration {
-	return min(max(endMarginLeast, delaysToEnd*r.delays.longest(r.now())), endMarginMost)
+	return min(max(endMarginLeast, delaysToEnd*r.timerDelays.longest(r.now())), endMarginMost)
 }
 
 // endMargin is the same for a message of a lifetime, its whole time.
--- a/internal/relay/delay_test.go
+++ b/internal/relay/delay_test.go
@@ -48,10 +48,10 @@
 // Guards against counting a message's time from when the relay came to read it: a relay that gets no core as the request
 // arrives would tell its end later than it may.
 func TestTimeCountsFromTheArrivalOfARequest(t *testing.T) {
-	calls := make(chan *seen, 10) // never answered
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	cmd, addr := process(t, p, t.TempDir())
-	up(t, addr)
+	calls := make(chan *receivedCall, 10) // never answered
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	cmd, addr := startProcess(t, p, t.TempDir())
+	checkUp(t, addr)
 	const left = 3 * time.Second
 	kept, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -72,7 +72,7 @@
 		fresh <- conn
 	}()
 	withoutCore(t, cmd, answerPatience-30*time.Millisecond)
-	conn := wait(t, fresh, "second connection")
+	conn := receive(t, fresh, "second connection")
 	defer conn.Close()
 	first, second := <-sent, <-sent
 	for _, c := range []net.Conn{kept, conn} {
@@ -82,7 +82,7 @@
 		}
 	}
 	for range 2 {
-		n := wait(t, p.notices, "notice")
+		n := receive(t, p.notices, "notice")
 		due := map[string]time.Time{"kept": first, "fresh": second}[n.ID].Add(left)
 		if late := time.Since(due); late > endLimit-answerPatience/2 {
 			t.Errorf("the end of %s was told %v after its time, though the relay had a core since long before", n.ID, late)
@@ -102,11 +102,11 @@
 }
 
 func endsWithoutACore(t *testing.T) (valid bool) {
-	calls := make(chan *seen, 1000) // never answered
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	cmd, addr := process(t, p, t.TempDir())
+	calls := make(chan *receivedCall, 1000) // never answered
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	cmd, addr := startProcess(t, p, t.TempDir())
 	defer func() { cmd.Process.Kill(); cmd.Wait() }()
-	up(t, addr)
+	checkUp(t, addr)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 	time.Sleep(time.Until(begin.Add(3100 * time.Millisecond)))
 	valid = withoutCore(t, cmd, answerPatience)
 	for range messages {
-		e := wait(t, ends, "notice")
+		e := receive(t, ends, "notice")
 		if late := e.at.Sub(due[e.id]); valid && late > endLimit {
 			t.Errorf("the end of %s was told %v after its time", e.id, late)
 		}
@@ -157,12 +157,12 @@
 	want(t, "longest delay once the first is forgotten", d.longest(2*delayMemory), 7*time.Millisecond)
 	want(t, "longest delay after a rest", d.longest(9*delayMemory), 0)
 
-	r := &Relay{began: time.Now()}
+	r := &Relay{startedAt: time.Now()}
 	want(t, "margin of a relay that runs on time", r.endMargin(time.Minute), endMarginLeast)
 	want(t, "margin of a short time", r.endMargin(200*time.Millisecond), 50*time.Millisecond)
 	want(t, "margin of a time that is up", r.endMargin(-time.Second), 0)
-	r.delays.observe(r.now(), 100*time.Millisecond)
+	r.timerDelays.observe(r.now(), 100*time.Millisecond)
 	want(t, "margin of a relay that runs late", r.endMargin(time.Minute), delaysToEnd*100*time.Millisecond)
-	r.delays.observe(r.now(), time.Second)
+	r.timerDelays.observe(r.now(), time.Second)
 	want(t, "margin of one that runs far too late", r.endMargin(time.Minute), endMarginMost)
 }
--- a/internal/relay/descriptors.go
+++ b/internal/relay/descriptors.go
@@ -14,7 +14,7 @@
 const (
 	// Standard streams, the poller, listeners, journal and its copy, discovery, hand-over; and notices, whose second attempts
 	// may have one more on its way out.
-	ownDescriptors   = 15 + noticeBatches + 2*noticeHedges
+	ownDescriptors   = 15 + maxNoticeBatches + 2*maxNoticeHedges
 	fleetDescriptors = 24 // keepers, holders, their streams and folders
 )
 
@@ -44,7 +44,7 @@
 
 // dial opens connections that go out. Without a descriptor it says nothing of the other side: those that rest make room.
 func (r *Relay) dial(timeout time.Duration) dialFunc {
-	d := dialer(r.conf.Source, timeout)
+	d := dialer(r.config.Source, timeout)
 	if timeout == 0 {
 		timeout = localFor
 	}
--- a/internal/relay/draining_test.go
+++ b/internal/relay/draining_test.go
@@ -16,19 +16,19 @@
 // somebody has asked for its end.
 type stalled struct {
 	*net.TCPListener
-	stall *instant
+	stall *pausePoint
 	asked chan struct{}
 	once  sync.Once
 }
 
 func newStalled(l net.Listener) *stalled {
-	return &stalled{TCPListener: l.(*net.TCPListener), stall: newInstant(), asked: make(chan struct{})}
+	return &stalled{TCPListener: l.(*net.TCPListener), stall: newPausePoint(), asked: make(chan struct{})}
 }
 
 // Accept stalls with the connection that it has in its hands.
 func (l *stalled) Accept() (net.Conn, error) {
 	conn, err := l.TCPListener.Accept()
-	l.stall.pass()
+	l.stall.reach()
 	return conn, err
 }
 
@@ -45,8 +45,8 @@
 // Guards against closing the listener over connections that were not accepted yet: the reset takes their requests along.
 // The process gets no core from before they come until the listener is to close.
 func TestWhoWaitsInTheQueueIsAnswered(t *testing.T) {
-	calls := make(chan *seen, 100)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+	calls := make(chan *receivedCall, 100)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	conf, err := readTestConfig(t, testConfig(t, p), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -80,7 +80,7 @@
 		wantStatus(t, fmt.Sprint("answer to m", i), bufio.NewReader(conn), http.StatusAccepted)
 	}
 	for range conns {
-		wait(t, calls, "call").answer <- 200
+		receive(t, calls, "call").answer <- 200
 	}
 	<-ended
 }
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -16,14 +16,14 @@
 )
 
 // scripted is an endpoint that answers its first call by a script and all others with 200, and notes what it got.
-type scripted struct {
+type scriptedHost struct {
 	addr  string
 	mu    sync.Mutex
 	calls int
 }
 
-func newScripted(t *testing.T, first func(w http.ResponseWriter)) *scripted {
-	e := &scripted{}
+func newScriptedHost(t *testing.T, first func(w http.ResponseWriter)) *scriptedHost {
+	e := &scriptedHost{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
 		e.mu.Lock()
@@ -40,20 +40,20 @@
 	return e
 }
 
-func (e *scripted) count() int {
+func (e *scriptedHost) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.calls
 }
 
-func says(status int) func(http.ResponseWriter) {
+func answerStatus(status int) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) { w.WriteHeader(status) }
 }
 
 // Guards the end of a message whose outcome comes as the loop ends, and is dropped: whatever it was, the next start takes the
 // attempt for one that may have run, sends again only what may be repeated, and ends each message exactly once.
-func TestAnOutcomeThatTheLoopDropped(t *testing.T) {
-	dead := func() string {
+func TestDroppedOutcomeOfSingleCall(t *testing.T) {
+	closedAddr := func() string {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -62,28 +62,28 @@
 		return l.Addr().String()
 	}
 	for kind, first := range map[string]func(http.ResponseWriter){
-		"served": says(200), "refused": says(503), "gone": says(410), "error": says(500), "no slot": says(504),
+		"served": answerStatus(200), "refused": answerStatus(503), "gone": answerStatus(410), "error": answerStatus(500), "no slot": answerStatus(504),
 		"cut off":       func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
 		"no connection": nil,
 	} {
-		for class, repeats := range map[string]bool{"status-update": true, "job-order": true, "payment": false} {
+		for class, repeatable := range map[string]bool{"status-update": true, "job-order": true, "payment": false} {
 			t.Run(kind+", "+class, func(t *testing.T) {
-				host := newScripted(t, first)
-				server := at("s-1", host.addr, "taller")
+				host := newScriptedHost(t, first)
+				server := testEndpoint("s-1", host.addr, "taller")
 				want := 1
 				if kind == "no connection" {
-					server.Addr, want = dead(), 0
+					server.Addr, want = closedAddr(), 0
 				}
-				if repeats {
+				if repeatable {
 					want++
 				}
 				state := t.TempDir()
-				dropOutcomes(t, newPlatform(t, server), state, class, "m1")
+				sendAndDropOutcomes(t, newFakePlatform(t, server), state, class, "m1")
 				if kind == "no connection" {
 					host.calls, server.Addr = 1, host.addr // its first answer is over
 					want++
 				}
-				endsOnce(t, server, state, class, repeats, "m1")
+				wantEndedOnce(t, server, state, class, repeatable, "m1")
 				if n := host.count(); n != want {
 					t.Errorf("%d calls came, want %d", n, want)
 				}
@@ -93,21 +93,21 @@
 }
 
 // Guards the same for the members of a shared call.
-func TestAnOutcomeOfASharedCallThatTheLoopDropped(t *testing.T) {
-	for class, repeats := range map[string]bool{"status-update": true, "payment": false} {
-		host := newScripted(t, func(w http.ResponseWriter) { io.WriteString(w, "m1 ok\r\nm2 later\r\nm3 gone\r\n") })
-		server := at("s-1", host.addr, "taller")
+func TestDroppedOutcomeOfSharedCall(t *testing.T) {
+	for class, repeatable := range map[string]bool{"status-update": true, "payment": false} {
+		host := newScriptedHost(t, func(w http.ResponseWriter) { io.WriteString(w, "m1 ok\r\nm2 later\r\nm3 gone\r\n") })
+		server := testEndpoint("s-1", host.addr, "taller")
 		server.Kind = "marketplace"
 		state := t.TempDir()
-		dropOutcomes(t, newPlatform(t, server), state, class, "m1", "m2", "m3")
+		sendAndDropOutcomes(t, newFakePlatform(t, server), state, class, "m1", "m2", "m3")
 		want(t, "calls", host.count(), 1)
 		server.Kind = "customer-system" // one message a call, which 200 delivers
-		endsOnce(t, server, state, class, repeats, "m1", "m2", "m3")
+		wantEndedOnce(t, server, state, class, repeatable, "m1", "m2", "m3")
 	}
 }
 
 // dropOutcomes takes messages on, has them go out, and kills the relay with their outcomes ready and not taken in.
-func dropOutcomes(t *testing.T, p *platform, state, class string, ids ...string) {
+func sendAndDropOutcomes(t *testing.T, p *fakePlatform, state, class string, ids ...string) {
 	t.Helper()
 	r := unserved(t, p, state)
 	for _, id := range ids {
@@ -119,21 +119,21 @@
 	for len(r.events) > 0 {
 		r.step()
 	}
-	want(t, "calls out", r.out, 1)
-	wait(t, r.inbox, "outcome") // and not run
+	want(t, "calls out", r.callsInFlight, 1)
+	receive(t, r.inbox, "outcome") // and not run
 	r.stop()
 	r.journal.Close()
 }
 
 // endsOnce starts the next process, and wants each message delivered if it may be repeated, else ended by one notice.
-func endsOnce(t *testing.T, server discovery.Server, state, class string, repeats bool, ids ...string) {
+func wantEndedOnce(t *testing.T, server discovery.Server, state, class string, repeatable bool, ids ...string) {
 	t.Helper()
-	p := newPlatform(t, server)
+	p := newFakePlatform(t, server)
 	r := startRelay(t, p, func(conf *Config) { conf.State = state })
-	for held := -1; held != 0; {
+	for pending := -1; pending != 0; {
 		counts := make(chan int, 1)
 		r.post(func() { counts <- len(r.held) + r.owed + r.journal.Len() })
-		held = wait(t, counts, "count")
+		pending = receive(t, counts, "count")
 	}
 	var ended []string
 	for len(p.notices) > 0 {
@@ -142,7 +142,7 @@
 		ended = append(ended, n.ID)
 	}
 	slices.Sort(ended)
-	if repeats {
+	if repeatable {
 		ids = nil
 	}
 	if !slices.Equal(ended, ids) {
--- a/internal/relay/due_notices.go
+++ b/internal/relay/due_notices.go
@@ -10,38 +10,38 @@
 // no longer: it would only come too late.
 
 // uncountedNotices are notices of one write whose records do not count yet.
-type uncountedNotices struct{ waiting []notice }
+type uncommittedNotices struct{ notices []notice }
 
 // noticesCounted is what is to be done with notices once their records count, or are another relay's.
-func (r *Relay) noticesCounted(notices []notice) func(counts bool) {
-	c := r.copies
-	if c == nil {
-		return func(counts bool) { r.sendNotices(notices, counts) }
+func (r *Relay) whenNoticesCommitted(notices []notice) func(committed bool) {
+	copies := r.copies
+	if copies == nil {
+		return func(committed bool) { r.sendNotices(notices, committed) }
 	}
-	u := &uncountedNotices{slices.Clone(notices)}
-	c.uncounted = append(c.uncounted, u)
-	return func(counts bool) {
-		c.uncounted = slices.DeleteFunc(c.uncounted, func(other *uncountedNotices) bool { return other == u })
-		r.sendNotices(u.waiting, counts)
+	uncommitted := &uncommittedNotices{slices.Clone(notices)}
+	copies.uncounted = append(copies.uncounted, uncommitted)
+	return func(committed bool) {
+		copies.uncounted = slices.DeleteFunc(copies.uncounted, func(other *uncommittedNotices) bool { return other == uncommitted })
+		r.sendNotices(uncommitted.notices, committed)
 	}
 }
 
 // dropUncounted forgets the notices of the write before, which failed: they wait to be recorded again.
-func (r *Relay) dropUncounted() {
-	if c := r.copies; c != nil {
-		c.uncounted = c.uncounted[:len(c.uncounted)-1]
+func (r *Relay) dropUncommittedNotices() {
+	if copies := r.copies; copies != nil {
+		copies.uncounted = copies.uncounted[:len(copies.uncounted)-1]
 	}
 }
 
 // tellDue has notices go out whose messages' time is up, though their records do not count yet.
-func (r *Relay) tellDue() {
+func (r *Relay) sendDueNotices() {
 	if r.heir != nil {
 		return // they are the next process's
 	}
 	now := r.now()
-	for _, u := range r.copies.uncounted {
+	for _, uncommitted := range r.copies.uncounted {
 		var due []notice
-		u.waiting = slices.DeleteFunc(u.waiting, func(n notice) bool {
+		uncommitted.notices = slices.DeleteFunc(uncommitted.notices, func(n notice) bool {
 			if n.due > now {
 				return false
 			}
--- a/internal/relay/estates.go
+++ b/internal/relay/estates.go
@@ -32,7 +32,7 @@
 func (b *ownBooks) Known() (all []state.Estate) {
 	b.done(func(r *Relay) {
 		for _, m := range r.journal.Marks() {
-			e := state.Estate{ID: m.Estate, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: m.Writer, Main: m.Main, Copies: m.Copies}
+			e := state.Estate{ID: m.Estate, Name: m.Name, Epoch: m.Epoch, Owner: r.config.Name, Writer: m.Writer, Main: m.Main, Copies: m.Copies}
 			if len(m.Sets) > 0 {
 				e.Holders, e.Before = m.Sets[0].Holders, m.Sets[1:]
 			}
@@ -71,7 +71,7 @@
 		if r.heir != nil || r.stopped || r.copies.streams[e.ID] != nil {
 			return
 		}
-		e.Writer = r.kept.Instance
+		e.Writer = r.fleetConfig.Instance
 		var err error
 		if s, err = r.beginEstate(e, found); err != nil {
 			slog.Error("an estate is not taken up", "estate", e.ID, "err", err)
@@ -104,7 +104,7 @@
 		return nil, err
 	}
 	s := r.newStream(e, next)
-	heir := e.Name != r.conf.Name || !e.Main
+	heir := e.Name != r.config.Name || !e.Main
 	n := 0
 	for m := range r.journal.All() {
 		if m.Estate == e.ID {
@@ -131,7 +131,7 @@
 		ok = (*ownBooks)(r).done(func(r *Relay) { recs, next = r.journal.Whole(e.ID), s.Next() })
 		return recs, next, ok && ctx.Err() == nil
 	}, r.news, func(*state.Sealed) { c.owner.Seal(e.ID) })
-	s.BatchMost = min(s.BatchMost, int(journal.CopyBatch(r.conf.copyBudget())))
+	s.BatchMost = min(s.BatchMost, int(journal.CopyBatch(r.config.copyBudget())))
 	c.streams[e.ID] = s
 	if e.Main {
 		c.main = e.ID
@@ -207,7 +207,7 @@
 		if writer == "" || m.Writer != writer {
 			continue
 		}
-		e := state.Estate{ID: id, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: writer, Main: m.Main, Copies: m.Copies}
+		e := state.Estate{ID: id, Name: m.Name, Epoch: m.Epoch, Owner: r.config.Name, Writer: writer, Main: m.Main, Copies: m.Copies}
 		if len(m.Sets) > 0 {
 			e.Holders, e.Before = m.Sets[0].Holders, m.Sets[1:]
 		}
--- a/internal/relay/flush.go
+++ b/internal/relay/flush.go
@@ -12,15 +12,15 @@
 
 // recordsAtOnce bounds the records of one write: the journal keeps room for about so many beyond what it holds, and makes
 // room by what they end.
-const recordsAtOnce = 64
+const maxRecordsPerWrite = 64
 
 // bindInOrder records what something new depends on, unless earlier records could not be written yet: written after it,
 // the end of an earlier message would end a new one of the same id, and an outcome would be taken for that of a new attempt.
-func (r *Relay) bindInOrder(recs []journal.Record, most time.Duration, then func(counts bool)) error {
+func (r *Relay) bindAfterFlush(records []journal.Record, maxWait time.Duration, then func(committed bool)) error {
 	if len(r.records) > 0 {
 		return errUnwritten
 	}
-	return r.bind(recs, most, then)
+	return r.bind(records, maxWait, then)
 }
 
 // flush records what has ended. What cannot be written now is kept, and no notice
@@ -32,21 +32,21 @@
 	}
 	all := r.records
 	for len(r.records) > 0 {
-		part := r.records[:min(len(r.records), recordsAtOnce)]
-		notices := r.noticesOf(part)
+		batch := r.records[:min(len(r.records), maxRecordsPerWrite)]
+		notices := r.noticesFor(batch)
 		var then func(counts bool)
 		if len(notices) > 0 {
-			then = r.noticesCounted(notices)
+			then = r.whenNoticesCommitted(notices)
 		}
-		if err := r.bind(part, 0, then); err != nil {
+		if err := r.bind(batch, 0, then); err != nil {
 			if then != nil {
-				r.dropUncounted()
+				r.dropUncommittedNotices()
 			}
 			slog.Error("not recorded", "records", len(r.records), "err", err, "remedy", remedy.Of(err))
-			r.flushAgain()
+			r.scheduleFlush()
 			return
 		}
-		r.records = r.records[len(part):]
+		r.records = r.records[len(batch):]
 		r.untold = r.untold[len(notices):]
 	}
 	r.records = all[:0]
@@ -58,7 +58,7 @@
 
 // noticesOf are the first of the notices that wait, up to the last one that some records are of. Notices wait in the order
 // of their records.
-func (r *Relay) noticesOf(records []journal.Record) []notice {
+func (r *Relay) noticesFor(records []journal.Record) []notice {
 	count := 0
 	for _, record := range records {
 		if record.Op != journal.OpNotice {
@@ -73,8 +73,8 @@
 }
 
 // sendNotices has notices go out once their records count.
-func (r *Relay) sendNotices(notices []notice, counts bool) {
-	if !counts { // another relay ends them
+func (r *Relay) sendNotices(notices []notice, committed bool) {
+	if !committed { // another relay ends them
 		r.owed -= len(notices)
 		return
 	}
@@ -82,13 +82,13 @@
 }
 
 // rewriteIn is the time from a record that could not be written to the next attempt. What it ends waits for it.
-const rewriteIn = 50 * time.Millisecond
+const flushRetryDelay = 50 * time.Millisecond
 
 // flushAgain has the loop take a turn, and so flush, in a while; one such turn at a time, however many attempts have failed.
-func (r *Relay) flushAgain() {
+func (r *Relay) scheduleFlush() {
 	if r.flushes {
 		return
 	}
 	r.flushes = true
-	time.AfterFunc(rewriteIn, func() { r.post(func() { r.flushes = false }) })
+	time.AfterFunc(flushRetryDelay, func() { r.post(func() { r.flushes = false }) })
 }
--- a/internal/relay/full_journal_test.go
+++ b/internal/relay/full_journal_test.go
@@ -17,9 +17,9 @@
 func TestManyEndsFromAFullJournal(t *testing.T) {
 	for name, bodySize := range map[string]int{"small messages": 1, "large messages": 4000} {
 		t.Run(name, func(t *testing.T) {
-			leaving := at("s-1", "127.0.0.1:1", "taller")
+			leaving := testEndpoint("s-1", "127.0.0.1:1", "taller")
 			leaving.State = "leaving" // so that messages wait
-			p := newPlatform(t, leaving)
+			p := newFakePlatform(t, leaving)
 			p.notices = make(chan notice, 10000)
 			r := startRelay(t, p, func(c *Config) { c.DiskMB, c.Settings.MaxHeld = 3, 0 })
 			due := r.now() + 4*time.Second
@@ -28,9 +28,9 @@
 				in := &intake{ctx: context.Background(), reply: make(chan answer, 1), due: due}
 				in.entry = &journal.Entry{ID: fmt.Sprintf("%016x", taken), Class: "payment", Dest: 7, Body: []byte(strings.Repeat("x", bodySize)),
 					Due: time.Now().Add(due - r.now()).UnixMilli()}
-				in.entry.Terms = &choice.Terms{Class: r.set.Load().Classes[2], Attempts: 6}
+				in.entry.Terms = &choice.Terms{Class: r.settings.Load().Classes[2], Attempts: 6}
 				r.post(func() { r.take(in) })
-				if full = wait(t, in.reply, "answer").status != http.StatusAccepted; !full {
+				if full = receive(t, in.reply, "answer").status != http.StatusAccepted; !full {
 					taken++
 				}
 			}
@@ -40,7 +40,7 @@
 			for n := range taken {
 				select {
 				case <-p.notices:
-				case <-time.After(time.Until(r.began.Add(due + 5*time.Second))):
+				case <-time.After(time.Until(r.startedAt.Add(due + 5*time.Second))):
 					t.Fatalf("%d of %d ends were told", n, taken)
 				}
 			}
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -46,13 +46,13 @@
 		return endpointShut
 	case r.listExpired(now):
 		return listTooOld
-	case c.host.waiting.left(now) > 0:
+	case c.host.wait.remaining(now) > 0:
 		return toldToWait
 	case r.late():
 		return handedOver
-	case over(c.before) || over(c.fresh): // nobody would drop the repeat any more, or an heir may not know of it
+	case deadlinePassed(c.writeBy) || deadlinePassed(c.startBy): // nobody would drop the repeat any more, or an heir may not know of it
 		return outOfTime
-	case c.agreed.over(now):
+	case c.agreed.expired(now):
 		return agreementOver
 	}
 	return notWithheld
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -15,11 +15,11 @@
 )
 
 // upgrade starts the next process of a relay beside it.
-func upgrade(t *testing.T, p *platform, old *Relay) *Relay {
+func upgrade(t *testing.T, p *fakePlatform, old *Relay) *Relay {
 	t.Helper()
 	next := startRelay(t, p, func(conf *Config) {
 		withAdmin(conf)
-		conf.Listen, conf.State = old.Addr(), old.conf.State
+		conf.Listen, conf.State = old.Addr(), old.config.State
 	})
 	for begin := time.Now(); ; time.Sleep(time.Millisecond) {
 		if status, _ := operate(t, next, "GET", "/ready"); status == 200 {
@@ -35,13 +35,13 @@
 // connections; send what is out a second time; forget a wait, or what operators took out; count
 // what the process before it did, or miss what ends after it took over.
 func TestHandOver(t *testing.T) {
-	calls := make(chan *seen, 10)
-	other := at("s-3", fakeHost(t, "c", calls), "taller")
+	calls := make(chan *receivedCall, 10)
+	other := testEndpoint("s-3", newFakeHost(t, "c", calls), "taller")
 	other.Cell = 8
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"), at("s-2", fakeHost(t, "b", calls), "taller"), other)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "taller"), other)
 	state := t.TempDir()
 	old := startRelay(t, p, func(conf *Config) { withAdmin(conf); conf.State = state })
-	up(t, old.Addr())
+	checkUp(t, old.Addr())
 	if status, _ := operate(t, old, "PUT", "/endpoints/disable/s-2"); status != 200 {
 		t.Fatal(status)
 	}
@@ -61,9 +61,9 @@
 		return resp
 	}
 	want(t, "m1", post("m1").StatusCode, 202)
-	out := wait(t, calls, "call")
-	hand(t, old.Addr(), "m2", "payment", "X-Addressing", "dest=8")
-	told := wait(t, calls, "call")
+	out := receive(t, calls, "call")
+	postMessage(t, old.Addr(), "m2", "payment", "X-Addressing", "dest=8")
+	told := receive(t, calls, "call")
 	toldAt := time.Now()
 	told.answer <- 429 // and to wait 0.3 s
 	shows(t, old, "svc.attempts=2", "svc.in_flight=2")
@@ -72,8 +72,8 @@
 	next.listener.mu.Lock()
 	most := next.listener.most
 	next.listener.mu.Unlock()
-	if n := old.listener.count(); n == 0 || most+n > next.conf.Sockets/2 {
-		t.Errorf("clients hold %d sockets here and may hold %d there, of %d", n, most, next.conf.Sockets)
+	if n := old.listener.count(); n == 0 || most+n > next.config.Sockets/2 {
+		t.Errorf("clients hold %d sockets here and may hold %d there, of %d", n, most, next.config.Sockets)
 	}
 	shows(t, next, "svc.attempts=0", "svc.in_flight=2", "svc.endpoints_known=3", "svc.endpoints_excluded=1",
 		"svc.requests.payment.served=0")
@@ -81,21 +81,21 @@
 	want(t, "m3, on the old connection", passed.StatusCode, 202)
 	want(t, "the old connection ends with it", passed.Close, true)
 	want(t, "m1 again", post("m1").StatusCode, 202)
-	want(t, "no class", func() int { s, _ := hand(t, old.Addr(), "m5", "none"); return s }(), 400)
+	want(t, "no class", func() int { s, _ := postMessage(t, old.Addr(), "m5", "none"); return s }(), 400)
 	for n := range 2 { // m2 after its wait, and m3
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		if c.id != "m2" && c.id != "m3" || c.host == "b" {
 			t.Fatalf("call %d has %s, at %s", n, c.id, c.host)
 		}
-		if c.id == "m2" && c.at.Sub(toldAt) < 300*time.Millisecond {
-			t.Errorf("m2 went %v after a wait of 0.3 s was told", c.at.Sub(toldAt))
+		if c.id == "m2" && c.receivedAt.Sub(toldAt) < 300*time.Millisecond {
+			t.Errorf("m2 went %v after a wait of 0.3 s was told", c.receivedAt.Sub(toldAt))
 		}
 		c.answer <- 200
 	}
 	out.answer <- 200
 	shows(t, next, "svc.requests.payment.served=3", "svc.attempts=2", "svc.in_flight=0")
 	after := upgrade(t, p, next)
-	status, _ := hand(t, after.Addr(), "m3", "payment")
+	status, _ := postMessage(t, after.Addr(), "m3", "payment")
 	want(t, "m3 once more, two processes on", status, 202)
 	shows(t, after, "svc.requests.payment.served=0", "svc.in_flight=0")
 	next.stop()
@@ -108,23 +108,23 @@
 
 	// What is out when the old process ends may have run: a payment is not sent again.
 	third := upgrade(t, p, next)
-	hand(t, third.Addr(), "m6", "payment")
-	wait(t, calls, "call")
+	postMessage(t, third.Addr(), "m6", "payment")
+	receive(t, calls, "call")
 	fourth := upgrade(t, p, third)
 	third.stop()
-	want(t, "notice", wait(t, p.notices, "notice"), notice{ID: "m6", Status: undeliverable})
+	want(t, "notice", receive(t, p.notices, "notice"), notice{ID: "m6", Status: undeliverable})
 	shows(t, fourth, "svc.requests.payment.failed=1", "svc.in_flight=0")
 	want(t, "further calls", len(calls), 0)
 }
 
 // Guards against a relay that is lost to a next process which dies, lies or hangs as it takes over.
 func TestHandOverThatFails(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	old := startRelay(t, p, withAdmin)
-	up(t, old.Addr())
+	checkUp(t, old.Addr())
 	for i, says := range []string{"", "hello", handoverHello, handoverHello + "tak", handoverHello + "mine!\n"} {
-		conn, err := net.Dial("unix", filepath.Join(old.conf.State, handoverName))
+		conn, err := net.Dial("unix", filepath.Join(old.config.State, handoverName))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -132,7 +132,7 @@
 			t.Fatal(err)
 		}
 		if says == handoverHello { // it replaces the journal, as it would, and dies
-			j, err := journal.Open(old.conf.State, 3e6)
+			j, err := journal.Open(old.config.State, 3e6)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -140,14 +140,14 @@
 		}
 		conn.Close()
 		id := fmt.Sprint("m", i)
-		status, _ := hand(t, old.Addr(), id, "payment")
+		status, _ := postMessage(t, old.Addr(), id, "payment")
 		want(t, "status", status, 202)
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		want(t, "id", c.id, id)
 		c.answer <- 200
 	}
-	hand(t, old.Addr(), "m9", "payment")
-	out := wait(t, calls, "call")
+	postMessage(t, old.Addr(), "m9", "payment")
+	out := receive(t, calls, "call")
 	next := upgrade(t, p, old)
 	shows(t, next, "svc.in_flight=1")
 	out.answer <- 200
@@ -171,7 +171,7 @@
 		{name: "an answer to pass back", asked: 1, held: 1, passed: true, stopped: true},
 		{name: "messages of the next process", held: 1, passed: true, idle: true},
 	} {
-		r := &Relay{out: c.out, stopped: c.stopped, books: books{held: map[string]*message{}},
+		r := &Relay{callsInFlight: c.out, stopped: c.stopped, books: books{held: map[string]*message{}},
 			succession: succession{heritage: &heritage{calls: map[string]*call{}}, asked: map[int64]*intake{}}}
 		if c.passed {
 			r.heir = &link{}
@@ -191,7 +191,7 @@
 
 // Guards against hosts that are taken for broken because a process of this relay ended.
 func TestCallsOfAProcessThatEndedAreCalledOff(t *testing.T) {
-	c := &call{host: &host{id: "s-1"}, began: time.Now().Add(-time.Minute)}
+	c := &call{host: &host{id: "s-1"}, startedAt: time.Now().Add(-time.Minute)}
 	m := &message{Entry: &journal.Entry{ID: "m1"}, call: c}
 	h := &heritage{calls: map[string]*call{"m1": c}}
 	r := &Relay{succession: succession{heritage: h}, books: books{held: map[string]*message{"m1": m}}}
@@ -245,13 +245,13 @@
 // Guards against an upgrade that is refused because the process before it asked, and died, in the same turn of the loop: it
 // found the address taken, and did not start.
 func TestHandOverAfterOneThatDied(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	old := startRelay(t, p, withAdmin)
-	up(t, old.Addr())
+	checkUp(t, old.Addr())
 	goOn := make(chan struct{})
 	old.post(func() { <-goOn }) // a turn that lasts until both have asked
-	dead, err := net.Dial("unix", filepath.Join(old.conf.State, handoverName))
+	dead, err := net.Dial("unix", filepath.Join(old.config.State, handoverName))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -261,7 +261,7 @@
 	dead.Close()
 	time.AfterFunc(100*time.Millisecond, func() { close(goOn) }) // both wait in the loop's inbox by then
 	next := upgrade(t, p, old)
-	hand(t, next.Addr(), "m1", "payment")
-	wait(t, calls, "call").answer <- 200
+	postMessage(t, next.Addr(), "m1", "payment")
+	receive(t, calls, "call").answer <- 200
 	shows(t, next, "svc.requests.payment.served=1", "svc.in_flight=0")
 }
--- a/internal/relay/hostconn.go
+++ b/internal/relay/hostconn.go
@@ -11,19 +11,19 @@
 // not come.
 type hostConn struct {
 	net.Conn
-	sending atomic.Pointer[hostRequest] // that is being written
-	asked   atomic.Pointer[hostRequest] // that has begun to go out, and whose answer has not come whole
+	writing    atomic.Pointer[hostRequest] // that is being written
+	unanswered atomic.Pointer[hostRequest] // that has begun to go out, and whose answer has not come whole
 }
 
 // errUnasked says that a host sent something when nothing was asked.
-var errUnasked = errors.New("an answer to no request")
+var errUnsolicited = errors.New("an answer to no request")
 
 func (c *hostConn) Write(p []byte) (int, error) {
-	request := c.sending.Load()
+	request := c.writing.Load()
 	if request == nil {
 		return c.Conn.Write(p)
 	}
-	if c.asked.Load() != request {
+	if c.unanswered.Load() != request {
 		if request.admit != nil {
 			leave, err := request.admit()
 			if err != nil {
@@ -31,20 +31,20 @@
 			}
 			defer leave()
 		}
-		c.asked.Store(request)
+		c.unanswered.Store(request)
 	}
 	// All that was read of the body before a write is in that write or an earlier one. From here on it may have gone: its answer
 	// can come before the write returns.
-	last := request.body.Len() == 0
+	last := request.unread.Len() == 0
 	if last {
-		request.written.Store(true)
+		request.fullyWritten.Store(true)
 	}
 	n, err := c.Conn.Write(p)
 	switch {
 	case last && err != nil:
-		request.written.Store(false)
-	case last && c.sending.CompareAndSwap(request, nil):
-		request.whole()
+		request.fullyWritten.Store(false)
+	case last && c.writing.CompareAndSwap(request, nil):
+		request.onWritten()
 	}
 	return n, err
 }
@@ -54,11 +54,11 @@
 func (c *hostConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		request := c.asked.Load()
+		request := c.unanswered.Load()
 		if request == nil {
-			return 0, errUnasked
+			return 0, errUnsolicited
 		}
-		request.heard(p[:n])
+		request.answerReceived(p[:n])
 	}
 	return n, err
 }
--- a/internal/relay/hostconn_test.go
+++ b/internal/relay/hostconn_test.go
@@ -19,7 +19,7 @@
 )
 
 // bareHost has each connection served by a function, until the test ends.
-func bareHost(tb testing.TB, serve func(net.Conn)) (addr string) {
+func newRawHost(tb testing.TB, serve func(net.Conn)) (addr string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
@@ -41,15 +41,15 @@
 }
 
 // sayingHost answers each connection's first request with a text, and then ends it or says nothing more.
-func sayingHost(t *testing.T, text string, ends bool) string {
-	return bareHost(t, func(conn net.Conn) {
+func newScriptedAnswerHost(t *testing.T, text string, closes bool) string {
+	return newRawHost(t, func(conn net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return
 		}
 		io.Copy(io.Discard, req.Body)
 		io.WriteString(conn, text)
-		if !ends {
+		if !closes {
 			io.Copy(io.Discard, conn)
 		}
 	})
@@ -57,7 +57,7 @@
 
 // Guards against answers that stop short: what their first line says of a single message holds, a call of several
 // wants the whole of it, and none is waited for longer than the call's time.
-func TestAnswersThatStopShort(t *testing.T) {
+func TestTruncatedAnswers(t *testing.T) {
 	for _, c := range []struct {
 		text string
 		ends bool
@@ -84,19 +84,19 @@
 	} {
 		t.Run(fmt.Sprintf("%.60q ends %v, of %d", c.text, c.ends, c.ids), func(t *testing.T) {
 			t.Parallel()
-			call := oneCall(sayingHost(t, c.text, c.ends), "x")
+			call := newSingleCall(newScriptedAnswerHost(t, c.text, c.ends), "x")
 			if c.want == choice.Timeout {
 				call.timeout = 2 * time.Second
 			}
 			if c.want != choice.Timeout { // an outcome that waits for more than has to come never does
 				call.timeout = time.Hour
 			}
-			got := make(chan []end, 1)
+			got := make(chan []memberResult, 1)
 			go func() {
-				ends, _ := caller().exchange(context.Background(), call, []string{"a", "b"}[:c.ids])
+				ends, _ := newCallingRelay().exchange(context.Background(), call, []string{"a", "b"}[:c.ids])
 				got <- ends
 			}()
-			ends := wait(t, got, "outcome")
+			ends := receive(t, got, "outcome")
 			want(t, "ends", len(ends), c.ids)
 			want(t, "outcome", ends[0].outcome, c.want)
 		})
@@ -104,13 +104,13 @@
 }
 
 // Guards against a second answer to one call that is taken for the answer to the next.
-func TestAnAnswerToNoRequestEndsTheConnection(t *testing.T) {
+func TestUnsolicitedAnswerClosesConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
 	c := &hostConn{Conn: near}
-	b := newHostRequest([]byte("x"), func() {})
-	b.body.Read(make([]byte, 2))
-	c.sending.Store(b)
+	request := newHostRequest([]byte("x"), func() {})
+	request.unread.Read(make([]byte, 2))
+	c.writing.Store(request)
 	go func() {
 		far.Read(make([]byte, 9))
 		io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
@@ -122,9 +122,9 @@
 	if n, err := c.Read(make([]byte, 19)); n != 19 || err != nil {
 		t.Fatal(n, err)
 	}
-	want(t, "delivered", b.delivered.Load(), true)
-	c.asked.CompareAndSwap(b, nil)
-	if n, err := c.Read(make([]byte, 19)); n != 0 || !errors.Is(err, errUnasked) {
+	want(t, "delivered", request.delivered.Load(), true)
+	c.unanswered.CompareAndSwap(request, nil)
+	if n, err := c.Read(make([]byte, 19)); n != 0 || !errors.Is(err, errUnsolicited) {
 		t.Errorf("read %d bytes of a second answer, error %v", n, err)
 	}
 }
@@ -138,9 +138,9 @@
 	}
 	in.idles(t, 16)
 	r := &Relay{listener: in.peers}
-	lacks := 2
+	failures := 2
 	dial := r.roomy(func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if lacks--; lacks >= 0 {
+		if failures--; failures >= 0 {
 			return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
 		}
 		return &net.TCPConn{}, nil
@@ -153,7 +153,7 @@
 
 // Guards against an endpoint that is taken for down because this machine could not make a connection for a moment (connect(2)),
 // against one that is held to be up because it cannot be reached, and against a try without end.
-func TestErrorsOfThisMachineSayNothingOfAnEndpoint(t *testing.T) {
+func TestLocalDialErrorsAreRetried(t *testing.T) {
 	for _, test := range []struct {
 		err   error
 		lasts time.Duration
@@ -171,53 +171,53 @@
 		t.Run(fmt.Sprint(test.err, " for ", test.lasts), func(t *testing.T) {
 			s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 			defer s.Close()
-			r := caller()
-			begin, sound := time.Now(), r.hostSide.Load().DialContext
-			r.hostSide.Load().DialContext = patient(func(ctx context.Context, network, addr string) (net.Conn, error) {
+			r := newCallingRelay()
+			begin, dial := time.Now(), r.hostTransport.Load().DialContext
+			r.hostTransport.Load().DialContext = patient(func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if time.Since(begin) < test.lasts {
 					return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", test.err)}
 				}
-				return sound(ctx, network, addr)
+				return dial(ctx, network, addr)
 			}, time.Second)
-			want(t, "outcome", outcome(r, context.Background(), oneCall(s.Listener.Addr().String(), "x")), test.want)
+			want(t, "outcome", callOutcome(r, context.Background(), newSingleCall(s.Listener.Addr().String(), "x")), test.want)
 		})
 	}
 }
 
 // broken is a connection whose reads fail.
-type broken struct {
+type brokenConn struct {
 	net.Conn
 	err error
 }
 
-func (b *broken) Read([]byte) (int, error) {
+func (b *brokenConn) Read([]byte) (int, error) {
 	time.Sleep(20 * time.Millisecond) // the request is written by then
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", b.err)}
 }
 
 // Guards against a call that counts as never made because its connection broke (tcp(7)): its last byte was written, so it may
 // have run.
-func TestAConnectionThatBreaksUnderACall(t *testing.T) {
+func TestConnectionBreakDuringCallIsReset(t *testing.T) {
 	for _, err := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-		r := caller()
-		dial := r.hostSide.Load().DialContext
-		r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		r := newCallingRelay()
+		dial := r.hostTransport.Load().DialContext
+		r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, dialErr := dial(ctx, network, addr)
 			if dialErr != nil {
 				return nil, dialErr
 			}
 			host := conn.(*hostConn)
-			host.Conn = &broken{host.Conn, err}
+			host.Conn = &brokenConn{host.Conn, err}
 			return host, nil
 		}
-		want(t, err.Error(), outcome(r, context.Background(), oneCall(s.Listener.Addr().String(), "x")), choice.Reset)
+		want(t, err.Error(), callOutcome(r, context.Background(), newSingleCall(s.Listener.Addr().String(), "x")), choice.Reset)
 		s.Close()
 	}
 }
 
 // Guards against parts that add up to more than there is, or leave clients or endpoints nothing.
-func TestPartsOfTheDescriptors(t *testing.T) {
+func TestDescriptorShares(t *testing.T) {
 	for _, sockets := range []int{16, 64, 128, 256, 512, 1024, 4096} {
 		for _, workers := range []int{4, 27, 60} {
 			for _, admin := range []string{"", "x"} {
--- a/internal/relay/hostwrites_test.go
+++ b/internal/relay/hostwrites_test.go
@@ -24,38 +24,38 @@
 // failures was of that form: 160 bytes written, answer bytes read, last write failed.
 
 // writesCounted counts the writes of a connection, and can hold those after the first until the connection is closed.
-type writesCounted struct {
+type countingConn struct {
 	net.Conn
-	count  *atomic.Int32
-	holds  bool
-	once   sync.Once
-	closed chan struct{}
+	count            *atomic.Int32
+	blocksAfterFirst bool
+	once             sync.Once
+	closed           chan struct{}
 }
 
-func (c *writesCounted) Write(p []byte) (int, error) {
-	if c.count.Add(1) > 1 && c.holds {
+func (c *countingConn) Write(p []byte) (int, error) {
+	if c.count.Add(1) > 1 && c.blocksAfterFirst {
 		<-c.closed
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *writesCounted) Close() error {
+func (c *countingConn) Close() error {
 	err := c.Conn.Close()
 	c.once.Do(func() { close(c.closed) })
 	return err
 }
 
 // countWrites puts a writesCounted under each connection that a relay makes to an endpoint.
-func countWrites(r *Relay, holds bool) (count *atomic.Int32) {
+func countWrites(r *Relay, blockAfterFirst bool) (count *atomic.Int32) {
 	count = new(atomic.Int32)
-	dial := r.hostSide.Load().DialContext
-	r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := r.hostTransport.Load().DialContext
+	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		host := conn.(*hostConn)
-		host.Conn = &writesCounted{Conn: host.Conn, count: count, holds: holds, closed: make(chan struct{})}
+		host.Conn = &countingConn{Conn: host.Conn, count: count, blocksAfterFirst: blockAfterFirst, closed: make(chan struct{})}
 		return host, nil
 	}
 	return count
@@ -63,33 +63,33 @@
 
 // Guards against a call that counts as never made though its endpoint has begun to answer it: the answer cannot be read, the
 // call's last byte cannot be written any more, and a message that must not run twice would go out again.
-func TestACallThatIsBeingAnsweredMayHaveRun(t *testing.T) {
+func TestCallWithStartedAnswerMayHaveRun(t *testing.T) {
 	for _, status := range []int{200, 500, 503} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
-			addr := bareHost(t, func(conn net.Conn) {
+			addr := newRawHost(t, func(conn net.Conn) {
 				http.ReadRequest(bufio.NewReader(conn))
 				fmt.Fprintf(conn, "HTTP/1.1 %d what\r\nX-Pad: %s\r\n\r\n", status, strings.Repeat("p", 64<<10))
 			})
-			r := caller()
+			r := newCallingRelay()
 			countWrites(r, true)
 			expected := choice.Reset
 			if status == http.StatusOK {
 				expected = choice.Served // its first line says so of a single message
 			}
 			large := string(bytes.Repeat([]byte("x"), maxBody)) // in several writes
-			want(t, "outcome", outcome(r, context.Background(), oneCall(addr, large)), expected)
+			want(t, "outcome", callOutcome(r, context.Background(), newSingleCall(addr, large)), expected)
 		})
 	}
 }
 
 // Guards against a call whose connection breaks with no word before its last byte is written, and that counts as one which may
 // have run: then it would not be made again.
-func TestACallThatBreaksUnansweredNeverRan(t *testing.T) {
-	addr := bareHost(t, func(conn net.Conn) {
+func TestUnansweredCallThatBreaksNeverRan(t *testing.T) {
+	addr := newRawHost(t, func(conn net.Conn) {
 		io.CopyN(io.Discard, conn, 100)
 		time.Sleep(10 * time.Millisecond) // the rest of the first write has come: closed over it, the connection is reset
 	})
-	r := caller()
+	r := newCallingRelay()
 	countWrites(r, true)
-	want(t, "outcome", outcome(r, context.Background(), oneCall(addr, strings.Repeat("x", maxBody))), choice.NoConnection)
+	want(t, "outcome", callOutcome(r, context.Background(), newSingleCall(addr, strings.Repeat("x", maxBody))), choice.NoConnection)
 }
--- a/internal/relay/inherit.go
+++ b/internal/relay/inherit.go
@@ -105,7 +105,7 @@
 		if r.hosts[c.Host] == nil {
 			continue // the journal has its messages as ones that may have run
 		}
-		adopted := &call{number: i + 1, host: r.hosts[c.Host], began: time.Now().Add(-c.Ago)}
+		adopted := &call{number: i + 1, host: r.hosts[c.Host], startedAt: time.Now().Add(-c.Ago)}
 		for _, id := range c.IDs {
 			h.calls[id] = adopted
 		}
@@ -136,7 +136,7 @@
 		})
 		r.post(func() {
 			r.orphaned(h)
-			clients, _ := r.conf.parts(r.set.Load().Workers)
+			clients, _ := r.config.parts(r.settings.Load().Workers)
 			r.listener.allow(clients)
 			slog.Info("the process before this one has ended")
 		})
@@ -155,7 +155,7 @@
 		return
 	}
 	time.AfterFunc(m.due-r.now()+wordIn, func() {
-		r.post(func() { r.endedBefore(h, endPassed{ID: id, Outcome: choice.Timeout, Took: time.Since(c.began)}) })
+		r.post(func() { r.endedBefore(h, endPassed{ID: id, Outcome: choice.Timeout, Took: time.Since(c.startedAt)}) })
 	})
 }
 
@@ -163,7 +163,7 @@
 // run, but were broken off on this side: that is not held against their hosts as a reset would be.
 func (r *Relay) orphaned(h *heritage) {
 	for id, c := range h.calls {
-		r.endedBefore(h, endPassed{ID: id, Outcome: choice.Cancelled, Took: time.Since(c.began)})
+		r.endedBefore(h, endPassed{ID: id, Outcome: choice.Cancelled, Took: time.Since(c.startedAt)})
 	}
 }
 
@@ -172,7 +172,7 @@
 	c := h.calls[e.ID]
 	delete(h.calls, e.ID)
 	if m := r.held[e.ID]; m != nil && c != nil {
-		r.ended(c, m, end{e.Outcome, e.Done}, told{took: e.Took, wait: e.Wait, report: e.Report, stale: e.Stale})
+		r.attemptEnded(c, m, memberResult{e.Outcome, e.Done}, hostFeedback{elapsed: e.Took, retryAfter: e.Wait, loadReport: e.Report, staleConn: e.Stale})
 	}
 }
 
@@ -180,7 +180,7 @@
 func (r *Relay) takePassed(l *link, v passed) {
 	// On its way it may have waited for either process: its time runs by the clock that both read.
 	left := min(v.Left, steady.Until(v.Take.Due))
-	in := &intake{entry: v.Take, due: r.now() + left, ctx: r.calls, reply: make(chan answer, 1)}
+	in := &intake{entry: v.Take, due: r.now() + left, ctx: r.callContext, reply: make(chan answer, 1)}
 	answered := func(a answer) { l.send(returned{N: v.N, Status: a.status, After: a.after, Text: a.text}) }
 	r.take(in)
 	go func() {
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -52,7 +52,7 @@
 	var a answer
 	select {
 	case a = <-in.reply:
-	case <-r.halted: // what the loop has answered by then holds: the record says so
+	case <-r.loopEnded: // what the loop has answered by then holds: the record says so
 		select {
 		case a = <-in.reply:
 		default:
@@ -127,7 +127,7 @@
 	if r.passedAt.Load() > 0 {
 		return nil
 	}
-	return r.set.Load()
+	return r.settings.Load()
 }
 
 // admit finds the terms of a message's class, and tells what the class wants of it.
@@ -164,7 +164,7 @@
 
 // take decides with the next Step whether a message is taken on.
 func (r *Relay) take(in *intake) {
-	id, set := in.entry.ID, r.set.Load()
+	id, set := in.entry.ID, r.settings.Load()
 	var err error
 	if in.entry.Terms == nil { // it came by way of the process before this one, and under this one's settings
 		in.entry.Terms, err = admit(set, in.entry, r.now())
@@ -192,11 +192,11 @@
 		in.reply <- refuse
 	case err != nil:
 		in.reply <- answer{status: http.StatusBadRequest, text: err.Error()}
-	case r.dests[in.entry.Dest] == nil:
+	case r.destWaits[in.entry.Dest] == nil:
 		r.figures.ended(in.entry.Class, failedEnd)
 		in.reply <- answer{status: http.StatusNotFound, text: "unknown destination"}
 	case r.stopped || !r.copies.takes(r.now()) || set.MaxHeld > 0 && len(r.held)+r.overflow.len() >= set.MaxHeld ||
-		r.owed >= maxOwed || r.overflow.broken() || !r.holdersHaveRoom(in.entry):
+		r.owed >= maxPendingNotices || r.overflow.broken() || !r.holdersHaveRoom(in.entry):
 		r.figures.ended(in.entry.Class, refusedEnd)
 		in.reply <- refuse
 	case r.toDisk(in):
@@ -208,7 +208,7 @@
 		m := &message{Entry: in.entry, due: due, fresh: []*intake{in}}
 		r.held[id] = m
 		r.overflow.enter(m)
-		r.fresh = append(r.fresh, m)
+		r.newMessages = append(r.newMessages, m)
 		r.events = append(r.events, choice.Arrival{ID: id, Class: -1, Dest: in.entry.Dest, Terms: in.entry.Terms,
 			Left: due - r.now(), Key: in.entry.Order, Tenant: slices.Index(set.TenantNames, in.entry.Tenant)})
 	}
--- a/internal/relay/leasestart_test.go
+++ b/internal/relay/leasestart_test.go
@@ -8,10 +8,10 @@
 // Seen: under load a message that may be repeated ended undeliverable 70 ms after its process had restarted, with no second call.
 // Cause: the lease had run out, and the decisions heard of it with the follower's first word; until then each of their calls was
 // withheld, and used up an attempt. Here that first word does not come.
-func TestAnExpiredListUsesUpNoAttemptAtAStart(t *testing.T) {
-	p := newPlatform(t, at("s-1", newScripted(t, says(500)).addr, "taller"))
+func TestExpiredListAtStartUsesNoAttempt(t *testing.T) {
+	p := newFakePlatform(t, testEndpoint("s-1", newScriptedHost(t, answerStatus(500)).addr, "taller"))
 	dir := t.TempDir()
-	dropOutcomes(t, p, dir, "job-order", "m1") // leaves a journal, and no lease
+	sendAndDropOutcomes(t, p, dir, "job-order", "m1") // leaves a journal, and no lease
 	conf, err := readTestConfig(t, testConfig(t, p), dir)
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.list = noNews{}
+	r.listSource = silentSource{}
 	done := make(chan struct{})
 	go func() { r.Serve(); close(done) }()
 	t.Cleanup(func() { r.stop(); <-done })
--- a/internal/relay/leasewrites_test.go
+++ b/internal/relay/leasewrites_test.go
@@ -25,69 +25,69 @@
 // stalledConn holds up whoever is about to use a connection, until it is let go.
 type stalledConn struct {
 	net.Conn
-	deadline, write func() // called first by SetWriteDeadline and by Write
-	written         func() // called once a write has returned
+	beforeDeadline, beforeWrite func() // called first by SetWriteDeadline and by Write
+	afterWrite                  func() // called once a write has returned
 }
 
 func (c *stalledConn) SetWriteDeadline(t time.Time) error {
-	c.deadline()
+	c.beforeDeadline()
 	return c.Conn.SetWriteDeadline(t)
 }
 
 func (c *stalledConn) Write(p []byte) (int, error) {
-	c.write()
-	defer c.written()
+	c.beforeWrite()
+	defer c.afterWrite()
 	return c.Conn.Write(p)
 }
 
 // relayThatDials starts a relay with one endpoint, whose connections are made by a function, and a channel of what the endpoint
 // reads first of each: a part of a request, or nothing as the connection ends.
-func relayThatDials(t *testing.T, dial func(net.Conn) net.Conn) (r *Relay, addr string, read chan string) {
+func startRelayWithDialer(t *testing.T, wrap func(net.Conn) net.Conn) (r *Relay, addr string, read chan string) {
 	read = make(chan string, 10)
-	addr = bareHost(t, func(conn net.Conn) {
+	addr = newRawHost(t, func(conn net.Conn) {
 		first := make([]byte, 4)
 		n, _ := io.ReadFull(conn, first)
 		read <- string(first[:n])
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
-	r = relayWithoutNews(t, at("s-1", addr, "taller"))
-	set := r.set.Load()
-	r.hostSide.Store(newTransport(&set.Settings, 4, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	r = startRelayWithoutDiscovery(t, testEndpoint("s-1", addr, "taller"))
+	set := r.settings.Load()
+	r.hostTransport.Store(newHostTransport(&set.Settings, 4, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return dial(conn), nil
+		return wrap(conn), nil
 	}))
-	expire(r, time.Now().Add(time.Hour))
+	setLeaseExpiry(r, time.Now().Add(time.Hour))
 	return r, addr, read
 }
 
 // Guards against a request that is written after the lease has ended, wherever its process is held up since the check: once the
 // end is known to whoever calls for the list next, no request may begin.
-func TestNoRequestBeginsAfterTheLeaseHasEnded(t *testing.T) {
+func TestNoRequestStartsAfterLeaseEnd(t *testing.T) {
 	nothing := func() {}
 	for _, place := range []string{"before the write", "at the write"} {
 		t.Run(place, func(t *testing.T) {
-			reached, letGo := make(chan struct{}), make(chan struct{})
+			reached, release := make(chan struct{}), make(chan struct{})
 			var once sync.Once
-			hold := func() {
+			stall := func() {
 				once.Do(func() {
 					close(reached)
-					<-letGo
+					<-release
 				})
 			}
 			written := make(chan time.Time, 10)
-			r, _, _ := relayThatDials(t, func(conn net.Conn) net.Conn {
-				held := &stalledConn{Conn: conn, deadline: nothing, write: nothing, written: func() { written <- time.Now() }}
+			r, _, _ := startRelayWithDialer(t, func(conn net.Conn) net.Conn {
+				stalled := &stalledConn{Conn: conn, beforeDeadline: nothing, beforeWrite: nothing, afterWrite: func() { written <- time.Now() }}
 				if place == "before the write" {
-					held.deadline = hold
+					stalled.beforeDeadline = stall
 				} else {
-					held.write = hold
+					stalled.beforeWrite = stall
 				}
-				return held
+				return stalled
 			})
-			hand(t, r.Addr(), "m1", "payment")
+			postMessage(t, r.Addr(), "m1", "payment")
 			select {
 			case <-reached:
 			case <-time.After(5 * time.Second):
@@ -103,7 +103,7 @@
 			case end = <-ended:
 			case <-time.After(50 * time.Millisecond): // it waits for what is about to be written
 			}
-			close(letGo)
+			close(release)
 			if end.IsZero() {
 				end = <-ended
 			}
@@ -120,52 +120,52 @@
 
 // Guards against a renewed lease that holds before the list that it is for: a call that has waited for its connection since the
 // last lease goes by neither.
-func TestARenewedLeaseHoldsWithItsList(t *testing.T) {
+func TestRenewedLeaseTakesEffectWithItsList(t *testing.T) {
 	dialed, connect := make(chan struct{}, 10), make(chan struct{})
-	r, addr, read := relayThatDials(t, func(conn net.Conn) net.Conn {
+	r, addr, read := startRelayWithDialer(t, func(conn net.Conn) net.Conn {
 		dialed <- struct{}{}
 		<-connect
 		return conn
 	})
-	hand(t, r.Addr(), "m1", "payment")
-	wait(t, dialed, "connection")
-	expire(r, time.Now().Add(-time.Hour))
+	postMessage(t, r.Addr(), "m1", "payment")
+	receive(t, dialed, "connection")
+	setLeaseExpiry(r, time.Now().Add(-time.Hour))
 	apply := make(chan struct{})
 	r.post(func() { <-apply }) // the loop is held up
-	drains := at("s-1", addr, "taller")
+	drains := testEndpoint("s-1", addr, "taller")
 	drains.State = "leaving"
-	r.post(func() { r.listed(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{drains}}) })
+	r.post(func() { r.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{drains}}) })
 	r.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 2})
 	close(connect)
-	if first := wait(t, read, "end of the connection"); first != "" {
+	if first := receive(t, read, "end of the connection"); first != "" {
 		t.Errorf("the endpoint drains by the list that the lease is for, and got %q", first)
 	}
 	close(apply)
 }
 
 // Guards against a process that takes a list for fresh since the lease of the process before it was lost: it may have been about to end.
-func TestALostLeaseIsNoFreshOne(t *testing.T) {
-	calls := make(chan *seen, 10)
-	for name, lose := range map[string]func(path string) error{
+func TestLostLeaseCountsAsExpired(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	for name, damage := range map[string]func(path string) error{
 		"gone":    os.Remove,
 		"damaged": func(path string) error { return os.WriteFile(path, []byte(`{"confirmed":17`), 0o644) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+			p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 			dir := t.TempDir()
 			before := startRelay(t, p, func(c *Config) { c.State = dir })
-			hand(t, before.Addr(), "m1", "payment")
-			wait(t, calls, "call").answer <- 200
+			postMessage(t, before.Addr(), "m1", "payment")
+			receive(t, calls, "call").answer <- 200
 			before.stop()
-			<-before.halted
+			<-before.loopEnded
 			p.mu.Lock()
-			p.refuse = true
+			p.refuseLists = true
 			p.mu.Unlock()
-			if err := lose(filepath.Join(dir, leaseFile)); err != nil {
+			if err := damage(filepath.Join(dir, leaseFile)); err != nil {
 				t.Fatal(err)
 			}
 			r := startRelay(t, p, func(c *Config) { withAdmin(c); c.State = dir })
-			hand(t, r.Addr(), "m2", "payment")
+			postMessage(t, r.Addr(), "m2", "payment")
 			select {
 			case c := <-calls:
 				t.Fatalf("%s was sent", c.id)
--- a/internal/relay/listlease_test.go
+++ b/internal/relay/listlease_test.go
@@ -9,14 +9,14 @@
 )
 
 // noNews is a source that never tells anything.
-type noNews struct{}
+type silentSource struct{}
 
-func (noNews) Follow(ctx context.Context, _ func(discovery.List)) { <-ctx.Done() }
+func (silentSource) Follow(ctx context.Context, _ func(discovery.List)) { <-ctx.Done() }
 
 // relayWithoutNews starts a relay that works by the list of its configuration, and hears nothing of discovery.
-func relayWithoutNews(t *testing.T, servers ...discovery.Server) *Relay {
+func startRelayWithoutDiscovery(t *testing.T, servers ...discovery.Server) *Relay {
 	t.Helper()
-	p := newPlatform(t, servers...)
+	p := newFakePlatform(t, servers...)
 	conf, err := readTestConfig(t, testConfig(t, p), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.list = noNews{}
+	r.listSource = silentSource{}
 	done := make(chan struct{})
 	go func() { r.Serve(); close(done) }()
 	t.Cleanup(func() { r.stop(); <-done })
@@ -35,7 +35,7 @@
 }
 
 // expire has a relay's list run out at a time, and returns once its loop knows.
-func expire(r *Relay, at time.Time) {
+func setLeaseExpiry(r *Relay, at time.Time) {
 	r.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: at})
 	done := make(chan struct{})
 	r.post(func() { close(done) })
@@ -44,11 +44,11 @@
 
 // Guards against messages sent by a list that may lack what counts as told, and against ones that stay where they are once it
 // is renewed; they are taken on all the while.
-func TestNothingIsSentByAnOldList(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := relayWithoutNews(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	expire(r, time.Now().Add(-time.Hour))
-	if status, _ := hand(t, r.Addr(), "m1", "payment"); status != 202 {
+func TestNothingIsSentWithExpiredList(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	r := startRelayWithoutDiscovery(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	setLeaseExpiry(r, time.Now().Add(-time.Hour))
+	if status, _ := postMessage(t, r.Addr(), "m1", "payment"); status != 202 {
 		t.Errorf("a message is answered %d while the list has expired, want 202", status)
 	}
 	shows(t, r, "svc.list.expired=1", "svc.in_flight=1", "svc.attempts=0")
@@ -57,22 +57,22 @@
 		t.Fatalf("%s was sent", c.id)
 	case <-time.After(100 * time.Millisecond):
 	}
-	expire(r, time.Now().Add(time.Hour))
-	wait(t, calls, "call").answer <- 200
+	setLeaseExpiry(r, time.Now().Add(time.Hour))
+	receive(t, calls, "call").answer <- 200
 	shows(t, r, "svc.list.expired=0", "svc.in_flight=0", "svc.attempts=1")
 }
 
 // Guards against a lease that runs out unseen, for nothing else happens then.
-func TestAListRunsOutByItself(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := relayWithoutNews(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	expire(r, time.Now().Add(heldUp+100*time.Millisecond-r.set.Load().Rules.DrainGrace))
+func TestListExpiresWithoutOtherEvents(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	r := startRelayWithoutDiscovery(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	setLeaseExpiry(r, time.Now().Add(maxWriteDelay+100*time.Millisecond-r.settings.Load().Rules.DrainGrace))
 	shows(t, r, "svc.list.expired=1")
 }
 
 // Seen: a process that had just started sent requests to endpoints that counted as told to drain, for it took the list that it
 // was started with as just heard of. What the process before it was told, or should have been, binds it too.
-func TestARestartKeepsTheLease(t *testing.T) {
+func TestRestartKeepsListLease(t *testing.T) {
 	for name, test := range map[string]struct {
 		before  discovery.Lease
 		expired bool
@@ -82,22 +82,22 @@
 		"a newer list's": {discovery.Lease{Confirmed: time.Now().Add(-5 * time.Second), Expires: time.Now().Add(time.Hour), Version: 2}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			calls := make(chan *seen, 10)
-			p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-			p.refuse = true
+			calls := make(chan *receivedCall, 10)
+			p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+			p.refuseLists = true
 			dir := t.TempDir()
-			(&Relay{conf: Config{State: dir}}).keepLease(test.before)
+			(&Relay{config: Config{State: dir}}).storeLease(test.before)
 			r := startRelay(t, p, func(c *Config) { withAdmin(c); c.State = dir; c.Known.Version = 1 })
-			hand(t, r.Addr(), "m1", "payment")
+			postMessage(t, r.Addr(), "m1", "payment")
 			if !test.expired {
-				wait(t, calls, "call").answer <- 200
+				receive(t, calls, "call").answer <- 200
 				return
 			}
 			shows(t, r, "svc.list.expired=1", "svc.attempts=0")
 			p.mu.Lock()
-			p.refuse = false
+			p.refuseLists = false
 			p.mu.Unlock()
-			wait(t, calls, "call").answer <- 200
+			receive(t, calls, "call").answer <- 200
 			shows(t, r, "svc.list.expired=0", "svc.attempts=1")
 		})
 	}
--- a/internal/relay/lowered_test.go
+++ b/internal/relay/lowered_test.go
@@ -23,13 +23,13 @@
 // Guards against idle clients who hold all descriptors, fewer of them by now than the settings say, while discovery is down:
 // what comes is taken on and delivered, and the list is heard of once discovery is back.
 func TestIdleClientsAndALoweredLimit(t *testing.T) {
-	calls := make(chan *seen, 100)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	cmd, addr := process(t, p, t.TempDir())
-	up(t, addr)
+	calls := make(chan *receivedCall, 100)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	cmd, addr := startProcess(t, p, t.TempDir())
+	checkUp(t, addr)
 	limitDescriptors(t, cmd.Process.Pid, 48)
 	p.mu.Lock()
-	p.refuse = true
+	p.refuseLists = true
 	p.mu.Unlock()
 	p.CloseClientConnections()
 	for range 200 {
@@ -57,16 +57,16 @@
 			conn.Close()
 		}
 		want(t, "status", status, 202)
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		want(t, "message", c.id, id)
 		c.answer <- 200
 	}
 	p.mu.Lock()
-	p.refuse = false
-	p.now = discovery.List{Version: 2, Full: true, Servers: p.now.Servers}
+	p.refuseLists = false
+	p.list = discovery.List{Version: 2, Full: true, Servers: p.list.Servers}
 	p.mu.Unlock()
-	for len(p.asked) > 0 {
-		<-p.asked
+	for len(p.queries) > 0 {
+		<-p.queries
 	}
-	wait(t, p.asked, "query after discovery is back")
+	receive(t, p.queries, "query after discovery is back")
 }
--- a/internal/relay/notice_delivery.go
+++ b/internal/relay/notice_delivery.go
@@ -17,33 +17,33 @@
 // notice twice does no harm, and accepting it late breaks the limit of 300 ms.
 const (
 	// noticeRetry is the longest time from one attempt at a batch to the next.
-	noticeRetry = 80 * time.Millisecond
+	noticeRetryInterval = 80 * time.Millisecond
 	// noticeBackoff is the pause after the first attempt that failed. It doubles with each failure, up to noticeRetry.
 	noticeBackoff = 10 * time.Millisecond
 	// noticeIn bounds one attempt.
-	noticeIn = time.Second
+	noticeTimeout = time.Second
 )
 
 // errUnanswered says that an attempt made room for a later one.
 var errUnanswered = errors.New("no answer yet")
 
 // attempt is one POST of a batch.
-type attempt struct {
+type noticeAttempt struct {
 	cancel context.CancelFunc
 	err    error // once it has ended
 }
 
 // delivery sends one batch until the platform has accepted it.
-type delivery struct {
-	sender   *noticeSender
-	batch    noticeBatch
-	addr     string
-	running  []*attempt // oldest first; a second one only with a hedge
-	hedged   bool       // holds one of the sender's hedges
-	ended    chan *attempt
-	next     *time.Timer // starts the next attempt
-	nextAt   time.Time
-	failures uint
+type noticeDelivery struct {
+	sender    *noticeSender
+	batch     noticeBatch
+	addr      string
+	running   []*noticeAttempt // oldest first; a second one only with a hedge
+	ownsHedge bool             // holds one of the sender's hedges
+	ended     chan *noticeAttempt
+	nextTimer *time.Timer // starts the next attempt
+	nextAt    time.Time
+	failures  uint
 }
 
 // deliver returns an error only if the context ends first.
@@ -51,43 +51,43 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // attempts still running are given up
 	addr, valid := s.platform.Get()
-	d := &delivery{sender: s, batch: batch, addr: addr, ended: make(chan *attempt), next: time.NewTimer(noticeRetry)}
-	defer d.next.Stop()
-	defer d.endHedge()
+	d := &noticeDelivery{sender: s, batch: batch, addr: addr, ended: make(chan *noticeAttempt), nextTimer: time.NewTimer(noticeRetryInterval)}
+	defer d.nextTimer.Stop()
+	defer d.releaseHedge()
 	d.start(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-valid.Done(): // the platform has moved
-			d.giveUpAll()
+			d.cancelAll()
 			d.addr, valid = s.platform.Get()
 			d.restart(ctx)
-		case <-d.next.C:
-			if d.makeRoom() {
+		case <-d.nextTimer.C:
+			if d.prepareAttempt() {
 				d.restart(ctx)
 			} else {
-				d.scheduleNext(noticeRetry)
+				d.scheduleNext(noticeRetryInterval)
 			}
 		case a := <-d.ended:
 			if a.err == nil {
 				return nil
 			}
-			d.failed(a)
+			d.attemptFailed(a)
 		}
 	}
 }
 
 // restart starts another attempt, on a connection that has not been idle.
-func (d *delivery) restart(ctx context.Context) {
-	d.sender.conns.CloseIdleConnections()
+func (d *noticeDelivery) restart(ctx context.Context) {
+	d.sender.transport.CloseIdleConnections()
 	d.start(ctx)
 }
 
 // start starts an attempt, and sets the time of the next one.
-func (d *delivery) start(ctx context.Context) {
-	attemptCtx, cancel := context.WithTimeout(ctx, noticeIn)
-	a, addr := &attempt{cancel: cancel}, d.addr
+func (d *noticeDelivery) start(ctx context.Context) {
+	attemptCtx, cancel := context.WithTimeout(ctx, noticeTimeout)
+	a, addr := &noticeAttempt{cancel: cancel}, d.addr
 	d.running = append(d.running, a)
 	go func() {
 		defer cancel()
@@ -97,22 +97,22 @@
 		case <-ctx.Done():
 		}
 	}()
-	d.scheduleNext(noticeRetry)
+	d.scheduleNext(noticeRetryInterval)
 }
 
-func (d *delivery) scheduleNext(after time.Duration) {
+func (d *noticeDelivery) scheduleNext(after time.Duration) {
 	d.nextAt = time.Now().Add(after)
-	d.next.Reset(after)
+	d.nextTimer.Reset(after)
 }
 
 // makeRoom tells whether one more attempt may start, and gives up the second one for it. The oldest is kept until its own
 // limit, for the platform may only be slow.
-func (d *delivery) makeRoom() bool {
+func (d *noticeDelivery) prepareAttempt() bool {
 	switch len(d.running) {
 	case 0:
 		return true
 	case 1:
-		return d.hedge()
+		return d.acquireHedge()
 	}
 	second := d.running[1]
 	d.running = d.running[:1]
@@ -122,25 +122,25 @@
 }
 
 // hedge tells whether this batch may have a second attempt beside the first.
-func (d *delivery) hedge() bool {
+func (d *noticeDelivery) acquireHedge() bool {
 	select {
 	case d.sender.hedges <- struct{}{}:
-		d.hedged = true
+		d.ownsHedge = true
 	default:
 	}
-	return d.hedged
+	return d.ownsHedge
 }
 
 // endHedge gives the hedge back, if this batch has one.
-func (d *delivery) endHedge() {
-	if d.hedged {
+func (d *noticeDelivery) releaseHedge() {
+	if d.ownsHedge {
 		<-d.sender.hedges
-		d.hedged = false
+		d.ownsHedge = false
 	}
 }
 
-func (d *delivery) giveUpAll() {
-	d.endHedge()
+func (d *noticeDelivery) cancelAll() {
+	d.releaseHedge()
 	for _, a := range d.running {
 		a.cancel()
 	}
@@ -148,14 +148,14 @@
 }
 
 // failed brings the next attempt forward after one that failed.
-func (d *delivery) failed(a *attempt) {
+func (d *noticeDelivery) attemptFailed(a *noticeAttempt) {
 	i := slices.Index(d.running, a)
 	if i < 0 { // it was given up
 		return
 	}
 	d.running = slices.Delete(d.running, i, i+1)
-	d.endHedge()
-	pause := min(noticeBackoff<<min(d.failures, 8), noticeRetry)
+	d.releaseHedge()
+	pause := min(noticeBackoff<<min(d.failures, 8), noticeRetryInterval)
 	if time.Now().Add(pause).Before(d.nextAt) {
 		d.scheduleNext(pause)
 	}
@@ -163,7 +163,7 @@
 }
 
 // warn counts a failure, and logs it if the count is a power of two: failures may last for long.
-func (d *delivery) warn(err error) {
+func (d *noticeDelivery) warn(err error) {
 	d.failures++
 	if bits.OnesCount(d.failures) == 1 {
 		slog.Warn("notices not accepted", "notices", len(d.batch.notices), "attempts", d.failures, "err", err)
@@ -175,11 +175,11 @@
 
 // attemptOf is the context of the attempt that a connection is opened for. The one that net/http passes to a dialer outlives
 // its request, so that connections to a machine which says nothing would pile up.
-func attemptOf(dialing context.Context) context.Context {
-	if ctx, ok := dialing.Value(attemptKey{}).(context.Context); ok {
+func attemptContext(dialContext context.Context) context.Context {
+	if ctx, ok := dialContext.Value(attemptKey{}).(context.Context); ok {
 		return ctx
 	}
-	return dialing
+	return dialContext
 }
 
 // post makes one POST.
@@ -190,7 +190,7 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := s.conns.RoundTrip(req)
+	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
 		return err
 	}
--- a/internal/relay/notice_sender.go
+++ b/internal/relay/notice_sender.go
@@ -18,36 +18,36 @@
 	// noticeTurn is how long a batch is alone under way. The next one then starts beside it, on a connection of its own: where
 	// the platform answers at once, all go one after the other on a single kept connection. The more are under way, the longer
 	// the next one waits, so that a platform which takes up to a second for each answer still gets one in a third of a second.
-	noticeTurn = 50 * time.Millisecond
+	noticeStagger = 50 * time.Millisecond
 	// noticeBatches bounds the batches under way, noticeHedges those of them that have a second attempt running: together they
 	// bound the connections.
-	noticeBatches = 7
-	noticeHedges  = 2
+	maxNoticeBatches = 7
+	maxNoticeHedges  = 2
 )
 
 // noticeSender sends queued notices to the platform, in batches, until it has accepted them. Whoever queues notices never
 // waits for the platform, and batches do not wait for one that gets no answer. Its connections serve nothing else: one that
 // has fallen silent for discovery must not hold up a notice.
 type noticeSender struct {
-	platform *discovery.At
-	conns    *http.Transport
-	sending  func([]notice) // is called, by any goroutine, with what leaves the queue
-	accepted func([]notice) // likewise, with what the platform has accepted
+	platform   *discovery.At
+	transport  *http.Transport
+	onSending  func([]notice) // is called, by any goroutine, with what leaves the queue
+	onAccepted func([]notice) // likewise, with what the platform has accepted
 
 	slots  chan struct{} // a value for each batch under way
 	hedges chan struct{} // a value for each batch with a second attempt
 
-	mu      sync.Mutex
-	queue   []notice
-	arrived chan struct{} // holds a value once something is queued
+	mu     sync.Mutex
+	queue  []notice
+	queued chan struct{} // holds a value once something is queued
 }
 
-func newNoticeSender(platform *discovery.At, dial dialFunc, sending, accepted func([]notice)) *noticeSender {
-	s := &noticeSender{platform: platform, sending: sending, accepted: accepted, arrived: make(chan struct{}, 1),
-		slots: make(chan struct{}, noticeBatches), hedges: make(chan struct{}, noticeHedges)}
-	s.conns = &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, MaxIdleConnsPerHost: 1,
+func newNoticeSender(platform *discovery.At, dial dialFunc, onSending, onAccepted func([]notice)) *noticeSender {
+	s := &noticeSender{platform: platform, onSending: onSending, onAccepted: onAccepted, queued: make(chan struct{}, 1),
+		slots: make(chan struct{}, maxNoticeBatches), hedges: make(chan struct{}, maxNoticeHedges)}
+	s.transport = &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, MaxIdleConnsPerHost: 1,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return dial(attemptOf(ctx), network, addr)
+			return dial(attemptContext(ctx), network, addr)
 		}}
 	return s
 }
@@ -58,7 +58,7 @@
 	s.queue = append(s.queue, notices...)
 	s.mu.Unlock()
 	select {
-	case s.arrived <- struct{}{}:
+	case s.queued <- struct{}{}:
 	default: // run has not seen the last value yet
 	}
 }
@@ -67,9 +67,9 @@
 func (s *noticeSender) withdraw(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	queued := len(s.queue)
+	lengthBefore := len(s.queue)
 	s.queue = slices.DeleteFunc(s.queue, func(n notice) bool { return n.ID == id })
-	return len(s.queue) < queued
+	return len(s.queue) < lengthBefore
 }
 
 // empty tells whether nothing is queued.
@@ -82,12 +82,12 @@
 // run sends what is queued until the context ends. What waits for its turn stays in the queue, where it can be withdrawn.
 func (s *noticeSender) run(ctx context.Context) {
 	var deliveries sync.WaitGroup
-	defer s.conns.CloseIdleConnections()
+	defer s.transport.CloseIdleConnections()
 	defer deliveries.Wait()
 	for ctx.Err() == nil {
 		if s.empty() {
 			select {
-			case <-s.arrived:
+			case <-s.queued:
 			case <-ctx.Done():
 			}
 			continue
@@ -102,18 +102,18 @@
 			<-s.slots
 			continue
 		}
-		s.sending(batch.notices)
+		s.onSending(batch.notices)
 		done := make(chan struct{})
 		deliveries.Go(func() {
 			if err := s.deliver(ctx, batch); err == nil {
-				s.accepted(batch.notices)
+				s.onAccepted(batch.notices)
 			}
 			<-s.slots
 			close(done)
 		})
 		select {
 		case <-done:
-		case <-time.After(time.Duration(max(1, len(s.slots)-1)) * noticeTurn):
+		case <-time.After(time.Duration(max(1, len(s.slots)-1)) * noticeStagger):
 		case <-ctx.Done():
 		}
 	}
@@ -130,22 +130,22 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var body bytes.Buffer
-	lines := json.NewEncoder(&body)
+	encoder := json.NewEncoder(&body)
 	var batch noticeBatch
-	taken := 0
-	for _, n := range s.queue[:min(len(s.queue), batchMost)] {
-		if err := lines.Encode(n); err != nil { // strings and numbers can be encoded; if not, the journal keeps it
+	removed := 0
+	for _, n := range s.queue[:min(len(s.queue), maxEventsPerStep)] {
+		if err := encoder.Encode(n); err != nil { // strings and numbers can be encoded; if not, the journal keeps it
 			slog.Error("notice not encoded", "id", n.ID, "err", err)
-			taken++
+			removed++
 			continue
 		}
 		if body.Len() > maxBody {
 			break
 		}
 		batch.notices, batch.body = append(batch.notices, n), body.Bytes()
-		taken++
+		removed++
 	}
-	if s.queue = s.queue[taken:]; len(s.queue) == 0 {
+	if s.queue = s.queue[removed:]; len(s.queue) == 0 {
 		s.queue = nil
 	}
 	return batch
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -14,15 +14,15 @@
 
 // notice tells the platform how a message ended.
 type notice struct {
-	ID     string        `json:"id"`
-	Status string        `json:"status"`
-	Again  int64         `json:"again_ms,omitempty"` // when the client should come again
-	class  string        // of a message that ended in this process; empty for one that an earlier one ended
-	due    time.Duration // when the message's time is up, by the relay's clock; 0 for one that an earlier process ended
+	ID           string        `json:"id"`
+	Status       string        `json:"status"`
+	RetryAfterMS int64         `json:"again_ms,omitempty"` // when the client should come again
+	class        string        // of a message that ended in this process; empty for one that an earlier one ended
+	due          time.Duration // when the message's time is up, by the relay's clock; 0 for one that an earlier process ended
 }
 
 // how is the ending that a notice tells of.
-func (n notice) how() ending {
+func (n notice) ending() ending {
 	if n.Status == undeliverable {
 		return failedEnd
 	}
@@ -33,7 +33,7 @@
 func (r *Relay) noticesSending(batch []notice) {
 	for _, n := range batch {
 		if n.class != "" {
-			r.figures.ended(n.class, n.how())
+			r.figures.ended(n.class, n.ending())
 		}
 	}
 }
--- a/internal/relay/notices_record_test.go
+++ b/internal/relay/notices_record_test.go
@@ -97,9 +97,9 @@
 				if n := len(attempts); n < int(lasts/soon) || n > int(2*lasts/soon) {
 					t.Errorf("%d attempts in %v", n, lasts)
 				}
-				want(t, "POSTs before the record", p.posted(), 0)
+				want(t, "POSTs before the record", p.postCount(), 0)
 				g.repair()
-				g.takenBy(p, lasts, "m")
+				g.wantAcceptedBy(p, lasts, "m")
 			})
 		})
 	}
--- a/internal/relay/notices_relay_test.go
+++ b/internal/relay/notices_relay_test.go
@@ -25,7 +25,7 @@
 // inNoticeRig runs a test with the first platform in place.
 func inNoticeRig(t *testing.T, p *memoryPlatform, test func(*noticeRig)) {
 	t.Helper()
-	conf, err := readTestConfig(t, testConfig(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller"))), t.TempDir())
+	conf, err := readTestConfig(t, testConfig(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +40,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
 		running.Go(r.loop)
-		r.notices = newNoticeSender(r.platformAt, g.dial, r.noticesSending, r.noticesAccepted)
+		r.notices = newNoticeSender(r.platformAddr, g.dial, r.noticesSending, r.noticesAccepted)
 		running.Go(func() { r.notices.run(ctx) })
 		defer func() {
 			r.stop()
@@ -56,7 +56,7 @@
 
 // add puts a platform at an address.
 func (g *noticeRig) add(addr string, p *memoryPlatform) {
-	p.begun, p.taken, p.read = time.Now(), map[string][]time.Duration{}, map[string]time.Duration{}
+	p.startedAt, p.acceptedTimes, p.readTimes = time.Now(), map[string][]time.Duration{}, map[string]time.Duration{}
 	g.platforms[addr] = p
 }
 
@@ -78,7 +78,7 @@
 }
 
 // left is how many notices are still owed. The loop has to answer at once.
-func (g *noticeRig) left() int {
+func (g *noticeRig) pending() int {
 	g.t.Helper()
 	count, begun := make(chan int, 1), time.Now()
 	g.post(func() { count <- g.owed })
@@ -95,25 +95,25 @@
 }
 
 // takenBy checks that each id was taken by a time, and that nothing is owed soon after.
-func (g *noticeRig) takenBy(p *memoryPlatform, by time.Duration, ids ...string) {
+func (g *noticeRig) wantAcceptedBy(p *memoryPlatform, limit time.Duration, ids ...string) {
 	g.t.Helper()
-	time.Sleep(by - time.Since(p.begun))
+	time.Sleep(limit - time.Since(p.startedAt))
 	synctest.Wait()
 	p.mu.Lock()
 	for _, id := range ids {
-		if times := p.taken[id]; len(times) == 0 {
-			g.t.Errorf("notice of %.20s not taken after %v", id, by)
+		if times := p.acceptedTimes[id]; len(times) == 0 {
+			g.t.Errorf("notice of %.20s not taken after %v", id, limit)
 			break
 		}
 	}
 	p.mu.Unlock()
-	if n := g.left(); n != 0 {
+	if n := g.pending(); n != 0 {
 		g.t.Errorf("%d notices owed, want 0", n)
 	}
 }
 
 // idsOf makes so many ids as they are in service.
-func idsOf(n int) []string {
+func makeIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%016x", i)
--- a/internal/relay/notices_rig_test.go
+++ b/internal/relay/notices_rig_test.go
@@ -15,11 +15,11 @@
 
 // noticeLimit is how late a notice may be taken in these tests: less than the 350 ms of the rules, which the relay's
 // decisions and the machine have their part of, too.
-const noticeLimit = 200 * time.Millisecond
+const noticeDelayLimit = 200 * time.Millisecond
 
 // reaction is what a stand-in for the platform does with one POST of notices.
 type reaction struct {
-	after  time.Duration
+	delay  time.Duration
 	status int  // 0 for 204
 	silent bool // it never answers
 	reset  bool // it ends the connection instead of answering
@@ -27,33 +27,33 @@
 
 // memoryPlatform takes notices over connections in memory, so that time is exact in a test that runs in a bubble.
 type memoryPlatform struct {
-	begun time.Time
+	startedAt time.Time
 	// react decides on a POST by the number of its connection and by its number on that, both from 1, and its time.
 	react func(conn, post int, now time.Duration) reaction
 	// dialable tells whether a connection comes up at a time; nil for always.
 	dialable func(now time.Duration) bool
 
-	mu       sync.Mutex
-	conns    int // so far
-	open     int
-	mostOpen int
-	posts    int
-	longest  int                        // body
-	taken    map[string][]time.Duration // when the POSTs with an id were answered 2xx
-	read     map[string]time.Duration   // when the first POST with an id was read
+	mu            sync.Mutex
+	conns         int // so far
+	openConns     int
+	maxOpenConns  int
+	posts         int
+	longestBody   int                        // body
+	acceptedTimes map[string][]time.Duration // when the POSTs with an id were answered 2xx
+	readTimes     map[string]time.Duration   // when the first POST with an id was read
 }
 
 // dial opens a connection; what cannot be reached says nothing.
 func (p *memoryPlatform) dial(ctx context.Context) (net.Conn, error) {
 	p.mu.Lock()
 	p.conns++
-	p.open++
-	p.mostOpen = max(p.mostOpen, p.open)
+	p.openConns++
+	p.maxOpenConns = max(p.maxOpenConns, p.openConns)
 	number := p.conns
 	p.mu.Unlock()
-	if p.dialable != nil && !p.dialable(time.Since(p.begun)) {
+	if p.dialable != nil && !p.dialable(time.Since(p.startedAt)) {
 		<-ctx.Done()
-		p.closed()
+		p.connClosed()
 		return nil, ctx.Err()
 	}
 	near, far := net.Pipe()
@@ -62,28 +62,28 @@
 }
 
 // openNow is how many connections are open or on their way.
-func (p *memoryPlatform) openNow() int {
+func (p *memoryPlatform) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open
+	return p.openConns
 }
 
 // posted is how many POSTs came.
-func (p *memoryPlatform) posted() int {
+func (p *memoryPlatform) postCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.posts
 }
 
-func (p *memoryPlatform) closed() {
+func (p *memoryPlatform) connClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openConns--
 }
 
 // serve answers what comes on a connection.
 func (p *memoryPlatform) serve(conn net.Conn, number int) {
-	defer p.closed()
+	defer p.connClosed()
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for post := 1; ; post++ {
@@ -97,54 +97,54 @@
 		}
 		p.mu.Lock()
 		p.posts++
-		p.longest = max(p.longest, len(body))
-		for _, id := range idsIn(body) {
-			if _, ok := p.read[id]; !ok {
-				p.read[id] = time.Since(p.begun)
+		p.longestBody = max(p.longestBody, len(body))
+		for _, id := range noticeIDs(body) {
+			if _, ok := p.readTimes[id]; !ok {
+				p.readTimes[id] = time.Since(p.startedAt)
 			}
 		}
 		p.mu.Unlock()
-		act := reaction{}
+		reaction := reaction{}
 		if p.react != nil {
-			act = p.react(number, post, time.Since(p.begun))
+			reaction = p.react(number, post, time.Since(p.startedAt))
 		}
-		time.Sleep(act.after)
+		time.Sleep(reaction.delay)
 		switch {
-		case act.silent:
+		case reaction.silent:
 			io.Copy(io.Discard, conn)
 			return
-		case act.reset:
+		case reaction.reset:
 			return
-		case act.status == 0:
-			act.status = http.StatusNoContent
+		case reaction.status == 0:
+			reaction.status = http.StatusNoContent
 		}
-		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", act.status); err != nil {
+		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", reaction.status); err != nil {
 			return
 		}
-		if act.status/100 == 2 {
-			p.take(body)
+		if reaction.status/100 == 2 {
+			p.recordAccepted(body)
 		}
 	}
 }
 
 // take notes the ids of a body.
-func (p *memoryPlatform) take(body []byte) {
+func (p *memoryPlatform) recordAccepted(body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, id := range idsIn(body) {
-		p.taken[id] = append(p.taken[id], time.Since(p.begun))
+	for _, id := range noticeIDs(body) {
+		p.acceptedTimes[id] = append(p.acceptedTimes[id], time.Since(p.startedAt))
 	}
 }
 
 // timesTaken is how often notices of a message were answered 2xx.
-func (p *memoryPlatform) timesTaken(id string) int {
+func (p *memoryPlatform) timesAccepted(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.taken[id])
+	return len(p.acceptedTimes[id])
 }
 
 // idsIn are the ids of the notices in a body.
-func idsIn(body []byte) (ids []string) {
+func noticeIDs(body []byte) (ids []string) {
 	for lines := json.NewDecoder(bytes.NewReader(body)); ; {
 		var n notice
 		if lines.Decode(&n) != nil {
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -17,9 +17,9 @@
 	for name, act := range map[string]reaction{
 		"kept connection is silent":       {silent: true},
 		"kept connection is reset":        {reset: true},
-		"one answer comes late":           {after: 900 * time.Millisecond},
+		"one answer comes late":           {delay: 900 * time.Millisecond},
 		"one answer is an error":          {status: http.StatusInternalServerError},
-		"one answer is an error and late": {after: 120 * time.Millisecond, status: http.StatusInternalServerError},
+		"one answer is an error and late": {delay: 120 * time.Millisecond, status: http.StatusInternalServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &memoryPlatform{react: func(conn, post int, _ time.Duration) reaction {
@@ -34,32 +34,32 @@
 				g.end("second")
 				time.Sleep(time.Millisecond)
 				g.end("behind")
-				g.takenBy(p, from+noticeLimit, "first", "second", "behind")
+				g.wantAcceptedBy(p, from+noticeDelayLimit, "first", "second", "behind")
 			})
 		})
 	}
 }
 
 // endApart has messages end undelivered one after the other, so long apart, and returns their ids.
-func (g *noticeRig) endApart(count int, apart time.Duration) []string {
+func (g *noticeRig) endSpaced(count int, interval time.Duration) []string {
 	g.t.Helper()
-	ids := idsOf(count)
+	ids := makeIDs(count)
 	for _, id := range ids {
 		g.end(id)
-		time.Sleep(apart)
+		time.Sleep(interval)
 	}
 	return ids
 }
 
 // Guards against batches that wait for each other where each answer takes a while.
-func TestNoticesOverASlowPlatform(t *testing.T) {
-	p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{after: 180 * time.Millisecond} }}
+func TestNoticesWithSlowPlatform(t *testing.T) {
+	p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: 180 * time.Millisecond} }}
 	inNoticeRig(t, p, func(g *noticeRig) {
 		const notices, apart, limit = 100, 7 * time.Millisecond, 300 * time.Millisecond
-		ids := g.endApart(notices, apart)
-		g.takenBy(p, notices*apart+limit, ids...)
+		ids := g.endSpaced(notices, apart)
+		g.wantAcceptedBy(p, notices*apart+limit, ids...)
 		for i, id := range ids {
-			if times := p.taken[id]; len(times) > 0 && times[0]-time.Duration(i)*apart > limit {
+			if times := p.acceptedTimes[id]; len(times) > 0 && times[0]-time.Duration(i)*apart > limit {
 				t.Errorf("notice %d taken after %v", i, times[0]-time.Duration(i)*apart)
 			}
 		}
@@ -70,14 +70,14 @@
 // has taken what it has read.
 func TestNoticesDoNotWaitForSlowAnswers(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 950 * time.Millisecond} {
-		p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{after: slow} }}
+		p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: slow} }}
 		inNoticeRig(t, p, func(g *noticeRig) {
 			const notices, apart, limit = 300, 13 * time.Millisecond, 350 * time.Millisecond
-			ids := g.endApart(notices, apart)
-			g.takenBy(p, notices*apart+limit+2*slow, ids...)
+			ids := g.endSpaced(notices, apart)
+			g.wantAcceptedBy(p, notices*apart+limit+2*slow, ids...)
 			for i, id := range ids {
 				ended := time.Duration(i) * apart
-				if read, ok := p.read[id]; !ok || read-ended > limit {
+				if read, ok := p.readTimes[id]; !ok || read-ended > limit {
 					t.Errorf("answers after %v: notice %d read %v after it was queued", slow, i, read-ended)
 				}
 			}
@@ -87,7 +87,7 @@
 
 // Guards against a notice that goes long after the platform can take it again; and against sockets, goroutines and memory
 // without bound, and a loop that stands still, while it cannot.
-func TestNoticesGoOnceThePlatformIsBack(t *testing.T) {
+func TestNoticesAreSentOncePlatformRecovers(t *testing.T) {
 	const back = 30 * time.Second
 	for name, p := range map[string]*memoryPlatform{
 		"errors": {react: func(_, _ int, now time.Duration) reaction {
@@ -101,7 +101,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			inNoticeRig(t, p, func(g *noticeRig) {
-				ids := idsOf(2*maxOwed + 1000)
+				ids := makeIDs(2*maxPendingNotices + 1000)
 				before := runtime.NumGoroutine()
 				g.end(ids...)
 				for range 99 {
@@ -110,23 +110,23 @@
 					if n := runtime.NumGoroutine() - before; n > 100 {
 						t.Fatalf("%d more goroutines", n)
 					}
-					if n := p.openNow(); n > 9 {
+					if n := p.openCount(); n > 9 {
 						t.Fatalf("%d connections, want 9 at most", n)
 					}
 				}
-				want(t, "notices owed meanwhile", g.left(), len(ids))
-				g.takenBy(p, back+noticeLimit, ids...)
-				if p.mostOpen > 12 { // of each batch one may be on its way out
-					t.Errorf("%d connections at once, want 12 at most", p.mostOpen)
+				want(t, "notices owed meanwhile", g.pending(), len(ids))
+				g.wantAcceptedBy(p, back+noticeDelayLimit, ids...)
+				if p.maxOpenConns > 12 { // of each batch one may be on its way out
+					t.Errorf("%d connections at once, want 12 at most", p.maxOpenConns)
 				}
-				t.Logf("%d connections, %d POSTs, %d connections at once", p.conns, p.posts, p.mostOpen)
+				t.Logf("%d connections, %d POSTs, %d connections at once", p.conns, p.posts, p.maxOpenConns)
 			})
 		})
 	}
 }
 
 // Guards against a notice that waits for an address at which the platform is no more.
-func TestNoticesFollowTheMove(t *testing.T) {
+func TestNoticesFollowPlatformAddress(t *testing.T) {
 	const moved = 500 * time.Millisecond
 	for name, act := range map[string]reaction{"silent": {silent: true}, "errors": {status: http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
@@ -136,12 +136,12 @@
 				g.end("under way")
 				time.Sleep(moved)
 				g.end("behind")
-				g.post(func() { g.retune(fleet.File{Set: g.conf.Settings}, secondAddr) })
-				g.takenBy(next, moved, "under way", "behind")
-				posts := p.posted()
+				g.post(func() { g.retune(fleet.File{Set: g.config.Settings}, secondAddr) })
+				g.wantAcceptedBy(next, moved, "under way", "behind")
+				posts := p.postCount()
 				time.Sleep(2 * time.Minute)
-				want(t, "POSTs to the old address", p.posted()-posts, 0)
-				want(t, "connections open to the old address", p.openNow(), 0)
+				want(t, "POSTs to the old address", p.postCount()-posts, 0)
+				want(t, "connections open to the old address", p.openCount(), 0)
 			})
 		})
 	}
@@ -149,22 +149,22 @@
 
 // Guards against bodies over the 64 KiB that one may have, and against more than one connection and one POST of a notice
 // where the platform answers at once.
-func TestManyNoticesAtOnce(t *testing.T) {
+func TestManyNoticesInOneTurn(t *testing.T) {
 	for name, pad := range map[string]string{"in service": "", "long": "-", "long, and longer in JSON": "<"} {
 		t.Run(name, func(t *testing.T) {
 			p := &memoryPlatform{}
 			inNoticeRig(t, p, func(g *noticeRig) {
-				ids := idsOf(1000)
+				ids := makeIDs(1000)
 				for i, id := range ids {
 					ids[i] = id + strings.Repeat(pad, maxName-len(id))
 				}
 				g.end(ids...)
-				g.takenBy(p, time.Millisecond, ids...)
+				g.wantAcceptedBy(p, time.Millisecond, ids...)
 				for _, id := range ids {
-					want(t, "POSTs of a notice", len(p.taken[id]), 1)
+					want(t, "POSTs of a notice", len(p.acceptedTimes[id]), 1)
 				}
-				if p.longest > maxBody {
-					t.Errorf("a body has %d bytes, want %d at most", p.longest, maxBody)
+				if p.longestBody > maxBody {
+					t.Errorf("a body has %d bytes, want %d at most", p.longestBody, maxBody)
 				}
 				want(t, "connections", p.conns, 1)
 			})
@@ -176,7 +176,7 @@
 func TestLoopAndSenderNeverWaitForEachOther(t *testing.T) {
 	p := &memoryPlatform{}
 	inNoticeRig(t, p, func(g *noticeRig) {
-		ids := idsOf(4 * maxOwed)
+		ids := makeIDs(4 * maxPendingNotices)
 		g.post(func() {
 			for range 4 * cap(g.inbox) { // what comes in keeps the inbox full
 				go g.post(func() {})
@@ -193,6 +193,6 @@
 			t.Error("the loop stands still")
 			return
 		}
-		g.takenBy(p, time.Second, ids...)
+		g.wantAcceptedBy(p, time.Second, ids...)
 	})
 }
--- a/internal/relay/instants_test.go
+++ b/internal/relay/pausepoint_test.go
@@ -10,19 +10,19 @@
 )
 
 // instant holds whoever comes to a point in the program until the test goes on. Only an armed one holds, and only once.
-type instant struct {
+type pausePoint struct {
 	armed   chan struct{}
 	reached chan struct{}
 	release chan struct{}
 }
 
-func newInstant() *instant {
-	return &instant{armed: make(chan struct{}, 1), reached: make(chan struct{}), release: make(chan struct{})}
+func newPausePoint() *pausePoint {
+	return &pausePoint{armed: make(chan struct{}, 1), reached: make(chan struct{}), release: make(chan struct{})}
 }
 
-func (i *instant) arm() { i.armed <- struct{}{} }
+func (i *pausePoint) arm() { i.armed <- struct{}{} }
 
-func (i *instant) pass() {
+func (i *pausePoint) reach() {
 	select {
 	case <-i.armed:
 		close(i.reached)
@@ -32,52 +32,56 @@
 }
 
 // instants are the points at which a test holds the connections of a server.
-type instants struct {
-	read       *instant // bytes came from the system, and nobody has seen them yet
-	dispatched *instant // the whole head was read, and no handler runs
-	written    *instant // an answer goes out
+type connPausePoints struct {
+	read       *pausePoint // bytes came from the system, and nobody has seen them yet
+	dispatched *pausePoint // the whole head was read, and no handler runs
+	written    *pausePoint // an answer goes out
 }
 
-func newInstants() *instants { return &instants{newInstant(), newInstant(), newInstant()} }
+func newConnPausePoints() *connPausePoints {
+	return &connPausePoints{newPausePoint(), newPausePoint(), newPausePoint()}
+}
 
 // wrap puts the points into the connections of a listener.
-func (at *instants) wrap(l net.Listener) net.Listener { return &heldListener{l.(*net.TCPListener), at} }
+func (at *connPausePoints) wrap(l net.Listener) net.Listener {
+	return &pausingListener{l.(*net.TCPListener), at}
+}
 
-type heldListener struct {
+type pausingListener struct {
 	*net.TCPListener
-	at *instants
+	points *connPausePoints
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *pausingListener) Accept() (net.Conn, error) {
 	conn, err := l.TCPListener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &heldConn{conn.(*net.TCPConn), l.at}, nil
+	return &pausingConn{conn.(*net.TCPConn), l.points}, nil
 }
 
-type heldConn struct {
+type pausingConn struct {
 	*net.TCPConn
-	at *instants
+	points *connPausePoints
 }
 
-func (c *heldConn) Read(p []byte) (int, error) {
+func (c *pausingConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n > 0 {
-		c.at.read.pass()
+		c.points.read.reach()
 	}
 	return n, err
 }
 
-func (c *heldConn) Write(p []byte) (int, error) {
-	c.at.written.pass()
+func (c *pausingConn) Write(p []byte) (int, error) {
+	c.points.written.reach()
 	return c.TCPConn.Write(p)
 }
 
 // SetWriteDeadline is what net/http does last when it has read the head of a request.
-func (c *heldConn) SetWriteDeadline(t time.Time) error {
+func (c *pausingConn) SetWriteDeadline(t time.Time) error {
 	if !t.IsZero() {
-		c.at.dispatched.pass()
+		c.points.dispatched.reach()
 	}
 	return c.TCPConn.SetWriteDeadline(t)
 }
@@ -93,7 +97,7 @@
 }
 
 // wantEnd reads the end of a connection.
-func wantEnd(t *testing.T, what string, r *bufio.Reader) {
+func wantEOF(t *testing.T, what string, r *bufio.Reader) {
 	t.Helper()
 	if b, err := r.ReadByte(); err != io.EOF {
 		t.Fatalf("%s: read %q and %v, want an end in order", what, b, err)
@@ -102,14 +106,14 @@
 
 // Guards against ending a connection whose request has been read whole, but which no handler has yet: it is refused, and
 // not taken on; what was sent behind it is nobody's.
-func TestARequestReadButNotDispatchedIsRefused(t *testing.T) {
+func TestUndispatchedRequestIsRefused(t *testing.T) {
 	for name, end := range map[string]func(*intakes){
 		"stop": func(in *intakes) { in.retire(true) },
 		"room": func(in *intakes) { in.room() },
 	} {
 		for first, behind := range map[string]string{"new connection": "", "one behind it": message7("behind")} {
 			t.Run(name+", "+first, func(t *testing.T) {
-				at := newInstants()
+				at := newConnPausePoints()
 				in := newIntakes(t, 1, at.wrap)
 				conn := in.dial(t)
 				at.dispatched.arm()
@@ -119,7 +123,7 @@
 				close(at.dispatched.release)
 				r := bufio.NewReader(conn)
 				wantStatus(t, "answer", r, http.StatusServiceUnavailable)
-				wantEnd(t, "connection", r)
+				wantEOF(t, "connection", r)
 				want(t, "taken on", in.took("whole")+in.took("behind"), 0)
 			})
 		}
@@ -127,22 +131,22 @@
 }
 
 // Guards against ending a connection in silence whose request has come in part: its client may have written all of it.
-func TestARequestReadInPartIsRefused(t *testing.T) {
+func TestPartlyReadRequestIsRefused(t *testing.T) {
 	in := newIntakes(t, 8)
 	conn := in.dial(t)
 	text := message7("part")
 	io.WriteString(conn, text[:30])
-	in.begins(t)
+	in.waitForRequest(t)
 	in.retire(true)
 	io.WriteString(conn, text[30:])
 	r := bufio.NewReader(conn)
 	wantStatus(t, "answer", r, http.StatusServiceUnavailable)
-	wantEnd(t, "connection", r)
+	wantEOF(t, "connection", r)
 	want(t, "taken on", in.took("part"), 0)
 }
 
 // begins waits until a request has begun.
-func (in *intakes) begins(t *testing.T) {
+func (in *intakes) waitForRequest(t *testing.T) {
 	t.Helper()
 	for begun, end := false, time.Now().Add(30*time.Second); !begun; time.Sleep(time.Millisecond) {
 		in.each(func(c *peer) { begun = begun || !c.begun.IsZero() })
@@ -154,27 +158,27 @@
 
 // Guards against failing a request, or ending it in silence, whose last bytes nobody read before its time was up: the
 // process may have got no core meanwhile. It is refused, which lets its client hand it in again.
-func TestARequestOutOfItsTimeIsRefused(t *testing.T) {
+func TestRequestPastReadDeadlineIsRefused(t *testing.T) {
 	for _, n := range []int{1, 30} {
 		in := newIntakes(t, 8)
 		conn := in.dial(t)
 		io.WriteString(conn, message7("late")[:n])
-		in.begins(t)
+		in.waitForRequest(t)
 		in.each(func(c *peer) { c.Conn.SetReadDeadline(time.Unix(1, 0)) }) // as net/http's, long over
 		r := bufio.NewReader(conn)
 		wantStatus(t, "answer", r, http.StatusServiceUnavailable)
-		wantEnd(t, "connection", r)
+		wantEOF(t, "connection", r)
 	}
 }
 
 // Guards against an end that cuts a request under way: while a handler has it, or as its answer is being written.
-func TestARequestUnderWayIsAnswered(t *testing.T) {
+func TestRequestInProgressIsAnswered(t *testing.T) {
 	for name, end := range map[string]func(*intakes){
 		"stop": func(in *intakes) { in.retire(true) },
 		"room": func(in *intakes) { in.room() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			at := newInstants()
+			at := newConnPausePoints()
 			in := newIntakes(t, 1, at.wrap)
 			in.hold = make(chan struct{})
 			conn := in.dial(t)
--- a/internal/relay/record_order_test.go
+++ b/internal/relay/record_order_test.go
@@ -12,7 +12,7 @@
 )
 
 // unserved is a relay whose loop a test runs by hand, step by step.
-func unserved(t *testing.T, p *platform, state string) *Relay {
+func unserved(t *testing.T, p *fakePlatform, state string) *Relay {
 	t.Helper()
 	conf, err := readTestConfig(t, testConfig(t, p), state)
 	if err != nil {
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { r.stop(); r.endCalls(errStopping); r.tcp.Close(); r.journal.Close() })
+	t.Cleanup(func() { r.stop(); r.cancelCalls(errStopping); r.tcp.Close(); r.journal.Close() })
 	return r
 }
 
@@ -30,7 +30,7 @@
 func request(t *testing.T, r *Relay, ctx context.Context, id, class string, left time.Duration) *intake {
 	t.Helper()
 	e := &journal.Entry{ID: id, Class: class, Dest: 7, Key: "key-" + id, Body: []byte("body of " + id), Due: time.Now().Add(left).UnixMilli()}
-	terms, err := admit(r.set.Load(), e, r.now())
+	terms, err := admit(r.settings.Load(), e, r.now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 
 // leavingHost is an endpoint that takes nothing new, so that messages wait.
 func leavingHost() discovery.Server {
-	s := at("s-1", "127.0.0.1:1", "taller")
+	s := testEndpoint("s-1", "127.0.0.1:1", "taller")
 	s.State = "leaving"
 	return s
 }
@@ -65,7 +65,7 @@
 // next start would not know of the new one.
 func TestNothingIsTakenOnBeforeEarlierRecordsAreWritten(t *testing.T) {
 	state := t.TempDir()
-	r := unserved(t, newPlatform(t, leavingHost()), state)
+	r := unserved(t, newFakePlatform(t, leavingHost()), state)
 	first := request(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.take(first)
 	r.step()
@@ -110,7 +110,7 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		r := unserved(t, newPlatform(t, leavingHost()), state)
+		r := unserved(t, newFakePlatform(t, leavingHost()), state)
 		if forget {
 			r.past = recent{}
 		}
@@ -133,7 +133,7 @@
 
 // Guards against recording a message a second time while it is not known whether this relay is to deliver the one on record.
 func TestAMessageThatIsOnRecordIsNotRecordedAgain(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := unserved(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	for class, said := range map[string]int{"status-update": http.StatusServiceUnavailable, "payment": http.StatusInternalServerError} {
 		first := request(t, r, context.Background(), class, class, time.Minute)
 		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: first.entry}); err != nil {
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -18,9 +18,9 @@
 // Guards against an answer that does not follow from the record, as the loop ends with requests under way: one that is
 // on record is owed its end, so its client must not be told to come again; and one that is not must not be told 202.
 func TestTheRecordDecidesWhatIsSaidAtTheEnd(t *testing.T) {
-	calls := make(chan *seen, 10000)
+	calls := make(chan *receivedCall, 10000)
 	for round := range 12 {
-		p := newPlatform(t, at("s1", fakeHost(t, "s1", calls), "taller"))
+		p := newFakePlatform(t, testEndpoint("s1", newFakeHost(t, "s1", calls), "taller"))
 		state := t.TempDir()
 		conf, err := readTestConfig(t, testConfig(t, p), state)
 		if err != nil {
@@ -90,18 +90,18 @@
 		in := &intake{entry: &journal.Entry{ID: "m", Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, reply: make(chan answer, 1)}
 		r := &Relay{quit: make(chan struct{}), succession: succession{asked: map[int64]*intake{1: in}}}
 		r.heirGone()
-		want(t, "status", wait(t, in.reply, "answer").status, status)
+		want(t, "status", receive(t, in.reply, "answer").status, status)
 		want(t, "asked", len(r.asked), 0)
 	}
 	unknown := &intake{entry: &journal.Entry{ID: "m"}, reply: make(chan answer, 1)}
 	r := &Relay{succession: succession{asked: map[int64]*intake{1: unknown}}}
 	r.lastWord()
-	want(t, "status of one whose class is not known here", wait(t, unknown.reply, "answer").status, 500)
+	want(t, "status of one whose class is not known here", receive(t, unknown.reply, "answer").status, 500)
 }
 
 // BenchmarkStartWithAFullJournal is a start up to the decisions' first look, with as many messages as the disk holds.
 func BenchmarkStartWithAFullJournal(b *testing.B) {
-	p := newPlatform(b, at("s1", "127.0.0.1:1", "taller"))
+	p := newFakePlatform(b, testEndpoint("s1", "127.0.0.1:1", "taller"))
 	terms := &choice.Terms{Class: choice.Class{Name: "status-update", Aim: time.Second, Deadline: time.Hour, Worth: 1}, Attempts: 6}
 	held := 0
 	for b.Loop() {
