--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -26,80 +26,80 @@
 )
 
 const (
-	batchMost = 256
-	maxOwed   = 8192
+	maxEventsPerStep  = 256
+	maxPendingNotices = 8192
 )
 
 // Relay is one relay. The parts that it embeds, and the fields below the channels, belong to the loop unless they say
 // otherwise.
 type Relay struct {
-	conf     Config
-	set      atomic.Pointer[standing]
-	began    time.Time
-	server   *http.Server
-	listener *peers
-	tcp      *net.TCPListener // under listener
-	platform *http.Client     // for discovery
+	config         Config
+	settings       atomic.Pointer[standing]
+	startedAt      time.Time
+	server         *http.Server
+	listener       *peers
+	tcp            *net.TCPListener // under listener
+	platformClient *http.Client     // for discovery
 	// platformAt is where discovery and the taker of notices are.
-	platformAt *discovery.At
-	list       discovery.Source // of the endpoints
-	calls      context.Context
-	endCalls   context.CancelCauseFunc
-	inbox      chan func()
-	quit       chan struct{} // the loop is to end
-	halted     chan struct{} // and has
-	once       sync.Once
-	admin      *http.Server // of the second address; nil where there is none
-	adminPeers *peers
-	adminAt    net.Addr
-	ready      atomic.Bool // clients may come
-	draining   atomic.Bool // and may not any more
-	closing    atomic.Bool // their connections end with the next answer
-	figures    figures
+	platformAddr *discovery.At
+	listSource   discovery.Source // of the endpoints
+	callContext  context.Context
+	cancelCalls  context.CancelCauseFunc
+	inbox        chan func()
+	quit         chan struct{} // the loop is to end
+	loopEnded    chan struct{} // and has
+	stopOnce     sync.Once
+	admin        *http.Server // of the second address; nil where there is none
+	adminPeers   *peers
+	adminAt      net.Addr
+	ready        atomic.Bool // clients may come
+	draining     atomic.Bool // and may not any more
+	closing      atomic.Bool // their connections end with the next answer
+	figures      figures
 
 	books
-	endpoints
+	endpointList
 	listLease
-	sending sendGate
+	writeGate sendGate
 	agreement
 	succession
-	chooser     *choice.Chooser
-	events      []choice.Event
-	fresh       []*message
-	wake        *time.Timer
-	wakeAt      time.Duration
-	delays      delayMeter
-	woken       bool
-	out         int  // calls
-	stopped     bool // no more decisions; outcomes are still recorded
-	endPlatform context.CancelFunc
+	chooser        *choice.Chooser
+	events         []choice.Event
+	newMessages    []*message
+	wakeTimer      *time.Timer
+	wakeAt         time.Duration
+	timerDelays    delayMeter
+	wakeDue        bool
+	callsInFlight  int  // calls
+	stopped        bool // no more decisions; outcomes are still recorded
+	cancelPlatform context.CancelFunc
 }
 
 // New replays the journal and listens; Serve does the rest.
-func New(conf Config) (r *Relay, err error) {
-	set := conf.Settings
-	r = &Relay{conf: conf, platformAt: discovery.NewAt(conf.Discovery), began: time.Now(), inbox: make(chan func(), 1024),
-		books:     books{held: map[string]*message{}},
-		endpoints: endpoints{zones: set.Zones, hosts: map[string]*host{}, dests: map[int]*waiting{}},
-		quit:      make(chan struct{}), halted: make(chan struct{}), wake: time.NewTimer(time.Hour)}
-	clients, kept := conf.parts(set.Workers)
-	r.hostSide.Store(newTransport(&set, kept, r.dial(set.DialTimeout)))
-	r.platform = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: r.dial(0)}}
-	r.notices = newNoticeSender(r.platformAt, r.dial(noticeIn), r.noticesSending, r.noticesAccepted)
-	list := &discovery.Platform{Client: r.platform, At: r.platformAt, Seed: conf.Seed, Known: conf.Known.Full, Version: conf.Known.Version,
+func New(config Config) (r *Relay, err error) {
+	settings := config.Settings
+	r = &Relay{config: config, platformAddr: discovery.NewAt(config.Discovery), startedAt: time.Now(), inbox: make(chan func(), 1024),
+		books:        books{held: map[string]*message{}},
+		endpointList: endpointList{zoneNames: settings.Zones, hosts: map[string]*host{}, destWaits: map[int]*hostWait{}},
+		quit:         make(chan struct{}), loopEnded: make(chan struct{}), wakeTimer: time.NewTimer(time.Hour)}
+	maxClients, maxIdleHostConns := config.parts(settings.Workers)
+	r.hostTransport.Store(newHostTransport(&settings, maxIdleHostConns, r.dial(settings.DialTimeout)))
+	r.platformClient = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: r.dial(0)}}
+	r.notices = newNoticeSender(r.platformAddr, r.dial(noticeTimeout), r.noticesSending, r.noticesAccepted)
+	listSource := &discovery.Platform{Client: r.platformClient, At: r.platformAddr, Seed: config.Seed, Known: config.Known.Full, Version: config.Known.Version,
 		Renewed: r.leaseRenewed,
 		Fleet: func() discovery.Fleet {
-			set := r.set.Load()
-			return discovery.Fleet{Size: set.Fleet, AskWithin: set.AskWithin}
+			settings := r.settings.Load()
+			return discovery.Fleet{Size: settings.Fleet, AskWithin: settings.AskWithin}
 		}}
-	r.list = list
-	r.calls, r.endCalls = context.WithCancelCause(context.Background())
-	r.set.Store((&standing{}).succeed(set, 0))
-	for _, k := range set.Classes {
-		r.figures.declare(k.Name)
+	r.listSource = listSource
+	r.callContext, r.cancelCalls = context.WithCancelCause(context.Background())
+	r.settings.Store((&standing{}).succeed(settings, 0))
+	for _, class := range settings.Classes {
+		r.figures.declare(class.Name)
 	}
-	if conf.Admin != "" {
-		if err := r.listenAdmin(conf.Admin); err != nil {
+	if config.Admin != "" {
+		if err := r.listenAdmin(config.Admin); err != nil {
 			return nil, err
 		}
 		admin := r.admin
@@ -112,74 +112,74 @@
 	if err := r.listen(); err != nil {
 		return nil, err
 	}
-	tcp, heritage := r.tcp, r.heritage
+	tcp, handover := r.tcp, r.heritage
 	defer func() {
 		if err != nil {
 			tcp.Close()
-			if heritage != nil {
-				heritage.close()
+			if handover != nil {
+				handover.close()
 			}
 		}
 	}()
-	if r.chooser, err = choice.New(set.Settings, conf.Seed); err != nil {
+	if r.chooser, err = choice.New(settings.Settings, config.Seed); err != nil {
 		return nil, err
 	}
-	if err := steady.Anchor(conf.State); err != nil {
+	if err := steady.Anchor(config.State); err != nil {
 		slog.Warn("no steady time across restarts", "err", err, "remedy", remedy.Of(err))
 	}
-	version := conf.Known.Version
+	version := config.Known.Version
 	if r.heritage != nil {
 		version = r.heritage.Version
 	}
-	if list.Before = leaseBefore(conf.State, version); list.Before != nil {
-		r.bindLease(*list.Before)
+	if listSource.Before = loadLease(config.State, version); listSource.Before != nil {
+		r.setSendUntil(*listSource.Before)
 	}
-	if r.journal, err = journal.Open(conf.State, conf.journalBytes()); err != nil {
+	if r.journal, err = journal.Open(config.State, config.journalBytes()); err != nil {
 		return nil, err
 	}
 	if err = r.openBacklog(); err != nil {
 		return nil, err
 	}
-	waiting := r.overflow
+	overflow := r.overflow
 	defer func() {
 		if err != nil {
-			waiting.shut()
+			overflow.shut()
 		}
 	}()
-	if conf.Fleet != nil {
-		r.kept = fleet.Open(conf.State, newInstance(), fleet.File{Raw: conf.settings, Set: set})
-		r.look()
-		if r.copies = newCopying(conf.Fleet); r.copies != nil {
+	if config.Fleet != nil {
+		r.fleetConfig = fleet.Open(config.State, newInstanceID(), fleet.File{Raw: config.settings, Set: settings})
+		r.refreshAgreed()
+		if r.copies = newCopying(config.Fleet); r.copies != nil {
 			if r.heritage != nil {
 				r.copies.adopted = r.heritage.Writer
 			}
 			r.newOwner()
 		}
 	}
-	r.listener = newPeers(r.tcp, clients)
-	r.listener.lack = func() { r.hostSide.Load().CloseIdleConnections() }
+	r.listener = newPeers(r.tcp, maxClients)
+	r.listener.lack = func() { r.hostTransport.Load().CloseIdleConnections() }
 	r.listener.snapshot = func() any { return r.snapshot() }
 	r.server = newServer(r.handler(), r.listener)
-	if h := r.heritage; h != nil {
+	if handover := r.heritage; handover != nil {
 		// Until the other process has ended the limit on sockets is for both.
-		r.listener.allow(max(clients/4, clients-h.Peers))
-		r.listed(discovery.List{Version: h.Version, Full: true, Servers: append(h.Servers, h.Gone...)})
-		r.adopt(h)
+		r.listener.allow(max(maxClients/4, maxClients-handover.Peers))
+		r.applyList(discovery.List{Version: handover.Version, Full: true, Servers: append(handover.Servers, handover.Gone...)})
+		r.adopt(handover)
 		if r.copies != nil {
-			r.adoptEstates(h.Writer)
+			r.adoptEstates(handover.Writer)
 		}
-		r.startLease(list.Before)
+		r.resumeLease(listSource.Before)
 		r.restore()
-		for i := range h.Gone {
-			h.Gone[i].State = "left"
+		for i := range handover.Gone {
+			handover.Gone[i].State = "left"
 		}
-		r.listed(discovery.List{Version: h.Version, Servers: h.Gone})
-		return r, h.accept()
+		r.applyList(discovery.List{Version: handover.Version, Servers: handover.Gone})
+		return r, handover.accept()
 	}
-	if conf.Known.Full || len(conf.Known.Servers) > 0 {
-		r.listed(conf.Known)
+	if config.Known.Full || len(config.Known.Servers) > 0 {
+		r.applyList(config.Known)
 	}
-	r.startLease(list.Before)
+	r.resumeLease(listSource.Before)
 	r.restore()
 	return r, nil
 }
@@ -187,7 +187,7 @@
 // listen takes the clients' address from the process that runs as this relay, if there is one.
 // Before that the journal is not this process's to open.
 func (r *Relay) listen() (err error) {
-	if r.heritage, err = inherit(r.conf.State); err != nil {
+	if r.heritage, err = inherit(r.config.State); err != nil {
 		// It may have died; if it has not, the address is taken.
 		slog.Warn("nothing taken over", "err", err)
 	}
@@ -195,11 +195,11 @@
 		r.tcp = r.heritage.tcp
 		return nil
 	}
-	l, err := listen.TCP(r.conf.Listen)
+	listener, err := listen.TCP(r.config.Listen)
 	if err != nil {
 		return err
 	}
-	r.tcp = l.(*net.TCPListener)
+	r.tcp = listener.(*net.TCPListener)
 	return nil
 }
 
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -36,31 +36,31 @@
 "skus":["marketplace","customer-system"],"tick":0.005,"weights":"off","zones":["taller","oficinas","almacen"]}`
 
 // platform stands in for discovery and the taker of notices.
-type platform struct {
+type fakePlatform struct {
 	*httptest.Server
-	mu      sync.Mutex
-	now     discovery.List
-	changed chan struct{}
-	asked   chan string // raw queries, as far as a test reads them
-	notices chan notice
-	fail    int  // so many POSTs are answered 500 first
-	refuse  bool // calls for the list
+	mu             sync.Mutex
+	list           discovery.List
+	changed        chan struct{}
+	queries        chan string // raw queries, as far as a test reads them
+	notices        chan notice
+	failingNotices int  // so many POSTs are answered 500 first
+	refuseLists    bool // calls for the list
 }
 
-func newPlatform(t testing.TB, servers ...discovery.Server) *platform {
-	p := &platform{now: discovery.List{Version: 1, Full: true, Servers: servers}, changed: make(chan struct{}), asked: make(chan string, 100),
+func newFakePlatform(t testing.TB, servers ...discovery.Server) *fakePlatform {
+	p := &fakePlatform{list: discovery.List{Version: 1, Full: true, Servers: servers}, changed: make(chan struct{}), queries: make(chan string, 100),
 		notices: make(chan notice, 100)}
 	p.Server = httptest.NewServer(http.HandlerFunc(p.serve))
 	t.Cleanup(p.CloseClientConnections)
 	return p
 }
 
-func (p *platform) serve(w http.ResponseWriter, req *http.Request) {
+func (p *fakePlatform) serve(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path == "/status" {
 		p.mu.Lock()
-		fails := p.fail > 0
+		fails := p.failingNotices > 0
 		if fails {
-			p.fail--
+			p.failingNotices--
 		}
 		p.mu.Unlock()
 		if fails {
@@ -78,11 +78,11 @@
 		return
 	}
 	select {
-	case p.asked <- req.URL.RawQuery:
+	case p.queries <- req.URL.RawQuery:
 	default:
 	}
 	p.mu.Lock()
-	l, changed, refuse := p.now, p.changed, p.refuse
+	l, changed, refuse := p.list, p.changed, p.refuseLists
 	p.mu.Unlock()
 	if refuse {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -92,7 +92,7 @@
 		select {
 		case <-changed:
 			p.mu.Lock()
-			l = p.now
+			l = p.list
 			p.mu.Unlock()
 		case <-req.Context().Done():
 			return
@@ -101,28 +101,28 @@
 	json.NewEncoder(w).Encode(l)
 }
 
-func (p *platform) publish(version int64, full bool, servers ...discovery.Server) {
+func (p *fakePlatform) publish(version int64, full bool, servers ...discovery.Server) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.now = discovery.List{Version: version, Full: full, Servers: servers}
+	p.list = discovery.List{Version: version, Full: full, Servers: servers}
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-func (p *platform) addr() string { return p.Listener.Addr().String() }
+func (p *fakePlatform) addr() string { return p.Listener.Addr().String() }
 
 // seen is one call as a host got it.
-type seen struct {
+type receivedCall struct {
 	host, id, key, body string
-	at                  time.Time
+	receivedAt          time.Time
 	answer              chan int // status; a header may precede it
 }
 
 // fakeHost hands each call to the test and answers what the test says.
-func fakeHost(t *testing.T, name string, calls chan *seen) string {
+func newFakeHost(t *testing.T, name string, calls chan *receivedCall) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
-		c := &seen{name, req.Header.Get("X-Request-Id"), req.Header.Get("Idempotency-Key"), string(body), time.Now(),
+		c := &receivedCall{name, req.Header.Get("X-Request-Id"), req.Header.Get("Idempotency-Key"), string(body), time.Now(),
 			make(chan int, 1)}
 		calls <- c
 		select {
@@ -138,10 +138,10 @@
 	return s.Listener.Addr().String()
 }
 
-func testConfig(t testing.TB, p *platform) []byte {
+func testConfig(t testing.TB, p *fakePlatform) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	known, err := json.Marshal(p.now)
+	known, err := json.Marshal(p.list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -159,14 +159,14 @@
 	return ReadConfig(func(name string) string { return env[name] })
 }
 
-func startRelay(t testing.TB, p *platform, change func(*Config)) *Relay {
+func startRelay(t testing.TB, p *fakePlatform, configure func(*Config)) *Relay {
 	t.Helper()
 	conf, err := readTestConfig(t, testConfig(t, p), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(&conf)
+	if configure != nil {
+		configure(&conf)
 	}
 	r, err := New(conf)
 	if err != nil {
@@ -179,7 +179,7 @@
 }
 
 // hand posts one message and returns status and Retry-After.
-func hand(t *testing.T, addr, id, class string, more ...string) (int, string) {
+func postMessage(t *testing.T, addr, id, class string, more ...string) (int, string) {
 	t.Helper()
 	req, _ := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader("body of "+id))
 	for k, v := range map[string]string{"X-Request-Id": id, "X-Class": class, "X-Deadline-Ms": "15000",
@@ -198,7 +198,7 @@
 	return resp.StatusCode, resp.Header.Get("Retry-After")
 }
 
-func wait[T any](t *testing.T, ch chan T, what string) T {
+func receive[T any](t *testing.T, ch chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-ch:
@@ -216,16 +216,16 @@
 	}
 }
 
-func at(id, addr, zone string) discovery.Server {
+func testEndpoint(id, addr, zone string) discovery.Server {
 	return discovery.Server{ID: id, Addr: addr, Zone: zone, Kind: "customer-system", Cell: 7, State: "active", Weight: 1}
 }
 
-func TestDeliversUnchanged(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
-	status, _ := hand(t, r.Addr(), "m1", "job-order", "X-Retry", "again")
+func TestMessageIsDeliveredUnchanged(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	status, _ := postMessage(t, r.Addr(), "m1", "job-order", "X-Retry", "again")
 	want(t, "status", status, 202)
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m1")
 	want(t, "key", c.key, "key-m1")
 	want(t, "body", c.body, "body of m1")
@@ -233,47 +233,47 @@
 }
 
 // Guards against a second delivery when a client repeats an id after its connection broke.
-func TestRepeatedIDIsTakenOnOnce(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
+func TestRepeatedIDIsAcceptedOnce(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	for range 2 {
-		status, _ := hand(t, r.Addr(), "m1", "payment")
+		status, _ := postMessage(t, r.Addr(), "m1", "payment")
 		want(t, "status", status, 202)
 	}
-	wait(t, calls, "call").answer <- 200
-	status, _ := hand(t, r.Addr(), "m2", "payment")
+	receive(t, calls, "call").answer <- 200
+	status, _ := postMessage(t, r.Addr(), "m2", "payment")
 	want(t, "status", status, 202)
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	want(t, "id of the next call", c.id, "m2")
 	c.answer <- 200
-	status, _ = hand(t, r.Addr(), "m1", "payment") // by now over
+	status, _ = postMessage(t, r.Addr(), "m1", "payment") // by now over
 	want(t, "status", status, 202)
-	hand(t, r.Addr(), "m3", "payment")
-	c = wait(t, calls, "call")
+	postMessage(t, r.Addr(), "m3", "payment")
+	c = receive(t, calls, "call")
 	want(t, "id of the next call", c.id, "m3")
 	c.answer <- 200
 }
 
 // Guards against taking on a message whose client has already gone.
-func TestClientGoneIsNotTakenOn(t *testing.T) {
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")), nil)
+func TestMessageOfDepartedClientIsNotAccepted(t *testing.T) {
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	held := make(chan int, 1)
 	in := &intake{entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, due: r.now() + time.Second, ctx: ctx,
 		reply: make(chan answer, 1)}
 	r.post(func() { r.take(in); held <- len(r.held) })
-	want(t, "messages held", wait(t, held, "count"), 0)
+	want(t, "messages held", receive(t, held, "count"), 0)
 }
 
 // leaver is the context of a client that leaves once it was asked so many times whether it is there.
-type leaver struct {
+type leavingContext struct {
 	context.Context
-	there atomic.Int32
+	checksLeft atomic.Int32
 }
 
-func (l *leaver) Err() error {
-	if l.there.Add(-1) >= 0 {
+func (l *leavingContext) Err() error {
+	if l.checksLeft.Add(-1) >= 0 {
 		return nil
 	}
 	return context.Canceled
@@ -281,31 +281,31 @@
 
 // Guards against a handler, and its connection, that wait for ever once the client has left, and
 // against an answer 200, which the library gives by itself, to a message that is given up.
-func TestClientThatLeavesIsRefused(t *testing.T) {
-	leaving := at("s-1", "127.0.0.1:1", "taller")
+func TestLeavingClientIsRefused(t *testing.T) {
+	leaving := testEndpoint("s-1", "127.0.0.1:1", "taller")
 	leaving.State = "leaving" // so that messages wait
-	r := startRelay(t, newPlatform(t, leaving), nil)
+	r := startRelay(t, newFakePlatform(t, leaving), nil)
 	for name, there := range map[string]int32{"before it is taken on": 0, "after that": 1} {
 		req := httptest.NewRequest("POST", "/api", strings.NewReader("x"))
 		for k, v := range map[string]string{"X-Request-Id": "m1", "X-Class": "payment", "X-Deadline-Ms": "9000",
 			"X-Addressing": "dest=7"} {
 			req.Header.Set(k, v)
 		}
-		gone := &leaver{Context: context.Background()}
-		gone.there.Store(there)
+		gone := &leavingContext{Context: context.Background()}
+		gone.checksLeft.Store(there)
 		w, done := httptest.NewRecorder(), make(chan bool)
 		go func() { r.serveAPI(w, req.WithContext(gone)); close(done) }()
-		wait(t, done, "answer to a client that left "+name)
+		receive(t, done, "answer to a client that left "+name)
 		want(t, "status for a client that left "+name, w.Code, 503)
 		held := make(chan int, 1)
 		r.post(func() { held <- len(r.held) })
-		want(t, "messages held", wait(t, held, "count"), 0)
+		want(t, "messages held", receive(t, held, "count"), 0)
 	}
 }
 
 // Guards against losing a message that came on two connections when the first one broke.
-func TestWithdrawKeepsWhatCameTwice(t *testing.T) {
-	r := startRelay(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), nil)
+func TestWithdrawKeepsMessageReceivedTwice(t *testing.T) {
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller")), nil)
 	held := make(chan int, 1)
 	r.post(func() {
 		for _, id := range []string{"once", "twice"} {
@@ -315,17 +315,17 @@
 		held <- len(r.held)
 		delete(r.held, "twice")
 	})
-	want(t, "messages held", wait(t, held, "count"), 1)
+	want(t, "messages held", receive(t, held, "count"), 1)
 }
 
 func TestMalformedRequests(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	for _, c := range [][2]string{{"X-Request-Id", ""}, {"X-Request-Id", "a b"}, {"X-Class", "nothing"}, {"X-Class", ""},
 		{"X-Deadline-Ms", "0"}, {"X-Deadline-Ms", "-5"}, {"X-Deadline-Ms", "soon"}, {"X-Deadline-Ms", "99999999999999999999"},
 		{"X-Addressing", ""}, {"X-Addressing", "dest=x"}, {"X-Addressing", "dest=8"}, {"Idempotency-Key", ""},
 		{"X-Request-Id", strings.Repeat("x", maxName+1)}} {
-		if status, _ := hand(t, r.Addr(), "m1", "job-order", c[0], c[1]); status < 400 || status > 499 {
+		if status, _ := postMessage(t, r.Addr(), "m1", "job-order", c[0], c[1]); status < 400 || status > 499 {
 			t.Errorf("%s %q: status %d, want 4xx", c[0], c[1], status)
 		}
 	}
@@ -343,18 +343,18 @@
 	fmt.Fprint(conn, "no HTTP at all\r\n\r\n")
 	io.Copy(io.Discard, conn)
 	conn.Close()
-	status, _ := hand(t, r.Addr(), "m2", "payment")
+	status, _ := postMessage(t, r.Addr(), "m2", "payment")
 	want(t, "status of a sound one", status, 202)
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m2")
 	c.answer <- 200
 }
 
 // Guards against a message that stands in the body of another: a peer tells the body's length
 // twice, and the relay believes the shorter one.
-func TestBodyIsNeverTakenForARequest(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
+func TestBodyIsNeverParsedAsRequest(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	post := func(id, framing, body string) string {
 		return "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: " + id + "\r\nX-Class: payment\r\n" +
 			"X-Deadline-Ms: 9000\r\nX-Addressing: dest=7\r\n" + framing + "\r\n\r\n" + body
@@ -369,28 +369,28 @@
 		}
 		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		fmt.Fprint(conn, post("outer", framing, body))
-		said, _ := io.ReadAll(conn) // the relay ends the connection
+		response, _ := io.ReadAll(conn) // the relay ends the connection
 		conn.Close()
-		if n := strings.Count(string(said), "HTTP/1.1 "); n != 1 || !strings.HasPrefix(string(said), "HTTP/1.1 4") &&
-			!strings.HasPrefix(string(said), "HTTP/1.1 5") {
-			t.Errorf("%q: answered %q, want one error", coding, said)
+		if n := strings.Count(string(response), "HTTP/1.1 "); n != 1 || !strings.HasPrefix(string(response), "HTTP/1.1 4") &&
+			!strings.HasPrefix(string(response), "HTTP/1.1 5") {
+			t.Errorf("%q: answered %q, want one error", coding, response)
 		}
 	}
-	status, _ := hand(t, r.Addr(), "m1", "payment")
+	status, _ := postMessage(t, r.Addr(), "m1", "payment")
 	want(t, "status of a sound one", status, 202)
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	want(t, "id of the only call", c.id, "m1")
 	c.answer <- 200
 }
 
 // Guards against taking on more than the settings allow, and against a refusal that says not when to come again.
 func TestFullRelayRefuses(t *testing.T) {
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 10)), "taller")),
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")),
 		func(c *Config) { c.Settings.MaxHeld = 1 })
 	var status int
 	var after string
 	for i := range 3 {
-		status, after = hand(t, r.Addr(), fmt.Sprint("m", i), "payment")
+		status, after = postMessage(t, r.Addr(), fmt.Sprint("m", i), "payment")
 	}
 	want(t, "status", status, 503)
 	if s, err := strconv.ParseFloat(after, 64); err != nil || s <= 0 {
@@ -399,44 +399,44 @@
 }
 
 // Guards against a call before the end of a wait, which has decimals.
-func TestWaitIsHeeded(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
-	hand(t, r.Addr(), "m1", "status-update")
-	c := wait(t, calls, "call")
-	told := time.Now()
+func TestRetryAfterIsHonoured(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	postMessage(t, r.Addr(), "m1", "status-update")
+	c := receive(t, calls, "call")
+	answeredAt := time.Now()
 	c.answer <- 429
-	c = wait(t, calls, "second call")
-	if gap := c.at.Sub(told); gap < 300*time.Millisecond {
+	c = receive(t, calls, "second call")
+	if gap := c.receivedAt.Sub(answeredAt); gap < 300*time.Millisecond {
 		t.Fatalf("called again after %v, told to wait 300 ms", gap)
 	}
 	c.answer <- 200
 }
 
-func TestRetryAfter(t *testing.T) {
+func TestParseRetryAfter(t *testing.T) {
 	for text, d := range map[string]time.Duration{"1": time.Second, "0.25": 250 * time.Millisecond,
 		"0.0001": time.Millisecond, "": 0, "x": 0, "-1": 0, "NaN": 0, "1e99": time.Hour} {
-		want(t, "wait for "+text, retryAfter(http.Header{"Retry-After": {text}}), d)
+		want(t, "wait for "+text, parseRetryAfter(http.Header{"Retry-After": {text}}), d)
 	}
 }
 
 // Guards against sends to a host that the list withdraws while messages come in.
-func TestLeavingHostGetsNothingNew(t *testing.T) {
-	calls := make(chan *seen, 10)
-	a, b := at("s-1", fakeHost(t, "a", calls), "taller"), at("s-2", fakeHost(t, "b", calls), "almacen")
-	p := newPlatform(t, a, b)
+func TestLeavingHostGetsNoNewCalls(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	a, b := testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "almacen")
+	p := newFakePlatform(t, a, b)
 	r := startRelay(t, p, nil)
 	for q := ""; !strings.Contains(q, "since=1&"); {
-		q = wait(t, p.asked, "watch")
+		q = receive(t, p.queries, "watch")
 	}
 	a.State = "leaving"
 	p.publish(2, false, a)
 	for q := ""; !strings.Contains(q, "since=2&"); {
-		q = wait(t, p.asked, "next watch") // it is asked for after the change was handed on
+		q = receive(t, p.queries, "next watch") // it is asked for after the change was handed on
 	}
 	for i := range 5 {
-		hand(t, r.Addr(), fmt.Sprint("m", i), "payment")
-		c := wait(t, calls, "call")
+		postMessage(t, r.Addr(), fmt.Sprint("m", i), "payment")
+		c := receive(t, calls, "call")
 		want(t, "host", c.host, "b")
 		c.answer <- 200
 	}
@@ -453,18 +453,18 @@
 }
 
 // Guards against calls held back, or let through, by a whole list: it closes just the hosts it leaves out.
-func TestWholeListClosesWhatIsMissing(t *testing.T) {
-	r := &Relay{endpoints: endpoints{hosts: map[string]*host{}, dests: map[int]*waiting{}}, books: books{journal: openJournal(t)}}
-	r.set.Store(&standing{})
+func TestFullListClosesMissingHosts(t *testing.T) {
+	r := &Relay{endpointList: endpointList{hosts: map[string]*host{}, destWaits: map[int]*hostWait{}}, books: books{journal: openJournal(t)}}
+	r.settings.Store(&standing{})
 	if err := r.journal.Append(journal.Record{Op: journal.OpByHand, ID: "s-4", Ran: true}); err != nil {
 		t.Fatal(err)
 	}
-	r.listed(discovery.List{Version: 1, Full: true, Servers: []discovery.Server{at("s-1", "x:1", "taller"), at("s-2", "x:2", "taller"), at("s-3", "x:3", "taller")}})
+	r.applyList(discovery.List{Version: 1, Full: true, Servers: []discovery.Server{testEndpoint("s-1", "x:1", "taller"), testEndpoint("s-2", "x:2", "taller"), testEndpoint("s-3", "x:3", "taller")}})
 	one, two, three := r.hosts["s-1"], r.hosts["s-2"], r.hosts["s-3"]
-	r.listed(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{at("s-1", "x:1", "taller"), at("s-3", "x:9", "taller")}})
-	r.listed(discovery.List{Version: 3, Servers: []discovery.Server{at("s-4", "x:4", "taller")}})
+	r.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{testEndpoint("s-1", "x:1", "taller"), testEndpoint("s-3", "x:9", "taller")}})
+	r.applyList(discovery.List{Version: 3, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
 	want(t, "the one that operators took out is closed", r.hosts["s-4"].closed.Load(), true)
-	r.listed(discovery.List{Version: 4, Servers: []discovery.Server{at("s-4", "x:4", "taller")}})
+	r.applyList(discovery.List{Version: 4, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
 	want(t, "the one that operators took out is closed", r.hosts["s-4"].closed.Load(), true)
 	want(t, "the one that stays is closed", one.closed.Load(), false)
 	want(t, "the one left out is closed", two.closed.Load(), true)
@@ -474,56 +474,56 @@
 
 // Guards against attempts that are neither sent nor reported while the disk is broken.
 func TestBrokenJournalSendsNothing(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	set := make(chan bool)
 	r.post(func() {
 		r.journal.Break(errors.New("disk gone"))
 		close(set)
 	})
 	<-set
-	status, _ := hand(t, r.Addr(), "m1", "payment")
+	status, _ := postMessage(t, r.Addr(), "m1", "payment")
 	want(t, "status", status, 503)
 	r.post(func() { r.journal.Compact() })
-	status, _ = hand(t, r.Addr(), "m2", "payment")
+	status, _ = postMessage(t, r.Addr(), "m2", "payment")
 	want(t, "status", status, 202)
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m2")
 	c.answer <- 200
 }
 
 // Guards against building changes on another history of the list.
-func TestOlderVersionIsResynced(t *testing.T) {
-	p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"))
+func TestOlderListVersionCausesResync(t *testing.T) {
+	p := newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))
 	startRelay(t, p, nil)
 	for q := "x"; !strings.Contains(q, "since=1&"); {
-		q = wait(t, p.asked, "watch")
+		q = receive(t, p.queries, "watch")
 	}
 	p.publish(0, false)
-	want(t, "query after an older version", wait(t, p.asked, "query"), "")
+	want(t, "query after an older version", receive(t, p.queries, "query"), "")
 }
 
 // Guards against losing a notice that the platform did not take at once.
-func TestNoticeIsRepeated(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	p.fail = 2
+func TestRejectedNoticeIsRetried(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	p.failingNotices = 2
 	r := startRelay(t, p, nil)
-	hand(t, r.Addr(), "m1", "payment")
-	wait(t, calls, "call").answer <- 500 // it may have run, and must not again
-	n := wait(t, p.notices, "notice")
+	postMessage(t, r.Addr(), "m1", "payment")
+	receive(t, calls, "call").answer <- 500 // it may have run, and must not again
+	n := receive(t, p.notices, "notice")
 	want(t, "notice", n, notice{ID: "m1", Status: undeliverable})
-	owed := make(chan int)
+	pending := make(chan int)
 	for {
-		r.post(func() { owed <- r.owed + r.journal.Len() })
-		if wait(t, owed, "count") == 0 {
+		r.post(func() { pending <- r.owed + r.journal.Len() })
+		if receive(t, pending, "count") == 0 {
 			break
 		}
 	}
 }
 
 func TestConfigErrors(t *testing.T) {
-	p := newPlatform(t)
+	p := newFakePlatform(t)
 	good := string(testConfig(t, p))
 	if _, err := readTestConfig(t, []byte(good), t.TempDir()); err != nil {
 		t.Fatal(err)
@@ -545,24 +545,24 @@
 
 // Guards against a relay that sleeps past a deadline: a step for another reason comes just after a
 // wake-up fell due and before its tick was read.
-func TestWakeThatFellDueIsReplaced(t *testing.T) {
-	r := &Relay{wake: time.NewTimer(time.Hour)}
-	r.arm(0, time.Nanosecond)
-	r.arm(time.Second, 50*time.Millisecond)
+func TestDueWakeUpIsReplaced(t *testing.T) {
+	r := &Relay{wakeTimer: time.NewTimer(time.Hour)}
+	r.armWake(0, time.Nanosecond)
+	r.armWake(time.Second, 50*time.Millisecond)
 	want(t, "next wake-up", r.wakeAt, time.Second+50*time.Millisecond)
 	begin := time.Now()
-	<-r.wake.C
+	<-r.wakeTimer.C
 	if early := time.Since(begin) < 40*time.Millisecond; early {
 		t.Fatal("the old tick came through")
 	}
-	r.arm(2*time.Second, time.Second)
-	r.arm(2*time.Second, time.Minute)
+	r.armWake(2*time.Second, time.Second)
+	r.armWake(2*time.Second, time.Minute)
 	want(t, "earlier wake-up", r.wakeAt, 3*time.Second)
 }
 
 // Real processes.
 
-var program = sync.OnceValues(func() (string, error) {
+var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "larchrouter")
 	if err != nil {
 		return "", err
@@ -577,16 +577,16 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if path, err := program(); err == nil {
+	if path, err := buildProgram(); err == nil {
 		os.RemoveAll(filepath.Dir(path))
 	}
 	os.Exit(code)
 }
 
 // process starts the program and tells its address once it serves.
-func process(t *testing.T, p *platform, state string) (*exec.Cmd, string) {
+func startProcess(t *testing.T, p *fakePlatform, state string) (*exec.Cmd, string) {
 	t.Helper()
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -612,10 +612,10 @@
 			}
 		}
 	}()
-	return cmd, wait(t, addr, "address")
+	return cmd, receive(t, addr, "address")
 }
 
-func up(t *testing.T, addr string) {
+func checkUp(t *testing.T, addr string) {
 	t.Helper()
 	resp, err := http.Get("http://" + addr + "/up")
 	if err != nil {
@@ -630,27 +630,27 @@
 func TestKillAndRestart(t *testing.T) {
 	for _, class := range []string{"job-order", "status-update", "payment"} {
 		t.Run(class, func(t *testing.T) {
-			calls := make(chan *seen, 10)
-			p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"), at("s-2", fakeHost(t, "b", calls), "almacen"))
+			calls := make(chan *receivedCall, 10)
+			p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "almacen"))
 			state := t.TempDir()
-			cmd, addr := process(t, p, state)
-			up(t, addr)
-			status, _ := hand(t, addr, "m1", class)
+			cmd, addr := startProcess(t, p, state)
+			checkUp(t, addr)
+			status, _ := postMessage(t, addr, "m1", class)
 			want(t, "status", status, 202)
-			first := wait(t, calls, "call")
+			first := receive(t, calls, "call")
 			cmd.Process.Kill()
 			cmd.Wait()
-			_, addr = process(t, p, state)
-			up(t, addr)
+			_, addr = startProcess(t, p, state)
+			checkUp(t, addr)
 			if class == "payment" {
-				want(t, "notice", wait(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
-				hand(t, addr, "m2", class)
-				c := wait(t, calls, "call")
+				want(t, "notice", receive(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
+				postMessage(t, addr, "m2", class)
+				c := receive(t, calls, "call")
 				want(t, "id of the next call", c.id, "m2")
 				c.answer <- 200
 				return
 			}
-			c := wait(t, calls, "call after the restart")
+			c := receive(t, calls, "call after the restart")
 			want(t, "id", c.id, "m1")
 			want(t, "body", c.body, first.body)
 			want(t, "key", c.key, first.key)
@@ -664,19 +664,19 @@
 
 // Guards against a stop that drops a call out, or refuses clients that still come.
 func TestSIGTERM(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	cmd, addr := process(t, p, t.TempDir())
-	hand(t, addr, "m1", "payment")
-	first := wait(t, calls, "call")
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	cmd, addr := startProcess(t, p, t.TempDir())
+	postMessage(t, addr, "m1", "payment")
+	first := receive(t, calls, "call")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	http.DefaultClient.CloseIdleConnections()
-	status, _ := hand(t, addr, "m2", "payment")
+	status, _ := postMessage(t, addr, "m2", "payment")
 	want(t, "status after SIGTERM", status, 202)
 	first.answer <- 200
-	wait(t, calls, "second call").answer <- 200
+	receive(t, calls, "second call").answer <- 200
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("exit: %v, want 0", err)
 	}
@@ -688,11 +688,11 @@
 // Guards against a relay that ends on SIGHUP, or goes on with the address that the platform gave up. A
 // configuration that cannot be read changes nothing.
 func TestSIGHUP(t *testing.T) {
-	calls := make(chan *seen, 10)
-	host := at("s-1", fakeHost(t, "a", calls), "taller")
-	old, moved := newPlatform(t, host), newPlatform(t, host)
-	cmd, addr := process(t, old, t.TempDir())
-	up(t, addr)
+	calls := make(chan *receivedCall, 10)
+	host := testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")
+	old, moved := newFakePlatform(t, host), newFakePlatform(t, host)
+	cmd, addr := startProcess(t, old, t.TempDir())
+	checkUp(t, addr)
 	var path string
 	for _, v := range cmd.Env {
 		if p, ok := strings.CutPrefix(v, "BALANCER_CONFIG="); ok {
@@ -706,38 +706,38 @@
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		up(t, addr)
+		checkUp(t, addr)
 	}
-	want(t, "first query at the new address", wait(t, moved.asked, "query"), "")
-	want(t, "next one", strings.HasPrefix(wait(t, moved.asked, "query"), "since=1&"), true)
-	hand(t, addr, "m1", "payment")
-	wait(t, calls, "call").answer <- 500
-	want(t, "notice", wait(t, moved.notices, "notice"), notice{ID: "m1", Status: undeliverable})
+	want(t, "first query at the new address", receive(t, moved.queries, "query"), "")
+	want(t, "next one", strings.HasPrefix(receive(t, moved.queries, "query"), "since=1&"), true)
+	postMessage(t, addr, "m1", "payment")
+	receive(t, calls, "call").answer <- 500
+	want(t, "notice", receive(t, moved.notices, "notice"), notice{ID: "m1", Status: undeliverable})
 }
 
 // Guards against a late notice for what ran out of time while the relay was down.
-func TestExpiredIsToldAtOnce(t *testing.T) {
+func TestExpiredMessageIsReportedAtStart(t *testing.T) {
 	for _, c := range []struct {
 		class, status string
 		tried         bool
 	}{{"status-update", deferred, true}, {"payment", deferred, false}, {"payment", undeliverable, true}} {
-		calls := make(chan *seen, 10)
-		p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+		calls := make(chan *receivedCall, 10)
+		p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 		startRelay(t, p, func(conf *Config) {
 			j, err := journal.Open(conf.State, 3e6)
 			if err != nil {
 				t.Fatal(err)
 			}
-			past := time.Now().Add(-time.Second).UnixMilli()
-			recs := []journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: c.class, Dest: 7, Due: past}}}
+			expiredAt := time.Now().Add(-time.Second).UnixMilli()
+			recs := []journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: c.class, Dest: 7, Due: expiredAt}}}
 			if c.tried {
-				recs = append(recs, journal.Record{Op: journal.OpTry, ID: "m1", At: past})
+				recs = append(recs, journal.Record{Op: journal.OpTry, ID: "m1", At: expiredAt})
 			}
 			if err := j.Append(recs...); err != nil {
 				t.Fatal(err)
 			}
 		})
-		want(t, "status", wait(t, p.notices, "notice").Status, c.status)
+		want(t, "status", receive(t, p.notices, "notice").Status, c.status)
 		want(t, "calls", len(calls), 0)
 	}
 }
@@ -747,14 +747,14 @@
 // and hang in turn.
 func TestNothingLostOrRepeatedAcrossProcesses(t *testing.T) {
 	t.Run("kills", func(t *testing.T) {
-		acrossProcesses(t, func(old *exec.Cmd, next func() (*exec.Cmd, string)) (*exec.Cmd, string) {
+		testAcrossProcesses(t, func(old *exec.Cmd, next func() (*exec.Cmd, string)) (*exec.Cmd, string) {
 			old.Process.Kill()
 			old.Wait()
 			return next()
 		})
 	})
 	t.Run("upgrades", func(t *testing.T) {
-		acrossProcesses(t, func(old *exec.Cmd, next func() (*exec.Cmd, string)) (*exec.Cmd, string) {
+		testAcrossProcesses(t, func(old *exec.Cmd, next func() (*exec.Cmd, string)) (*exec.Cmd, string) {
 			cmd, addr := next()
 			if err := old.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Error(err)
@@ -764,28 +764,28 @@
 	})
 }
 
-func acrossProcesses(t *testing.T, replace func(old *exec.Cmd, next func() (*exec.Cmd, string)) (*exec.Cmd, string)) {
+func testAcrossProcesses(t *testing.T, replace func(old *exec.Cmd, next func() (*exec.Cmd, string)) (*exec.Cmd, string)) {
 	const messages = 60
 	classes := []string{"job-order", "status-update", "payment"}
 	type run struct{ host, id string }
 	var mu sync.Mutex
-	ran, tries, over := map[run]int{}, map[string]int{}, map[string]bool{}
+	runs, tries, ended := map[run]int{}, map[string]int{}, map[string]bool{}
 	progress := make(chan struct{}, 10000)
-	hostNamed := func(name string) string {
+	newHost := func(name string) string {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			io.Copy(io.Discard, req.Body)
 			id := req.Header.Get("X-Request-Id")
 			n, _ := strconv.Atoi(id[1:])
 			mu.Lock()
 			tries[id]++
-			how := (n/3 + tries[id] - 1) % 5
-			if how != 1 {
-				ran[run{name, id}]++
+			behaviour := (n/3 + tries[id] - 1) % 5
+			if behaviour != 1 {
+				runs[run{name, id}]++
 			}
-			over[id] = over[id] || how == 0
+			ended[id] = ended[id] || behaviour == 0
 			mu.Unlock()
 			progress <- struct{}{}
-			switch how {
+			switch behaviour {
 			case 1:
 				w.Header().Set("Retry-After", "0.02")
 				w.WriteHeader(429)
@@ -801,33 +801,33 @@
 		t.Cleanup(s.CloseClientConnections)
 		return s.Listener.Addr().String()
 	}
-	p := newPlatform(t, at("s-1", hostNamed("a"), "taller"), at("s-2", hostNamed("b"), "almacen"))
+	platform := newFakePlatform(t, testEndpoint("s-1", newHost("a"), "taller"), testEndpoint("s-2", newHost("b"), "almacen"))
 	state := t.TempDir()
-	cmd, addr := process(t, p, state)
-	took := map[string]bool{}
+	cmd, addr := startProcess(t, platform, state)
+	accepted := map[string]bool{}
 	for n := range messages {
 		if n == messages/3 || n == 2*messages/3 {
-			wait(t, progress, "call")
-			cmd, addr = replace(cmd, func() (*exec.Cmd, string) { return process(t, p, state) })
+			receive(t, progress, "call")
+			cmd, addr = replace(cmd, func() (*exec.Cmd, string) { return startProcess(t, platform, state) })
 		}
 		id := fmt.Sprint("m", n)
-		status, _ := hand(t, addr, id, classes[n%3], "X-Deadline-Ms", "2000")
-		took[id] = status == 202
+		status, _ := postMessage(t, addr, id, classes[n%3], "X-Deadline-Ms", "2000")
+		accepted[id] = status == 202
 	}
-	for left := true; left; {
+	for unfinished := true; unfinished; {
 		select {
-		case n := <-p.notices:
+		case n := <-platform.notices:
 			mu.Lock()
-			over[n.ID] = true
+			ended[n.ID] = true
 			mu.Unlock()
 		case <-progress:
 		case <-time.After(30 * time.Second):
 			t.Fatal("messages without an end")
 		}
-		left = false
+		unfinished = false
 		mu.Lock()
-		for id, ok := range took {
-			left = left || ok && !over[id]
+		for id, ok := range accepted {
+			unfinished = unfinished || ok && !ended[id]
 		}
 		mu.Unlock()
 	}
@@ -835,11 +835,11 @@
 	defer mu.Unlock()
 	for n := range messages {
 		id := fmt.Sprint("m", n)
-		a, b := ran[run{"a", id}], ran[run{"b", id}]
-		if classes[n%3] == "payment" && a+b > 1 {
-			t.Errorf("payment %s may have run %d times", id, a+b)
+		inFirst, inSecond := runs[run{"a", id}], runs[run{"b", id}]
+		if classes[n%3] == "payment" && inFirst+inSecond > 1 {
+			t.Errorf("payment %s may have run %d times", id, inFirst+inSecond)
 		}
-		if classes[n%3] == "job-order" && a > 0 && b > 0 {
+		if classes[n%3] == "job-order" && inFirst > 0 && inSecond > 0 {
 			t.Errorf("job order %s may have run in both buildings", id)
 		}
 		if tries[id] > 6 {
@@ -850,13 +850,13 @@
 
 // Guards against a stop that waits for a host that never answers, until SIGKILL ends it: the call is
 // left to the journal, and the next process ends the message.
-func TestSIGTERMWithCallThatHangs(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+func TestSIGTERMWithHangingCall(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	state := t.TempDir()
-	cmd, addr := process(t, p, state)
-	hand(t, addr, "m1", "payment")
-	wait(t, calls, "call")
+	cmd, addr := startProcess(t, p, state)
+	postMessage(t, addr, "m1", "payment")
+	receive(t, calls, "call")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -866,22 +866,22 @@
 	if len(p.notices) > 0 {
 		t.Fatalf("notice %v before the message's time was up", <-p.notices)
 	}
-	process(t, p, state)
-	want(t, "notice", wait(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
+	startProcess(t, p, state)
+	want(t, "notice", receive(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
 	want(t, "further calls", len(calls), 0)
 }
 
 // Guards against a refusal that becomes a crash: a relay whose disk is full answers 503 and goes on.
 func TestFullDiskRefuses(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	r.post(func() { r.journal.Break(journal.ErrFull) })
-	status, _ := hand(t, r.Addr(), "m1", "payment")
+	status, _ := postMessage(t, r.Addr(), "m1", "payment")
 	want(t, "status", status, 503)
 	r.post(func() { r.journal.Compact() })
-	status, _ = hand(t, r.Addr(), "m2", "payment")
+	status, _ = postMessage(t, r.Addr(), "m2", "payment")
 	want(t, "status", status, 202)
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m2")
 	c.answer <- 200
 }
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -71,7 +71,7 @@
 // address. On an error all stays as it was.
 func (r *Relay) Reload(env func(string) string) (err error) {
 	defer func() { r.figures.reloaded(err) }()
-	data, platform, set, err := readNext(env, r.conf.whole)
+	data, platform, set, err := readNext(env, r.config.whole)
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		err = fmt.Errorf("the relay stops")
 	}
 	if err == nil {
-		r.conf.whole = data
+		r.config.whole = data
 	}
 	return err
 }
@@ -93,15 +93,15 @@
 	if r.heir != nil {
 		return errHandedOver
 	}
-	if old, _ := r.platformAt.Get(); platform != old {
-		r.platformAt.Set(platform)
-		r.platform.CloseIdleConnections()
-		r.notices.conns.CloseIdleConnections()
+	if old, _ := r.platformAddr.Get(); platform != old {
+		r.platformAddr.Set(platform)
+		r.platformClient.CloseIdleConnections()
+		r.notices.transport.CloseIdleConnections()
 		slog.Info("discovery has moved", "to", platform)
 	}
-	if r.kept != nil { // the file is what is left where nothing agreed on can be acted by
-		r.kept.SetFile(file)
-		r.look()
+	if r.fleetConfig != nil { // the file is what is left where nothing agreed on can be acted by
+		r.fleetConfig.SetFile(file)
+		r.refreshAgreed()
 		return nil
 	}
 	r.actBy(file.Set)
@@ -110,21 +110,21 @@
 
 // actBy puts settings in force, in the loop. What is open keeps those that it came under.
 func (r *Relay) actBy(set settings.Settings) {
-	was := r.set.Load()
+	was := r.settings.Load()
 	next := was.succeed(set, r.now())
-	r.set.Store(next)
+	r.settings.Store(next)
 	if set.DialTimeout != was.DialTimeout || set.IdleConn != was.IdleConn || set.Workers != was.Workers {
-		_, kept := r.conf.parts(set.Workers)
-		old := r.hostSide.Swap(newTransport(&set, kept, r.dial(set.DialTimeout)))
+		_, kept := r.config.parts(set.Workers)
+		old := r.hostTransport.Swap(newHostTransport(&set, kept, r.dial(set.DialTimeout)))
 		old.CloseIdleConnections() // those in use end when they have been idle for the old time
 	}
 	for _, k := range next.Classes {
 		r.figures.declare(k.Name)
 	}
 	r.events = append(r.events, choice.Reconfigured{Settings: next.Settings.Settings})
-	l := discovery.List{Version: r.version, Full: true} // kinds may have got other numbers
+	l := discovery.List{Version: r.appliedVersion, Full: true} // kinds may have got other numbers
 	for _, h := range r.hosts {
 		l.Servers = append(l.Servers, h.entry)
 	}
-	r.listed(l)
+	r.applyList(l)
 }
--- a/internal/relay/reload_test.go
+++ b/internal/relay/reload_test.go
@@ -37,12 +37,12 @@
 func TestReload(t *testing.T) {
 	defer func(d time.Duration) { retiredFor = d }(retiredFor)
 	retiredFor = time.Hour
-	calls := make(chan *seen, 10)
-	host := at("s-1", fakeHost(t, "a", calls), "taller")
-	p, moved := newPlatform(t, host), newPlatform(t, host)
+	calls := make(chan *receivedCall, 10)
+	host := testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")
+	p, moved := newFakePlatform(t, host), newFakePlatform(t, host)
 	r := startRelay(t, p, withAdmin)
-	hand(t, r.Addr(), "old", "status-update") // idempotent
-	open := wait(t, calls, "call")
+	postMessage(t, r.Addr(), "old", "status-update") // idempotent
+	open := receive(t, calls, "call")
 	whole := testConfig(t, p)
 	trap := changed(t, whole, p.addr(), moved.addr(), `"name":"payment"`, `"name":"trap"`)
 	for n, broken := range [][]byte{nil, []byte("{"), trap[:len(trap)-9],
@@ -53,10 +53,10 @@
 			t.Errorf("broken file %d is taken", n)
 		}
 	}
-	addr, _ := r.platformAt.Get()
+	addr, _ := r.platformAddr.Get()
 	want(t, "discovery after broken files", addr, p.addr())
 	shows(t, r, "svc.reloads_ok=0", "svc.reloads_failed=8")
-	status, _ := hand(t, r.Addr(), "trapped", "trap")
+	status, _ := postMessage(t, r.Addr(), "trapped", "trap")
 	want(t, "class of a broken file", status, 400)
 
 	next := changed(t, whole, p.addr(), moved.addr(), `"max-attempts":6`, `"max-attempts":1`,
@@ -66,22 +66,22 @@
 		t.Fatal(err)
 	}
 	shows(t, r, "svc.reloads_ok=1", "svc.reloads_failed=8", "svc.requests.dispatch.served=0")
-	want(t, "idle time of connections to hosts", r.hostSide.Load().IdleConnTimeout, 7500*time.Millisecond)
-	want(t, "first query at the new address", wait(t, moved.asked, "query"), "")
+	want(t, "idle time of connections to hosts", r.hostTransport.Load().IdleConnTimeout, 7500*time.Millisecond)
+	want(t, "first query at the new address", receive(t, moved.queries, "query"), "")
 	perCall := make(chan int, 1)
-	r.post(func() { perCall <- r.hosts["s-1"].perCall })
-	want(t, "messages in a call to an endpoint whose kind has another number", wait(t, perCall, "number"), 5)
-	hand(t, r.Addr(), "new", "dispatch")
-	fresh := wait(t, calls, "call")
+	r.post(func() { perCall <- r.hosts["s-1"].maxPerCall })
+	want(t, "messages in a call to an endpoint whose kind has another number", receive(t, perCall, "number"), 5)
+	postMessage(t, r.Addr(), "new", "dispatch")
+	fresh := receive(t, calls, "call")
 	want(t, "id", fresh.id, "new")
-	status, _ = hand(t, r.Addr(), "late", "status-update")
+	status, _ = postMessage(t, r.Addr(), "late", "status-update")
 	want(t, "a class just dropped", status, 202)
-	late := wait(t, calls, "call")
+	late := receive(t, calls, "call")
 	late.answer <- 200
 	fresh.answer <- 500 // at most once now
-	want(t, "notice", wait(t, moved.notices, "notice"), notice{ID: "new", Status: undeliverable})
+	want(t, "notice", receive(t, moved.notices, "notice"), notice{ID: "new", Status: undeliverable})
 	open.answer <- 500 // it may be repeated, as it could when it came
-	again := wait(t, calls, "call")
+	again := receive(t, calls, "call")
 	want(t, "id of the repeat", again.id, "old")
 	again.answer <- 200
 	shows(t, r, "svc.requests.dispatch.failed=1", "svc.requests.status-update.served=2")
--- a/internal/relay/requestlog.go
+++ b/internal/relay/requestlog.go
@@ -13,5 +13,5 @@
 	}
 	until := time.Duration(r.sendUntil.Load())
 	slog.Debug("a request goes out", "id", ids[0], "messages", len(ids), "endpoint", c.host.id, "list", r.listVersion.Load(),
-		"lease_left", until-r.now(), "decided", time.Since(c.began))
+		"lease_left", until-r.now(), "decided", time.Since(c.startedAt))
 }
--- a/internal/relay/restart_states_test.go
+++ b/internal/relay/restart_states_test.go
@@ -34,7 +34,7 @@
 // before the start, during it or just after, and if the next restart comes before the first step, or before its notice is told.
 func TestEachMessageEndsOnceAcrossRestarts(t *testing.T) {
 	const margin = 10 * time.Millisecond // entries have whole milliseconds
-	p := newPlatform(t, leavingHost())
+	p := newFakePlatform(t, leavingHost())
 	for when, left := range map[string]time.Duration{"before the start": -time.Second, "during it": 2 * time.Second, "after it": 5 * time.Second} {
 		for _, c := range restartCases(time.Now().Add(-time.Second).UnixMilli()) {
 			for class, status := range c.status {
@@ -58,7 +58,7 @@
 							t.Fatal("it has no end in the first step after its time")
 						}
 						later(r, max(0, time.Until(due)-3*time.Second))
-						r.woken = true
+						r.wakeDue = true
 						r.step()
 						want(t, "notices", len(queuedNotices(r)), 1)
 						want(t, "status", queuedNotices(r)[0].Status, status)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -30,13 +30,13 @@
 }
 
 // later has a relay's clock go on by so much, while its loop does nothing.
-func later(r *Relay, d time.Duration) { r.began = r.began.Add(-d) }
+func later(r *Relay, d time.Duration) { r.startedAt = r.startedAt.Add(-d) }
 
 // Guards against an end that is late by as long as the loop was held up between a message's coming and the step in which the
 // decisions hear of it: at a start, which takes up the journal before it serves, and for what clients hand in.
 func TestTimeRunsBeforeTheStep(t *testing.T) {
 	for class, status := range map[string]string{"payment": deferred, "status-update": deferred} {
-		r := unserved(t, newPlatform(t, leavingHost()), folderWith(t, journal.Record{Op: journal.OpTaken,
+		r := unserved(t, newFakePlatform(t, leavingHost()), folderWith(t, journal.Record{Op: journal.OpTaken,
 			Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}}))
 		later(r, time.Minute)
 		r.step()
@@ -48,7 +48,7 @@
 		r.take(in)
 		later(r, time.Minute)
 		r.step()
-		want(t, "answer to one whose time is up", wait(t, in.reply, "answer").status, http.StatusServiceUnavailable)
+		want(t, "answer to one whose time is up", receive(t, in.reply, "answer").status, http.StatusServiceUnavailable)
 	}
 }
 
@@ -64,19 +64,19 @@
 
 // Guards against a message that has no end because the process before this one, which has its call out, hangs.
 func TestAnAdoptedCallEndsWithItsMessagesTime(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	old := startRelay(t, p, withAdmin)
-	up(t, old.Addr())
-	status, _ := hand(t, old.Addr(), "m1", "payment", "X-Deadline-Ms", "2000")
+	checkUp(t, old.Addr())
+	status, _ := postMessage(t, old.Addr(), "m1", "payment", "X-Deadline-Ms", "2000")
 	want(t, "status", status, http.StatusAccepted)
-	wait(t, calls, "call")
+	receive(t, calls, "call")
 	next := upgrade(t, p, old)
 	hangs := make(chan struct{})
 	goOn := sync.OnceFunc(func() { close(hangs) })
 	t.Cleanup(goOn) // before the one that stops it
 	old.post(func() { <-hangs })
-	want(t, "notice", wait(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
+	want(t, "notice", receive(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
 	goOn()
 	shows(t, next, "svc.requests.payment.failed=1", "svc.in_flight=0")
 	want(t, "further calls", len(calls), 0)
@@ -85,9 +85,9 @@
 // Guards against two ends of an adopted call: by its message's time, and by the word that comes after that.
 func TestLateWordOfAnAdoptedCallIsNoSecondEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &Relay{began: time.Now(), inbox: make(chan func(), 1), quit: make(chan struct{}), books: books{held: map[string]*message{}}}
-		r.set.Store(&standing{})
-		c := &call{host: &host{id: "s-1"}, began: time.Now()}
+		r := &Relay{startedAt: time.Now(), inbox: make(chan func(), 1), quit: make(chan struct{}), books: books{held: map[string]*message{}}}
+		r.settings.Store(&standing{})
+		c := &call{host: &host{id: "s-1"}, startedAt: time.Now()}
 		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Second, call: c}
 		r.held["m1"] = m
 		h := &heritage{calls: map[string]*call{"m1": c}}
@@ -104,7 +104,7 @@
 
 // Guards against an end that is late by what a message took from the process that it came to.
 func TestAPassedMessagesTimeRunsOnItsWay(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := unserved(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	in := request(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.takePassed(nil, passed{N: 1, Take: in.entry, Left: 2 * time.Minute}) // a minute ago
 	if left := r.held["m1"].due - r.now(); left > time.Minute {
@@ -119,8 +119,8 @@
 		folder := folderWith(t,
 			journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: "status-update", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}},
 			journal.Record{Op: journal.OpTry, ID: "m1", At: time.Now().UnixMilli(), Wait: 30_000})
-		(&Relay{conf: Config{State: folder}}).keepLease(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 1})
-		r := unserved(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), folder)
+		(&Relay{config: Config{State: folder}}).storeLease(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 1})
+		r := unserved(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller")), folder)
 		if upgraded {
 			r.heritage = &heritage{calls: map[string]*call{}}
 		}
@@ -129,6 +129,6 @@
 		r.restore()
 		r.step()
 		want(t, "messages held", len(r.held), 1)
-		want(t, "calls out, "+name, r.out, map[bool]int{false: 1, true: 0}[upgraded])
+		want(t, "calls out, "+name, r.callsInFlight, map[bool]int{false: 1, true: 0}[upgraded])
 	}
 }
--- a/internal/relay/room_test.go
+++ b/internal/relay/room_test.go
@@ -36,7 +36,7 @@
 		}
 		want(t, "answer", resp.StatusCode, http.StatusServiceUnavailable)
 		want(t, "Retry-After", resp.Header.Get("Retry-After"), "1")
-		wantEnd(t, "connection", r)
+		wantEOF(t, "connection", r)
 	}
 	close(in.hold)
 	for _, r := range served {
@@ -65,7 +65,7 @@
 // Guards against closing a connection that waits for its other side over bytes that were not read: the reset takes the
 // answer along that its client has not read yet.
 func TestAnAnswerOnItsWayOutlivesALackOfDescriptors(t *testing.T) {
-	at := newInstants()
+	at := newConnPausePoints()
 	in := newIntakes(t, 8, at.wrap)
 	conn := in.dial(t)
 	io.WriteString(conn, "GET /none HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -83,7 +83,7 @@
 	}
 	r := bufio.NewReader(conn)
 	wantStatus(t, "answer", r, http.StatusNotFound)
-	wantEnd(t, "connection", r)
+	wantEOF(t, "connection", r)
 	want(t, "error of the connection", socketError(t, conn), 0)
 }
 
--- a/internal/relay/sendgate.go
+++ b/internal/relay/sendgate.go
@@ -74,11 +74,11 @@
 
 // admit lets a request begin, or withholds it; leave is to be called once its first bytes have been written.
 func (r *Relay) admit(c *call, messages int) (leave func(), err error) {
-	entered := r.sending.enter()
+	entered := r.writeGate.enter()
 	if reason := r.withhold(c); reason != notWithheld {
-		r.sending.leave(entered)
+		r.writeGate.leave(entered)
 		r.figures.withheld(reason, messages)
 		return nil, errWithheld
 	}
-	return func() { r.sending.leave(entered) }, nil
+	return func() { r.writeGate.leave(entered) }, nil
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -11,20 +11,20 @@
 // Serve runs the relay until Drain has ended it.
 func (r *Relay) Serve() {
 	ctx, cancel := context.WithCancel(context.Background())
-	r.endPlatform = cancel
+	r.cancelPlatform = cancel
 	if r.heritage != nil {
 		r.attend(r.heritage)
 	}
 	r.awaitHeir()
-	go r.list.Follow(ctx, func(l discovery.List) { r.post(func() { r.listed(l) }) })
+	go r.listSource.Follow(ctx, func(l discovery.List) { r.post(func() { r.applyList(l) }) })
 	go r.notices.run(ctx)
-	if r.kept != nil {
-		go r.carry(ctx, r.session())
+	if r.fleetConfig != nil {
+		go r.carry(ctx, r.newKeeperSession())
 	}
 	go r.server.Serve(r.listener)
 	r.whenReady()
 	r.loop()
-	close(r.halted)
+	close(r.loopEnded)
 	cancel()
 	if r.heir != nil {
 		r.heir.finish()
@@ -32,7 +32,7 @@
 	if r.heirs != nil {
 		r.heirs.Close()
 	}
-	r.endCalls(errStopping)
+	r.cancelCalls(errStopping)
 	r.closing.Store(true)
 	r.endConnections()
 }
@@ -94,7 +94,7 @@
 
 // idle tells whether nothing is left that a relay which stops should wait for.
 func (r *Relay) idle() bool {
-	out := r.out
+	out := r.callsInFlight
 	if r.heritage != nil { // the process before this one may have calls out, whose ends come here
 		out += len(r.heritage.calls)
 	}
@@ -108,9 +108,9 @@
 }
 
 // stop ends the relay as it is; the journal has the rest.
-func (r *Relay) stop() { r.once.Do(func() { close(r.quit) }) }
+func (r *Relay) stop() { r.stopOnce.Do(func() { close(r.quit) }) }
 
-func (r *Relay) now() time.Duration { return time.Since(r.began) }
+func (r *Relay) now() time.Duration { return time.Since(r.startedAt) }
 
 // post hands the loop something to do.
 func (r *Relay) post(f func()) {
@@ -125,8 +125,8 @@
 
 func (r *Relay) loop() {
 	for {
-		if r.kept != nil { // a process that was stopped acts by nothing that has run out meanwhile
-			r.look()
+		if r.fleetConfig != nil { // a process that was stopped acts by nothing that has run out meanwhile
+			r.refreshAgreed()
 		}
 		r.step()
 		if r.heir == nil {
@@ -147,8 +147,8 @@
 		select {
 		case f := <-r.inbox:
 			f()
-		case <-r.wake.C:
-			r.woken = true
+		case <-r.wakeTimer.C:
+			r.wakeDue = true
 			r.observeWake()
 		case <-r.overflow.tick():
 		case <-again:
@@ -158,7 +158,7 @@
 			r.overflow.shut()
 			return
 		}
-		for n := 1; n < batchMost; n++ {
+		for n := 1; n < maxEventsPerStep; n++ {
 			select {
 			case f := <-r.inbox:
 				f()
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -21,7 +21,7 @@
 // leaves the loop. The answer has nobody who takes it here, so the loop stands right there while the file is read.
 func TestARecordComesBeforeItsAnswer(t *testing.T) {
 	state := t.TempDir()
-	conf, err := readTestConfig(t, testConfig(t, newPlatform(t, at("s1", "127.0.0.1:1", "taller"))), state)
+	conf, err := readTestConfig(t, testConfig(t, newFakePlatform(t, testEndpoint("s1", "127.0.0.1:1", "taller"))), state)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,9 +30,9 @@
 		t.Fatal(err)
 	}
 	defer r.tcp.Close()
-	defer r.endCalls(errStopping)
+	defer r.cancelCalls(errStopping)
 	in := &intake{entry: &journal.Entry{ID: "m1", Class: "status-update", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(),
-		Terms: r.set.Load().terms(r.set.Load().class("status-update", 0), true, 0)},
+		Terms: r.settings.Load().terms(r.settings.Load().class("status-update", 0), true, 0)},
 		due: r.now() + time.Minute, ctx: context.Background(), reply: make(chan answer)}
 	stepped := make(chan bool)
 	go func() { r.take(in); r.step(); close(stepped) }()
@@ -60,20 +60,20 @@
 		}
 	}
 	go func() { answered <- <-in.reply }()
-	want(t, "status", wait(t, answered, "answer").status, http.StatusAccepted)
-	wait(t, stepped, "end of the step")
+	want(t, "status", receive(t, answered, "answer").status, http.StatusAccepted)
+	receive(t, stepped, "end of the step")
 }
 
 // Guards against taking a message on only once it is delivered: its endpoint answers only after the client has its answer.
 func TestTakenOnBeforeItIsDelivered(t *testing.T) {
-	calls := make(chan *seen, 10)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
+	calls := make(chan *receivedCall, 10)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	status := make(chan int, 1)
 	go func() {
-		code, _ := hand(t, r.Addr(), "m1", "payment", "X-Deadline-Ms", "3000")
+		code, _ := postMessage(t, r.Addr(), "m1", "payment", "X-Deadline-Ms", "3000")
 		status <- code
 	}()
-	c := wait(t, calls, "call")
+	c := receive(t, calls, "call")
 	select {
 	case code := <-status:
 		want(t, "status", code, http.StatusAccepted)
@@ -86,8 +86,8 @@
 // Guards against a client that is misread because it writes slowly, in pieces, many requests at once or in another of the
 // forms that HTTP allows: each gets its answer, and each body reaches the endpoint as it was.
 func TestRequestsInPiecesAndForms(t *testing.T) {
-	calls := make(chan *seen, 100)
-	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
+	calls := make(chan *receivedCall, 100)
+	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	body := "\r\n\x00\xffPOST /api HTTP/1.1\r\n\r\n"
 	plain := func(id string) string {
 		return fmt.Sprintf("POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: %s\r\nX-Class: payment\r\nX-Deadline-Ms: 9000\r\n"+
@@ -128,7 +128,7 @@
 	}
 	came := map[string]string{}
 	for len(came) < 6 {
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		came[c.id] = c.body
 		c.answer <- http.StatusOK
 	}
@@ -142,11 +142,11 @@
 // answers and takes three quarters of the room, and what is handed in for another one is still taken on and sent.
 func TestAFullRoomAfterARestartStillServes(t *testing.T) {
 	const room = 40
-	calls := make(chan *seen, 1000)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 1000)), "taller"))
-	other := at("s-2", fakeHost(t, "b", calls), "taller")
+	calls := make(chan *receivedCall, 1000)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 1000)), "taller"))
+	other := testEndpoint("s-2", newFakeHost(t, "b", calls), "taller")
 	other.Cell = 8
-	p.now.Servers = append(p.now.Servers, other)
+	p.list.Servers = append(p.list.Servers, other)
 	state := t.TempDir()
 	j, err := journal.Open(state, 3e6)
 	if err != nil {
@@ -174,9 +174,9 @@
 	t.Cleanup(func() { r.stop(); <-done })
 	for k := range 2 * room {
 		id := fmt.Sprint("new", k)
-		status, _ := hand(t, r.Addr(), id, "payment", "X-Addressing", "dest=8")
+		status, _ := postMessage(t, r.Addr(), id, "payment", "X-Addressing", "dest=8")
 		want(t, "status of "+id, status, http.StatusAccepted)
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		want(t, "id of the call", c.id, id)
 		c.answer <- http.StatusOK
 		for over := make(chan bool, 1); ; time.Sleep(time.Millisecond) { // the room is free again
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -21,15 +21,15 @@
 	r.putFresh()
 	if r.stopped {
 		r.events = nil
-		for _, m := range r.fresh {
+		for _, m := range r.newMessages {
 			r.refuse(m, comeBack)
 		}
-		r.fresh = nil
+		r.newMessages = nil
 		r.flush()
 		return
 	}
 	r.bring()
-	if r.woken {
+	if r.wakeDue {
 		r.events = append(r.events, choice.Woken{})
 	}
 	if len(r.events) == 0 {
@@ -39,45 +39,45 @@
 	events, now := r.events, r.now()
 	r.events = nil
 	r.timeFrom(now, events)
-	if r.woken {
-		r.woken, r.wakeAt = false, 0
+	if r.wakeDue {
+		r.wakeDue, r.wakeAt = false, 0
 	}
 	var sends []choice.Send
-	for _, a := range r.chooser.Step(now, events) {
-		switch a := a.(type) {
+	for _, action := range r.chooser.Step(now, events) {
+		switch action := action.(type) {
 		case choice.Send:
-			sends = append(sends, a)
+			sends = append(sends, action)
 		case choice.Refuse:
-			r.final(a.ID, deferred, min(a.After, r.set.Load().MaxRetryAfter))
+			r.endUndelivered(action.ID, deferred, min(action.After, r.settings.Load().MaxRetryAfter))
 		case choice.Fail:
-			r.final(a.ID, undeliverable, 0)
+			r.endUndelivered(action.ID, undeliverable, 0)
 		case choice.Cancel:
-			if m := r.held[a.ID]; m != nil && m.call != nil {
-				m.call.cancel(errCalled)
+			if m := r.held[action.ID]; m != nil && m.call != nil {
+				m.call.cancel(errCancelled)
 			}
 		case choice.Wake:
-			r.arm(now, a.After)
+			r.armWake(now, action.After)
 		case choice.Health:
-			r.record(journal.Record{Op: journal.OpHealth, ID: a.Host, Ran: a.Unwell, Base: a.Base, At: steady.UnixMilli()})
+			r.record(journal.Record{Op: journal.OpHealth, ID: action.Host, Ran: action.Unwell, Base: action.Base, At: steady.UnixMilli()})
 		case choice.Log:
-			slog.Info(a.Text)
+			slog.Info(action.Text)
 		}
 	}
 	r.flush()
-	r.takeOn()
+	r.acceptNew()
 	r.dispatch(sends)
 }
 
 // takeOn records what came since the last step, and answers its clients. Only what is in the journal is taken on.
-func (r *Relay) takeOn() {
-	for _, m := range r.fresh {
+func (r *Relay) acceptNew() {
+	for _, m := range r.newMessages {
 		if m.over {
 			continue
 		}
-		err := r.bindInOrder([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(counts bool) {
+		err := r.bindAfterFlush([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(committed bool) {
 			switch {
 			case m.over:
-			case counts:
+			case committed:
 				m.answer(answer{status: http.StatusAccepted})
 			default:
 				r.uncounted(m)
@@ -89,7 +89,7 @@
 			r.refuse(m, comeBack)
 		}
 	}
-	r.fresh = r.fresh[:0]
+	r.newMessages = r.newMessages[:0]
 	if r.copies != nil {
 		r.copies.fresh = 0
 	}
@@ -98,98 +98,98 @@
 // arm sets the timer for the earliest wake-up asked for. One that fell due, but whose tick
 // the loop has not read yet, no longer counts: the Chooser has asked anew, will not ask
 // again before that, and without the guard sleeps until something else comes in.
-func (r *Relay) arm(now, after time.Duration) {
+func (r *Relay) armWake(now, after time.Duration) {
 	if at := now + after; r.wakeAt <= now || at < r.wakeAt {
 		r.wakeAt = at
-		r.wake.Reset(after) // drops an unread tick
+		r.wakeTimer.Reset(after) // drops an unread tick
 	}
 }
 
 // refuse ends a message that was never taken on.
-func (r *Relay) refuse(m *message, after time.Duration) {
+func (r *Relay) refuse(m *message, retryAfter time.Duration) {
 	if r.copies != nil && r.journal.Entry(m.ID) != nil { // on disk, but it does not count yet
 		r.uncounted(m)
 		return
 	}
 	r.figures.ended(m.Class, refusedEnd)
 	r.release(m)
-	m.answer(answer{status: http.StatusServiceUnavailable, after: after, text: "refused"})
+	m.answer(answer{status: http.StatusServiceUnavailable, after: retryAfter, text: "refused"})
 }
 
 // final ends a message that the Chooser has given up, at once.
-func (r *Relay) final(id, status string, after time.Duration) {
+func (r *Relay) endUndelivered(id, status string, retryAfter time.Duration) {
 	switch m := r.held[id]; {
 	case m == nil:
 	case m.fresh != nil:
-		r.refuse(m, after)
+		r.refuse(m, retryAfter)
 	case m.served:
 		r.finish(m, servedEnd)
 	default:
-		r.give(m, notice{ID: id, Status: status, Again: after.Milliseconds()})
+		r.give(m, notice{ID: id, Status: status, RetryAfterMS: retryAfter.Milliseconds()})
 	}
 }
 
 // dispatch groups the sends of one Step into calls, records them, and starts them.
 func (r *Relay) dispatch(sends []choice.Send) {
-	open := map[string]*call{}
+	openCalls := map[string]*call{}
 	var calls []*call
-	wall := steady.UnixMilli()
-	for _, s := range sends {
-		m, h := r.held[s.ID], r.hosts[s.Host]
-		if m == nil || h == nil || h.dest != m.Dest || h.closed.Load() {
-			if h != nil && h.closed.Load() {
+	wallTime := steady.UnixMilli()
+	for _, send := range sends {
+		m, host := r.held[send.ID], r.hosts[send.Host]
+		if m == nil || host == nil || host.dest != m.Dest || host.closed.Load() {
+			if host != nil && host.closed.Load() {
 				r.figures.withheld(endpointShut, 1)
 			}
-			r.events = append(r.events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.NotSent})
+			r.events = append(r.events, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.NotSent})
 			continue
 		}
-		c, size := open[s.Host], frameSize(m)
-		if c == nil || len(c.members) >= h.perCall || c.size+size > maxBody { // no body may be longer
-			c = &call{host: h}
-			open[s.Host] = c
+		c, size := openCalls[send.Host], frameSize(m)
+		if c == nil || len(c.members) >= host.maxPerCall || c.size+size > maxBody { // no body may be longer
+			c = &call{host: host}
+			openCalls[send.Host] = c
 			calls = append(calls, c)
 		}
 		c.size += size
-		c.members, c.sends = append(c.members, m), append(c.sends, s)
+		c.members, c.sends = append(c.members, m), append(c.sends, send)
 	}
 	for _, c := range calls {
-		var recs []journal.Record
+		var records []journal.Record
 		for i, m := range c.members {
-			recs = append(recs, journal.Record{Op: journal.OpTry, ID: m.ID, At: wall, Wait: c.sends[i].Timeout.Milliseconds(), Zone: c.host.zone})
+			records = append(records, journal.Record{Op: journal.OpTry, ID: m.ID, At: wallTime, Wait: c.sends[i].Timeout.Milliseconds(), Zone: c.host.zone})
 		}
 		// An attempt that a restart would not know of must not go out.
-		written := time.Now()
-		err := r.bindInOrder(recs, freshIn, func(counts bool) { r.startCounted(c, written, counts) })
+		recordedAt := time.Now()
+		err := r.bindAfterFlush(records, freshIn, func(committed bool) { r.startRecorded(c, recordedAt, committed) })
 		if err != nil {
 			slog.Error("attempts not sent", "err", err, "remedy", remedy.Of(err))
-			r.unsent(c)
+			r.reportNotSent(c)
 		}
 	}
 }
 
 // unsent tells the decisions that a call does not go.
-func (r *Relay) unsent(c *call) {
-	for _, s := range c.sends {
-		r.events = append(r.events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.NotSent})
+func (r *Relay) reportNotSent(c *call) {
+	for _, send := range c.sends {
+		r.events = append(r.events, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.NotSent})
 	}
 }
 
 // startCounted starts a call whose record counts, unless something came between: then all of it stays.
-func (r *Relay) startCounted(c *call, written time.Time, counts bool) {
+func (r *Relay) startRecorded(c *call, recordedAt time.Time, committed bool) {
 	if r.copies == nil {
-		r.start(c)
+		r.startCall(c)
 		return
 	}
-	waited := time.Since(written)
-	late := !counts || waited >= freshIn || r.stopped || r.heir != nil || c.host.closed.Load() ||
+	waited := time.Since(recordedAt)
+	withheld := !committed || waited >= freshIn || r.stopped || r.heir != nil || c.host.closed.Load() ||
 		slices.ContainsFunc(c.members, func(m *message) bool { return m.over })
 	for i := range c.sends { // a call that lasts to the end of its message's time must end then
 		c.sends[i].Timeout -= waited
-		late = late || c.sends[i].Timeout <= 0
+		withheld = withheld || c.sends[i].Timeout <= 0
 	}
-	if !late {
-		c.fresh = written.Add(freshIn)
-		r.start(c)
+	if !withheld {
+		c.startBy = recordedAt.Add(freshIn)
+		r.startCall(c)
 		return
 	}
 	for _, m := range c.members {
@@ -197,31 +197,31 @@
 			r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID})
 		}
 	}
-	r.unsent(c)
+	r.reportNotSent(c)
 }
 
 // ended takes in what became of one message's attempt.
-func (r *Relay) ended(c *call, m *message, e end, t told) {
+func (r *Relay) attemptEnded(c *call, m *message, result memberResult, feedback hostFeedback) {
 	if m.call != c { // its own time was up before the call's
-		if e.outcome == choice.Served {
+		if result.outcome == choice.Served {
 			r.servedLate(m)
 		}
 		return
 	}
 	m.call = nil
 	if r.heir != nil {
-		r.hostSide.Load().CloseIdleConnections() // descriptors count for both processes together
-		r.heir.send(passed{End: &endPassed{m.ID, e.outcome, e.done, t.took, t.wait, t.report, t.stale}})
+		r.hostTransport.Load().CloseIdleConnections() // descriptors count for both processes together
+		r.heir.send(passed{End: &endPassed{m.ID, result.outcome, result.done, feedback.elapsed, feedback.retryAfter, feedback.loadReport, feedback.staleConn}})
 		return
 	}
-	if t.wait > 0 && r.copies != nil { // an heir is to know of it
-		r.record(journal.Record{Op: journal.OpWait, ID: c.host.id, At: steady.UnixMilli(), Wait: t.wait.Milliseconds()})
+	if feedback.retryAfter > 0 && r.copies != nil { // an heir is to know of it
+		r.record(journal.Record{Op: journal.OpWait, ID: c.host.id, At: steady.UnixMilli(), Wait: feedback.retryAfter.Milliseconds()})
 	}
-	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.outcome, Took: t.took, Wait: t.wait,
-		Stale: t.stale, Report: r.reportOf(t), Done: e.done || e.outcome == choice.Served})
+	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: result.outcome, Took: feedback.elapsed, Wait: feedback.retryAfter,
+		Stale: feedback.staleConn, Report: r.loadReportOf(feedback), Done: result.done || result.outcome == choice.Served})
 	if m.over {
 		switch {
-		case e.outcome != choice.Served:
+		case result.outcome != choice.Served:
 		case m.gone: // delivered from here all the same; the other finds out by its own call
 			r.figures.ended(m.Class, servedEnd)
 		default:
@@ -229,22 +229,22 @@
 		}
 		return
 	}
-	if e.done || e.outcome == choice.Served {
-		how := servedEnd
-		if e.outcome != choice.Served { // over at the host: out of time
-			how = failedEnd
+	if result.done || result.outcome == choice.Served {
+		finalEnding := servedEnd
+		if result.outcome != choice.Served { // over at the host: out of time
+			finalEnding = failedEnd
 		}
-		r.finish(m, how)
+		r.finish(m, finalEnding)
 		return
 	}
-	never := e.outcome == choice.Refused || e.outcome == choice.NoConnection || e.outcome == choice.NotSent
-	r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID, Ran: !never})
+	neverRan := result.outcome == choice.Refused || result.outcome == choice.NoConnection || result.outcome == choice.NotSent
+	r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID, Ran: !neverRan})
 }
 
 // finish ends a message that needs no notice.
-func (r *Relay) finish(m *message, how ending) {
-	r.figures.ended(m.Class, how)
+func (r *Relay) finish(m *message, finalEnding ending) {
+	r.figures.ended(m.Class, finalEnding)
 	r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
-	m.served = how == servedEnd
+	m.served = finalEnding == servedEnd
 	r.drop(m)
 }
--- a/internal/relay/takeup.go
+++ b/internal/relay/takeup.go
@@ -82,7 +82,7 @@
 		}
 		if left := time.Duration(w.At+w.Wait-steady.UnixMilli()) * time.Millisecond; left > 0 {
 			if h := r.hosts[w.ID]; h != nil {
-				h.waiting.heed(r.now() + left)
+				h.wait.extend(r.now() + left)
 			}
 			r.events = append(r.events, choice.Waits{Host: w.ID, Left: left})
 		}
--- a/internal/relay/terms_test.go
+++ b/internal/relay/terms_test.go
@@ -24,8 +24,8 @@
 		"fewer attempts": {`"max-attempts":6`, `"max-attempts":1`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			calls := make(chan *seen, 10)
-			p := newPlatform(t, at("s1", fakeHost(t, "s1", calls), "taller"))
+			calls := make(chan *receivedCall, 10)
+			p := newFakePlatform(t, testEndpoint("s1", newFakeHost(t, "s1", calls), "taller"))
 			r := startRelay(t, p, nil)
 			conn, err := net.Dial("tcp", r.Addr())
 			if err != nil {
@@ -59,12 +59,12 @@
 			want(t, "answer to one that began before", status, http.StatusAccepted)
 			terms := make(chan choice.Terms, 1)
 			r.post(func() { terms <- *r.held["first"].Terms })
-			got := wait(t, terms, "terms")
+			got := receive(t, terms, "terms")
 			want(t, "its attempts", got.Attempts, 6)
 			want(t, "its effect", got.Class.Effect, choice.Safe)
 			want(t, "its aim", got.Class.Aim, 3*time.Second)
-			wait(t, calls, "call").answer <- 500 // it may be repeated, as it could when it came
-			again := wait(t, calls, "call")
+			receive(t, calls, "call").answer <- 500 // it may be repeated, as it could when it came
+			again := receive(t, calls, "call")
 			want(t, "repeat", again.id, "first")
 			again.answer <- 200
 		})
--- a/internal/relay/unread_log_test.go
+++ b/internal/relay/unread_log_test.go
@@ -17,7 +17,7 @@
 // Guards against a relay that stops with the reader of its log: it starts, takes messages on and tells their ends while
 // nobody reads the pipe that it logs to.
 func TestServesThoughNobodyReadsItsLog(t *testing.T) {
-	path, err := program()
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	defer reader.Close()
 	defer writer.Close()
 	fill(t, writer)
-	p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"))
+	p := newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,9 +58,9 @@
 			t.Fatal("not ready: ", err)
 		}
 	}
-	status, _ := hand(t, addr, "m1", "payment", "X-Deadline-Ms", "500")
+	status, _ := postMessage(t, addr, "m1", "payment", "X-Deadline-Ms", "500")
 	want(t, "status", status, http.StatusAccepted)
-	want(t, "notice", wait(t, p.notices, "notice").ID, "m1")
+	want(t, "notice", receive(t, p.notices, "notice").ID, "m1")
 }
 
 // fill writes to a pipe until it takes no more.
--- a/internal/relay/withdraw.go
+++ b/internal/relay/withdraw.go
@@ -35,7 +35,7 @@
 	select {
 	case a := <-said:
 		return a
-	case <-r.halted: // what the loop has said by then holds: the record says so
+	case <-r.loopEnded: // what the loop has said by then holds: the record says so
 	}
 	select {
 	case a := <-said:
@@ -66,7 +66,7 @@
 		return false
 	}
 	r.flush()
-	if err := r.bindInOrder([]journal.Record{{Op: journal.OpEnd, ID: id}}, countIn, then); err != nil {
+	if err := r.bindAfterFlush([]journal.Record{{Op: journal.OpEnd, ID: id}}, countIn, then); err != nil {
 		slog.Error("message not withdrawn", "err", err, "remedy", remedy.Of(err))
 		return false
 	}
--- a/internal/relay/withdraw_test.go
+++ b/internal/relay/withdraw_test.go
@@ -18,8 +18,8 @@
 	for k, v := range map[string]string{"X-Request-Id": id, "X-Class": "payment", "X-Deadline-Ms": "9000", "X-Addressing": "dest=7"} {
 		req.Header.Set(k, v)
 	}
-	client := &leaver{Context: context.Background()}
-	client.there.Store(there)
+	client := &leavingContext{Context: context.Background()}
+	client.checksLeft.Store(there)
 	w, answered = httptest.NewRecorder(), make(chan bool)
 	go func() { r.serveAPI(w, req.WithContext(client)); close(answered) }()
 	return w, answered
@@ -28,19 +28,19 @@
 // turn runs what has come in, and lets the decisions step: one turn of the loop.
 func turn(t *testing.T, r *Relay) {
 	t.Helper()
-	wait(t, r.inbox, "request")()
+	receive(t, r.inbox, "request")()
 	r.step()
 }
 
 // Guards against 503 for a message that is still on record: the next start would deliver it, and the client hand it in again.
 func TestAMessageIsWithdrawnOnlyWithItsRecord(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := unserved(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	w, answered := leaving(r, "m1", 1)
 	turn(t, r)
-	withdrawal := wait(t, r.inbox, "withdrawal")
+	withdrawal := receive(t, r.inbox, "withdrawal")
 	r.journal.Break(errors.New("disk gone"))
 	withdrawal()
-	wait(t, answered, "answer")
+	receive(t, answered, "answer")
 	want(t, "status while nothing can be written", w.Code, http.StatusAccepted)
 	want(t, "it is held", r.held["m1"] != nil, true)
 	if err := r.journal.Compact(); err != nil {
@@ -48,8 +48,8 @@
 	}
 	w, answered = leaving(r, "m2", 1)
 	turn(t, r)
-	wait(t, r.inbox, "withdrawal")()
-	wait(t, answered, "answer")
+	receive(t, r.inbox, "withdrawal")()
+	receive(t, answered, "answer")
 	want(t, "status", w.Code, http.StatusServiceUnavailable)
 	want(t, "it is on record", r.journal.Entry("m2") != nil, false)
 }
@@ -58,34 +58,34 @@
 // does so in each round, and went by the one or the other by chance.
 func TestAWithdrawalHoldsAsTheLoopEnds(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := unserved(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	r.inbox = make(chan func())
 	for n := range 40 {
 		in := request(t, r, context.Background(), fmt.Sprint("m", n), "payment", time.Minute)
 		r.take(in)
 		r.step()
 		want(t, "status", status(in), http.StatusAccepted)
-		r.halted = make(chan struct{})
+		r.loopEnded = make(chan struct{})
 		said := make(chan answer)
 		go func() { said <- r.afterLeaving(in) }()
 		for range 100 { // until the handler stands before the loop's inbox
 			runtime.Gosched()
 		}
-		wait(t, r.inbox, "withdrawal")()
-		close(r.halted)
-		want(t, in.entry.ID+": status", wait(t, said, "answer").status, http.StatusServiceUnavailable)
+		receive(t, r.inbox, "withdrawal")()
+		close(r.loopEnded)
+		want(t, in.entry.ID+": status", receive(t, said, "answer").status, http.StatusServiceUnavailable)
 		want(t, "it is on record", r.journal.Entry(in.entry.ID) != nil, false)
 	}
 }
 
 // Guards against either answer to a withdrawal that the loop did not come to: the message is on record, and owed its end.
 func TestAWithdrawalThatTheLoopDidNotSee(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := unserved(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	in := request(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.take(in)
 	r.step()
 	r.stop()
-	close(r.halted)
+	close(r.loopEnded)
 	want(t, "status", r.afterLeaving(in).status, http.StatusAccepted)
 	want(t, "it is on record", r.journal.Entry("m1") != nil, true)
 }
@@ -111,7 +111,7 @@
 	} {
 		t.Run(c.when, func(t *testing.T) {
 			state := t.TempDir()
-			p := newPlatform(t, leavingHost())
+			p := newFakePlatform(t, leavingHost())
 			r := unserved(t, p, state)
 			var two *intake
 			at := func(f func(r *Relay) *intake) {
@@ -125,15 +125,15 @@
 				there = 0 // that is not asked for one that is held
 			}
 			w, answered := leaving(r, "m1", there)
-			wait(t, r.inbox, "request")()
+			receive(t, r.inbox, "request")()
 			at(c.between)
 			r.step()
-			withdrawal := wait(t, r.inbox, "withdrawal")
+			withdrawal := receive(t, r.inbox, "withdrawal")
 			at(c.recorded)
 			withdrawal()
 			at(c.last)
 			r.step()
-			wait(t, answered, "answer")
+			receive(t, answered, "answer")
 			want(t, "status on the first", w.Code, c.one)
 			want(t, "status on the second", status(two), c.two)
 			want(t, "messages held", len(r.held), 1)
@@ -144,9 +144,9 @@
 }
 
 // reopened is the next process, after a kill of this one.
-func reopened(t *testing.T, p *platform, r *Relay, state string) *Relay {
+func reopened(t *testing.T, p *fakePlatform, r *Relay, state string) *Relay {
 	t.Helper()
-	r.endCalls(errStopping)
+	r.cancelCalls(errStopping)
 	r.journal.Close()
 	return unserved(t, p, state)
 }
@@ -154,7 +154,7 @@
 // Guards against 503 on a second connection, whose client has ended its sending, for a message that the first one was told is
 // taken on: it is delivered, and the client would hand it in once more.
 func TestASecondConnectionHearsOfWhatIsHeld(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := unserved(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	first := request(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.take(first)
 	r.step()
