--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -46,9 +46,9 @@
 // its first message: once that has ended here, by its own time, what is answered for all the others came for an ended
 // call, and counts for none of them.
 func (c *call) putLongestFirst() {
-	for i, m := range c.members {
-		if m.due > c.members[0].due {
-			c.members[0], c.members[i] = m, c.members[0]
+	for i, msg := range c.members {
+		if msg.due > c.members[0].due {
+			c.members[0], c.members[i] = msg, c.members[0]
 			c.sends[0], c.sends[i] = c.sends[i], c.sends[0]
 		}
 	}
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -19,26 +19,26 @@
 // none of the others, though this relay takes them for delivered.
 func TestLongestLivedMessageLeadsSharedCall(t *testing.T) {
 	bodies := make(chan string, 1)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		b, _ := io.ReadAll(req.Body)
 		bodies <- string(b)
 		io.WriteString(w, "a error\r\nb ok\r\nc later\r\n")
 	}))
-	defer s.Close()
-	r := newCallingRelay()
-	r.inbox = make(chan func(), 1)
-	r.callContext = context.Background()
-	c := &call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}}
+	defer server.Close()
+	relay := newCallingRelay()
+	relay.inbox = make(chan func(), 1)
+	relay.callContext = context.Background()
+	hostCall := &call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}}
 	for i, id := range []string{"a", "b", "c"} {
-		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, over: true, due: []time.Duration{1, 3, 2}[i] * time.Hour})
-		c.sends = append(c.sends, choice.Send{ID: id, Timeout: time.Duration(i+1) * time.Minute})
+		hostCall.members = append(hostCall.members, &message{Entry: &journal.Entry{ID: id}, over: true, due: []time.Duration{1, 3, 2}[i] * time.Hour})
+		hostCall.sends = append(hostCall.sends, choice.Send{ID: id, Timeout: time.Duration(i+1) * time.Minute})
 	}
-	r.startCall(c)
+	relay.startCall(hostCall)
 	want(t, "the message that leads", strings.Fields(receive(t, bodies, "call"))[0], "b")
-	want(t, "its send", c.sends[0].ID, "b")
-	receive(t, r.inbox, "result")()
+	want(t, "its send", hostCall.sends[0].ID, "b")
+	receive(t, relay.inbox, "result")()
 	got := map[string]choice.Outcome{}
-	for _, e := range r.events {
+	for _, e := range relay.events {
 		got[e.(choice.Result).ID] = e.(choice.Result).Outcome
 	}
 	want(t, "ends of all", len(got), 3)
@@ -52,24 +52,24 @@
 func TestAnswerRacesMemberTimeout(t *testing.T) {
 	for name, timeoutFirst := range map[string]bool{"its end first": true, "the answer first": false} {
 		ended := make(chan struct{})
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			io.Copy(io.Discard, req.Body)
 			<-ended
 			io.WriteString(w, "short ok\r\nlong ok\r\n")
 		}))
-		r := newCallingRelay()
-		r.inbox, r.callContext, r.held = make(chan func(), 2), context.Background(), map[string]*message{}
-		c := &call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}}
+		relay := newCallingRelay()
+		relay.inbox, relay.callContext, relay.held = make(chan func(), 2), context.Background(), map[string]*message{}
+		hostCall := &call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}}
 		for id, due := range map[string]time.Duration{"short": 500 * time.Millisecond, "long": time.Hour} {
 			m := &message{Entry: &journal.Entry{ID: id}, due: due}
-			r.held[id] = m
-			c.members, c.sends = append(c.members, m), append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
+			relay.held[id] = m
+			hostCall.members, hostCall.sends = append(hostCall.members, m), append(hostCall.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 		}
-		r.startCall(c)
-		timedOut := receive(t, r.inbox, "end of the short one")
+		relay.startCall(hostCall)
+		timedOut := receive(t, relay.inbox, "end of the short one")
 		close(ended)
-		answered := receive(t, r.inbox, "answer")
-		s.Close()
+		answered := receive(t, relay.inbox, "answer")
+		server.Close()
 		order := []func(){answered, timedOut}
 		if timeoutFirst {
 			order = []func(){timedOut, answered}
@@ -77,16 +77,16 @@
 		for _, f := range order {
 			f()
 		}
-		want(t, name+": ends", len(r.events), 2)
+		want(t, name+": ends", len(relay.events), 2)
 		outcomes := map[string]choice.Outcome{}
-		for _, e := range r.events {
+		for _, e := range relay.events {
 			outcomes[e.(choice.Result).ID] = e.(choice.Result).Outcome
 		}
 		want(t, name+": the long one", outcomes["long"], choice.Served)
-		want(t, name+": records", len(r.records), 2)
+		want(t, name+": records", len(relay.records), 2)
 		short := map[bool]choice.Outcome{true: choice.Timeout, false: choice.Served}[timeoutFirst]
 		want(t, name+": the short one", outcomes["short"], short)
-		want(t, name+": it is held, for the decisions to end it", r.held["short"] != nil, timeoutFirst)
+		want(t, name+": it is held, for the decisions to end it", relay.held["short"] != nil, timeoutFirst)
 	}
 }
 
@@ -105,20 +105,20 @@
 // core.
 func TestCallEndsAtMessageDeadline(t *testing.T) {
 	var received atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received.Add(1) }))
-	defer s.Close()
-	r := newCallingRelay()
-	r.inbox, r.callContext = make(chan func(), 1), context.Background()
-	c := &call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}, sends: []choice.Send{{ID: "m1", Timeout: time.Hour}},
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received.Add(1) }))
+	defer server.Close()
+	relay := newCallingRelay()
+	relay.inbox, relay.callContext = make(chan func(), 1), context.Background()
+	hostCall := &call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}, sends: []choice.Send{{ID: "m1", Timeout: time.Hour}},
 		members: []*message{{Entry: &journal.Entry{ID: "m1"}, due: time.Minute}}}
-	r.startCall(c)
-	receive(t, r.inbox, "result")()
-	if c.timeout > time.Minute {
-		t.Errorf("it has %v, and its message a minute", c.timeout)
+	relay.startCall(hostCall)
+	receive(t, relay.inbox, "result")()
+	if hostCall.timeout > time.Minute {
+		t.Errorf("it has %v, and its message a minute", hostCall.timeout)
 	}
 	want(t, "calls", received.Load(), 1)
-	late := newSingleCall(s.Listener.Addr().String(), "x")
+	late := newSingleCall(server.Listener.Addr().String(), "x")
 	late.startedAt = time.Now().Add(-late.timeout)
-	want(t, "outcome of one that begins as its time is up", callOutcome(r, context.Background(), late), choice.NoConnection)
+	want(t, "outcome of one that begins as its time is up", callOutcome(relay, context.Background(), late), choice.NoConnection)
 	want(t, "calls", received.Load(), 1)
 }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -43,57 +43,59 @@
 }
 
 // start builds the call here in the loop, so that its goroutine shares nothing with it.
-func (r *Relay) startCall(c *call) {
+func (r *Relay) startCall(hostCall *call) {
 	now := r.now()
-	c.startedAt, c.agreed = time.Now(), r.currentAgreed.Load()
-	c.putLongestFirst()
-	for i, m := range c.members {
-		m.call = c
-		c.timeout = max(c.timeout, c.sends[i].Timeout)
-		if before := c.sends[i].Before; before > 0 && (c.writeBy.IsZero() || r.startedAt.Add(before).Before(c.writeBy)) {
-			c.writeBy = r.startedAt.Add(before)
+	hostCall.startedAt, hostCall.agreed = time.Now(), r.currentAgreed.Load()
+	hostCall.putLongestFirst()
+	for i, msg := range hostCall.members {
+		msg.call = hostCall
+		hostCall.timeout = max(hostCall.timeout, hostCall.sends[i].Timeout)
+		if before := hostCall.sends[i].Before; before > 0 && (hostCall.writeBy.IsZero() || r.startedAt.Add(before).Before(hostCall.writeBy)) {
+			hostCall.writeBy = r.startedAt.Add(before)
 		}
 	}
-	if len(c.members) == 1 {
-		c.timeout = min(c.timeout, c.members[0].due-now) // the step that decided it may be a while ago
-		c.body, c.key = c.members[0].Body, c.members[0].Key
+	if len(hostCall.members) == 1 {
+		hostCall.timeout = min(hostCall.timeout, hostCall.members[0].due-now) // the step that decided it may be a while ago
+		hostCall.body, hostCall.key = hostCall.members[0].Body, hostCall.members[0].Key
 	} else {
-		c.body = make([]byte, 0, c.size)
-		for _, m := range c.members {
-			c.body = appendFrame(c.body, m)
+		hostCall.body = make([]byte, 0, hostCall.size)
+		for _, msg := range hostCall.members {
+			hostCall.body = appendFrame(hostCall.body, msg)
 		}
 		// The members share one connection until the longest of their time-outs. One whose own time
 		// is up before that gets its end then; before it, a restart would be a second copy. A call that has not
 		// gone out whole by that time must not go: it would bear a message that has ended.
-		for _, m := range c.members {
-			if remaining := m.due - now; remaining < c.timeout {
-				if deadline := r.startedAt.Add(m.due); c.writeBy.IsZero() || deadline.Before(c.writeBy) {
-					c.writeBy = deadline
+		for _, msg := range hostCall.members {
+			if remaining := msg.due - now; remaining < hostCall.timeout {
+				if deadline := r.startedAt.Add(msg.due); hostCall.writeBy.IsZero() || deadline.Before(hostCall.writeBy) {
+					hostCall.writeBy = deadline
 				}
 				time.AfterFunc(remaining, func() {
-					r.post(func() { r.attemptEnded(c, m, memberResult{outcome: choice.Timeout}, hostFeedback{elapsed: remaining}) })
+					r.post(func() {
+						r.attemptEnded(hostCall, msg, memberResult{outcome: choice.Timeout}, hostFeedback{elapsed: remaining})
+					})
 				})
 			}
 		}
 	}
 	ctx, cancel := context.WithCancelCause(r.callContext)
-	c.cancel = cancel
+	hostCall.cancel = cancel
 	r.callsInFlight++
-	ids := make([]string, len(c.members))
-	for i, m := range c.members {
-		ids[i] = m.ID
+	ids := make([]string, len(hostCall.members))
+	for i, msg := range hostCall.members {
+		ids[i] = msg.ID
 	}
 	go func() {
 		defer cancel(nil)
-		results, feedback := r.exchange(ctx, c, ids)
+		results, feedback := r.exchange(ctx, hostCall, ids)
 		if errors.Is(context.Cause(ctx), errStopping) {
 			r.post(func() { r.callsInFlight-- }) // no outcome: the journal has it as one that may have run
 			return
 		}
 		r.post(func() {
 			r.callsInFlight--
-			for i, m := range c.members {
-				r.attemptEnded(c, m, results[i], feedback)
+			for i, msg := range hostCall.members {
+				r.attemptEnded(hostCall, msg, results[i], feedback)
 			}
 		})
 	}()
@@ -101,10 +103,10 @@
 
 // exchange makes one call and tells each member's end. The time it took is taken here, so
 // that no delay of the loop is learnt as latency.
-func (r *Relay) exchange(ctx context.Context, c *call, ids []string) (results []memberResult, feedback hostFeedback) {
-	remaining := c.timeout
-	if !c.startedAt.IsZero() { // this goroutine may have waited for a core since
-		remaining -= time.Since(c.startedAt)
+func (r *Relay) exchange(ctx context.Context, hostCall *call, ids []string) (results []memberResult, feedback hostFeedback) {
+	remaining := hostCall.timeout
+	if !hostCall.startedAt.IsZero() { // this goroutine may have waited for a core since
+		remaining -= time.Since(hostCall.startedAt)
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, remaining, errTimeout)
 	defer cancel()
@@ -117,17 +119,17 @@
 	}
 	startedAt := time.Now()
 	sentAt := startedAt
-	attempt := r.sendRequest(ctx, cancel, c, ids)
+	attempt := r.sendRequest(ctx, cancel, hostCall, ids)
 	// A kept connection that had ended before anything was written is no call yet: once more on another.
 	for tries := 0; attempt.err != nil && attempt.neverRan && attempt.reusedConn && ctx.Err() == nil && !attempt.withheld.Load() && tries < 3; tries++ {
 		sentAt = time.Now()
-		attempt = r.sendRequest(ctx, cancel, c, ids)
+		attempt = r.sendRequest(ctx, cancel, hostCall, ids)
 	}
 	feedback.elapsed = time.Since(startedAt)
 	if attempt.err == nil {
 		defer attempt.response.Body.Close()
 		feedback.retryAfter = parseRetryAfter(attempt.response.Header)
-		c.host.wait.extend(r.now() + feedback.retryAfter)
+		hostCall.host.wait.extend(r.now() + feedback.retryAfter)
 		feedback.loadReport = attempt.response.Header.Get("X-Load")
 		if len(ids) == 1 || attempt.response.StatusCode != http.StatusOK {
 			defer time.AfterFunc(drainTimeout, cancel).Stop()
@@ -148,7 +150,7 @@
 	feedback.staleConn = attempt.response == nil && attempt.reusedConn && time.Since(sentAt) < staleConnWindow
 	switch cause := context.Cause(ctx); {
 	case attempt.withheld.Load():
-		feedback.retryAfter = c.host.wait.remaining(r.now())
+		feedback.retryAfter = hostCall.host.wait.remaining(r.now())
 		return sameResult(choice.NotSent), feedback
 	case len(ids) == 1 && attempt.request.delivered.Load():
 		return sameResult(choice.Served), feedback
@@ -188,18 +190,18 @@
 }
 
 // send writes one request, and waits for the head of its answer.
-func (r *Relay) sendRequest(ctx context.Context, cancel func(), c *call, ids []string) *callAttempt {
-	attempt := &callAttempt{request: newHostRequest(c.body, func() { r.figures.attempted(len(ids)) })}
+func (r *Relay) sendRequest(ctx context.Context, cancel func(), hostCall *call, ids []string) *callAttempt {
+	attempt := &callAttempt{request: newHostRequest(hostCall.body, func() { r.figures.attempted(len(ids)) })}
 	if len(ids) == 1 {
 		attempt.request.cancel = cancel
 	}
 	attempt.request.admit = func() (func(), error) {
-		leave, err := r.admit(c, len(ids))
+		leave, err := r.admit(hostCall, len(ids))
 		if err != nil {
 			attempt.withheld.Store(true)
 			return nil, err
 		}
-		r.logRequest(ctx, c, ids)
+		r.logRequest(ctx, hostCall, ids)
 		return leave, nil
 	}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -210,28 +212,28 @@
 				conn.writing.Store(attempt.request)
 			}
 			// For what a slow host leaves unread; a kept connection still has the deadline of the call before.
-			info.Conn.SetWriteDeadline(c.writeBy)
+			info.Conn.SetWriteDeadline(hostCall.writeBy)
 		},
 	})
 	path := "/receive"
 	if len(ids) > 1 {
 		path = "/receive-many"
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.host.addr+path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+hostCall.host.addr+path, nil)
 	if err != nil {
 		attempt.neverRan, attempt.err = true, err
 		return attempt
 	}
-	req.Body, req.ContentLength = attempt.request.requestBody(), int64(len(c.body))
+	req.Body, req.ContentLength = attempt.request.requestBody(), int64(len(hostCall.body))
 	if len(ids) == 1 {
 		req.Header.Set("X-Request-Id", ids[0])
-		if c.key != "" {
-			req.Header.Set("Idempotency-Key", c.key)
+		if hostCall.key != "" {
+			req.Header.Set("Idempotency-Key", hostCall.key)
 		}
 	}
-	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, c.timeout.Milliseconds()), 10))
-	if c.agreed != nil {
-		req.Header.Set("X-Agreed", c.agreed.header)
+	req.Header.Set("X-Deadline-Ms", strconv.FormatInt(max(1, hostCall.timeout.Milliseconds()), 10))
+	if hostCall.agreed != nil {
+		req.Header.Set("X-Agreed", hostCall.agreed.header)
 	}
 	attempt.response, attempt.err = r.hostTransport.Load().RoundTrip(req)
 	if timer := attempt.request.answerTimer.Load(); timer != nil {
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -20,13 +20,13 @@
 )
 
 func newCallingRelay() *Relay {
-	r := &Relay{startedAt: time.Now()}
+	relay := &Relay{startedAt: time.Now()}
 	set := settings.Settings{DialTimeout: time.Second, IdleConn: time.Minute}
 	set.Workers = 7
-	r.hostTransport.Store(newHostTransport(&set, 64, dialer(nil, set.DialTimeout).DialContext))
-	r.settings.Store(&standing{})
-	r.notices = newNoticeSender(nil, nil, nil, nil)
-	return r
+	relay.hostTransport.Store(newHostTransport(&set, 64, dialer(nil, set.DialTimeout).DialContext))
+	relay.settings.Store(&standing{})
+	relay.notices = newNoticeSender(nil, nil, nil, nil)
+	return relay
 }
 
 func newSingleCall(addr, body string) *call {
@@ -51,8 +51,8 @@
 	for _, body := range []string{"hello", ""} {
 		var got atomic.Int32
 		addr := newRawHost(t, func(conn net.Conn) {
-			for in := bufio.NewReader(conn); ; {
-				req, err := http.ReadRequest(in)
+			for reader := bufio.NewReader(conn); ; {
+				req, err := http.ReadRequest(reader)
 				if err != nil {
 					return
 				}
@@ -63,19 +63,19 @@
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 		})
-		r := newCallingRelay()
-		want(t, "first outcome", callOutcome(r, context.Background(), newSingleCall(addr, body)), choice.Served)
-		o, stale := callOutcomeAndStale(r, context.Background(), newSingleCall(addr, body))
-		want(t, "outcome of a call that breaks", o, choice.Reset)
+		relay := newCallingRelay()
+		want(t, "first outcome", callOutcome(relay, context.Background(), newSingleCall(addr, body)), choice.Served)
+		outcome, stale := callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
+		want(t, "outcome of a call that breaks", outcome, choice.Reset)
 		want(t, "it says that a kept connection was stale", stale, true)
 		staleConnWindow = 0
-		callOutcome(r, context.Background(), newSingleCall(addr, body))
+		callOutcome(relay, context.Background(), newSingleCall(addr, body))
 		got.Store(1)
-		_, stale = callOutcomeAndStale(r, context.Background(), newSingleCall(addr, body))
+		_, stale = callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
 		want(t, "the same of one that broke late", stale, false)
 		staleConnWindow = time.Hour
 		got.Store(1)
-		_, stale = callOutcomeAndStale(r, context.Background(), newSingleCall(addr, body))
+		_, stale = callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
 		want(t, "the same of a new connection", stale, false)
 		got.Store(2)
 		want(t, "requests on the wire", got.Load(), 2)
@@ -84,12 +84,12 @@
 
 // Guards against calling it a reset where nothing can have run.
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 	want(t, "outcome", callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), choice.NoConnection)
 }
 
@@ -112,47 +112,47 @@
 
 func testWithheldAfterConnecting(t *testing.T, duringDial func(*Relay, *call), reason withheld) {
 	var requests atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
-	defer s.Close()
-	r := newCallingRelay()
-	c := newSingleCall(s.Listener.Addr().String(), "x")
-	dial := r.hostTransport.Load().DialContext
-	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		duringDial(r, c)
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
+	defer server.Close()
+	relay := newCallingRelay()
+	hostCall := newSingleCall(server.Listener.Addr().String(), "x")
+	dial := relay.hostTransport.Load().DialContext
+	relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		duringDial(relay, hostCall)
 		return dial(ctx, network, addr)
 	}
-	want(t, "outcome", callOutcome(r, context.Background(), c), choice.NotSent)
+	want(t, "outcome", callOutcome(relay, context.Background(), hostCall), choice.NotSent)
 	want(t, "requests", requests.Load(), 0)
-	want(t, "withheld by "+reason.String(), r.figures.unwritten[reason], 1)
+	want(t, "withheld by "+reason.String(), relay.figures.unwritten[reason], 1)
 }
 
 // Guards against a call that gets its connection only when one of its messages has ended, for its own time was up:
 // it would be sent after its end.
 func TestSharedCallIsNotSentAfterMemberTimeout(t *testing.T) {
 	var requests atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
-	defer s.Close()
-	r := newCallingRelay()
-	r.startedAt, r.inbox, r.callContext = time.Now(), make(chan func(), 10), context.Background()
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
+	defer server.Close()
+	relay := newCallingRelay()
+	relay.startedAt, relay.inbox, relay.callContext = time.Now(), make(chan func(), 10), context.Background()
 	connect := make(chan struct{})
-	dial := r.hostTransport.Load().DialContext
-	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := relay.hostTransport.Load().DialContext
+	relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		<-connect
 		return dial(ctx, network, addr)
 	}
-	c := &call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}}
+	hostCall := &call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}}
 	for id, due := range map[string]time.Duration{"short": 10 * time.Millisecond, "long": time.Hour} {
-		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, due: due})
-		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
+		hostCall.members = append(hostCall.members, &message{Entry: &journal.Entry{ID: id}, due: due})
+		hostCall.sends = append(hostCall.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
-	r.startCall(c)
+	relay.startCall(hostCall)
 	ends := map[string]choice.Outcome{}
 	runNext := func() {
-		receive(t, r.inbox, "end")()
-		for _, e := range r.events {
+		receive(t, relay.inbox, "end")()
+		for _, e := range relay.events {
 			ends[e.(choice.Result).ID] = e.(choice.Result).Outcome
 		}
-		r.events = nil
+		relay.events = nil
 	}
 	runNext()
 	want(t, "end of the one whose time is up", ends["short"], choice.Timeout)
@@ -177,12 +177,12 @@
 // Guards against a repeat whose last byte is written after its window, to a host that reads slowly; and
 // against the next call on that connection failing by that deadline.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer s.Close()
-	r, addr := newCallingRelay(), s.Listener.Addr().String()
-	dial := r.hostTransport.Load().DialContext
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer server.Close()
+	relay, addr := newCallingRelay(), server.Listener.Addr().String()
+	dial := relay.hostTransport.Load().DialContext
 	var conns []*deadlineRecorder
-	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
@@ -192,11 +192,11 @@
 		recorded.Conn = conns[len(conns)-1]
 		return recorded, nil
 	}
-	c := newSingleCall(addr, "x")
-	c.writeBy = time.Now().Add(time.Hour)
-	want(t, "outcome within the window", callOutcome(r, context.Background(), c), choice.Served)
-	want(t, "deadline of a repeat", *conns[0].last.Load(), c.writeBy)
-	want(t, "outcome of the next call", callOutcome(r, context.Background(), newSingleCall(addr, "x")), choice.Served)
+	call := newSingleCall(addr, "x")
+	call.writeBy = time.Now().Add(time.Hour)
+	want(t, "outcome within the window", callOutcome(relay, context.Background(), call), choice.Served)
+	want(t, "deadline of a repeat", *conns[0].last.Load(), call.writeBy)
+	want(t, "outcome of the next call", callOutcome(relay, context.Background(), newSingleCall(addr, "x")), choice.Served)
 	want(t, "connections", len(conns), 1)
 	want(t, "deadline of the next call", *conns[0].last.Load(), time.Time{})
 }
@@ -204,25 +204,25 @@
 // Guards against mixing up the ends of a call that nobody answers.
 func TestUnansweredCalls(t *testing.T) {
 	received := make(chan bool, 10)
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
 		received <- true
 		<-req.Context().Done()
 	}))
-	defer s.Close()
-	r := newCallingRelay()
-	c := newSingleCall(s.Listener.Addr().String(), "x")
-	c.timeout = 50 * time.Millisecond
-	if o := callOutcome(r, context.Background(), c); o != choice.Timeout {
+	defer server.Close()
+	relay := newCallingRelay()
+	call := newSingleCall(server.Listener.Addr().String(), "x")
+	call.timeout = 50 * time.Millisecond
+	if outcome := callOutcome(relay, context.Background(), call); outcome != choice.Timeout {
 		// A machine so busy that the request was not even written in time proves it never ran.
-		want(t, "outcome", o, choice.NoConnection)
+		want(t, "outcome", outcome, choice.NoConnection)
 	} else {
 		receive(t, received, "call")
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	c.timeout = time.Minute
+	call.timeout = time.Minute
 	go func() { <-received; cancel(errCancelled) }()
-	want(t, "outcome", callOutcome(r, ctx, c), choice.Cancelled)
+	want(t, "outcome", callOutcome(relay, ctx, call), choice.Cancelled)
 }
 
 func TestSingleResultByStatus(t *testing.T) {
@@ -238,7 +238,7 @@
 // Guards against hosts whose answers fill the memory: a head without end is no answer, but for what its first line says of
 // a single message.
 func TestResponseHeadSizeIsBounded(t *testing.T) {
-	for status, o := range map[int]choice.Outcome{200: choice.Served, 500: choice.Reset, 503: choice.Reset} {
+	for status, outcome := range map[int]choice.Outcome{200: choice.Served, 500: choice.Reset, 503: choice.Reset} {
 		var written atomic.Int64
 		addr := newRawHost(t, func(conn net.Conn) {
 			http.ReadRequest(bufio.NewReader(conn))
@@ -251,7 +251,7 @@
 				}
 			}
 		})
-		want(t, fmt.Sprint("outcome of ", status), callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), o)
+		want(t, fmt.Sprint("outcome of ", status), callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), outcome)
 		if n := written.Load(); n > 32<<20 {
 			t.Errorf("%d bytes were taken of a head", n)
 		}
@@ -261,71 +261,71 @@
 // Guards against a connection for each message.
 func TestConnectionsAreReused(t *testing.T) {
 	var conns atomic.Int32
-	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, strings.Repeat("x", 10000))
 	}))
-	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
+	server.Config.ConnState = func(_ net.Conn, st http.ConnState) {
 		if st == http.StateNew {
 			conns.Add(1)
 		}
 	}
-	s.Start()
-	defer s.Close()
-	r := newCallingRelay()
+	server.Start()
+	defer server.Close()
+	relay := newCallingRelay()
 	for range 5 {
-		want(t, "outcome", callOutcome(r, context.Background(), newSingleCall(s.Listener.Addr().String(), "x")), choice.Served)
+		want(t, "outcome", callOutcome(relay, context.Background(), newSingleCall(server.Listener.Addr().String(), "x")), choice.Served)
 	}
 	want(t, "connections", conns.Load(), 1)
 }
 
 func TestBatchCall(t *testing.T) {
 	bodies := make(chan string, 1)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		b, _ := io.ReadAll(req.Body)
 		bodies <- req.URL.Path + "\n" + string(b)
 		w.Header().Set("Retry-After", "0.5")
 		io.WriteString(w, "a ok\r\nb error\r\nc later\r\nd gone\r\ne exhausted\r\n")
 	}))
-	defer s.Close()
-	r := newCallingRelay()
-	r.startedAt, r.inbox = time.Now(), make(chan func(), 1)
-	r.callContext = context.Background()
-	c := &call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}}
+	defer server.Close()
+	relay := newCallingRelay()
+	relay.startedAt, relay.inbox = time.Now(), make(chan func(), 1)
+	relay.callContext = context.Background()
+	hostCall := &call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}}
 	ids := []string{"a", "b", "c", "d", "e", "f"}
 	for _, id := range ids {
-		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id, Key: strings.Repeat("k", len(c.members)), Body: []byte("\r\n" + id)},
+		hostCall.members = append(hostCall.members, &message{Entry: &journal.Entry{ID: id, Key: strings.Repeat("k", len(hostCall.members)), Body: []byte("\r\n" + id)},
 			due: time.Hour, over: true})
-		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
+		hostCall.sends = append(hostCall.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
-	r.startCall(c)
+	relay.startCall(hostCall)
 	want(t, "start of the request", strings.HasPrefix(receive(t, bodies, "call"), "/receive-many\na - 3\r\n\r\na\r\nb k 3\r\n"), true)
-	receive(t, r.inbox, "result")()
+	receive(t, relay.inbox, "result")()
 	var got []choice.Outcome
-	for _, e := range r.events {
+	for _, e := range relay.events {
 		got = append(got, e.(choice.Result).Outcome)
 		want(t, "wait", e.(choice.Result).Wait, 500*time.Millisecond)
 	}
 	if !slices.Equal(got, []choice.Outcome{choice.Served, choice.Error, choice.Refused, choice.NotSent, choice.NotSent, choice.Error}) {
 		t.Fatalf("outcomes %v", got)
 	}
-	want(t, "end of the fourth", r.events[3].(choice.Result).Done, true)
-	want(t, "end of the fifth", r.events[4].(choice.Result).Done, false)
+	want(t, "end of the fourth", relay.events[3].(choice.Result).Done, true)
+	want(t, "end of the fifth", relay.events[4].(choice.Result).Done, false)
 }
 
 // Guards against a wait that is forgotten because the rest of the answer that told it was cut off, and one
 // told to messages that are over by then: nothing may go there all the same.
 func TestRetryAfterOfTruncatedAnswerIsHonoured(t *testing.T) {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1000")
 		w.Header().Set("Content-Length", "100")
 		io.WriteString(w, "a ok\r\n") // and no more: the library breaks the connection
 	}))
-	defer s.Close()
-	r, c := newCallingRelay(), newSingleCall(s.Listener.Addr().String(), "x")
-	ends, told := r.exchange(context.Background(), c, []string{"a", "b"})
+	defer server.Close()
+	relay, call := newCallingRelay(), newSingleCall(server.Listener.Addr().String(), "x")
+	ends, told := relay.exchange(context.Background(), call, []string{"a", "b"})
 	want(t, "outcome", ends[0].outcome, choice.Reset)
 	want(t, "wait", told.retryAfter, 1000*time.Second)
-	ends, told = r.exchange(context.Background(), c, []string{"c"})
+	ends, told = relay.exchange(context.Background(), call, []string{"c"})
 	want(t, "outcome of the next call", ends[0].outcome, choice.NotSent)
 	if told.retryAfter <= 0 || told.retryAfter > 1000*time.Second {
 		t.Errorf("the decisions hear of %v to wait, want what is left of 1000s", told.retryAfter)
@@ -336,18 +336,18 @@
 func TestLoadReportReachesChooser(t *testing.T) {
 	for text, want := range map[string][]float64{`{"x0":0.4,"x1":25}`: {25, 0.4}, `{"x1":3,"other":1}`: {3, 0},
 		"": nil, "{": nil, `{"x1":"many"}`: nil, "[1]": nil} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Load", text)
 		}))
-		r := newCallingRelay()
-		r.settings.Store(&standing{Settings: settings.Settings{ReportFields: []string{"x1", "x0"}}})
-		r.callContext, r.inbox = context.Background(), make(chan func(), 1)
-		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Hour, over: true}
-		r.startCall(&call{host: &host{addr: s.Listener.Addr().String(), wait: &hostWait{}}, members: []*message{m},
+		relay := newCallingRelay()
+		relay.settings.Store(&standing{Settings: settings.Settings{ReportFields: []string{"x1", "x0"}}})
+		relay.callContext, relay.inbox = context.Background(), make(chan func(), 1)
+		msg := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Hour, over: true}
+		relay.startCall(&call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}, members: []*message{msg},
 			sends: []choice.Send{{ID: "m1", Timeout: 20 * time.Second}}})
-		(<-r.inbox)()
-		s.Close()
-		if got := r.events[0].(choice.Result).Report; !slices.Equal(got, want) {
+		(<-relay.inbox)()
+		server.Close()
+		if got := relay.events[0].(choice.Result).Report; !slices.Equal(got, want) {
 			t.Errorf("report %q is %v, want %v", text, got, want)
 		}
 	}
@@ -355,23 +355,23 @@
 
 // Guards against a body over 64 KiB, which a host need not take: sends that do not fit one call go in another.
 func TestLargeMessagesDoNotShareACall(t *testing.T) {
-	r := newCallingRelay()
-	r.startedAt, r.inbox, r.callContext = time.Now(), make(chan func(), 10), context.Background()
-	r.journal = openJournal(t)
-	h := &host{id: "s-1", addr: "127.0.0.1:1", dest: 7, maxPerCall: 5, wait: &hostWait{}}
-	r.hosts, r.held = map[string]*host{"s-1": h}, map[string]*message{}
+	relay := newCallingRelay()
+	relay.startedAt, relay.inbox, relay.callContext = time.Now(), make(chan func(), 10), context.Background()
+	relay.journal = openJournal(t)
+	endpoint := &host{id: "s-1", addr: "127.0.0.1:1", dest: 7, maxPerCall: 5, wait: &hostWait{}}
+	relay.hosts, relay.held = map[string]*host{"s-1": endpoint}, map[string]*message{}
 	var sends []choice.Send
 	for i, size := range []int{maxBody, maxBody / 2, 10} {
 		id := fmt.Sprint("m", i)
-		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: make([]byte, size)}}); err != nil {
+		if err := relay.journal.Append(journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: make([]byte, size)}}); err != nil {
 			t.Fatal(err)
 		}
-		r.held[id] = &message{Entry: r.journal.Entry(id), due: time.Hour}
+		relay.held[id] = &message{Entry: relay.journal.Entry(id), due: time.Hour}
 		sends = append(sends, choice.Send{ID: id, Host: "s-1", Timeout: time.Minute})
 	}
-	r.dispatch(sends)
-	want(t, "calls", r.callsInFlight, 2)
-	want(t, "messages in the second", len(r.held["m1"].call.members), 2)
+	relay.dispatch(sends)
+	want(t, "calls", relay.callsInFlight, 2)
+	want(t, "messages in the second", len(relay.held["m1"].call.members), 2)
 }
 
 // Guards against taking a message for safe to repeat that a garbled answer says nothing sure of.
@@ -395,20 +395,20 @@
 
 // Guards against a relay that its partners cannot know by its address on a machine that has several.
 func TestConnectionsUseSourceAddress(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	const source = "127.0.7.7"
 	for range 2 { // a source serves more than one connection
 		d := dialer(net.ParseIP(source), time.Second)
-		c, err := d.DialContext(t.Context(), "tcp4", l.Addr().String())
+		conn, err := d.DialContext(t.Context(), "tcp4", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		from, err := l.Accept()
+		defer conn.Close()
+		from, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -26,9 +26,9 @@
 
 // readHead reads a head as far as its empty line, and returns its first line's second word and the length
 // of the body that follows.
-func readHead(in *bufio.Reader) (word string, length int, err error) {
+func readHead(reader *bufio.Reader) (word string, length int, err error) {
 	for first := true; ; first = false {
-		line, err := in.ReadSlice('\n')
+		line, err := reader.ReadSlice('\n')
 		if err != nil {
 			return word, length, err
 		}
@@ -49,17 +49,17 @@
 // leanHost answers each call at once: 200, and ok for each message of one with several.
 func newLeanHost(tb testing.TB) string {
 	return newRawHost(tb, func(conn net.Conn) {
-		in := bufio.NewReaderSize(conn, 64<<10)
+		reader := bufio.NewReaderSize(conn, 64<<10)
 		single := []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		for {
-			path, length, err := readHead(in)
+			path, length, err := readHead(reader)
 			if err != nil {
 				return
 			}
 			answer := single
 			if path == "/receive-many" {
 				body := make([]byte, length)
-				if _, err := io.ReadFull(in, body); err != nil {
+				if _, err := io.ReadFull(reader, body); err != nil {
 					return
 				}
 				var ends strings.Builder
@@ -69,7 +69,7 @@
 					}
 				}
 				answer = fmt.Appendf(nil, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", ends.Len(), ends.String())
-			} else if _, err := in.Discard(length); err != nil {
+			} else if _, err := reader.Discard(length); err != nil {
 				return
 			}
 			if _, err := conn.Write(answer); err != nil {
@@ -96,19 +96,19 @@
 	log := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
 	tb.Cleanup(func() { slog.SetDefault(log) })
-	p := newFakePlatform(tb, append(more, testEndpoint("s-1", newLeanHost(tb), "taller"))...)
-	r := startRelay(tb, p, func(c *Config) {
-		c.DiskMB, c.Settings.MaxHeld = 4096, 0 // no compaction comes between
+	platform := newFakePlatform(tb, append(more, testEndpoint("s-1", newLeanHost(tb), "taller"))...)
+	relay := startRelay(tb, platform, func(config *Config) {
+		config.DiskMB, config.Settings.MaxHeld = 4096, 0 // no compaction comes between
 		if change != nil {
-			change(c)
+			change(config)
 		}
 	})
-	conn, err := net.Dial("tcp", r.Addr())
+	conn, err := net.Dial("tcp", relay.Addr())
 	if err != nil {
 		tb.Fatal(err)
 	}
 	tb.Cleanup(func() { conn.Close() })
-	return &costRig{tb: tb, r: r, conn: conn, in: bufio.NewReader(conn), body: bytes.Repeat([]byte("x"), bodySize)}
+	return &costRig{tb: tb, r: relay, conn: conn, in: bufio.NewReader(conn), body: bytes.Repeat([]byte("x"), bodySize)}
 }
 
 // hand posts one message and returns the status of its answer.
@@ -175,28 +175,28 @@
 
 // processorTime is what this process has used.
 func processorTime(tb testing.TB) time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+	var usage syscall.Rusage
+	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		tb.Fatal(err)
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
 // measure runs a benchmark's loop, and reports processor time and bytes of the journal for each message.
-func measure(b *testing.B, c *costRig, messages int, each func()) {
+func measure(b *testing.B, rig *costRig, messages int, each func()) {
 	for range 50 { // connections and buffers are there
 		each()
 	}
 	b.ReportAllocs()
-	c.settle()
-	before, journal := processorTime(b), c.journalSize()
+	rig.settle()
+	before, journal := processorTime(b), rig.journalSize()
 	for b.Loop() {
 		each()
 	}
-	c.settle()
+	rig.settle()
 	n := float64(b.N * messages)
 	b.ReportMetric(float64(processorTime(b)-before)/n, "cpu-ns/msg")
-	b.ReportMetric(float64(c.journalSize()-journal)/n, "journal-B/msg")
+	b.ReportMetric(float64(rig.journalSize()-journal)/n, "journal-B/msg")
 }
 
 // BenchmarkMessage is the whole path on loopback: taken, recorded, sent, answered, ended.
@@ -234,38 +234,38 @@
 // BenchmarkRestore is what a start takes to take up what the process before it held.
 func BenchmarkRestore(b *testing.B) {
 	dir := b.TempDir()
-	j, err := journal.Open(dir, 64e6)
+	records, err := journal.Open(dir, 64e6)
 	if err != nil {
 		b.Fatal(err)
 	}
 	terms := &choice.Terms{Class: choice.Class{Name: "job-order", Aim: 2 * time.Second, Deadline: 16 * time.Second, Worth: 1,
 		LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 15 * time.Second}, Attempts: 6}
 	for i := range 500 {
-		e := &journal.Entry{ID: fmt.Sprintf("9b1f03aa5c7e%08d", i), Class: "job-order", Dest: 7, Tenant: "acme", Key: fmt.Sprintf("5c0f%08d", i),
+		entry := &journal.Entry{ID: fmt.Sprintf("9b1f03aa5c7e%08d", i), Class: "job-order", Dest: 7, Tenant: "acme", Key: fmt.Sprintf("5c0f%08d", i),
 			Due: time.Now().Add(time.Hour).UnixMilli(), Body: bytes.Repeat([]byte("x"), 200), Terms: terms}
-		if err := j.Append(journal.Record{Op: journal.OpTaken, Entry: e}, journal.Record{Op: journal.OpTry, ID: e.ID, At: 1, Wait: 2000}); err != nil {
+		if err := records.Append(journal.Record{Op: journal.OpTaken, Entry: entry}, journal.Record{Op: journal.OpTry, ID: entry.ID, At: 1, Wait: 2000}); err != nil {
 			b.Fatal(err)
 		}
 	}
-	j.Close()
+	records.Close()
 	b.ReportAllocs()
 	for b.Loop() {
-		j, err := journal.Open(dir, 64e6)
-		if err != nil || j.Len() != 500 {
-			b.Fatal(j.Len(), err)
+		records, err := journal.Open(dir, 64e6)
+		if err != nil || records.Len() != 500 {
+			b.Fatal(records.Len(), err)
 		}
-		j.Close()
+		records.Close()
 	}
 }
 
 // heldBytes is what is on the heap and on stacks once all garbage is gone.
 func retainedBytes() float64 {
-	var m runtime.MemStats
+	var stats runtime.MemStats
 	for range 3 { // pools are emptied by the second collection
 		runtime.GC()
 	}
-	runtime.ReadMemStats(&m)
-	return float64(m.HeapAlloc + m.StackInuse)
+	runtime.ReadMemStats(&stats)
+	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
 func countDescriptors(tb testing.TB) int {
@@ -321,23 +321,23 @@
 
 // longList is a list of so many endpoints.
 func longList(n int) discovery.List {
-	l := discovery.List{Version: 9, Full: true}
+	list := discovery.List{Version: 9, Full: true}
 	for i := range n {
-		l.Servers = append(l.Servers, discovery.Server{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1024+i%60000), Zone: "taller",
+		list.Servers = append(list.Servers, discovery.Server{ID: fmt.Sprintf("s-%08x", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1024+i%60000), Zone: "taller",
 			Kind: "customer-system", Cell: 100 + i/2, State: "active", Weight: 10})
 	}
-	return l
+	return list
 }
 
 // BenchmarkHeld is what a relay holds for each open message, idle client and known endpoint. The stand-in's
 // side of a client's connection is in the same process and counted with it.
 func BenchmarkHeld(b *testing.B) {
-	report := func(b *testing.B, n int, what func(c *costRig, n int) func()) {
-		c := newCostRig(b, 200, drainingEndpoint)
-		c.addPending(20)
+	report := func(b *testing.B, n int, what func(rig *costRig, n int) func()) {
+		rig := newCostRig(b, 200, drainingEndpoint)
+		rig.addPending(20)
 		var end func()
 		fds := countDescriptors(b)
-		held := retainedPer(b, n, func() { end = what(c, n) })
+		held := retainedPer(b, n, func() { end = what(rig, n) })
 		fds = countDescriptors(b) - fds
 		if end != nil {
 			end()
@@ -349,16 +349,16 @@
 		b.ReportMetric(0, "ns/op")
 	}
 	b.Run("message", func(b *testing.B) {
-		report(b, 500, func(c *costRig, n int) func() { c.addPending(n); return nil })
+		report(b, 500, func(rig *costRig, n int) func() { rig.addPending(n); return nil })
 	})
 	b.Run("client", func(b *testing.B) {
-		report(b, 200, func(c *costRig, n int) func() { return c.connectClients(n) })
+		report(b, 200, func(rig *costRig, n int) func() { return rig.connectClients(n) })
 	})
 	b.Run("endpoint", func(b *testing.B) {
-		report(b, 2000, func(c *costRig, n int) func() {
-			l, done := longList(n), make(chan struct{})
-			c.r.post(func() { c.r.applyList(l) })
-			c.r.post(func() { close(done) })
+		report(b, 2000, func(rig *costRig, n int) func() {
+			list, done := longList(n), make(chan struct{})
+			rig.r.post(func() { rig.r.applyList(list) })
+			rig.r.post(func() { close(done) })
 			<-done
 			return nil
 		})
@@ -368,31 +368,31 @@
 // Guards against a message that costs more allocations or bytes of the journal, or connections of its own. The
 // bound on allocations is a third over the 142 that were counted: the race detector adds 25.
 func TestCostOfAMessage(t *testing.T) {
-	c := newCostRig(t, 200, nil)
+	rig := newCostRig(t, 200, nil)
 	for range 128 { // connections and buffers are there
-		c.serve()
+		rig.serve()
 	}
-	journal := c.journalSize()
+	journal := rig.journalSize()
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	const messages = 512
 	for range messages {
-		c.serve()
+		rig.serve()
 	}
-	c.settle()
+	rig.settle()
 	runtime.ReadMemStats(&after)
 	if n := float64(after.Mallocs-before.Mallocs) / messages; n > 190 {
 		t.Errorf("a message takes %.1f allocations, want 190 at most", n)
 	}
-	if n := float64(c.journalSize()-journal) / messages; n > 820 {
+	if n := float64(rig.journalSize()-journal) / messages; n > 820 {
 		t.Errorf("a message takes %.1f bytes of the journal, want 820 at most", n)
 	}
 	// Messages that are out together have a connection each, and how many are depends on the machine. One
 	// after the other they share those there are: a call's connection is idle before its end is told.
 	fds := countDescriptors(t)
 	for range messages {
-		c.serve()
-		c.settle()
+		rig.serve()
+		rig.settle()
 	}
 	if n := countDescriptors(t) - fds; n > 0 {
 		t.Errorf("%d messages, one after the other on one connection, leave %d more descriptors", messages, n)
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -23,21 +23,21 @@
 }
 
 func newScriptedHost(t *testing.T, first func(w http.ResponseWriter)) *scriptedHost {
-	e := &scriptedHost{}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	host := &scriptedHost{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
-		e.mu.Lock()
-		e.calls++
-		n := e.calls
-		e.mu.Unlock()
+		host.mu.Lock()
+		host.calls++
+		n := host.calls
+		host.mu.Unlock()
 		if n == 1 {
 			first(w)
 		}
 	}))
-	s.Config.ErrorLog = nil
-	t.Cleanup(s.CloseClientConnections)
-	e.addr = s.Listener.Addr().String()
-	return e
+	server.Config.ErrorLog = nil
+	t.Cleanup(server.CloseClientConnections)
+	host.addr = server.Listener.Addr().String()
+	return host
 }
 
 func (e *scriptedHost) count() int {
@@ -54,12 +54,12 @@
 // attempt for one that may have run, sends again only what may be repeated, and ends each message exactly once.
 func TestDroppedOutcomeOfSingleCall(t *testing.T) {
 	closedAddr := func() string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
-		return l.Addr().String()
+		defer listener.Close()
+		return listener.Addr().String()
 	}
 	for kind, first := range map[string]func(http.ResponseWriter){
 		"served": answerStatus(200), "refused": answerStatus(503), "gone": answerStatus(410), "error": answerStatus(500), "no slot": answerStatus(504),
@@ -107,37 +107,37 @@
 }
 
 // dropOutcomes takes messages on, has them go out, and kills the relay with their outcomes ready and not taken in.
-func sendAndDropOutcomes(t *testing.T, p *fakePlatform, state, class string, ids ...string) {
+func sendAndDropOutcomes(t *testing.T, platform *fakePlatform, state, class string, ids ...string) {
 	t.Helper()
-	r := unserved(t, p, state)
+	relay := unserved(t, platform, state)
 	for _, id := range ids {
-		in := request(t, r, context.Background(), id, class, time.Minute)
-		r.take(in)
+		in := request(t, relay, context.Background(), id, class, time.Minute)
+		relay.take(in)
 		defer func() { want(t, "status", status(in), http.StatusAccepted) }()
 	}
-	r.step()
-	for len(r.events) > 0 {
-		r.step()
+	relay.step()
+	for len(relay.events) > 0 {
+		relay.step()
 	}
-	want(t, "calls out", r.callsInFlight, 1)
-	receive(t, r.inbox, "outcome") // and not run
-	r.stop()
-	r.journal.Close()
+	want(t, "calls out", relay.callsInFlight, 1)
+	receive(t, relay.inbox, "outcome") // and not run
+	relay.stop()
+	relay.journal.Close()
 }
 
 // endsOnce starts the next process, and wants each message delivered if it may be repeated, else ended by one notice.
 func wantEndedOnce(t *testing.T, server discovery.Server, state, class string, repeatable bool, ids ...string) {
 	t.Helper()
-	p := newFakePlatform(t, server)
-	r := startRelay(t, p, func(conf *Config) { conf.State = state })
+	platform := newFakePlatform(t, server)
+	relay := startRelay(t, platform, func(conf *Config) { conf.State = state })
 	for pending := -1; pending != 0; {
 		counts := make(chan int, 1)
-		r.post(func() { counts <- len(r.held) + r.owed + r.journal.Len() })
+		relay.post(func() { counts <- len(relay.held) + relay.owed + relay.journal.Len() })
 		pending = receive(t, counts, "count")
 	}
 	var ended []string
-	for len(p.notices) > 0 {
-		n := <-p.notices
+	for len(platform.notices) > 0 {
+		n := <-platform.notices
 		want(t, fmt.Sprint("status of ", class), n.Status, undeliverable)
 		ended = append(ended, n.ID)
 	}
--- a/internal/relay/due_notices.go
+++ b/internal/relay/due_notices.go
@@ -41,11 +41,11 @@
 	now := r.now()
 	for _, uncommitted := range r.copies.uncounted {
 		var due []notice
-		uncommitted.notices = slices.DeleteFunc(uncommitted.notices, func(n notice) bool {
-			if n.due > now {
+		uncommitted.notices = slices.DeleteFunc(uncommitted.notices, func(queued notice) bool {
+			if queued.due > now {
 				return false
 			}
-			due = append(due, n)
+			due = append(due, queued)
 			return true
 		})
 		if len(due) > 0 {
--- a/internal/relay/hostconn_test.go
+++ b/internal/relay/hostconn_test.go
@@ -20,14 +20,14 @@
 
 // bareHost has each connection served by a function, until the test ends.
 func newRawHost(tb testing.TB, serve func(net.Conn)) (addr string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { l.Close() })
+	tb.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -37,7 +37,7 @@
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
 // sayingHost answers each connection's first request with a text, and then ends it or says nothing more.
@@ -58,7 +58,7 @@
 // Guards against answers that stop short: what their first line says of a single message holds, a call of several
 // wants the whole of it, and none is waited for longer than the call's time.
 func TestTruncatedAnswers(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		text string
 		ends bool
 		ids  int
@@ -82,23 +82,23 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\na ok\r\nb ok\r\n", false, 2, choice.Served},
 		{"HTTP/1.1 503 Busy\r\nContent-Length: 12\r\n\r\nhalf", false, 2, choice.Refused},
 	} {
-		t.Run(fmt.Sprintf("%.60q ends %v, of %d", c.text, c.ends, c.ids), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%.60q ends %v, of %d", test.text, test.ends, test.ids), func(t *testing.T) {
 			t.Parallel()
-			call := newSingleCall(newScriptedAnswerHost(t, c.text, c.ends), "x")
-			if c.want == choice.Timeout {
+			call := newSingleCall(newScriptedAnswerHost(t, test.text, test.ends), "x")
+			if test.want == choice.Timeout {
 				call.timeout = 2 * time.Second
 			}
-			if c.want != choice.Timeout { // an outcome that waits for more than has to come never does
+			if test.want != choice.Timeout { // an outcome that waits for more than has to come never does
 				call.timeout = time.Hour
 			}
 			got := make(chan []memberResult, 1)
 			go func() {
-				ends, _ := newCallingRelay().exchange(context.Background(), call, []string{"a", "b"}[:c.ids])
+				ends, _ := newCallingRelay().exchange(context.Background(), call, []string{"a", "b"}[:test.ids])
 				got <- ends
 			}()
 			ends := receive(t, got, "outcome")
-			want(t, "ends", len(ends), c.ids)
-			want(t, "outcome", ends[0].outcome, c.want)
+			want(t, "ends", len(ends), test.ids)
+			want(t, "outcome", ends[0].outcome, test.want)
 		})
 	}
 }
@@ -107,24 +107,24 @@
 func TestUnsolicitedAnswerClosesConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := &hostConn{Conn: near}
+	conn := &hostConn{Conn: near}
 	request := newHostRequest([]byte("x"), func() {})
 	request.unread.Read(make([]byte, 2))
-	c.writing.Store(request)
+	conn.writing.Store(request)
 	go func() {
 		far.Read(make([]byte, 9))
 		io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
 		io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
 	}()
-	if _, err := c.Write([]byte("x")); err != nil {
+	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := c.Read(make([]byte, 19)); n != 19 || err != nil {
+	if n, err := conn.Read(make([]byte, 19)); n != 19 || err != nil {
 		t.Fatal(n, err)
 	}
 	want(t, "delivered", request.delivered.Load(), true)
-	c.unanswered.CompareAndSwap(request, nil)
-	if n, err := c.Read(make([]byte, 19)); n != 0 || !errors.Is(err, errUnsolicited) {
+	conn.unanswered.CompareAndSwap(request, nil)
+	if n, err := conn.Read(make([]byte, 19)); n != 0 || !errors.Is(err, errUnsolicited) {
 		t.Errorf("read %d bytes of a second answer, error %v", n, err)
 	}
 }
@@ -137,9 +137,9 @@
 		ask(t, conn, bufio.NewReader(conn), fmt.Sprint(i))
 	}
 	in.idles(t, 16)
-	r := &Relay{listener: in.peers}
+	relay := &Relay{listener: in.peers}
 	failures := 2
-	dial := r.roomy(func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := relay.roomy(func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if failures--; failures >= 0 {
 			return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
 		}
@@ -169,17 +169,17 @@
 		{syscall.ETIMEDOUT, 300 * time.Millisecond, choice.NoConnection},
 	} {
 		t.Run(fmt.Sprint(test.err, " for ", test.lasts), func(t *testing.T) {
-			s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-			defer s.Close()
-			r := newCallingRelay()
-			begin, dial := time.Now(), r.hostTransport.Load().DialContext
-			r.hostTransport.Load().DialContext = patient(func(ctx context.Context, network, addr string) (net.Conn, error) {
+			server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+			defer server.Close()
+			relay := newCallingRelay()
+			begin, dial := time.Now(), relay.hostTransport.Load().DialContext
+			relay.hostTransport.Load().DialContext = patient(func(ctx context.Context, network, addr string) (net.Conn, error) {
 				if time.Since(begin) < test.lasts {
 					return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", test.err)}
 				}
 				return dial(ctx, network, addr)
 			}, time.Second)
-			want(t, "outcome", callOutcome(r, context.Background(), newSingleCall(s.Listener.Addr().String(), "x")), test.want)
+			want(t, "outcome", callOutcome(relay, context.Background(), newSingleCall(server.Listener.Addr().String(), "x")), test.want)
 		})
 	}
 }
@@ -199,10 +199,10 @@
 // have run.
 func TestConnectionBreakDuringCallIsReset(t *testing.T) {
 	for _, err := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
-		s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-		r := newCallingRelay()
-		dial := r.hostTransport.Load().DialContext
-		r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+		relay := newCallingRelay()
+		dial := relay.hostTransport.Load().DialContext
+		relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, dialErr := dial(ctx, network, addr)
 			if dialErr != nil {
 				return nil, dialErr
@@ -211,8 +211,8 @@
 			host.Conn = &brokenConn{host.Conn, err}
 			return host, nil
 		}
-		want(t, err.Error(), callOutcome(r, context.Background(), newSingleCall(s.Listener.Addr().String(), "x")), choice.Reset)
-		s.Close()
+		want(t, err.Error(), callOutcome(relay, context.Background(), newSingleCall(server.Listener.Addr().String(), "x")), choice.Reset)
+		server.Close()
 	}
 }
 
@@ -221,8 +221,8 @@
 	for _, sockets := range []int{16, 64, 128, 256, 512, 1024, 4096} {
 		for _, workers := range []int{4, 27, 60} {
 			for _, admin := range []string{"", "x"} {
-				c := Config{Sockets: sockets, Admin: admin}
-				clients, kept := c.parts(workers)
+				config := Config{Sockets: sockets, Admin: admin}
+				clients, kept := config.parts(workers)
 				if clients < 2 || kept < 1 {
 					t.Errorf("%d sockets: %d clients, %d kept", sockets, clients, kept)
 				}
--- a/internal/relay/hostwrites_test.go
+++ b/internal/relay/hostwrites_test.go
@@ -46,10 +46,10 @@
 }
 
 // countWrites puts a writesCounted under each connection that a relay makes to an endpoint.
-func countWrites(r *Relay, blockAfterFirst bool) (count *atomic.Int32) {
+func countWrites(relay *Relay, blockAfterFirst bool) (count *atomic.Int32) {
 	count = new(atomic.Int32)
-	dial := r.hostTransport.Load().DialContext
-	r.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := relay.hostTransport.Load().DialContext
+	relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
@@ -70,14 +70,14 @@
 				http.ReadRequest(bufio.NewReader(conn))
 				fmt.Fprintf(conn, "HTTP/1.1 %d what\r\nX-Pad: %s\r\n\r\n", status, strings.Repeat("p", 64<<10))
 			})
-			r := newCallingRelay()
-			countWrites(r, true)
+			relay := newCallingRelay()
+			countWrites(relay, true)
 			expected := choice.Reset
 			if status == http.StatusOK {
 				expected = choice.Served // its first line says so of a single message
 			}
 			large := string(bytes.Repeat([]byte("x"), maxBody)) // in several writes
-			want(t, "outcome", callOutcome(r, context.Background(), newSingleCall(addr, large)), expected)
+			want(t, "outcome", callOutcome(relay, context.Background(), newSingleCall(addr, large)), expected)
 		})
 	}
 }
--- a/internal/relay/leasewrites_test.go
+++ b/internal/relay/leasewrites_test.go
@@ -42,7 +42,7 @@
 
 // relayThatDials starts a relay with one endpoint, whose connections are made by a function, and a channel of what the endpoint
 // reads first of each: a part of a request, or nothing as the connection ends.
-func startRelayWithDialer(t *testing.T, wrap func(net.Conn) net.Conn) (r *Relay, addr string, read chan string) {
+func startRelayWithDialer(t *testing.T, wrap func(net.Conn) net.Conn) (relay *Relay, addr string, read chan string) {
 	read = make(chan string, 10)
 	addr = newRawHost(t, func(conn net.Conn) {
 		first := make([]byte, 4)
@@ -50,17 +50,17 @@
 		read <- string(first[:n])
 		io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	})
-	r = startRelayWithoutDiscovery(t, testEndpoint("s-1", addr, "taller"))
-	set := r.settings.Load()
-	r.hostTransport.Store(newHostTransport(&set.Settings, 4, func(ctx context.Context, network, addr string) (net.Conn, error) {
+	relay = startRelayWithoutDiscovery(t, testEndpoint("s-1", addr, "taller"))
+	set := relay.settings.Load()
+	relay.hostTransport.Store(newHostTransport(&set.Settings, 4, func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
 		return wrap(conn), nil
 	}))
-	setLeaseExpiry(r, time.Now().Add(time.Hour))
-	return r, addr, read
+	setLeaseExpiry(relay, time.Now().Add(time.Hour))
+	return relay, addr, read
 }
 
 // Guards against a request that is written after the lease has ended, wherever its process is held up since the check: once the
@@ -78,7 +78,7 @@
 				})
 			}
 			written := make(chan time.Time, 10)
-			r, _, _ := startRelayWithDialer(t, func(conn net.Conn) net.Conn {
+			relay, _, _ := startRelayWithDialer(t, func(conn net.Conn) net.Conn {
 				stalled := &stalledConn{Conn: conn, beforeDeadline: nothing, beforeWrite: nothing, afterWrite: func() { written <- time.Now() }}
 				if place == "before the write" {
 					stalled.beforeDeadline = stall
@@ -87,7 +87,7 @@
 				}
 				return stalled
 			})
-			postMessage(t, r.Addr(), "m1", "payment")
+			postMessage(t, relay.Addr(), "m1", "payment")
 			select {
 			case <-reached:
 			case <-time.After(5 * time.Second):
@@ -95,7 +95,7 @@
 			}
 			ended := make(chan time.Time)
 			go func() {
-				r.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(-time.Hour)})
+				relay.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(-time.Hour)})
 				ended <- time.Now()
 			}()
 			var end time.Time
@@ -122,20 +122,20 @@
 // last lease goes by neither.
 func TestRenewedLeaseTakesEffectWithItsList(t *testing.T) {
 	dialed, connect := make(chan struct{}, 10), make(chan struct{})
-	r, addr, read := startRelayWithDialer(t, func(conn net.Conn) net.Conn {
+	relay, addr, read := startRelayWithDialer(t, func(conn net.Conn) net.Conn {
 		dialed <- struct{}{}
 		<-connect
 		return conn
 	})
-	postMessage(t, r.Addr(), "m1", "payment")
+	postMessage(t, relay.Addr(), "m1", "payment")
 	receive(t, dialed, "connection")
-	setLeaseExpiry(r, time.Now().Add(-time.Hour))
+	setLeaseExpiry(relay, time.Now().Add(-time.Hour))
 	apply := make(chan struct{})
-	r.post(func() { <-apply }) // the loop is held up
+	relay.post(func() { <-apply }) // the loop is held up
 	drains := testEndpoint("s-1", addr, "taller")
 	drains.State = "leaving"
-	r.post(func() { r.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{drains}}) })
-	r.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 2})
+	relay.post(func() { relay.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{drains}}) })
+	relay.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 2})
 	close(connect)
 	if first := receive(t, read, "end of the connection"); first != "" {
 		t.Errorf("the endpoint drains by the list that the lease is for, and got %q", first)
@@ -151,27 +151,27 @@
 		"damaged": func(path string) error { return os.WriteFile(path, []byte(`{"confirmed":17`), 0o644) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+			platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 			dir := t.TempDir()
-			before := startRelay(t, p, func(c *Config) { c.State = dir })
+			before := startRelay(t, platform, func(c *Config) { c.State = dir })
 			postMessage(t, before.Addr(), "m1", "payment")
 			receive(t, calls, "call").answer <- 200
 			before.stop()
 			<-before.loopEnded
-			p.mu.Lock()
-			p.refuseLists = true
-			p.mu.Unlock()
+			platform.mu.Lock()
+			platform.refuseLists = true
+			platform.mu.Unlock()
 			if err := damage(filepath.Join(dir, leaseFile)); err != nil {
 				t.Fatal(err)
 			}
-			r := startRelay(t, p, func(c *Config) { withAdmin(c); c.State = dir })
-			postMessage(t, r.Addr(), "m2", "payment")
+			relay := startRelay(t, platform, func(c *Config) { withAdmin(c); c.State = dir })
+			postMessage(t, relay.Addr(), "m2", "payment")
 			select {
 			case c := <-calls:
 				t.Fatalf("%s was sent", c.id)
 			case <-time.After(300 * time.Millisecond):
 			}
-			shows(t, r, "svc.list.expired=1", "svc.attempts=0")
+			shows(t, relay, "svc.list.expired=1", "svc.attempts=0")
 		})
 	}
 }
--- a/internal/relay/listlease_test.go
+++ b/internal/relay/listlease_test.go
@@ -16,29 +16,29 @@
 // relayWithoutNews starts a relay that works by the list of its configuration, and hears nothing of discovery.
 func startRelayWithoutDiscovery(t *testing.T, servers ...discovery.Server) *Relay {
 	t.Helper()
-	p := newFakePlatform(t, servers...)
-	conf, err := readTestConfig(t, testConfig(t, p), t.TempDir())
+	platform := newFakePlatform(t, servers...)
+	conf, err := readTestConfig(t, testConfig(t, platform), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	withAdmin(&conf)
-	r, err := New(conf)
+	relay, err := New(conf)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.listSource = silentSource{}
+	relay.listSource = silentSource{}
 	done := make(chan struct{})
-	go func() { r.Serve(); close(done) }()
-	t.Cleanup(func() { r.stop(); <-done })
-	shows(t, r, "svc.endpoints_known=1")
-	return r
+	go func() { relay.Serve(); close(done) }()
+	t.Cleanup(func() { relay.stop(); <-done })
+	shows(t, relay, "svc.endpoints_known=1")
+	return relay
 }
 
 // expire has a relay's list run out at a time, and returns once its loop knows.
-func setLeaseExpiry(r *Relay, at time.Time) {
-	r.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: at})
+func setLeaseExpiry(relay *Relay, at time.Time) {
+	relay.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: at})
 	done := make(chan struct{})
-	r.post(func() { close(done) })
+	relay.post(func() { close(done) })
 	<-done
 }
 
@@ -46,20 +46,20 @@
 // is renewed; they are taken on all the while.
 func TestNothingIsSentWithExpiredList(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelayWithoutDiscovery(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
-	setLeaseExpiry(r, time.Now().Add(-time.Hour))
-	if status, _ := postMessage(t, r.Addr(), "m1", "payment"); status != 202 {
+	relay := startRelayWithoutDiscovery(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	setLeaseExpiry(relay, time.Now().Add(-time.Hour))
+	if status, _ := postMessage(t, relay.Addr(), "m1", "payment"); status != 202 {
 		t.Errorf("a message is answered %d while the list has expired, want 202", status)
 	}
-	shows(t, r, "svc.list.expired=1", "svc.in_flight=1", "svc.attempts=0")
+	shows(t, relay, "svc.list.expired=1", "svc.in_flight=1", "svc.attempts=0")
 	select {
 	case c := <-calls:
 		t.Fatalf("%s was sent", c.id)
 	case <-time.After(100 * time.Millisecond):
 	}
-	setLeaseExpiry(r, time.Now().Add(time.Hour))
+	setLeaseExpiry(relay, time.Now().Add(time.Hour))
 	receive(t, calls, "call").answer <- 200
-	shows(t, r, "svc.list.expired=0", "svc.in_flight=0", "svc.attempts=1")
+	shows(t, relay, "svc.list.expired=0", "svc.in_flight=0", "svc.attempts=1")
 }
 
 // Guards against a lease that runs out unseen, for nothing else happens then.
@@ -83,22 +83,22 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan *receivedCall, 10)
-			p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
-			p.refuseLists = true
+			platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+			platform.refuseLists = true
 			dir := t.TempDir()
 			(&Relay{config: Config{State: dir}}).storeLease(test.before)
-			r := startRelay(t, p, func(c *Config) { withAdmin(c); c.State = dir; c.Known.Version = 1 })
-			postMessage(t, r.Addr(), "m1", "payment")
+			relay := startRelay(t, platform, func(c *Config) { withAdmin(c); c.State = dir; c.Known.Version = 1 })
+			postMessage(t, relay.Addr(), "m1", "payment")
 			if !test.expired {
 				receive(t, calls, "call").answer <- 200
 				return
 			}
-			shows(t, r, "svc.list.expired=1", "svc.attempts=0")
-			p.mu.Lock()
-			p.refuseLists = false
-			p.mu.Unlock()
+			shows(t, relay, "svc.list.expired=1", "svc.attempts=0")
+			platform.mu.Lock()
+			platform.refuseLists = false
+			platform.mu.Unlock()
 			receive(t, calls, "call").answer <- 200
-			shows(t, r, "svc.list.expired=0", "svc.attempts=1")
+			shows(t, relay, "svc.list.expired=0", "svc.attempts=1")
 		})
 	}
 }
--- a/internal/relay/notice_delivery.go
+++ b/internal/relay/notice_delivery.go
@@ -51,29 +51,29 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // attempts still running are given up
 	addr, valid := s.platform.Get()
-	d := &noticeDelivery{sender: s, batch: batch, addr: addr, ended: make(chan *noticeAttempt), nextTimer: time.NewTimer(noticeRetryInterval)}
-	defer d.nextTimer.Stop()
-	defer d.releaseHedge()
-	d.start(ctx)
+	delivery := &noticeDelivery{sender: s, batch: batch, addr: addr, ended: make(chan *noticeAttempt), nextTimer: time.NewTimer(noticeRetryInterval)}
+	defer delivery.nextTimer.Stop()
+	defer delivery.releaseHedge()
+	delivery.start(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-valid.Done(): // the platform has moved
-			d.cancelAll()
-			d.addr, valid = s.platform.Get()
-			d.restart(ctx)
-		case <-d.nextTimer.C:
-			if d.prepareAttempt() {
-				d.restart(ctx)
+			delivery.cancelAll()
+			delivery.addr, valid = s.platform.Get()
+			delivery.restart(ctx)
+		case <-delivery.nextTimer.C:
+			if delivery.prepareAttempt() {
+				delivery.restart(ctx)
 			} else {
-				d.scheduleNext(noticeRetryInterval)
+				delivery.scheduleNext(noticeRetryInterval)
 			}
-		case a := <-d.ended:
+		case a := <-delivery.ended:
 			if a.err == nil {
 				return nil
 			}
-			d.attemptFailed(a)
+			delivery.attemptFailed(a)
 		}
 	}
 }
@@ -87,13 +87,13 @@
 // start starts an attempt, and sets the time of the next one.
 func (d *noticeDelivery) start(ctx context.Context) {
 	attemptCtx, cancel := context.WithTimeout(ctx, noticeTimeout)
-	a, addr := &noticeAttempt{cancel: cancel}, d.addr
-	d.running = append(d.running, a)
+	attempt, addr := &noticeAttempt{cancel: cancel}, d.addr
+	d.running = append(d.running, attempt)
 	go func() {
 		defer cancel()
-		a.err = d.sender.post(attemptCtx, addr, d.batch.body)
+		attempt.err = d.sender.post(attemptCtx, addr, d.batch.body)
 		select {
-		case d.ended <- a:
+		case d.ended <- attempt:
 		case <-ctx.Done():
 		}
 	}()
@@ -148,8 +148,8 @@
 }
 
 // failed brings the next attempt forward after one that failed.
-func (d *noticeDelivery) attemptFailed(a *noticeAttempt) {
-	i := slices.Index(d.running, a)
+func (d *noticeDelivery) attemptFailed(attempt *noticeAttempt) {
+	i := slices.Index(d.running, attempt)
 	if i < 0 { // it was given up
 		return
 	}
@@ -159,7 +159,7 @@
 	if time.Now().Add(pause).Before(d.nextAt) {
 		d.scheduleNext(pause)
 	}
-	d.warn(a.err)
+	d.warn(attempt.err)
 }
 
 // warn counts a failure, and logs it if the count is a power of two: failures may last for long.
--- a/internal/relay/notice_sender.go
+++ b/internal/relay/notice_sender.go
@@ -43,13 +43,13 @@
 }
 
 func newNoticeSender(platform *discovery.At, dial dialFunc, onSending, onAccepted func([]notice)) *noticeSender {
-	s := &noticeSender{platform: platform, onSending: onSending, onAccepted: onAccepted, queued: make(chan struct{}, 1),
+	sender := &noticeSender{platform: platform, onSending: onSending, onAccepted: onAccepted, queued: make(chan struct{}, 1),
 		slots: make(chan struct{}, maxNoticeBatches), hedges: make(chan struct{}, maxNoticeHedges)}
-	s.transport = &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, MaxIdleConnsPerHost: 1,
+	sender.transport = &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, MaxIdleConnsPerHost: 1,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			return dial(attemptContext(ctx), network, addr)
 		}}
-	return s
+	return sender
 }
 
 // add queues notices. It waits for nobody's answer; what is queued is bounded by what the relay holds.
@@ -133,16 +133,16 @@
 	encoder := json.NewEncoder(&body)
 	var batch noticeBatch
 	removed := 0
-	for _, n := range s.queue[:min(len(s.queue), maxEventsPerStep)] {
-		if err := encoder.Encode(n); err != nil { // strings and numbers can be encoded; if not, the journal keeps it
-			slog.Error("notice not encoded", "id", n.ID, "err", err)
+	for _, notice := range s.queue[:min(len(s.queue), maxEventsPerStep)] {
+		if err := encoder.Encode(notice); err != nil { // strings and numbers can be encoded; if not, the journal keeps it
+			slog.Error("notice not encoded", "id", notice.ID, "err", err)
 			removed++
 			continue
 		}
 		if body.Len() > maxBody {
 			break
 		}
-		batch.notices, batch.body = append(batch.notices, n), body.Bytes()
+		batch.notices, batch.body = append(batch.notices, notice), body.Bytes()
 		removed++
 	}
 	if s.queue = s.queue[removed:]; len(s.queue) == 0 {
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -51,14 +51,14 @@
 
 // servedLate takes in that a message was delivered by a call that outlasted the message's own time. Its notice is withdrawn
 // if it has not gone out yet: a client that is told of a failure takes what was delivered for lost.
-func (r *Relay) servedLate(m *message) {
+func (r *Relay) servedLate(msg *message) {
 	if r.heir != nil {
 		return // its end is the next process's
 	}
-	m.served = true
-	if m.over && r.notices.withdraw(m.ID) {
+	msg.served = true
+	if msg.over && r.notices.withdraw(msg.ID) {
 		r.owed--
-		r.figures.ended(m.Class, servedEnd)
-		r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
+		r.figures.ended(msg.Class, servedEnd)
+		r.record(journal.Record{Op: journal.OpEnd, ID: msg.ID})
 	}
 }
--- a/internal/relay/notices_relay_test.go
+++ b/internal/relay/notices_relay_test.go
@@ -23,7 +23,7 @@
 )
 
 // inNoticeRig runs a test with the first platform in place.
-func inNoticeRig(t *testing.T, p *memoryPlatform, test func(*noticeRig)) {
+func inNoticeRig(t *testing.T, platform *memoryPlatform, test func(*noticeRig)) {
 	t.Helper()
 	conf, err := readTestConfig(t, testConfig(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))), t.TempDir())
 	if err != nil {
@@ -31,26 +31,26 @@
 	}
 	conf.Discovery = firstAddr
 	synctest.Test(t, func(t *testing.T) {
-		r, err := New(conf)
+		relay, err := New(conf)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &noticeRig{Relay: r, t: t, platforms: map[string]*memoryPlatform{}}
-		g.add(firstAddr, p)
+		rig := &noticeRig{Relay: relay, t: t, platforms: map[string]*memoryPlatform{}}
+		rig.add(firstAddr, platform)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		running.Go(r.loop)
-		r.notices = newNoticeSender(r.platformAddr, g.dial, r.noticesSending, r.noticesAccepted)
-		running.Go(func() { r.notices.run(ctx) })
+		running.Go(relay.loop)
+		relay.notices = newNoticeSender(relay.platformAddr, rig.dial, relay.noticesSending, relay.noticesAccepted)
+		running.Go(func() { relay.notices.run(ctx) })
 		defer func() {
-			r.stop()
+			relay.stop()
 			cancel()
 			running.Wait()
 			time.Sleep(time.Minute) // what a stand-in is about to answer has ended, too
-			r.tcp.Close()
-			r.journal.Close()
+			relay.tcp.Close()
+			relay.journal.Close()
 		}()
-		test(g)
+		test(rig)
 	})
 }
 
@@ -95,18 +95,18 @@
 }
 
 // takenBy checks that each id was taken by a time, and that nothing is owed soon after.
-func (g *noticeRig) wantAcceptedBy(p *memoryPlatform, limit time.Duration, ids ...string) {
+func (g *noticeRig) wantAcceptedBy(platform *memoryPlatform, limit time.Duration, ids ...string) {
 	g.t.Helper()
-	time.Sleep(limit - time.Since(p.startedAt))
+	time.Sleep(limit - time.Since(platform.startedAt))
 	synctest.Wait()
-	p.mu.Lock()
+	platform.mu.Lock()
 	for _, id := range ids {
-		if times := p.acceptedTimes[id]; len(times) == 0 {
+		if times := platform.acceptedTimes[id]; len(times) == 0 {
 			g.t.Errorf("notice of %.20s not taken after %v", id, limit)
 			break
 		}
 	}
-	p.mu.Unlock()
+	platform.mu.Unlock()
 	if n := g.pending(); n != 0 {
 		g.t.Errorf("%d notices owed, want 0", n)
 	}
--- a/internal/relay/notices_rig_test.go
+++ b/internal/relay/notices_rig_test.go
@@ -85,9 +85,9 @@
 func (p *memoryPlatform) serve(conn net.Conn, number int) {
 	defer p.connClosed()
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for post := 1; ; post++ {
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -146,10 +146,10 @@
 // idsIn are the ids of the notices in a body.
 func noticeIDs(body []byte) (ids []string) {
 	for lines := json.NewDecoder(bytes.NewReader(body)); ; {
-		var n notice
-		if lines.Decode(&n) != nil {
+		var queued notice
+		if lines.Decode(&queued) != nil {
 			return ids
 		}
-		ids = append(ids, n.ID)
+		ids = append(ids, queued.ID)
 	}
 }
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -22,19 +22,19 @@
 		"one answer is an error and late": {delay: 120 * time.Millisecond, status: http.StatusInternalServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &memoryPlatform{react: func(conn, post int, _ time.Duration) reaction {
+			platform := &memoryPlatform{react: func(conn, post int, _ time.Duration) reaction {
 				if conn == 1 && post > 1 {
 					return act
 				}
 				return reaction{}
 			}}
-			inNoticeRig(t, p, func(g *noticeRig) {
-				g.end("first")
+			inNoticeRig(t, platform, func(rig *noticeRig) {
+				rig.end("first")
 				time.Sleep(from)
-				g.end("second")
+				rig.end("second")
 				time.Sleep(time.Millisecond)
-				g.end("behind")
-				g.wantAcceptedBy(p, from+noticeDelayLimit, "first", "second", "behind")
+				rig.end("behind")
+				rig.wantAcceptedBy(platform, from+noticeDelayLimit, "first", "second", "behind")
 			})
 		})
 	}
@@ -53,13 +53,13 @@
 
 // Guards against batches that wait for each other where each answer takes a while.
 func TestNoticesWithSlowPlatform(t *testing.T) {
-	p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: 180 * time.Millisecond} }}
-	inNoticeRig(t, p, func(g *noticeRig) {
+	platform := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: 180 * time.Millisecond} }}
+	inNoticeRig(t, platform, func(rig *noticeRig) {
 		const notices, apart, limit = 100, 7 * time.Millisecond, 300 * time.Millisecond
-		ids := g.endSpaced(notices, apart)
-		g.wantAcceptedBy(p, notices*apart+limit, ids...)
+		ids := rig.endSpaced(notices, apart)
+		rig.wantAcceptedBy(platform, notices*apart+limit, ids...)
 		for i, id := range ids {
-			if times := p.acceptedTimes[id]; len(times) > 0 && times[0]-time.Duration(i)*apart > limit {
+			if times := platform.acceptedTimes[id]; len(times) > 0 && times[0]-time.Duration(i)*apart > limit {
 				t.Errorf("notice %d taken after %v", i, times[0]-time.Duration(i)*apart)
 			}
 		}
@@ -70,14 +70,14 @@
 // has taken what it has read.
 func TestNoticesDoNotWaitForSlowAnswers(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 950 * time.Millisecond} {
-		p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: slow} }}
-		inNoticeRig(t, p, func(g *noticeRig) {
+		platform := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: slow} }}
+		inNoticeRig(t, platform, func(rig *noticeRig) {
 			const notices, apart, limit = 300, 13 * time.Millisecond, 350 * time.Millisecond
-			ids := g.endSpaced(notices, apart)
-			g.wantAcceptedBy(p, notices*apart+limit+2*slow, ids...)
+			ids := rig.endSpaced(notices, apart)
+			rig.wantAcceptedBy(platform, notices*apart+limit+2*slow, ids...)
 			for i, id := range ids {
 				ended := time.Duration(i) * apart
-				if read, ok := p.readTimes[id]; !ok || read-ended > limit {
+				if read, ok := platform.readTimes[id]; !ok || read-ended > limit {
 					t.Errorf("answers after %v: notice %d read %v after it was queued", slow, i, read-ended)
 				}
 			}
@@ -89,7 +89,7 @@
 // without bound, and a loop that stands still, while it cannot.
 func TestNoticesAreSentOncePlatformRecovers(t *testing.T) {
 	const back = 30 * time.Second
-	for name, p := range map[string]*memoryPlatform{
+	for name, platform := range map[string]*memoryPlatform{
 		"errors": {react: func(_, _ int, now time.Duration) reaction {
 			if now < back {
 				return reaction{status: http.StatusInternalServerError}
@@ -100,26 +100,26 @@
 		"no connection": {dialable: func(now time.Duration) bool { return now >= back }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inNoticeRig(t, p, func(g *noticeRig) {
+			inNoticeRig(t, platform, func(rig *noticeRig) {
 				ids := makeIDs(2*maxPendingNotices + 1000)
 				before := runtime.NumGoroutine()
-				g.end(ids...)
+				rig.end(ids...)
 				for range 99 {
 					time.Sleep(back / 100)
 					synctest.Wait()
 					if n := runtime.NumGoroutine() - before; n > 100 {
 						t.Fatalf("%d more goroutines", n)
 					}
-					if n := p.openCount(); n > 9 {
+					if n := platform.openCount(); n > 9 {
 						t.Fatalf("%d connections, want 9 at most", n)
 					}
 				}
-				want(t, "notices owed meanwhile", g.pending(), len(ids))
-				g.wantAcceptedBy(p, back+noticeDelayLimit, ids...)
-				if p.maxOpenConns > 12 { // of each batch one may be on its way out
-					t.Errorf("%d connections at once, want 12 at most", p.maxOpenConns)
+				want(t, "notices owed meanwhile", rig.pending(), len(ids))
+				rig.wantAcceptedBy(platform, back+noticeDelayLimit, ids...)
+				if platform.maxOpenConns > 12 { // of each batch one may be on its way out
+					t.Errorf("%d connections at once, want 12 at most", platform.maxOpenConns)
 				}
-				t.Logf("%d connections, %d POSTs, %d connections at once", p.conns, p.posts, p.maxOpenConns)
+				t.Logf("%d connections, %d POSTs, %d connections at once", platform.conns, platform.posts, platform.maxOpenConns)
 			})
 		})
 	}
@@ -130,18 +130,18 @@
 	const moved = 500 * time.Millisecond
 	for name, act := range map[string]reaction{"silent": {silent: true}, "errors": {status: http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
-			p, next := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return act }}, &memoryPlatform{}
-			inNoticeRig(t, p, func(g *noticeRig) {
-				g.add(secondAddr, next)
-				g.end("under way")
+			platform, next := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return act }}, &memoryPlatform{}
+			inNoticeRig(t, platform, func(rig *noticeRig) {
+				rig.add(secondAddr, next)
+				rig.end("under way")
 				time.Sleep(moved)
-				g.end("behind")
-				g.post(func() { g.retune(fleet.File{Set: g.config.Settings}, secondAddr) })
-				g.wantAcceptedBy(next, moved, "under way", "behind")
-				posts := p.postCount()
+				rig.end("behind")
+				rig.post(func() { rig.retune(fleet.File{Set: rig.config.Settings}, secondAddr) })
+				rig.wantAcceptedBy(next, moved, "under way", "behind")
+				posts := platform.postCount()
 				time.Sleep(2 * time.Minute)
-				want(t, "POSTs to the old address", p.postCount()-posts, 0)
-				want(t, "connections open to the old address", p.openCount(), 0)
+				want(t, "POSTs to the old address", platform.postCount()-posts, 0)
+				want(t, "connections open to the old address", platform.openCount(), 0)
 			})
 		})
 	}
@@ -152,21 +152,21 @@
 func TestManyNoticesInOneTurn(t *testing.T) {
 	for name, pad := range map[string]string{"in service": "", "long": "-", "long, and longer in JSON": "<"} {
 		t.Run(name, func(t *testing.T) {
-			p := &memoryPlatform{}
-			inNoticeRig(t, p, func(g *noticeRig) {
+			platform := &memoryPlatform{}
+			inNoticeRig(t, platform, func(rig *noticeRig) {
 				ids := makeIDs(1000)
 				for i, id := range ids {
 					ids[i] = id + strings.Repeat(pad, maxName-len(id))
 				}
-				g.end(ids...)
-				g.wantAcceptedBy(p, time.Millisecond, ids...)
+				rig.end(ids...)
+				rig.wantAcceptedBy(platform, time.Millisecond, ids...)
 				for _, id := range ids {
-					want(t, "POSTs of a notice", len(p.acceptedTimes[id]), 1)
+					want(t, "POSTs of a notice", len(platform.acceptedTimes[id]), 1)
 				}
-				if p.longestBody > maxBody {
-					t.Errorf("a body has %d bytes, want %d at most", p.longestBody, maxBody)
+				if platform.longestBody > maxBody {
+					t.Errorf("a body has %d bytes, want %d at most", platform.longestBody, maxBody)
 				}
-				want(t, "connections", p.conns, 1)
+				want(t, "connections", platform.conns, 1)
 			})
 		})
 	}
@@ -174,25 +174,25 @@
 
 // Guards against a loop that waits for the sender of notices while that waits for the loop.
 func TestLoopAndSenderNeverWaitForEachOther(t *testing.T) {
-	p := &memoryPlatform{}
-	inNoticeRig(t, p, func(g *noticeRig) {
+	platform := &memoryPlatform{}
+	inNoticeRig(t, platform, func(rig *noticeRig) {
 		ids := makeIDs(4 * maxPendingNotices)
-		g.post(func() {
-			for range 4 * cap(g.inbox) { // what comes in keeps the inbox full
-				go g.post(func() {})
+		rig.post(func() {
+			for range 4 * cap(rig.inbox) { // what comes in keeps the inbox full
+				go rig.post(func() {})
 			}
-			for len(g.inbox) < cap(g.inbox) {
+			for len(rig.inbox) < cap(rig.inbox) {
 				runtime.Gosched()
 			}
 			for _, id := range ids {
-				g.owe(notice{ID: id, Status: undeliverable})
+				rig.owe(notice{ID: id, Status: undeliverable})
 			}
 		})
 		time.Sleep(time.Second)
-		if len(g.inbox) > 0 {
+		if len(rig.inbox) > 0 {
 			t.Error("the loop stands still")
 			return
 		}
-		g.wantAcceptedBy(p, time.Second, ids...)
+		rig.wantAcceptedBy(platform, time.Second, ids...)
 	})
 }
--- a/internal/relay/pausepoint_test.go
+++ b/internal/relay/pausepoint_test.go
@@ -87,9 +87,9 @@
 }
 
 // wantStatus reads an answer.
-func wantStatus(t *testing.T, what string, r *bufio.Reader, status int) {
+func wantStatus(t *testing.T, what string, reader *bufio.Reader, status int) {
 	t.Helper()
-	got, _, err := answered(r)
+	got, _, err := answered(reader)
 	if err != nil {
 		t.Fatalf("%s: %v, want an answer", what, err)
 	}
@@ -97,9 +97,9 @@
 }
 
 // wantEnd reads the end of a connection.
-func wantEOF(t *testing.T, what string, r *bufio.Reader) {
+func wantEOF(t *testing.T, what string, reader *bufio.Reader) {
 	t.Helper()
-	if b, err := r.ReadByte(); err != io.EOF {
+	if b, err := reader.ReadByte(); err != io.EOF {
 		t.Fatalf("%s: read %q and %v, want an end in order", what, b, err)
 	}
 }
@@ -113,14 +113,14 @@
 	} {
 		for first, behind := range map[string]string{"new connection": "", "one behind it": message7("behind")} {
 			t.Run(name+", "+first, func(t *testing.T) {
-				at := newConnPausePoints()
-				in := newIntakes(t, 1, at.wrap)
+				points := newConnPausePoints()
+				in := newIntakes(t, 1, points.wrap)
 				conn := in.dial(t)
-				at.dispatched.arm()
+				points.dispatched.arm()
 				io.WriteString(conn, message7("whole")+behind)
-				<-at.dispatched.reached
+				<-points.dispatched.reached
 				end(in)
-				close(at.dispatched.release)
+				close(points.dispatched.release)
 				r := bufio.NewReader(conn)
 				wantStatus(t, "answer", r, http.StatusServiceUnavailable)
 				wantEOF(t, "connection", r)
@@ -178,18 +178,18 @@
 		"room": func(in *intakes) { in.room() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			at := newConnPausePoints()
-			in := newIntakes(t, 1, at.wrap)
+			points := newConnPausePoints()
+			in := newIntakes(t, 1, points.wrap)
 			in.hold = make(chan struct{})
 			conn := in.dial(t)
 			io.WriteString(conn, message7("slow"))
 			<-in.came
 			end(in)
-			at.written.arm()
+			points.written.arm()
 			close(in.hold)
-			<-at.written.reached
+			<-points.written.reached
 			end(in)
-			close(at.written.release)
+			close(points.written.release)
 			wantStatus(t, "answer", bufio.NewReader(conn), http.StatusAccepted)
 		})
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -76,43 +76,43 @@
 }
 
 // New replays the journal and listens; Serve does the rest.
-func New(config Config) (r *Relay, err error) {
+func New(config Config) (relay *Relay, err error) {
 	settings := config.Settings
-	r = &Relay{config: config, platformAddr: discovery.NewAt(config.Discovery), startedAt: time.Now(), inbox: make(chan func(), 1024),
+	relay = &Relay{config: config, platformAddr: discovery.NewAt(config.Discovery), startedAt: time.Now(), inbox: make(chan func(), 1024),
 		books:        books{held: map[string]*message{}},
 		endpointList: endpointList{zoneNames: settings.Zones, hosts: map[string]*host{}, destWaits: map[int]*hostWait{}},
 		quit:         make(chan struct{}), loopEnded: make(chan struct{}), wakeTimer: time.NewTimer(time.Hour)}
 	maxClients, maxIdleHostConns := config.parts(settings.Workers)
-	r.hostTransport.Store(newHostTransport(&settings, maxIdleHostConns, r.dial(settings.DialTimeout)))
-	r.platformClient = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: r.dial(0)}}
-	r.notices = newNoticeSender(r.platformAddr, r.dial(noticeTimeout), r.noticesSending, r.noticesAccepted)
-	listSource := &discovery.Platform{Client: r.platformClient, At: r.platformAddr, Seed: config.Seed, Known: config.Known.Full, Version: config.Known.Version,
-		Renewed: r.leaseRenewed,
+	relay.hostTransport.Store(newHostTransport(&settings, maxIdleHostConns, relay.dial(settings.DialTimeout)))
+	relay.platformClient = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: relay.dial(0)}}
+	relay.notices = newNoticeSender(relay.platformAddr, relay.dial(noticeTimeout), relay.noticesSending, relay.noticesAccepted)
+	listSource := &discovery.Platform{Client: relay.platformClient, At: relay.platformAddr, Seed: config.Seed, Known: config.Known.Full, Version: config.Known.Version,
+		Renewed: relay.leaseRenewed,
 		Fleet: func() discovery.Fleet {
-			settings := r.settings.Load()
+			settings := relay.settings.Load()
 			return discovery.Fleet{Size: settings.Fleet, AskWithin: settings.AskWithin}
 		}}
-	r.listSource = listSource
-	r.callContext, r.cancelCalls = context.WithCancelCause(context.Background())
-	r.settings.Store((&standing{}).succeed(settings, 0))
+	relay.listSource = listSource
+	relay.callContext, relay.cancelCalls = context.WithCancelCause(context.Background())
+	relay.settings.Store((&standing{}).succeed(settings, 0))
 	for _, class := range settings.Classes {
-		r.figures.declare(class.Name)
+		relay.figures.declare(class.Name)
 	}
 	if config.Admin != "" {
-		if err := r.listenAdmin(config.Admin); err != nil {
+		if err := relay.listenAdmin(config.Admin); err != nil {
 			return nil, err
 		}
-		admin := r.admin
+		admin := relay.admin
 		defer func() {
 			if err != nil {
 				admin.Close()
 			}
 		}()
 	}
-	if err := r.listen(); err != nil {
+	if err := relay.listen(); err != nil {
 		return nil, err
 	}
-	tcp, handover := r.tcp, r.heritage
+	tcp, handover := relay.tcp, relay.heritage
 	defer func() {
 		if err != nil {
 			tcp.Close()
@@ -121,67 +121,67 @@
 			}
 		}
 	}()
-	if r.chooser, err = choice.New(settings.Settings, config.Seed); err != nil {
+	if relay.chooser, err = choice.New(settings.Settings, config.Seed); err != nil {
 		return nil, err
 	}
 	if err := steady.Anchor(config.State); err != nil {
 		slog.Warn("no steady time across restarts", "err", err, "remedy", remedy.Of(err))
 	}
 	version := config.Known.Version
-	if r.heritage != nil {
-		version = r.heritage.Version
+	if relay.heritage != nil {
+		version = relay.heritage.Version
 	}
 	if listSource.Before = loadLease(config.State, version); listSource.Before != nil {
-		r.setSendUntil(*listSource.Before)
+		relay.setSendUntil(*listSource.Before)
 	}
-	if r.journal, err = journal.Open(config.State, config.journalBytes()); err != nil {
+	if relay.journal, err = journal.Open(config.State, config.journalBytes()); err != nil {
 		return nil, err
 	}
-	if err = r.openBacklog(); err != nil {
+	if err = relay.openBacklog(); err != nil {
 		return nil, err
 	}
-	overflow := r.overflow
+	overflow := relay.overflow
 	defer func() {
 		if err != nil {
 			overflow.shut()
 		}
 	}()
 	if config.Fleet != nil {
-		r.fleetConfig = fleet.Open(config.State, newInstanceID(), fleet.File{Raw: config.settings, Set: settings})
-		r.refreshAgreed()
-		if r.copies = newCopying(config.Fleet); r.copies != nil {
-			if r.heritage != nil {
-				r.copies.adopted = r.heritage.Writer
+		relay.fleetConfig = fleet.Open(config.State, newInstanceID(), fleet.File{Raw: config.settings, Set: settings})
+		relay.refreshAgreed()
+		if relay.copies = newCopying(config.Fleet); relay.copies != nil {
+			if relay.heritage != nil {
+				relay.copies.adopted = relay.heritage.Writer
 			}
-			r.newOwner()
+			relay.newOwner()
 		}
 	}
-	r.listener = newPeers(r.tcp, maxClients)
-	r.listener.lack = func() { r.hostTransport.Load().CloseIdleConnections() }
-	r.listener.snapshot = func() any { return r.snapshot() }
-	r.server = newServer(r.handler(), r.listener)
-	if handover := r.heritage; handover != nil {
+	relay.listener = newPeers(relay.tcp, maxClients)
+	relay.listener.lack = func() { relay.hostTransport.Load().CloseIdleConnections() }
+	relay.listener.snapshot = func() any { return relay.snapshot() }
+	relay.server = newServer(relay.handler(), relay.listener)
+	if handover := relay.heritage; handover != nil {
 		// Until the other process has ended the limit on sockets is for both.
-		r.listener.allow(max(maxClients/4, maxClients-handover.Peers))
-		r.applyList(discovery.List{Version: handover.Version, Full: true, Servers: append(handover.Servers, handover.Gone...)})
-		r.adopt(handover)
-		if r.copies != nil {
-			r.adoptEstates(handover.Writer)
+		relay.listener.allow(max(maxClients/4, maxClients-handover.Peers))
+		relay.applyList(discovery.List{Version: handover.Version, Full: true, Servers: append(handover.Servers, handover.Gone...)})
+		relay.adopt(handover)
+		if relay.copies != nil {
+			relay.adoptEstates(handover.Writer)
 		}
-		r.resumeLease(listSource.Before)
-		r.restore()
+		relay.resumeLease(listSource.Before)
+		relay.restore()
 		for i := range handover.Gone {
 			handover.Gone[i].State = "left"
 		}
-		r.applyList(discovery.List{Version: handover.Version, Servers: handover.Gone})
-		return r, handover.accept()
+		relay.applyList(discovery.List{Version: handover.Version, Servers: handover.Gone})
+		return relay, handover.accept()
 	}
 	if config.Known.Full || len(config.Known.Servers) > 0 {
-		r.applyList(config.Known)
+		relay.applyList(config.Known)
 	}
-	r.resumeLease(listSource.Before)
-	r.restore()
-	return r, nil
+	relay.resumeLease(listSource.Before)
+	relay.restore()
+	return relay, nil
 }
 
 // listen takes the clients' address from the process that runs as this relay, if there is one.
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -48,11 +48,11 @@
 }
 
 func newFakePlatform(t testing.TB, servers ...discovery.Server) *fakePlatform {
-	p := &fakePlatform{list: discovery.List{Version: 1, Full: true, Servers: servers}, changed: make(chan struct{}), queries: make(chan string, 100),
+	platform := &fakePlatform{list: discovery.List{Version: 1, Full: true, Servers: servers}, changed: make(chan struct{}), queries: make(chan string, 100),
 		notices: make(chan notice, 100)}
-	p.Server = httptest.NewServer(http.HandlerFunc(p.serve))
-	t.Cleanup(p.CloseClientConnections)
-	return p
+	platform.Server = httptest.NewServer(http.HandlerFunc(platform.serve))
+	t.Cleanup(platform.CloseClientConnections)
+	return platform
 }
 
 func (p *fakePlatform) serve(w http.ResponseWriter, req *http.Request) {
@@ -68,11 +68,11 @@
 			return
 		}
 		for dec := json.NewDecoder(req.Body); ; {
-			var n notice
-			if dec.Decode(&n) != nil {
+			var queued notice
+			if dec.Decode(&queued) != nil {
 				break
 			}
-			p.notices <- n
+			p.notices <- queued
 		}
 		w.WriteHeader(http.StatusNoContent)
 		return
@@ -120,13 +120,13 @@
 
 // fakeHost hands each call to the test and answers what the test says.
 func newFakeHost(t *testing.T, name string, calls chan *receivedCall) string {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
-		c := &receivedCall{name, req.Header.Get("X-Request-Id"), req.Header.Get("Idempotency-Key"), string(body), time.Now(),
+		call := &receivedCall{name, req.Header.Get("X-Request-Id"), req.Header.Get("Idempotency-Key"), string(body), time.Now(),
 			make(chan int, 1)}
-		calls <- c
+		calls <- call
 		select {
-		case status := <-c.answer:
+		case status := <-call.answer:
 			if status == 429 {
 				w.Header().Set("Retry-After", "0.3")
 			}
@@ -134,20 +134,20 @@
 		case <-req.Context().Done():
 		}
 	}))
-	t.Cleanup(s.CloseClientConnections)
-	return s.Listener.Addr().String()
+	t.Cleanup(server.CloseClientConnections)
+	return server.Listener.Addr().String()
 }
 
-func testConfig(t testing.TB, p *fakePlatform) []byte {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	known, err := json.Marshal(p.list)
+func testConfig(t testing.TB, platform *fakePlatform) []byte {
+	platform.mu.Lock()
+	defer platform.mu.Unlock()
+	known, err := json.Marshal(platform.list)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964",
 		"limits":{"cores":1,"memory_mb":192,"sockets":1024,"disk_mb":3},"known":%s,"settings":%s}`,
-		p.addr(), known, testSettings)
+		platform.addr(), known, testSettings)
 }
 
 func readTestConfig(t testing.TB, data []byte, state string) (Config, error) {
@@ -159,23 +159,23 @@
 	return ReadConfig(func(name string) string { return env[name] })
 }
 
-func startRelay(t testing.TB, p *fakePlatform, configure func(*Config)) *Relay {
+func startRelay(t testing.TB, platform *fakePlatform, configure func(*Config)) *Relay {
 	t.Helper()
-	conf, err := readTestConfig(t, testConfig(t, p), t.TempDir())
+	conf, err := readTestConfig(t, testConfig(t, platform), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if configure != nil {
 		configure(&conf)
 	}
-	r, err := New(conf)
+	relay, err := New(conf)
 	if err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
-	go func() { r.Serve(); close(done) }()
-	t.Cleanup(func() { r.stop(); <-done })
-	return r
+	go func() { relay.Serve(); close(done) }()
+	t.Cleanup(func() { relay.stop(); <-done })
+	return relay
 }
 
 // hand posts one message and returns status and Retry-After.
@@ -222,47 +222,47 @@
 
 func TestMessageIsDeliveredUnchanged(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
-	status, _ := postMessage(t, r.Addr(), "m1", "job-order", "X-Retry", "again")
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	status, _ := postMessage(t, relay.Addr(), "m1", "job-order", "X-Retry", "again")
 	want(t, "status", status, 202)
-	c := receive(t, calls, "call")
-	want(t, "id", c.id, "m1")
-	want(t, "key", c.key, "key-m1")
-	want(t, "body", c.body, "body of m1")
-	c.answer <- 200
+	call := receive(t, calls, "call")
+	want(t, "id", call.id, "m1")
+	want(t, "key", call.key, "key-m1")
+	want(t, "body", call.body, "body of m1")
+	call.answer <- 200
 }
 
 // Guards against a second delivery when a client repeats an id after its connection broke.
 func TestRepeatedIDIsAcceptedOnce(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	for range 2 {
-		status, _ := postMessage(t, r.Addr(), "m1", "payment")
+		status, _ := postMessage(t, relay.Addr(), "m1", "payment")
 		want(t, "status", status, 202)
 	}
 	receive(t, calls, "call").answer <- 200
-	status, _ := postMessage(t, r.Addr(), "m2", "payment")
+	status, _ := postMessage(t, relay.Addr(), "m2", "payment")
 	want(t, "status", status, 202)
-	c := receive(t, calls, "call")
-	want(t, "id of the next call", c.id, "m2")
-	c.answer <- 200
-	status, _ = postMessage(t, r.Addr(), "m1", "payment") // by now over
+	call := receive(t, calls, "call")
+	want(t, "id of the next call", call.id, "m2")
+	call.answer <- 200
+	status, _ = postMessage(t, relay.Addr(), "m1", "payment") // by now over
 	want(t, "status", status, 202)
-	postMessage(t, r.Addr(), "m3", "payment")
-	c = receive(t, calls, "call")
-	want(t, "id of the next call", c.id, "m3")
-	c.answer <- 200
+	postMessage(t, relay.Addr(), "m3", "payment")
+	call = receive(t, calls, "call")
+	want(t, "id of the next call", call.id, "m3")
+	call.answer <- 200
 }
 
 // Guards against taking on a message whose client has already gone.
 func TestMessageOfDepartedClientIsNotAccepted(t *testing.T) {
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")), nil)
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	held := make(chan int, 1)
-	in := &intake{entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, due: r.now() + time.Second, ctx: ctx,
+	in := &intake{entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, due: relay.now() + time.Second, ctx: ctx,
 		reply: make(chan answer, 1)}
-	r.post(func() { r.take(in); held <- len(r.held) })
+	relay.post(func() { relay.take(in); held <- len(relay.held) })
 	want(t, "messages held", receive(t, held, "count"), 0)
 }
 
@@ -284,7 +284,7 @@
 func TestLeavingClientIsRefused(t *testing.T) {
 	leaving := testEndpoint("s-1", "127.0.0.1:1", "taller")
 	leaving.State = "leaving" // so that messages wait
-	r := startRelay(t, newFakePlatform(t, leaving), nil)
+	relay := startRelay(t, newFakePlatform(t, leaving), nil)
 	for name, there := range map[string]int32{"before it is taken on": 0, "after that": 1} {
 		req := httptest.NewRequest("POST", "/api", strings.NewReader("x"))
 		for k, v := range map[string]string{"X-Request-Id": "m1", "X-Class": "payment", "X-Deadline-Ms": "9000",
@@ -293,39 +293,39 @@
 		}
 		gone := &leavingContext{Context: context.Background()}
 		gone.checksLeft.Store(there)
-		w, done := httptest.NewRecorder(), make(chan bool)
-		go func() { r.serveAPI(w, req.WithContext(gone)); close(done) }()
+		recorder, done := httptest.NewRecorder(), make(chan bool)
+		go func() { relay.serveAPI(recorder, req.WithContext(gone)); close(done) }()
 		receive(t, done, "answer to a client that left "+name)
-		want(t, "status for a client that left "+name, w.Code, 503)
+		want(t, "status for a client that left "+name, recorder.Code, 503)
 		held := make(chan int, 1)
-		r.post(func() { held <- len(r.held) })
+		relay.post(func() { held <- len(relay.held) })
 		want(t, "messages held", receive(t, held, "count"), 0)
 	}
 }
 
 // Guards against losing a message that came on two connections when the first one broke.
 func TestWithdrawKeepsMessageReceivedTwice(t *testing.T) {
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller")), nil)
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller")), nil)
 	held := make(chan int, 1)
-	r.post(func() {
+	relay.post(func() {
 		for _, id := range []string{"once", "twice"} {
-			r.held[id] = &message{Entry: &journal.Entry{ID: id}, twice: id == "twice"}
-			r.withdraw(id, nil)
+			relay.held[id] = &message{Entry: &journal.Entry{ID: id}, twice: id == "twice"}
+			relay.withdraw(id, nil)
 		}
-		held <- len(r.held)
-		delete(r.held, "twice")
+		held <- len(relay.held)
+		delete(relay.held, "twice")
 	})
 	want(t, "messages held", receive(t, held, "count"), 1)
 }
 
 func TestMalformedRequests(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	for _, c := range [][2]string{{"X-Request-Id", ""}, {"X-Request-Id", "a b"}, {"X-Class", "nothing"}, {"X-Class", ""},
 		{"X-Deadline-Ms", "0"}, {"X-Deadline-Ms", "-5"}, {"X-Deadline-Ms", "soon"}, {"X-Deadline-Ms", "99999999999999999999"},
 		{"X-Addressing", ""}, {"X-Addressing", "dest=x"}, {"X-Addressing", "dest=8"}, {"Idempotency-Key", ""},
 		{"X-Request-Id", strings.Repeat("x", maxName+1)}} {
-		if status, _ := postMessage(t, r.Addr(), "m1", "job-order", c[0], c[1]); status < 400 || status > 499 {
+		if status, _ := postMessage(t, relay.Addr(), "m1", "job-order", c[0], c[1]); status < 400 || status > 499 {
 			t.Errorf("%s %q: status %d, want 4xx", c[0], c[1], status)
 		}
 	}
@@ -333,17 +333,17 @@
 	for k, v := range map[string]string{"X-Request-Id": "m1", "X-Class": "payment", "X-Deadline-Ms": "9", "X-Addressing": "dest=7"} {
 		req.Header.Set(k, v)
 	}
-	w := httptest.NewRecorder()
-	r.serveAPI(w, req)
-	want(t, "status of a body too long", w.Code, 413)
-	conn, err := net.Dial("tcp", r.Addr())
+	recorder := httptest.NewRecorder()
+	relay.serveAPI(recorder, req)
+	want(t, "status of a body too long", recorder.Code, 413)
+	conn, err := net.Dial("tcp", relay.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	fmt.Fprint(conn, "no HTTP at all\r\n\r\n")
 	io.Copy(io.Discard, conn)
 	conn.Close()
-	status, _ := postMessage(t, r.Addr(), "m2", "payment")
+	status, _ := postMessage(t, relay.Addr(), "m2", "payment")
 	want(t, "status of a sound one", status, 202)
 	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m2")
@@ -354,7 +354,7 @@
 // twice, and the relay believes the shorter one.
 func TestBodyIsNeverParsedAsRequest(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	post := func(id, framing, body string) string {
 		return "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: " + id + "\r\nX-Class: payment\r\n" +
 			"X-Deadline-Ms: 9000\r\nX-Addressing: dest=7\r\n" + framing + "\r\n\r\n" + body
@@ -363,7 +363,7 @@
 	for _, coding := range []string{"chunked", "Chunked", "chunked\r\nTransfer-Encoding: chunked", "identity"} {
 		body := "0\r\n\r\n" + inner
 		framing := fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: %s", len(body), coding)
-		conn, err := net.Dial("tcp", r.Addr())
+		conn, err := net.Dial("tcp", relay.Addr())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -376,7 +376,7 @@
 			t.Errorf("%q: answered %q, want one error", coding, response)
 		}
 	}
-	status, _ := postMessage(t, r.Addr(), "m1", "payment")
+	status, _ := postMessage(t, relay.Addr(), "m1", "payment")
 	want(t, "status of a sound one", status, 202)
 	c := receive(t, calls, "call")
 	want(t, "id of the only call", c.id, "m1")
@@ -385,12 +385,12 @@
 
 // Guards against taking on more than the settings allow, and against a refusal that says not when to come again.
 func TestFullRelayRefuses(t *testing.T) {
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")),
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")),
 		func(c *Config) { c.Settings.MaxHeld = 1 })
 	var status int
 	var after string
 	for i := range 3 {
-		status, after = postMessage(t, r.Addr(), fmt.Sprint("m", i), "payment")
+		status, after = postMessage(t, relay.Addr(), fmt.Sprint("m", i), "payment")
 	}
 	want(t, "status", status, 503)
 	if s, err := strconv.ParseFloat(after, 64); err != nil || s <= 0 {
@@ -401,16 +401,16 @@
 // Guards against a call before the end of a wait, which has decimals.
 func TestRetryAfterIsHonoured(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
-	postMessage(t, r.Addr(), "m1", "status-update")
-	c := receive(t, calls, "call")
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	postMessage(t, relay.Addr(), "m1", "status-update")
+	call := receive(t, calls, "call")
 	answeredAt := time.Now()
-	c.answer <- 429
-	c = receive(t, calls, "second call")
-	if gap := c.receivedAt.Sub(answeredAt); gap < 300*time.Millisecond {
+	call.answer <- 429
+	call = receive(t, calls, "second call")
+	if gap := call.receivedAt.Sub(answeredAt); gap < 300*time.Millisecond {
 		t.Fatalf("called again after %v, told to wait 300 ms", gap)
 	}
-	c.answer <- 200
+	call.answer <- 200
 }
 
 func TestParseRetryAfter(t *testing.T) {
@@ -424,18 +424,18 @@
 func TestLeavingHostGetsNoNewCalls(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	a, b := testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "almacen")
-	p := newFakePlatform(t, a, b)
-	r := startRelay(t, p, nil)
+	platform := newFakePlatform(t, a, b)
+	relay := startRelay(t, platform, nil)
 	for q := ""; !strings.Contains(q, "since=1&"); {
-		q = receive(t, p.queries, "watch")
+		q = receive(t, platform.queries, "watch")
 	}
 	a.State = "leaving"
-	p.publish(2, false, a)
+	platform.publish(2, false, a)
 	for q := ""; !strings.Contains(q, "since=2&"); {
-		q = receive(t, p.queries, "next watch") // it is asked for after the change was handed on
+		q = receive(t, platform.queries, "next watch") // it is asked for after the change was handed on
 	}
 	for i := range 5 {
-		postMessage(t, r.Addr(), fmt.Sprint("m", i), "payment")
+		postMessage(t, relay.Addr(), fmt.Sprint("m", i), "payment")
 		c := receive(t, calls, "call")
 		want(t, "host", c.host, "b")
 		c.answer <- 200
@@ -444,48 +444,48 @@
 
 func openJournal(t *testing.T) *journal.Journal {
 	t.Helper()
-	j, err := journal.Open(t.TempDir(), 3e6)
+	records, err := journal.Open(t.TempDir(), 3e6)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { j.Close() })
-	return j
+	t.Cleanup(func() { records.Close() })
+	return records
 }
 
 // Guards against calls held back, or let through, by a whole list: it closes just the hosts it leaves out.
 func TestFullListClosesMissingHosts(t *testing.T) {
-	r := &Relay{endpointList: endpointList{hosts: map[string]*host{}, destWaits: map[int]*hostWait{}}, books: books{journal: openJournal(t)}}
-	r.settings.Store(&standing{})
-	if err := r.journal.Append(journal.Record{Op: journal.OpByHand, ID: "s-4", Ran: true}); err != nil {
+	relay := &Relay{endpointList: endpointList{hosts: map[string]*host{}, destWaits: map[int]*hostWait{}}, books: books{journal: openJournal(t)}}
+	relay.settings.Store(&standing{})
+	if err := relay.journal.Append(journal.Record{Op: journal.OpByHand, ID: "s-4", Ran: true}); err != nil {
 		t.Fatal(err)
 	}
-	r.applyList(discovery.List{Version: 1, Full: true, Servers: []discovery.Server{testEndpoint("s-1", "x:1", "taller"), testEndpoint("s-2", "x:2", "taller"), testEndpoint("s-3", "x:3", "taller")}})
-	one, two, three := r.hosts["s-1"], r.hosts["s-2"], r.hosts["s-3"]
-	r.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{testEndpoint("s-1", "x:1", "taller"), testEndpoint("s-3", "x:9", "taller")}})
-	r.applyList(discovery.List{Version: 3, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
-	want(t, "the one that operators took out is closed", r.hosts["s-4"].closed.Load(), true)
-	r.applyList(discovery.List{Version: 4, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
-	want(t, "the one that operators took out is closed", r.hosts["s-4"].closed.Load(), true)
+	relay.applyList(discovery.List{Version: 1, Full: true, Servers: []discovery.Server{testEndpoint("s-1", "x:1", "taller"), testEndpoint("s-2", "x:2", "taller"), testEndpoint("s-3", "x:3", "taller")}})
+	one, two, three := relay.hosts["s-1"], relay.hosts["s-2"], relay.hosts["s-3"]
+	relay.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{testEndpoint("s-1", "x:1", "taller"), testEndpoint("s-3", "x:9", "taller")}})
+	relay.applyList(discovery.List{Version: 3, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
+	want(t, "the one that operators took out is closed", relay.hosts["s-4"].closed.Load(), true)
+	relay.applyList(discovery.List{Version: 4, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
+	want(t, "the one that operators took out is closed", relay.hosts["s-4"].closed.Load(), true)
 	want(t, "the one that stays is closed", one.closed.Load(), false)
 	want(t, "the one left out is closed", two.closed.Load(), true)
 	want(t, "the one that moved is closed at its old place", three.closed.Load(), true)
-	want(t, "and open at the new one", r.hosts["s-3"].closed.Load(), false)
+	want(t, "and open at the new one", relay.hosts["s-3"].closed.Load(), false)
 }
 
 // Guards against attempts that are neither sent nor reported while the disk is broken.
 func TestBrokenJournalSendsNothing(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
 	set := make(chan bool)
-	r.post(func() {
-		r.journal.Break(errors.New("disk gone"))
+	relay.post(func() {
+		relay.journal.Break(errors.New("disk gone"))
 		close(set)
 	})
 	<-set
-	status, _ := postMessage(t, r.Addr(), "m1", "payment")
+	status, _ := postMessage(t, relay.Addr(), "m1", "payment")
 	want(t, "status", status, 503)
-	r.post(func() { r.journal.Compact() })
-	status, _ = postMessage(t, r.Addr(), "m2", "payment")
+	relay.post(func() { relay.journal.Compact() })
+	status, _ = postMessage(t, relay.Addr(), "m2", "payment")
 	want(t, "status", status, 202)
 	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m2")
@@ -494,28 +494,28 @@
 
 // Guards against building changes on another history of the list.
 func TestOlderListVersionCausesResync(t *testing.T) {
-	p := newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))
-	startRelay(t, p, nil)
+	platform := newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))
+	startRelay(t, platform, nil)
 	for q := "x"; !strings.Contains(q, "since=1&"); {
-		q = receive(t, p.queries, "watch")
+		q = receive(t, platform.queries, "watch")
 	}
-	p.publish(0, false)
-	want(t, "query after an older version", receive(t, p.queries, "query"), "")
+	platform.publish(0, false)
+	want(t, "query after an older version", receive(t, platform.queries, "query"), "")
 }
 
 // Guards against losing a notice that the platform did not take at once.
 func TestRejectedNoticeIsRetried(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
-	p.failingNotices = 2
-	r := startRelay(t, p, nil)
-	postMessage(t, r.Addr(), "m1", "payment")
+	platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	platform.failingNotices = 2
+	relay := startRelay(t, platform, nil)
+	postMessage(t, relay.Addr(), "m1", "payment")
 	receive(t, calls, "call").answer <- 500 // it may have run, and must not again
-	n := receive(t, p.notices, "notice")
-	want(t, "notice", n, notice{ID: "m1", Status: undeliverable})
+	queued := receive(t, platform.notices, "notice")
+	want(t, "notice", queued, notice{ID: "m1", Status: undeliverable})
 	pending := make(chan int)
 	for {
-		r.post(func() { pending <- r.owed + r.journal.Len() })
+		relay.post(func() { pending <- relay.owed + relay.journal.Len() })
 		if receive(t, pending, "count") == 0 {
 			break
 		}
@@ -523,19 +523,19 @@
 }
 
 func TestConfigErrors(t *testing.T) {
-	p := newFakePlatform(t)
-	good := string(testConfig(t, p))
+	platform := newFakePlatform(t)
+	good := string(testConfig(t, platform))
 	if _, err := readTestConfig(t, []byte(good), t.TempDir()); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range [][2]string{{`"listen"`, `"nothing"`}, {`"workers":7`, `"workers":0`}, {`"sockets":1024`, `"sockets":0`},
+	for _, change := range [][2]string{{`"listen"`, `"nothing"`}, {`"workers":7`, `"workers":0`}, {`"sockets":1024`, `"sockets":0`},
 		{"{", "["}, {`"seed":"8`, `"seed":"x`}, {`"seed"`, `"source":"here","seed"`}, {"deduplicated", "odd"}} {
-		conf, err := readTestConfig(t, []byte(strings.Replace(good, c[0], c[1], 1)), t.TempDir())
+		conf, err := readTestConfig(t, []byte(strings.Replace(good, change[0], change[1], 1)), t.TempDir())
 		if err == nil {
 			_, err = New(conf)
 		}
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s for %s: error is %v, want one line", c[1], c[0], err)
+			t.Errorf("%s for %s: error is %v, want one line", change[1], change[0], err)
 		}
 	}
 	if _, err := ReadConfig(func(string) string { return "" }); err == nil {
@@ -546,18 +546,18 @@
 // Guards against a relay that sleeps past a deadline: a step for another reason comes just after a
 // wake-up fell due and before its tick was read.
 func TestDueWakeUpIsReplaced(t *testing.T) {
-	r := &Relay{wakeTimer: time.NewTimer(time.Hour)}
-	r.armWake(0, time.Nanosecond)
-	r.armWake(time.Second, 50*time.Millisecond)
-	want(t, "next wake-up", r.wakeAt, time.Second+50*time.Millisecond)
+	relay := &Relay{wakeTimer: time.NewTimer(time.Hour)}
+	relay.armWake(0, time.Nanosecond)
+	relay.armWake(time.Second, 50*time.Millisecond)
+	want(t, "next wake-up", relay.wakeAt, time.Second+50*time.Millisecond)
 	begin := time.Now()
-	<-r.wakeTimer.C
+	<-relay.wakeTimer.C
 	if early := time.Since(begin) < 40*time.Millisecond; early {
 		t.Fatal("the old tick came through")
 	}
-	r.armWake(2*time.Second, time.Second)
-	r.armWake(2*time.Second, time.Minute)
-	want(t, "earlier wake-up", r.wakeAt, 3*time.Second)
+	relay.armWake(2*time.Second, time.Second)
+	relay.armWake(2*time.Second, time.Minute)
+	want(t, "earlier wake-up", relay.wakeAt, 3*time.Second)
 }
 
 // Real processes.
@@ -584,14 +584,14 @@
 }
 
 // process starts the program and tells its address once it serves.
-func startProcess(t *testing.T, p *fakePlatform, state string) (*exec.Cmd, string) {
+func startProcess(t *testing.T, platform *fakePlatform, state string) (*exec.Cmd, string) {
 	t.Helper()
 	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
 	config := filepath.Join(t.TempDir(), "config.json")
-	if err := os.WriteFile(config, testConfig(t, p), 0o600); err != nil {
+	if err := os.WriteFile(config, testConfig(t, platform), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(path)
@@ -631,33 +631,33 @@
 	for _, class := range []string{"job-order", "status-update", "payment"} {
 		t.Run(class, func(t *testing.T) {
 			calls := make(chan *receivedCall, 10)
-			p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "almacen"))
+			platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "almacen"))
 			state := t.TempDir()
-			cmd, addr := startProcess(t, p, state)
+			cmd, addr := startProcess(t, platform, state)
 			checkUp(t, addr)
 			status, _ := postMessage(t, addr, "m1", class)
 			want(t, "status", status, 202)
 			first := receive(t, calls, "call")
 			cmd.Process.Kill()
 			cmd.Wait()
-			_, addr = startProcess(t, p, state)
+			_, addr = startProcess(t, platform, state)
 			checkUp(t, addr)
 			if class == "payment" {
-				want(t, "notice", receive(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
+				want(t, "notice", receive(t, platform.notices, "notice"), notice{ID: "m1", Status: undeliverable})
 				postMessage(t, addr, "m2", class)
-				c := receive(t, calls, "call")
-				want(t, "id of the next call", c.id, "m2")
-				c.answer <- 200
+				call := receive(t, calls, "call")
+				want(t, "id of the next call", call.id, "m2")
+				call.answer <- 200
 				return
 			}
-			c := receive(t, calls, "call after the restart")
-			want(t, "id", c.id, "m1")
-			want(t, "body", c.body, first.body)
-			want(t, "key", c.key, first.key)
+			call := receive(t, calls, "call after the restart")
+			want(t, "id", call.id, "m1")
+			want(t, "body", call.body, first.body)
+			want(t, "key", call.key, first.key)
 			if class == "job-order" {
-				want(t, "host, which alone remembers the key", c.host, first.host)
+				want(t, "host, which alone remembers the key", call.host, first.host)
 			}
-			c.answer <- 200
+			call.answer <- 200
 		})
 	}
 }
@@ -665,8 +665,8 @@
 // Guards against a stop that drops a call out, or refuses clients that still come.
 func TestSIGTERM(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
-	cmd, addr := startProcess(t, p, t.TempDir())
+	platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	cmd, addr := startProcess(t, platform, t.TempDir())
 	postMessage(t, addr, "m1", "payment")
 	first := receive(t, calls, "call")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -680,8 +680,8 @@
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("exit: %v, want 0", err)
 	}
-	if len(p.notices) > 0 {
-		t.Fatalf("notice %v, want none", <-p.notices)
+	if len(platform.notices) > 0 {
+		t.Fatalf("notice %v, want none", <-platform.notices)
 	}
 }
 
@@ -717,27 +717,27 @@
 
 // Guards against a late notice for what ran out of time while the relay was down.
 func TestExpiredMessageIsReportedAtStart(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		class, status string
 		tried         bool
 	}{{"status-update", deferred, true}, {"payment", deferred, false}, {"payment", undeliverable, true}} {
 		calls := make(chan *receivedCall, 10)
-		p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
-		startRelay(t, p, func(conf *Config) {
-			j, err := journal.Open(conf.State, 3e6)
+		platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+		startRelay(t, platform, func(conf *Config) {
+			records, err := journal.Open(conf.State, 3e6)
 			if err != nil {
 				t.Fatal(err)
 			}
 			expiredAt := time.Now().Add(-time.Second).UnixMilli()
-			recs := []journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: c.class, Dest: 7, Due: expiredAt}}}
-			if c.tried {
+			recs := []journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: test.class, Dest: 7, Due: expiredAt}}}
+			if test.tried {
 				recs = append(recs, journal.Record{Op: journal.OpTry, ID: "m1", At: expiredAt})
 			}
-			if err := j.Append(recs...); err != nil {
+			if err := records.Append(recs...); err != nil {
 				t.Fatal(err)
 			}
 		})
-		want(t, "status", receive(t, p.notices, "notice").Status, c.status)
+		want(t, "status", receive(t, platform.notices, "notice").Status, test.status)
 		want(t, "calls", len(calls), 0)
 	}
 }
@@ -772,7 +772,7 @@
 	runs, tries, ended := map[run]int{}, map[string]int{}, map[string]bool{}
 	progress := make(chan struct{}, 10000)
 	newHost := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			io.Copy(io.Discard, req.Body)
 			id := req.Header.Get("X-Request-Id")
 			n, _ := strconv.Atoi(id[1:])
@@ -797,9 +797,9 @@
 				<-req.Context().Done()
 			}
 		}))
-		s.Config.ErrorLog = nil
-		t.Cleanup(s.CloseClientConnections)
-		return s.Listener.Addr().String()
+		server.Config.ErrorLog = nil
+		t.Cleanup(server.CloseClientConnections)
+		return server.Listener.Addr().String()
 	}
 	platform := newFakePlatform(t, testEndpoint("s-1", newHost("a"), "taller"), testEndpoint("s-2", newHost("b"), "almacen"))
 	state := t.TempDir()
@@ -852,9 +852,9 @@
 // left to the journal, and the next process ends the message.
 func TestSIGTERMWithHangingCall(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	state := t.TempDir()
-	cmd, addr := startProcess(t, p, state)
+	cmd, addr := startProcess(t, platform, state)
 	postMessage(t, addr, "m1", "payment")
 	receive(t, calls, "call")
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -863,23 +863,23 @@
 	if err := cmd.Wait(); err != nil {
 		t.Fatalf("exit: %v, want 0", err)
 	}
-	if len(p.notices) > 0 {
-		t.Fatalf("notice %v before the message's time was up", <-p.notices)
+	if len(platform.notices) > 0 {
+		t.Fatalf("notice %v before the message's time was up", <-platform.notices)
 	}
-	startProcess(t, p, state)
-	want(t, "notice", receive(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
+	startProcess(t, platform, state)
+	want(t, "notice", receive(t, platform.notices, "notice"), notice{ID: "m1", Status: undeliverable})
 	want(t, "further calls", len(calls), 0)
 }
 
 // Guards against a refusal that becomes a crash: a relay whose disk is full answers 503 and goes on.
 func TestFullDiskRefuses(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	r := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
-	r.post(func() { r.journal.Break(journal.ErrFull) })
-	status, _ := postMessage(t, r.Addr(), "m1", "payment")
+	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
+	relay.post(func() { relay.journal.Break(journal.ErrFull) })
+	status, _ := postMessage(t, relay.Addr(), "m1", "payment")
 	want(t, "status", status, 503)
-	r.post(func() { r.journal.Compact() })
-	status, _ = postMessage(t, r.Addr(), "m2", "payment")
+	relay.post(func() { relay.journal.Compact() })
+	status, _ = postMessage(t, relay.Addr(), "m2", "payment")
 	want(t, "status", status, 202)
 	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m2")
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -45,11 +45,11 @@
 func BenchmarkScaleMessageByClients(b *testing.B) {
 	for _, n := range []int{10, 100, 1_000, 4_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCostRig(b, 200, unlimited)
+			rig := newCostRig(b, 200, unlimited)
 			before := retainedBytes()
-			defer c.connectClients(n)()
+			defer rig.connectClients(n)()
 			held := (retainedBytes() - before) / float64(n)
-			measure(b, c, 1, c.serve)
+			measure(b, rig, 1, rig.serve)
 			b.ReportMetric(held, "B/client")
 		})
 	}
@@ -65,10 +65,10 @@
 func newSmallHost(tb testing.TB) string {
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	return newRawHost(tb, func(conn net.Conn) {
-		for in := bufio.NewReaderSize(conn, 1024); ; {
-			if _, length, err := readHead(in); err != nil {
+		for reader := bufio.NewReaderSize(conn, 1024); ; {
+			if _, length, err := readHead(reader); err != nil {
 				return
-			} else if _, err := in.Discard(length); err != nil {
+			} else if _, err := reader.Discard(length); err != nil {
 				return
 			}
 			if _, err := conn.Write(answer); err != nil {
@@ -133,12 +133,12 @@
 func BenchmarkScaleConnectionsByDestinations(b *testing.B) {
 	for _, n := range benchSizes(1, 10, 100, 1_000, 3_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			s := newSpread(b, n, unlimited)
-			s.settle()
+			spread := newSpread(b, n, unlimited)
+			spread.settle()
 			fds, before := settledDescriptors(b), retainedBytes()
-			s.serveEach()
+			spread.serveEach()
 			held, kept := (retainedBytes()-before)/float64(n), float64(countDescriptors(b)-fds)/2
-			measure(b, s.costRig, 1, s.serveNext)
+			measure(b, spread.costRig, 1, spread.serveNext)
 			b.ReportMetric(held, "B/destination")
 			b.ReportMetric(kept, "connections")
 		})
@@ -171,9 +171,9 @@
 }
 
 // listed has the loop take a list in, and waits until it has decided on it.
-func (c *costRig) applyList(l discovery.List) {
+func (c *costRig) applyList(list discovery.List) {
 	done := make(chan struct{})
-	c.r.post(func() { c.r.applyList(l) })
+	c.r.post(func() { c.r.applyList(list) })
 	c.r.post(func() { close(done) })
 	<-done
 	done = make(chan struct{})
@@ -184,19 +184,19 @@
 // owing fills a folder with so many messages that a relay owes, which cannot go: their endpoint drains.
 func configWithPending(tb testing.TB, messages int) (conf Config) {
 	tb.Helper()
-	p := newFakePlatform(tb, testEndpoint("s-1", "127.0.0.1:1", "taller"))
-	conf, err := readTestConfig(tb, testConfig(tb, p), tb.TempDir())
+	platform := newFakePlatform(tb, testEndpoint("s-1", "127.0.0.1:1", "taller"))
+	conf, err := readTestConfig(tb, testConfig(tb, platform), tb.TempDir())
 	if err != nil {
 		tb.Fatal(err)
 	}
 	drainingEndpoint(&conf)
 	unlimited(&conf)
 	conf.DiskMB = 4096
-	j, err := journal.Open(conf.State, 4e9)
+	records, err := journal.Open(conf.State, 4e9)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	defer j.Close()
+	defer records.Close()
 	terms := &choice.Terms{Class: choice.Class{Name: "job-order", Aim: 2 * time.Second, Deadline: 16 * time.Second, Worth: 1,
 		LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 15 * time.Second}, Attempts: 6}
 	for i := 0; i < messages; {
@@ -206,7 +206,7 @@
 				Dest: 7, Tenant: "acme", Key: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08d", i), Due: time.Now().Add(time.Hour).UnixMilli(),
 				Body: bytes.Repeat([]byte("x"), 200), Terms: terms}})
 		}
-		if err := j.Append(recs...); err != nil {
+		if err := records.Append(recs...); err != nil {
 			tb.Fatal(err)
 		}
 	}
@@ -216,17 +216,17 @@
 // started runs a relay, and waits until its loop has decided on what it owes; it returns what is held then, and the end.
 func startWithPending(tb testing.TB, conf Config) (pending int, end func()) {
 	tb.Helper()
-	r, err := New(conf)
+	relay, err := New(conf)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	done, count := make(chan struct{}), make(chan int, 1)
-	go func() { r.Serve(); close(done) }()
+	go func() { relay.Serve(); close(done) }()
 	for range 2 { // the second turn is after the one that took in what was owed
-		r.post(func() { count <- len(r.held) })
+		relay.post(func() { count <- len(relay.held) })
 		pending = <-count
 	}
-	return pending, func() { r.stop(); <-done }
+	return pending, func() { relay.stop(); <-done }
 }
 
 // BenchmarkScaleStartByHeld is what a start of a relay takes that owes so many messages, until its loop has decided on them,
@@ -267,19 +267,19 @@
 // Guards the benchmarks above: each destination gets a connection of its own, a list is all taken in, and a start holds all
 // that it owes.
 func TestScaleBenchmarkSetups(t *testing.T) {
-	s := newSpread(t, 10, unlimited)
-	s.serveEach()
-	s.serveEach()
+	spread := newSpread(t, 10, unlimited)
+	spread.serveEach()
+	spread.serveEach()
 	var open int
 	done := make(chan struct{})
-	s.r.post(func() { open = len(s.r.destWaits); close(done) })
+	spread.r.post(func() { open = len(spread.r.destWaits); close(done) })
 	<-done
 	if open != 10 {
 		t.Errorf("%d destinations known, want 10", open)
 	}
-	s.applyList(longList(200))
+	spread.applyList(longList(200))
 	done = make(chan struct{})
-	s.r.post(func() { open = len(s.r.hosts); close(done) })
+	spread.r.post(func() { open = len(spread.r.hosts); close(done) })
 	<-done
 	if open != 200 {
 		t.Errorf("%d endpoints after a whole list of 200", open)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -70,23 +70,23 @@
 
 // takeOn records what came since the last step, and answers its clients. Only what is in the journal is taken on.
 func (r *Relay) acceptNew() {
-	for _, m := range r.newMessages {
-		if m.over {
+	for _, msg := range r.newMessages {
+		if msg.over {
 			continue
 		}
-		err := r.bindAfterFlush([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(committed bool) {
+		err := r.bindAfterFlush([]journal.Record{{Op: journal.OpTaken, Entry: msg.Entry}}, countIn, func(committed bool) {
 			switch {
-			case m.over:
+			case msg.over:
 			case committed:
-				m.answer(answer{status: http.StatusAccepted})
+				msg.answer(answer{status: http.StatusAccepted})
 			default:
-				r.uncounted(m)
+				r.uncounted(msg)
 			}
 		})
 		if err != nil {
 			slog.Error("message not taken on", "err", err, "remedy", remedy.Of(err))
-			r.events = append(r.events, choice.Withdrawn{ID: m.ID})
-			r.refuse(m, comeBack)
+			r.events = append(r.events, choice.Withdrawn{ID: msg.ID})
+			r.refuse(msg, comeBack)
 		}
 	}
 	r.newMessages = r.newMessages[:0]
@@ -106,26 +106,26 @@
 }
 
 // refuse ends a message that was never taken on.
-func (r *Relay) refuse(m *message, retryAfter time.Duration) {
-	if r.copies != nil && r.journal.Entry(m.ID) != nil { // on disk, but it does not count yet
-		r.uncounted(m)
+func (r *Relay) refuse(msg *message, retryAfter time.Duration) {
+	if r.copies != nil && r.journal.Entry(msg.ID) != nil { // on disk, but it does not count yet
+		r.uncounted(msg)
 		return
 	}
-	r.figures.ended(m.Class, refusedEnd)
-	r.release(m)
-	m.answer(answer{status: http.StatusServiceUnavailable, after: retryAfter, text: "refused"})
+	r.figures.ended(msg.Class, refusedEnd)
+	r.release(msg)
+	msg.answer(answer{status: http.StatusServiceUnavailable, after: retryAfter, text: "refused"})
 }
 
 // final ends a message that the Chooser has given up, at once.
 func (r *Relay) endUndelivered(id, status string, retryAfter time.Duration) {
-	switch m := r.held[id]; {
-	case m == nil:
-	case m.fresh != nil:
-		r.refuse(m, retryAfter)
-	case m.served:
-		r.finish(m, servedEnd)
+	switch msg := r.held[id]; {
+	case msg == nil:
+	case msg.fresh != nil:
+		r.refuse(msg, retryAfter)
+	case msg.served:
+		r.finish(msg, servedEnd)
 	default:
-		r.give(m, notice{ID: id, Status: status, RetryAfterMS: retryAfter.Milliseconds()})
+		r.give(msg, notice{ID: id, Status: status, RetryAfterMS: retryAfter.Milliseconds()})
 	}
 }
 
@@ -135,34 +135,34 @@
 	var calls []*call
 	wallTime := steady.UnixMilli()
 	for _, send := range sends {
-		m, host := r.held[send.ID], r.hosts[send.Host]
-		if m == nil || host == nil || host.dest != m.Dest || host.closed.Load() {
+		msg, host := r.held[send.ID], r.hosts[send.Host]
+		if msg == nil || host == nil || host.dest != msg.Dest || host.closed.Load() {
 			if host != nil && host.closed.Load() {
 				r.figures.withheld(endpointShut, 1)
 			}
 			r.events = append(r.events, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.NotSent})
 			continue
 		}
-		c, size := openCalls[send.Host], frameSize(m)
-		if c == nil || len(c.members) >= host.maxPerCall || c.size+size > maxBody { // no body may be longer
-			c = &call{host: host}
-			openCalls[send.Host] = c
-			calls = append(calls, c)
+		hostCall, size := openCalls[send.Host], frameSize(msg)
+		if hostCall == nil || len(hostCall.members) >= host.maxPerCall || hostCall.size+size > maxBody { // no body may be longer
+			hostCall = &call{host: host}
+			openCalls[send.Host] = hostCall
+			calls = append(calls, hostCall)
 		}
-		c.size += size
-		c.members, c.sends = append(c.members, m), append(c.sends, send)
+		hostCall.size += size
+		hostCall.members, hostCall.sends = append(hostCall.members, msg), append(hostCall.sends, send)
 	}
-	for _, c := range calls {
+	for _, hostCall := range calls {
 		var records []journal.Record
-		for i, m := range c.members {
-			records = append(records, journal.Record{Op: journal.OpTry, ID: m.ID, At: wallTime, Wait: c.sends[i].Timeout.Milliseconds(), Zone: c.host.zone})
+		for i, msg := range hostCall.members {
+			records = append(records, journal.Record{Op: journal.OpTry, ID: msg.ID, At: wallTime, Wait: hostCall.sends[i].Timeout.Milliseconds(), Zone: hostCall.host.zone})
 		}
 		// An attempt that a restart would not know of must not go out.
 		recordedAt := time.Now()
-		err := r.bindAfterFlush(records, freshIn, func(committed bool) { r.startRecorded(c, recordedAt, committed) })
+		err := r.bindAfterFlush(records, freshIn, func(committed bool) { r.startRecorded(hostCall, recordedAt, committed) })
 		if err != nil {
 			slog.Error("attempts not sent", "err", err, "remedy", remedy.Of(err))
-			r.reportNotSent(c)
+			r.reportNotSent(hostCall)
 		}
 	}
 }
@@ -175,57 +175,57 @@
 }
 
 // startCounted starts a call whose record counts, unless something came between: then all of it stays.
-func (r *Relay) startRecorded(c *call, recordedAt time.Time, committed bool) {
+func (r *Relay) startRecorded(hostCall *call, recordedAt time.Time, committed bool) {
 	if r.copies == nil {
-		r.startCall(c)
+		r.startCall(hostCall)
 		return
 	}
 	waited := time.Since(recordedAt)
-	withheld := !committed || waited >= freshIn || r.stopped || r.heir != nil || c.host.closed.Load() ||
-		slices.ContainsFunc(c.members, func(m *message) bool { return m.over })
-	for i := range c.sends { // a call that lasts to the end of its message's time must end then
-		c.sends[i].Timeout -= waited
-		withheld = withheld || c.sends[i].Timeout <= 0
+	withheld := !committed || waited >= freshIn || r.stopped || r.heir != nil || hostCall.host.closed.Load() ||
+		slices.ContainsFunc(hostCall.members, func(m *message) bool { return m.over })
+	for i := range hostCall.sends { // a call that lasts to the end of its message's time must end then
+		hostCall.sends[i].Timeout -= waited
+		withheld = withheld || hostCall.sends[i].Timeout <= 0
 	}
 	if !withheld {
-		c.startBy = recordedAt.Add(freshIn)
-		r.startCall(c)
+		hostCall.startBy = recordedAt.Add(freshIn)
+		r.startCall(hostCall)
 		return
 	}
-	for _, m := range c.members {
+	for _, m := range hostCall.members {
 		if !m.over {
 			r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID})
 		}
 	}
-	r.reportNotSent(c)
+	r.reportNotSent(hostCall)
 }
 
 // ended takes in what became of one message's attempt.
-func (r *Relay) attemptEnded(c *call, m *message, result memberResult, feedback hostFeedback) {
-	if m.call != c { // its own time was up before the call's
+func (r *Relay) attemptEnded(hostCall *call, msg *message, result memberResult, feedback hostFeedback) {
+	if msg.call != hostCall { // its own time was up before the call's
 		if result.outcome == choice.Served {
-			r.servedLate(m)
+			r.servedLate(msg)
 		}
 		return
 	}
-	m.call = nil
+	msg.call = nil
 	if r.heir != nil {
 		r.hostTransport.Load().CloseIdleConnections() // descriptors count for both processes together
-		r.heir.send(passed{End: &endPassed{m.ID, result.outcome, result.done, feedback.elapsed, feedback.retryAfter, feedback.loadReport, feedback.staleConn}})
+		r.heir.send(passed{End: &endPassed{msg.ID, result.outcome, result.done, feedback.elapsed, feedback.retryAfter, feedback.loadReport, feedback.staleConn}})
 		return
 	}
 	if feedback.retryAfter > 0 && r.copies != nil { // an heir is to know of it
-		r.record(journal.Record{Op: journal.OpWait, ID: c.host.id, At: steady.UnixMilli(), Wait: feedback.retryAfter.Milliseconds()})
+		r.record(journal.Record{Op: journal.OpWait, ID: hostCall.host.id, At: steady.UnixMilli(), Wait: feedback.retryAfter.Milliseconds()})
 	}
-	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: result.outcome, Took: feedback.elapsed, Wait: feedback.retryAfter,
+	r.events = append(r.events, choice.Result{ID: msg.ID, Host: hostCall.host.id, Outcome: result.outcome, Took: feedback.elapsed, Wait: feedback.retryAfter,
 		Stale: feedback.staleConn, Report: r.loadReportOf(feedback), Done: result.done || result.outcome == choice.Served})
-	if m.over {
+	if msg.over {
 		switch {
 		case result.outcome != choice.Served:
-		case m.gone: // delivered from here all the same; the other finds out by its own call
-			r.figures.ended(m.Class, servedEnd)
+		case msg.gone: // delivered from here all the same; the other finds out by its own call
+			r.figures.ended(msg.Class, servedEnd)
 		default:
-			r.servedLate(m)
+			r.servedLate(msg)
 		}
 		return
 	}
@@ -234,17 +234,17 @@
 		if result.outcome != choice.Served { // over at the host: out of time
 			finalEnding = failedEnd
 		}
-		r.finish(m, finalEnding)
+		r.finish(msg, finalEnding)
 		return
 	}
 	neverRan := result.outcome == choice.Refused || result.outcome == choice.NoConnection || result.outcome == choice.NotSent
-	r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID, Ran: !neverRan})
+	r.record(journal.Record{Op: journal.OpOutcome, ID: msg.ID, Ran: !neverRan})
 }
 
 // finish ends a message that needs no notice.
-func (r *Relay) finish(m *message, finalEnding ending) {
-	r.figures.ended(m.Class, finalEnding)
-	r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
-	m.served = finalEnding == servedEnd
-	r.drop(m)
+func (r *Relay) finish(msg *message, finalEnding ending) {
+	r.figures.ended(msg.Class, finalEnding)
+	r.record(journal.Record{Op: journal.OpEnd, ID: msg.ID})
+	msg.served = finalEnding == servedEnd
+	r.drop(msg)
 }
