--- a/internal/relay/agreement.go
+++ b/internal/relay/agreement.go
@@ -17,29 +17,32 @@
 	"larchrouter/internal/remedy"
 )
 
-// agreement is what the fleet has agreed on.
+// agreement is the configuration on which the relays of the fleet have agreed.
 type agreement struct {
-	fleetConfig *fleet.Kept // nil for a relay that shares nothing
-	// agreed is by what calls go out, for other goroutines; nil for a relay that shares nothing.
+	fleetConfig *fleet.Kept // nil for a relay outside a fleet
+	// currentAgreed is the configuration under which calls are sent, for other goroutines; nil for a relay outside a
+	// fleet.
 	currentAgreed atomic.Pointer[agreedConfig]
 }
 
-// acting is by what the relay acts, for goroutines other than the loop. It is replaced with each turn; only the end of
-// its lease moves.
+// agreedConfig identifies the configuration by which the relay acts, for goroutines other than the loop. It is replaced
+// with each revision; only the end of its lease changes.
 type agreedConfig struct {
-	header    string       // the turn, the generation, the one that is joined to it or 0, and the mode
-	expiresAt atomic.Int64 // of the lease, by the relay's clock
+	header    string       // value of X-Agreed: the revision, the generation, the generation that is joined to it or 0, and the mode
+	expiresAt atomic.Int64 // end of the lease, in nanoseconds by the relay's clock
 }
 
-// over tells whether what was decided by it may no longer go out: the lease has run out since.
+// expired reports whether calls that were decided under the configuration may no longer be sent, because its lease has
+// expired. A nil configuration never expires.
 func (a *agreedConfig) expired(now time.Duration) bool {
 	return a != nil && now >= time.Duration(a.expiresAt.Load())
 }
 
-// newInstance names this process among all that have had the relay's name.
+// newInstanceID returns a random identifier that distinguishes this process from all others that run under the relay's
+// name.
 func newInstanceID() string { return rand.Text()[:16] }
 
-// version is that of the program, as it was built.
+// buildVersion returns the version of the program from its build information.
 func buildVersion() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -53,7 +56,7 @@
 	return info.Main.Version
 }
 
-// session is the one with the keepers, which hands what it hears to the loop.
+// newKeeperSession returns the session with the keepers. It passes their answers to the loop.
 func (r *Relay) newKeeperSession() *fleet.Session {
 	transport := &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: dialer(r.config.Source, 0).DialContext,
 		MaxIdleConnsPerHost: 2, MaxConnsPerHost: 2}
@@ -62,7 +65,7 @@
 		Fleet: func() int { return r.settings.Load().Fleet }, Now: r.now, Hear: r.handleKeeperAnswer}
 }
 
-// hear has the loop take in an answer of the keepers, and act by it.
+// handleKeeperAnswer applies an answer of the keepers in the loop, and returns what to reply.
 func (r *Relay) handleKeeperAnswer(heard fleet.Heard) (have []uint64, reply fleet.Word, ok bool) {
 	if r.copies != nil {
 		r.copies.owner.Hear(heard.Standing.Owned)
@@ -88,7 +91,7 @@
 	return have, reply, ok
 }
 
-// look has the relay act by what it may act by now.
+// refreshAgreed applies the configuration by which the relay may act at this time.
 func (r *Relay) refreshAgreed() {
 	now := r.now()
 	settings, changed := r.fleetConfig.Look(now)
@@ -100,15 +103,15 @@
 		r.actBy(settings)
 	}
 	agreed := r.currentAgreed.Load()
-	if agreed == nil { // it has never held anything
+	if agreed == nil { // the relay has not had any agreed configuration yet
 		return
 	}
 	remaining := r.fleetConfig.Left(now)
-	expiresAt := int64(math.MaxInt64) // the fallback has no end
+	expiresAt := int64(math.MaxInt64) // the fallback mode has no end
 	if mode := r.fleetConfig.Acting().Mode; mode == hold.Alone || mode == hold.Joined {
 		expiresAt = int64(now + remaining)
 	}
 	if agreed.expiresAt.Swap(expiresAt) != expiresAt && remaining > 0 {
-		time.AfterFunc(remaining, func() { r.post(func() {}) }) // the loop looks again
+		time.AfterFunc(remaining, func() { r.post(func() {}) }) // runs the loop, which checks again
 	}
 }
--- a/internal/relay/answers.go
+++ b/internal/relay/answers.go
@@ -13,7 +13,8 @@
 	"larchrouter/choice"
 )
 
-// single reads an answer that holds for the whole call.
+// singleResult returns the result of an answer that applies to the whole call. batch tells whether the call had several
+// messages.
 func singleResult(resp *http.Response, batch bool) memberResult {
 	switch resp.StatusCode {
 	case http.StatusOK:
@@ -37,7 +38,7 @@
 	return memberResult{outcome: choice.Error}
 }
 
-// toldOf reads what the answer of a call with several messages tells of one.
+// parseMemberStatus returns the result for the status of one message in the answer to a call with several messages.
 func parseMemberStatus(status string) memberResult {
 	switch status {
 	case "ok":
@@ -52,7 +53,8 @@
 	return memberResult{outcome: choice.Error}
 }
 
-// batchEnds reads the answer of a call with several messages. One that is not told of, or is told of in two ways, may have run.
+// parseBatchResults parses the answer to a call with several messages, and returns the result of each id. A message
+// that the answer does not mention, or mentions with different statuses, may have run.
 func parseBatchResults(body []byte, ids []string) []memberResult {
 	byID := map[string]memberResult{}
 	for line := range strings.Lines(string(body)) {
@@ -74,7 +76,8 @@
 	return results
 }
 
-// retryAfter reads a wait in seconds, whole or decimal, rounded up to milliseconds.
+// parseRetryAfter returns the wait of a Retry-After header: seconds, whole or decimal, rounded up to milliseconds, 1
+// hour at most. It is 0 if there is no valid wait.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(strings.TrimSpace(header.Get("Retry-After")), 64)
 	if err != nil || !(seconds > 0) {
@@ -83,8 +86,8 @@
 	return time.Duration(math.Ceil(min(seconds, 3600)*1000)) * time.Millisecond
 }
 
-// loadReport reads what a host tells of its load, where the settings say that answers tell
-// it. A report that cannot be read is none.
+// parseLoadReport parses a host's load report into the values of the given fields, if the settings name any. It returns
+// nil for a report that cannot be parsed.
 func parseLoadReport(text string, fields []string) []float64 {
 	if text == "" || len(fields) == 0 {
 		return nil
@@ -100,8 +103,8 @@
 	return report
 }
 
-// reportOf reads a call's report by the settings that the decisions go by when they hear of it: others may have been
-// taken up since the call began.
+// loadReportOf parses a call's load report with the settings that are in effect when the Chooser receives it: they may
+// have changed since the call was started.
 func (r *Relay) loadReportOf(feedback hostFeedback) []float64 {
 	if feedback.loadReport == "" {
 		return nil
@@ -109,12 +112,12 @@
 	return parseLoadReport(feedback.loadReport, r.settings.Load().ReportFields)
 }
 
-// appendFrame adds a message as it stands in the body of a call with several.
+// appendFrame appends a message in the format of a call with several messages.
 func appendFrame(body []byte, m *message) []byte {
 	return fmt.Appendf(body, "%s %s %d\r\n%s\r\n", m.ID, cmp.Or(m.Key, "-"), len(m.Body), m.Body)
 }
 
-// frameSize is how much appendFrame adds.
+// frameSize returns the number of bytes that appendFrame appends.
 func frameSize(m *message) int {
 	var digits [8]byte
 	length := len(strconv.AppendInt(digits[:0], int64(len(m.Body)), 10))
--- a/internal/relay/call.go
+++ b/internal/relay/call.go
@@ -7,44 +7,44 @@
 	"larchrouter/choice"
 )
 
-// call is one call out, with one message or several.
+// call is one HTTP call to an endpoint, with one message or several (its members).
 type call struct {
-	number    int // in what the process before this one handed over; 0 for one of this process
+	number    int // its number in the state that the previous process handed over; 0 for a call of this process
 	startedAt time.Time
 	host      *host
 	members   []*message
 	sends     []choice.Send
 	body      []byte
 	key       string
-	size      int           // of its members' frames
-	timeout   time.Duration // the longest of its members'
-	writeBy   time.Time     // its last byte must be written by then; zero for at any time
+	size      int           // total size of the members' frames in bytes
+	timeout   time.Duration // the longest time-out of its members
+	writeBy   time.Time     // the last byte must be written by then; zero for no limit
 	cancel    context.CancelCauseFunc
-	agreed    *agreedConfig // by what it was decided; nil for a relay that shares nothing
-	startBy   time.Time     // by which it must begin to go out, or an heir may not know that it is over; zero for at any time
+	agreed    *agreedConfig // the agreed configuration under which the call was decided; nil for a relay outside a fleet
+	startBy   time.Time     // writing must start by then, since a successor may not know that the call has ended; zero for no limit
 }
 
-// told is what a call tells of its host, whatever became of the messages.
+// hostFeedback is what a call reveals about its host, independent of the results of its messages.
 type hostFeedback struct {
 	elapsed    time.Duration
-	retryAfter time.Duration // send nothing there for so long
-	loadReport string        // X-Load, read by the settings in force when the decisions hear of it
-	staleConn  bool          // a kept connection broke at once
+	retryAfter time.Duration // nothing may be sent to the destination for this time
+	loadReport string        // value of X-Load, parsed with the settings that are in effect when the Chooser receives it
+	staleConn  bool          // a reused connection broke immediately
 }
 
-// staleIn is within which a kept connection that its machine has given up breaks, once it is
-// written to: the reset takes a round trip, less than a host needs for a call. Tests set it.
+// staleConnWindow is the time after the start of a request within which a reused connection that its host has dropped
+// breaks. The reset takes one round trip, which is less than a host needs to serve a call. Tests change it.
 var staleConnWindow = 50 * time.Millisecond
 
-// end is what a call tells of one message.
+// memberResult is the result of a call for one of its messages.
 type memberResult struct {
 	outcome choice.Outcome
-	done    bool // the host holds the message to be over
+	done    bool // the host considers the message finished
 }
 
-// longestFirst puts the member that has the most time left at the head of the call. The other side knows a call by
-// its first message: once that has ended here, by its own time, what is answered for all the others came for an ended
-// call, and counts for none of them.
+// putLongestFirst moves the member with the latest deadline to the head of the call. The endpoint identifies a call by
+// its first message. If that message timed out here before the others, the endpoint's answer would belong to a call
+// that has ended, and would count for none of the others.
 func (c *call) putLongestFirst() {
 	for i, msg := range c.members {
 		if msg.due > c.members[0].due {
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -15,8 +15,8 @@
 	"larchrouter/internal/journal"
 )
 
-// Guards against a shared call whose first message is the first to end: what its endpoint answers after that counts for
-// none of the others, though this relay takes them for delivered.
+// Guards against a shared call whose first message times out before the others: the endpoint identifies the call by
+// that message, so its answer would count for none of the others although this relay takes them for delivered.
 func TestLongestLivedMessageLeadsSharedCall(t *testing.T) {
 	bodies := make(chan string, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
@@ -47,8 +47,8 @@
 	want(t, "end of c", got["c"], choice.Refused)
 }
 
-// Guards against two ends, or none, of a member of a shared call whose time is up in the instant of the answer: either may
-// come to the loop first.
+// Guards against two results, or none, for a member of a shared call that times out at the moment of the answer: the
+// loop may receive either one first.
 func TestAnswerRacesMemberTimeout(t *testing.T) {
 	for name, timeoutFirst := range map[string]bool{"its end first": true, "the answer first": false} {
 		ended := make(chan struct{})
@@ -90,7 +90,8 @@
 	}
 }
 
-// Guards against a second effect where an answer tells of a message twice, and not the same: it may have run.
+// Guards against a second effect if an answer mentions a message twice with different statuses: the message may have
+// run.
 func TestContradictoryBatchAnswer(t *testing.T) {
 	for body, outcome := range map[string]choice.Outcome{
 		"a ok\r\na later\r\n": choice.Error, "a later\r\na ok\r\n": choice.Error, "a gone\r\na ok\r\n": choice.Error,
@@ -101,8 +102,8 @@
 	}
 }
 
-// Guards against a call that outlasts its message's time by as long as it waited to begin: for the rest of the step, and for a
-// core.
+// Guards against a call that outlasts its message's deadline by the time that it waited to start: for the rest of the
+// step, or for a CPU.
 func TestCallEndsAtMessageDeadline(t *testing.T) {
 	var received atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received.Add(1) }))
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -21,7 +21,7 @@
 	errStopping  = errors.New("relay stops")
 )
 
-// newTransport returns the client side towards hosts. It keeps so many idle connections at most.
+// newHostTransport returns the HTTP transport for calls to hosts, with at most maxIdleConns idle connections.
 func newHostTransport(settings *settings.Settings, maxIdleConns int, dial dialFunc) *http.Transport {
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -32,17 +32,19 @@
 			return &hostConn{Conn: conn}, nil
 		},
 		MaxIdleConns: maxIdleConns,
-		// A host may get all of the slots at once; the library's 2 would close the rest after each call.
+		// A single host may be given all call slots; net/http's default of 2 would close all but two of the connections
+		// after each call.
 		MaxIdleConnsPerHost: settings.Workers,
-		// Hosts end idle connections; a request that crosses that is lost as a reset.
+		// Hosts close idle connections. A request that is sent at the same moment is lost with a reset, so this side
+		// closes them first.
 		IdleConnTimeout:    settings.IdleConn - min(500*time.Millisecond, settings.IdleConn/4),
 		DisableCompression: true,
-		// The library's 10 MB for each call would put the relay's memory in the hands of its hosts.
+		// net/http's default of 10 MB for each call would let hosts exhaust the relay's memory.
 		MaxResponseHeaderBytes: 16 << 10,
 	}
 }
 
-// start builds the call here in the loop, so that its goroutine shares nothing with it.
+// startCall builds the request in the loop, so that the goroutine of the call shares no state with the loop.
 func (r *Relay) startCall(hostCall *call) {
 	now := r.now()
 	hostCall.startedAt, hostCall.agreed = time.Now(), r.currentAgreed.Load()
@@ -55,16 +57,17 @@
 		}
 	}
 	if len(hostCall.members) == 1 {
-		hostCall.timeout = min(hostCall.timeout, hostCall.members[0].due-now) // the step that decided it may be a while ago
+		hostCall.timeout = min(hostCall.timeout, hostCall.members[0].due-now) // time may have passed since the step that decided on the call
 		hostCall.body, hostCall.key = hostCall.members[0].Body, hostCall.members[0].Key
 	} else {
 		hostCall.body = make([]byte, 0, hostCall.size)
 		for _, msg := range hostCall.members {
 			hostCall.body = appendFrame(hostCall.body, msg)
 		}
-		// The members share one connection until the longest of their time-outs. One whose own time
-		// is up before that gets its end then; before it, a restart would be a second copy. A call that has not
-		// gone out whole by that time must not go: it would bear a message that has ended.
+		// The members share one connection until the longest of their time-outs. A member with an earlier deadline is
+		// given its result at that deadline. No retry may start before it, since that would be a second copy of the
+		// message. A call that is not fully written by the earliest deadline must not be sent, since it would contain a
+		// message that has ended.
 		for _, msg := range hostCall.members {
 			if remaining := msg.due - now; remaining < hostCall.timeout {
 				if deadline := r.startedAt.Add(msg.due); hostCall.writeBy.IsZero() || deadline.Before(hostCall.writeBy) {
@@ -89,7 +92,7 @@
 		defer cancel(nil)
 		results, feedback := r.exchange(ctx, hostCall, ids)
 		if errors.Is(context.Cause(ctx), errStopping) {
-			r.post(func() { r.callsInFlight-- }) // no outcome: the journal has it as one that may have run
+			r.post(func() { r.callsInFlight-- }) // no outcome: in the journal the attempt stays one that may have run
 			return
 		}
 		r.post(func() {
@@ -101,11 +104,11 @@
 	}()
 }
 
-// exchange makes one call and tells each member's end. The time it took is taken here, so
-// that no delay of the loop is learnt as latency.
+// exchange makes one call and returns the result of each member. It measures the elapsed time itself, so that delays of
+// the loop do not count as latency.
 func (r *Relay) exchange(ctx context.Context, hostCall *call, ids []string) (results []memberResult, feedback hostFeedback) {
 	remaining := hostCall.timeout
-	if !hostCall.startedAt.IsZero() { // this goroutine may have waited for a core since
+	if !hostCall.startedAt.IsZero() { // this goroutine may have waited for a CPU since then
 		remaining -= time.Since(hostCall.startedAt)
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, remaining, errTimeout)
@@ -120,7 +123,8 @@
 	startedAt := time.Now()
 	sentAt := startedAt
 	attempt := r.sendRequest(ctx, cancel, hostCall, ids)
-	// A kept connection that had ended before anything was written is no call yet: once more on another.
+	// A reused connection that closed before anything was written does not count as a call: try again on another one,
+	// up to three times.
 	for tries := 0; attempt.err != nil && attempt.neverRan && attempt.reusedConn && ctx.Err() == nil && !attempt.withheld.Load() && tries < 3; tries++ {
 		sentAt = time.Now()
 		attempt = r.sendRequest(ctx, cancel, hostCall, ids)
@@ -133,7 +137,7 @@
 		feedback.loadReport = attempt.response.Header.Get("X-Load")
 		if len(ids) == 1 || attempt.response.StatusCode != http.StatusOK {
 			defer time.AfterFunc(drainTimeout, cancel).Stop()
-			attempt.readBody() // so that the connection is kept; its outcome does not wait for more
+			attempt.readBody() // reads the rest, so that the connection can be reused; the outcome does not depend on it
 			results = sameResult(choice.Error)
 			for i := range results {
 				results[i] = singleResult(attempt.response, len(ids) > 1)
@@ -146,7 +150,7 @@
 		}
 		attempt.neverRan, attempt.err = false, err
 	}
-	feedback.loadReport = "" // what came with an answer that was cut off is not relied on, but for the wait
+	feedback.loadReport = "" // of a truncated answer, only the retry-after time is used
 	feedback.staleConn = attempt.response == nil && attempt.reusedConn && time.Since(sentAt) < staleConnWindow
 	switch cause := context.Cause(ctx); {
 	case attempt.withheld.Load():
@@ -164,32 +168,32 @@
 	return sameResult(choice.Reset), feedback
 }
 
-// over tells whether a time has come; the zero time never does.
+// deadlinePassed reports whether a deadline has passed. A zero deadline never passes.
 func deadlinePassed(deadline time.Time) bool {
 	return !deadline.IsZero() && !time.Now().Before(deadline)
 }
 
-// sending is what became of one request.
+// callAttempt is the state of one request to a host.
 type callAttempt struct {
 	request    *hostRequest
-	conn       *hostConn // nil if none came up
+	conn       *hostConn // nil if no connection was established
 	response   *http.Response
 	err        error
-	neverRan   bool        // it certainly did not run; unsure counts as one that did
-	reusedConn bool        // the connection was kept from before
-	withheld   atomic.Bool // nothing may go there any more
+	neverRan   bool        // the request certainly did not run; an uncertain one counts as one that did
+	reusedConn bool        // the connection had served an earlier request
+	withheld   atomic.Bool // the request was not written because sending was forbidden by then
 }
 
-// body reads the rest of the answer, as far as one may be long.
+// readBody reads the rest of the answer, up to maxBody bytes.
 func (a *callAttempt) readBody() ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(a.response.Body, maxBody))
 	if err == nil && len(body) < maxBody && a.conn != nil {
-		a.conn.unanswered.CompareAndSwap(a.request, nil) // unless it has the next request by now
+		a.conn.unanswered.CompareAndSwap(a.request, nil) // unless the connection already carries the next request
 	}
 	return body, err
 }
 
-// send writes one request, and waits for the head of its answer.
+// sendRequest writes one request, and waits for the header of its answer.
 func (r *Relay) sendRequest(ctx context.Context, cancel func(), hostCall *call, ids []string) *callAttempt {
 	attempt := &callAttempt{request: newHostRequest(hostCall.body, func() { r.figures.attempted(len(ids)) })}
 	if len(ids) == 1 {
@@ -211,7 +215,8 @@
 				attempt.conn = conn
 				conn.writing.Store(attempt.request)
 			}
-			// For what a slow host leaves unread; a kept connection still has the deadline of the call before.
+			// The deadline applies if a slow host does not read the request. A reused connection still has the deadline
+			// of its previous call, so it is set in any case.
 			info.Conn.SetWriteDeadline(hostCall.writeBy)
 		},
 	})
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -43,8 +43,8 @@
 	return ends[0].outcome, told.staleConn
 }
 
-// Guards against net/http sending a request again by itself: one with an Idempotency-Key goes out
-// twice if its connection was kept from before and breaks. An empty body needs the guard too.
+// Guards against net/http resending a request by itself: one with an Idempotency-Key is sent twice if its reused
+// connection breaks. An empty body is affected, too.
 func TestNoResendAfterReset(t *testing.T) {
 	defer func(d time.Duration) { staleConnWindow = d }(staleConnWindow)
 	staleConnWindow = time.Hour
@@ -58,7 +58,7 @@
 				}
 				io.Copy(io.Discard, req.Body)
 				if got.Add(1) == 2 {
-					return // read whole, never answered
+					return // the request was read completely and is never answered
 				}
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
@@ -82,7 +82,7 @@
 	}
 }
 
-// Guards against calling it a reset where nothing can have run.
+// Guards against reporting a reset where the request cannot have run.
 func TestRefusedConnectionNeverRan(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -93,8 +93,8 @@
 	want(t, "outcome", callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), choice.NoConnection)
 }
 
-// Guards against sending over a connection that came up only after its host began to drain or told another
-// call to wait, or once a repeat would be taken for a new message.
+// Guards against sending a call whose connection was established only after sending it was forbidden: its host began to
+// drain or advised another call to wait, the list or the message's window expired, or the relay was handed over.
 func TestCallIsWithheldAfterConnecting(t *testing.T) {
 	for name, test := range map[string]struct {
 		while  func(*Relay, *call)
@@ -126,8 +126,8 @@
 	want(t, "withheld by "+reason.String(), relay.figures.unwritten[reason], 1)
 }
 
-// Guards against a call that gets its connection only when one of its messages has ended, for its own time was up:
-// it would be sent after its end.
+// Guards against a shared call whose connection is established only after one of its messages has timed out: that
+// message would be sent after its end.
 func TestSharedCallIsNotSentAfterMemberTimeout(t *testing.T) {
 	var requests atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
@@ -163,7 +163,7 @@
 	want(t, "calls that went out", requests.Load(), 0)
 }
 
-// deadlines remembers the last one set for writing.
+// deadlineRecorder records the last write deadline of a connection.
 type deadlineRecorder struct {
 	net.Conn
 	last atomic.Pointer[time.Time]
@@ -174,8 +174,8 @@
 	return d.Conn.SetWriteDeadline(t)
 }
 
-// Guards against a repeat whose last byte is written after its window, to a host that reads slowly; and
-// against the next call on that connection failing by that deadline.
+// Guards against a repeat whose last byte is written after its window, to a host that reads slowly, and against the
+// next call on that connection failing because of that deadline.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 	defer server.Close()
@@ -201,7 +201,7 @@
 	want(t, "deadline of the next call", *conns[0].last.Load(), time.Time{})
 }
 
-// Guards against mixing up the ends of a call that nobody answers.
+// Guards against confusing the outcomes of a call that is not answered.
 func TestUnansweredCalls(t *testing.T) {
 	received := make(chan bool, 10)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
@@ -214,7 +214,7 @@
 	call := newSingleCall(server.Listener.Addr().String(), "x")
 	call.timeout = 50 * time.Millisecond
 	if outcome := callOutcome(relay, context.Background(), call); outcome != choice.Timeout {
-		// A machine so busy that the request was not even written in time proves it never ran.
+		// On a machine so busy that the request was not written in time, the call certainly never ran.
 		want(t, "outcome", outcome, choice.NoConnection)
 	} else {
 		receive(t, received, "call")
@@ -235,8 +235,8 @@
 	want(t, "end of a call too large", singleResult(&http.Response{StatusCode: 413}, true), memberResult{choice.NotSent, false})
 }
 
-// Guards against hosts whose answers fill the memory: a head without end is no answer, but for what its first line says of
-// a single message.
+// Guards against hosts whose answers exhaust the memory: an answer with an endless header is no answer, except that its
+// status line counts for a single message.
 func TestResponseHeadSizeIsBounded(t *testing.T) {
 	for status, outcome := range map[int]choice.Outcome{200: choice.Served, 500: choice.Reset, 503: choice.Reset} {
 		var written atomic.Int64
@@ -258,7 +258,7 @@
 	}
 }
 
-// Guards against a connection for each message.
+// Guards against a new connection for each message.
 func TestConnectionsAreReused(t *testing.T) {
 	var conns atomic.Int32
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -312,13 +312,13 @@
 	want(t, "end of the fifth", relay.events[4].(choice.Result).Done, false)
 }
 
-// Guards against a wait that is forgotten because the rest of the answer that told it was cut off, and one
-// told to messages that are over by then: nothing may go there all the same.
+// Guards against losing a retry-after time because the rest of its answer was cut off, or because the messages of its
+// call have ended by then: nothing may be sent to the destination all the same.
 func TestRetryAfterOfTruncatedAnswerIsHonoured(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1000")
 		w.Header().Set("Content-Length", "100")
-		io.WriteString(w, "a ok\r\n") // and no more: the library breaks the connection
+		io.WriteString(w, "a ok\r\n") // and no more: net/http closes the connection
 	}))
 	defer server.Close()
 	relay, call := newCallingRelay(), newSingleCall(server.Listener.Addr().String(), "x")
@@ -332,7 +332,7 @@
 	}
 }
 
-// Guards against decisions that never hear the limits that hosts tell in their answers.
+// Guards against load reports in hosts' answers that do not reach the Chooser.
 func TestLoadReportReachesChooser(t *testing.T) {
 	for text, want := range map[string][]float64{`{"x0":0.4,"x1":25}`: {25, 0.4}, `{"x1":3,"other":1}`: {3, 0},
 		"": nil, "{": nil, `{"x1":"many"}`: nil, "[1]": nil} {
@@ -353,7 +353,8 @@
 	}
 }
 
-// Guards against a body over 64 KiB, which a host need not take: sends that do not fit one call go in another.
+// Guards against a body over 64 KiB, which a host need not accept: sends that do not fit into one call go into another
+// one.
 func TestLargeMessagesDoNotShareACall(t *testing.T) {
 	relay := newCallingRelay()
 	relay.startedAt, relay.inbox, relay.callContext = time.Now(), make(chan func(), 10), context.Background()
@@ -374,7 +375,7 @@
 	want(t, "messages in the second", len(relay.held["m1"].call.members), 2)
 }
 
-// Guards against taking a message for safe to repeat that a garbled answer says nothing sure of.
+// Guards against treating a message as safe to repeat if a garbled answer does not clearly say so.
 func FuzzParseBatchResults(f *testing.F) {
 	f.Add("a ok\r\nb later\r\n")
 	f.Add("a  gone\nb")
@@ -393,7 +394,7 @@
 	})
 }
 
-// Guards against a relay that its partners cannot know by its address on a machine that has several.
+// Guards against a relay that its partners cannot identify by its address on a machine with several addresses.
 func TestConnectionsUseSourceAddress(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -401,7 +402,7 @@
 	}
 	defer listener.Close()
 	const source = "127.0.7.7"
-	for range 2 { // a source serves more than one connection
+	for range 2 { // a source address serves more than one connection
 		d := dialer(net.ParseIP(source), time.Second)
 		conn, err := d.DialContext(t.Context(), "tcp4", listener.Addr().String())
 		if err != nil {
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -21,11 +21,12 @@
 	"larchrouter/internal/journal"
 )
 
-// What a message costs on the whole path, from the client's connection to its end in the journal, with
-// stand-ins that allocate next to nothing: what is counted is the relay's.
+// These tests and benchmarks measure the cost of a message on the whole path, from the client's connection to the end
+// of the message in the journal. Client and endpoints are minimal and allocate next to nothing, so that the relay's
+// cost is measured.
 
-// readHead reads a head as far as its empty line, and returns its first line's second word and the length
-// of the body that follows.
+// readHead reads the header of a request or an answer up to its empty line, and returns the second word of its first
+// line and the length of the body that follows.
 func readHead(reader *bufio.Reader) (word string, length int, err error) {
 	for first := true; ; first = false {
 		line, err := reader.ReadSlice('\n')
@@ -46,7 +47,8 @@
 	}
 }
 
-// leanHost answers each call at once: 200, and ok for each message of one with several.
+// newLeanHost starts a host that answers each call at once: with 200, and with ok for each message of a call with
+// several.
 func newLeanHost(tb testing.TB) string {
 	return newRawHost(tb, func(conn net.Conn) {
 		reader := bufio.NewReaderSize(conn, 64<<10)
@@ -79,14 +81,14 @@
 	})
 }
 
-// costRig is a relay with room for whatever a benchmark brings, and one client on a kept connection.
+// costRig is a relay whose limits exceed the load of a benchmark, and one client on a persistent connection.
 type costRig struct {
 	tb              testing.TB
 	r               *Relay
 	conn            net.Conn
 	in              *bufio.Reader
 	body            []byte
-	pendingBaseline int // messages that stay
+	pendingBaseline int // messages that stay pending
 	buf             []byte
 	sent            int
 }
@@ -98,7 +100,7 @@
 	tb.Cleanup(func() { slog.SetDefault(log) })
 	platform := newFakePlatform(tb, append(more, testEndpoint("s-1", newLeanHost(tb), "taller"))...)
 	relay := startRelay(tb, platform, func(config *Config) {
-		config.DiskMB, config.Settings.MaxHeld = 4096, 0 // no compaction comes between
+		config.DiskMB, config.Settings.MaxHeld = 4096, 0 // no compaction happens during a benchmark
 		if change != nil {
 			change(config)
 		}
@@ -111,7 +113,7 @@
 	return &costRig{tb: tb, r: relay, conn: conn, in: bufio.NewReader(conn), body: bytes.Repeat([]byte("x"), bodySize)}
 }
 
-// hand posts one message and returns the status of its answer.
+// post posts one message, and returns the status of its answer.
 func (c *costRig) post() string {
 	c.sent++
 	c.buf = fmt.Appendf(c.buf[:0], "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: 9b1f03aa5c7e%08d\r\nX-Class: job-order\r\n"+
@@ -130,7 +132,7 @@
 	return status
 }
 
-// settle waits until the relay holds no more than it did at first.
+// settle waits until the relay has no more pending messages than at first.
 func (c *costRig) settle() {
 	held := make(chan int, 1)
 	for {
@@ -142,8 +144,8 @@
 	}
 }
 
-// serve has one message served. Messages follow each other while earlier ones are out, as they do in service;
-// looking whether all have ended costs too, and is done seldom.
+// serve has one message served. Further messages are sent while earlier ones are in flight, as in production. Checking
+// whether all have ended takes time as well, and is done only once in 64 messages.
 func (c *costRig) serve() {
 	if status := c.post(); status != "202" {
 		c.tb.Fatalf("status %s, want 202", status)
@@ -153,14 +155,14 @@
 	}
 }
 
-// journalSize is what the journal has grown to.
+// journalSize returns the current size of the journal in bytes.
 func (c *costRig) journalSize() int64 {
 	size := make(chan int64, 1)
 	c.r.post(func() { size <- c.r.journal.Size() })
 	return <-size
 }
 
-// together has several messages come in one turn of the loop, so that they share a call.
+// serveTogether has several messages arrive in one turn of the loop, so that they share a call.
 func (c *costRig) serveTogether(n int) {
 	c.r.post(func() {
 		for range n {
@@ -173,7 +175,7 @@
 	c.settle()
 }
 
-// processorTime is what this process has used.
+// processorTime returns the processor time that this process has used.
 func processorTime(tb testing.TB) time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -182,9 +184,9 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measure runs a benchmark's loop, and reports processor time and bytes of the journal for each message.
+// measure runs a benchmark's loop, and reports the processor time and the bytes of the journal for each message.
 func measure(b *testing.B, rig *costRig, messages int, each func()) {
-	for range 50 { // connections and buffers are there
+	for range 50 { // creates connections and buffers
 		each()
 	}
 	b.ReportAllocs()
@@ -199,7 +201,7 @@
 	b.ReportMetric(float64(rig.journalSize()-journal)/n, "journal-B/msg")
 }
 
-// BenchmarkMessage is the whole path on loopback: taken, recorded, sent, answered, ended.
+// BenchmarkMessage measures the whole path on loopback: a message is accepted, recorded, sent, answered and ended.
 func BenchmarkMessage(b *testing.B) {
 	for _, size := range []int{200, 64 << 10} {
 		b.Run(fmt.Sprint("body=", size), func(b *testing.B) {
@@ -231,7 +233,8 @@
 	})
 }
 
-// BenchmarkRestore is what a start takes to take up what the process before it held.
+// BenchmarkRestore measures how long a start takes to open the journal of the previous process with 500 pending
+// messages.
 func BenchmarkRestore(b *testing.B) {
 	dir := b.TempDir()
 	records, err := journal.Open(dir, 64e6)
@@ -258,10 +261,10 @@
 	}
 }
 
-// heldBytes is what is on the heap and on stacks once all garbage is gone.
+// retainedBytes returns the bytes in use on the heap and on stacks after garbage collection.
 func retainedBytes() float64 {
 	var stats runtime.MemStats
-	for range 3 { // pools are emptied by the second collection
+	for range 3 { // the second collection empties pools
 		runtime.GC()
 	}
 	runtime.ReadMemStats(&stats)
@@ -276,14 +279,14 @@
 	return len(names)
 }
 
-// holding reports what one of many things takes that a relay holds, in bytes.
+// retainedPer runs a function that creates n objects, and returns the bytes that are retained for each of them.
 func retainedPer(tb testing.TB, n int, what func()) float64 {
 	before := retainedBytes()
 	what()
 	return (retainedBytes() - before) / float64(n)
 }
 
-// open has the relay hold so many messages that wait, for their endpoint is not to be reached.
+// addPending posts n messages that stay pending because their endpoint cannot be used.
 func (c *costRig) addPending(n int) {
 	for range n {
 		if status := c.post(); status != "202" {
@@ -297,7 +300,7 @@
 	c.Known.Full, c.Discovery = true, "127.0.0.1:1"
 }
 
-// crowd connects idle clients, each of which has handed in a message once.
+// connectClients connects n idle clients, each of which has made one request. The returned function disconnects them.
 func (c *costRig) connectClients(n int) (end func()) {
 	var conns []net.Conn
 	for range n {
@@ -319,7 +322,7 @@
 	}
 }
 
-// longList is a list of so many endpoints.
+// longList returns a list of n endpoints.
 func longList(n int) discovery.List {
 	list := discovery.List{Version: 9, Full: true}
 	for i := range n {
@@ -329,8 +332,8 @@
 	return list
 }
 
-// BenchmarkHeld is what a relay holds for each open message, idle client and known endpoint. The stand-in's
-// side of a client's connection is in the same process and counted with it.
+// BenchmarkHeld measures what a relay retains for each pending message, idle client and known endpoint. The client's
+// side of a connection is in the same process and is counted, too.
 func BenchmarkHeld(b *testing.B) {
 	report := func(b *testing.B, n int, what func(rig *costRig, n int) func()) {
 		rig := newCostRig(b, 200, drainingEndpoint)
@@ -342,7 +345,7 @@
 		if end != nil {
 			end()
 		}
-		for b.Loop() { // it is not the time that counts here
+		for b.Loop() { // the time is of no interest here
 		}
 		b.ReportMetric(held, "held-B")
 		b.ReportMetric(float64(fds)/float64(n), "fds")
@@ -365,11 +368,11 @@
 	})
 }
 
-// Guards against a message that costs more allocations or bytes of the journal, or connections of its own. The
-// bound on allocations is a third over the 142 that were counted: the race detector adds 25.
+// Guards against a message that costs more allocations, more bytes of the journal, or connections of its own. The limit
+// on allocations is a third above the 142 that were counted; the race detector adds 25.
 func TestCostOfAMessage(t *testing.T) {
 	rig := newCostRig(t, 200, nil)
-	for range 128 { // connections and buffers are there
+	for range 128 { // creates connections and buffers
 		rig.serve()
 	}
 	journal := rig.journalSize()
@@ -387,8 +390,9 @@
 	if n := float64(rig.journalSize()-journal) / messages; n > 820 {
 		t.Errorf("a message takes %.1f bytes of the journal, want 820 at most", n)
 	}
-	// Messages that are out together have a connection each, and how many are depends on the machine. One
-	// after the other they share those there are: a call's connection is idle before its end is told.
+	// Messages in flight at the same time have a connection each, and their number depends on the machine. Messages
+	// sent one after the other share the existing connections: a call's connection is idle before the result of the
+	// call is reported.
 	fds := countDescriptors(t)
 	for range messages {
 		rig.serve()
@@ -399,7 +403,7 @@
 	}
 }
 
-// Guards against a size that is not that of the frame: a body over 64 KiB would go out, or one too short.
+// Guards against a size that differs from that of the frame: a body over 64 KiB would be sent, or one too short.
 func TestFrameSize(t *testing.T) {
 	for _, m := range []*message{{Entry: &journal.Entry{ID: "a"}}, {Entry: &journal.Entry{ID: "abc", Key: "k", Body: []byte("hello")}},
 		{Entry: &journal.Entry{ID: "a", Body: make([]byte, 10)}}, {Entry: &journal.Entry{ID: "a", Key: "key", Body: make([]byte, maxBody)}}} {
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -15,7 +15,7 @@
 	"larchrouter/internal/discovery"
 )
 
-// scripted is an endpoint that answers its first call by a script and all others with 200, and notes what it got.
+// scriptedHost is an endpoint that answers its first call by a function and all others with 200, and counts its calls.
 type scriptedHost struct {
 	addr  string
 	mu    sync.Mutex
@@ -50,8 +50,9 @@
 	return func(w http.ResponseWriter) { w.WriteHeader(status) }
 }
 
-// Guards the end of a message whose outcome comes as the loop ends, and is dropped: whatever it was, the next start takes the
-// attempt for one that may have run, sends again only what may be repeated, and ends each message exactly once.
+// Guards against wrong ends of messages whose outcome arrives as the loop ends, and is dropped. Whatever the outcome
+// was, the next start treats the attempt as one that may have run, sends only repeatable messages again, and ends each
+// message exactly once.
 func TestDroppedOutcomeOfSingleCall(t *testing.T) {
 	closedAddr := func() string {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +81,7 @@
 				state := t.TempDir()
 				sendAndDropOutcomes(t, newFakePlatform(t, server), state, class, "m1")
 				if kind == "no connection" {
-					host.calls, server.Addr = 1, host.addr // its first answer is over
+					host.calls, server.Addr = 1, host.addr // skips the first answer
 					want++
 				}
 				wantEndedOnce(t, server, state, class, repeatable, "m1")
@@ -92,7 +93,7 @@
 	}
 }
 
-// Guards the same for the members of a shared call.
+// Guards against the same for the members of a shared call.
 func TestDroppedOutcomeOfSharedCall(t *testing.T) {
 	for class, repeatable := range map[string]bool{"status-update": true, "payment": false} {
 		host := newScriptedHost(t, func(w http.ResponseWriter) { io.WriteString(w, "m1 ok\r\nm2 later\r\nm3 gone\r\n") })
@@ -101,12 +102,13 @@
 		state := t.TempDir()
 		sendAndDropOutcomes(t, newFakePlatform(t, server), state, class, "m1", "m2", "m3")
 		want(t, "calls", host.count(), 1)
-		server.Kind = "customer-system" // one message a call, which 200 delivers
+		server.Kind = "customer-system" // one message per call, which 200 delivers
 		wantEndedOnce(t, server, state, class, repeatable, "m1", "m2", "m3")
 	}
 }
 
-// dropOutcomes takes messages on, has them go out, and kills the relay with their outcomes ready and not taken in.
+// sendAndDropOutcomes accepts messages, has them sent, and stops the relay while their outcomes are queued but not
+// processed.
 func sendAndDropOutcomes(t *testing.T, platform *fakePlatform, state, class string, ids ...string) {
 	t.Helper()
 	relay := unserved(t, platform, state)
@@ -120,12 +122,13 @@
 		relay.step()
 	}
 	want(t, "calls out", relay.callsInFlight, 1)
-	receive(t, relay.inbox, "outcome") // and not run
+	receive(t, relay.inbox, "outcome") // received, but not run
 	relay.stop()
 	relay.journal.Close()
 }
 
-// endsOnce starts the next process, and wants each message delivered if it may be repeated, else ended by one notice.
+// wantEndedOnce starts the next process, and checks that each message is delivered if it may be repeated, and is ended
+// by one notice otherwise.
 func wantEndedOnce(t *testing.T, server discovery.Server, state, class string, repeatable bool, ids ...string) {
 	t.Helper()
 	platform := newFakePlatform(t, server)
--- a/internal/relay/due_notices.go
+++ b/internal/relay/due_notices.go
@@ -5,14 +5,15 @@
 	"slices"
 )
 
-// A notice waits until its record counts: an heir that does not know of it could deliver the message, after its client was told
-// to hand it in again. Once the message's time is up no heir begins a call with it any more, and none is out, so the notice waits
-// no longer: it would only come too late.
+// A notice is sent once its record is committed: a successor that does not know of the record could deliver the message
+// after its client was told to send it again. From the message's deadline on no successor starts a call with it any
+// more, and none is in flight, so the notice is sent without waiting any longer: it would only be late.
 
-// uncountedNotices are notices of one write whose records do not count yet.
+// uncommittedNotices are the notices of one write whose records are not committed yet.
 type uncommittedNotices struct{ notices []notice }
 
-// noticesCounted is what is to be done with notices once their records count, or are another relay's.
+// whenNoticesCommitted returns the function to call once the records of notices are committed, or belong to another
+// relay.
 func (r *Relay) whenNoticesCommitted(notices []notice) func(committed bool) {
 	copies := r.copies
 	if copies == nil {
@@ -26,17 +27,17 @@
 	}
 }
 
-// dropUncounted forgets the notices of the write before, which failed: they wait to be recorded again.
+// dropUncommittedNotices removes the notices of the last write, which failed: they stay queued to be recorded again.
 func (r *Relay) dropUncommittedNotices() {
 	if copies := r.copies; copies != nil {
 		copies.uncounted = copies.uncounted[:len(copies.uncounted)-1]
 	}
 }
 
-// tellDue has notices go out whose messages' time is up, though their records do not count yet.
+// sendDueNotices sends the notices of messages whose deadline has passed, although their records are not committed yet.
 func (r *Relay) sendDueNotices() {
 	if r.heir != nil {
-		return // they are the next process's
+		return // the next process sends them
 	}
 	now := r.now()
 	for _, uncommitted := range r.copies.uncounted {
--- a/internal/relay/flush.go
+++ b/internal/relay/flush.go
@@ -8,27 +8,28 @@
 	"larchrouter/internal/remedy"
 )
 
-// From the loop's state to the journal, and from there to the sender of notices.
+// This file moves records from the loop's state to the journal, and notices from there to the sender.
 
-// recordsAtOnce bounds the records of one write: the journal keeps room for about so many beyond what it holds, and makes
-// room by what they end.
+// maxRecordsPerWrite limits the records of one write. The journal reserves space for about this many records beyond
+// what it holds, and regains space by the entries that they end.
 const maxRecordsPerWrite = 64
 
-// bindInOrder records what something new depends on, unless earlier records could not be written yet: written after it,
-// the end of an earlier message would end a new one of the same id, and an outcome would be taken for that of a new attempt.
-func (r *Relay) bindAfterFlush(records []journal.Record, maxWait time.Duration, then func(committed bool)) error {
+// bindInOrder records what a new message or call depends on. It fails if earlier records are not written yet: if they
+// were written after the new ones, the end of an earlier message would end a new one with the same id, and an outcome
+// would be taken for that of a new attempt.
+func (r *Relay) bindInOrder(records []journal.Record, maxWait time.Duration, then func(committed bool)) error {
 	if len(r.records) > 0 {
 		return errUnwritten
 	}
 	return r.bind(records, maxWait, then)
 }
 
-// flush records what has ended. What cannot be written now is kept, and no notice
-// goes out before it is: a client told to come again, and a restart that takes the
-// message up again, would deliver it twice.
+// flush records what has ended. Records that cannot be written now are retained, and no notice is sent before its
+// record is written: otherwise a client that is told to send the message again, and a restart that resumes it, would
+// deliver it twice.
 func (r *Relay) flush() {
 	if r.heir != nil {
-		return // the journal is the next process's
+		return // the journal belongs to the next process
 	}
 	all := r.records
 	for len(r.records) > 0 {
@@ -56,8 +57,8 @@
 	r.untold = nil
 }
 
-// noticesOf are the first of the notices that wait, up to the last one that some records are of. Notices wait in the order
-// of their records.
+// noticesFor returns the first of the waiting notices, up to the last one that one of the records belongs to. Notices
+// wait in the order of their records.
 func (r *Relay) noticesFor(records []journal.Record) []notice {
 	count := 0
 	for _, record := range records {
@@ -72,19 +73,21 @@
 	return r.untold[:min(count, len(r.untold))]
 }
 
-// sendNotices has notices go out once their records count.
+// sendNotices queues notices whose records are committed.
 func (r *Relay) sendNotices(notices []notice, committed bool) {
-	if !committed { // another relay ends them
+	if !committed { // another relay ends the messages
 		r.owed -= len(notices)
 		return
 	}
 	r.notices.add(notices)
 }
 
-// rewriteIn is the time from a record that could not be written to the next attempt. What it ends waits for it.
+// flushRetryDelay is the time from a failed write of records to the next attempt. The notices of these records wait for
+// it.
 const flushRetryDelay = 50 * time.Millisecond
 
-// flushAgain has the loop take a turn, and so flush, in a while; one such turn at a time, however many attempts have failed.
+// scheduleFlush has the loop run again, and thereby flush, after a delay. Only one such run is scheduled at a time,
+// however many attempts have failed.
 func (r *Relay) scheduleFlush() {
 	if r.flushes {
 		return
--- a/internal/relay/hostconn.go
+++ b/internal/relay/hostconn.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// hostConn is a connection to a host. It tells when the last byte of a request goes out, which httptrace does only
-// before the last flush, and RoundTrip only with the answer; and what the first line of an answer said whose rest does
-// not come.
+// hostConn is a connection to a host. It reports when the last byte of a request is written, which httptrace reports
+// only before the last flush and RoundTrip only with the answer. It also reads the status line of an answer, which
+// counts even if the rest of the answer does not arrive.
 type hostConn struct {
 	net.Conn
-	writing    atomic.Pointer[hostRequest] // that is being written
-	unanswered atomic.Pointer[hostRequest] // that has begun to go out, and whose answer has not come whole
+	writing    atomic.Pointer[hostRequest] // the request that is being written
+	unanswered atomic.Pointer[hostRequest] // the request whose writing has started, and whose answer is not complete
 }
 
-// errUnasked says that a host sent something when nothing was asked.
+// errUnsolicited reports that a host sent data although no request was pending.
 var errUnsolicited = errors.New("an answer to no request")
 
 func (c *hostConn) Write(p []byte) (int, error) {
@@ -33,8 +33,8 @@
 		}
 		c.unanswered.Store(request)
 	}
-	// All that was read of the body before a write is in that write or an earlier one. From here on it may have gone: its answer
-	// can come before the write returns.
+	// All of the body that was read before this write is in this write or an earlier one. From here on the request may
+	// have been sent completely: its answer can arrive before Write returns.
 	last := request.unread.Len() == 0
 	if last {
 		request.fullyWritten.Store(true)
@@ -49,8 +49,8 @@
 	return n, err
 }
 
-// Read ends the connection over what comes unasked. A second answer to the call before, read as the next request is about
-// to be written, would be taken for the answer to that.
+// Read closes the connection by an error if data arrives that no request asked for. A second answer to the previous
+// call that is read just before the next request is written would otherwise be taken for the answer to that request.
 func (c *hostConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
--- a/internal/relay/hostconn_test.go
+++ b/internal/relay/hostconn_test.go
@@ -18,7 +18,7 @@
 	"larchrouter/choice"
 )
 
-// bareHost has each connection served by a function, until the test ends.
+// newRawHost listens, serves each connection with a function until the test ends, and returns its address.
 func newRawHost(tb testing.TB, serve func(net.Conn)) (addr string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +40,8 @@
 	return listener.Addr().String()
 }
 
-// sayingHost answers each connection's first request with a text, and then ends it or says nothing more.
+// newScriptedAnswerHost starts a host that answers each connection's first request with a text, and then closes the
+// connection or stays silent.
 func newScriptedAnswerHost(t *testing.T, text string, closes bool) string {
 	return newRawHost(t, func(conn net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(conn))
@@ -55,8 +56,8 @@
 	})
 }
 
-// Guards against answers that stop short: what their first line says of a single message holds, a call of several
-// wants the whole of it, and none is waited for longer than the call's time.
+// Guards against mishandling truncated answers: the status line counts for a single message, a call with several needs
+// the whole answer, and no call waits for an answer longer than its time-out.
 func TestTruncatedAnswers(t *testing.T) {
 	for _, test := range []struct {
 		text string
@@ -88,7 +89,7 @@
 			if test.want == choice.Timeout {
 				call.timeout = 2 * time.Second
 			}
-			if test.want != choice.Timeout { // an outcome that waits for more than has to come never does
+			if test.want != choice.Timeout { // with this time-out, an outcome that waits for more data than needed would never arrive
 				call.timeout = time.Hour
 			}
 			got := make(chan []memberResult, 1)
@@ -103,7 +104,7 @@
 	}
 }
 
-// Guards against a second answer to one call that is taken for the answer to the next.
+// Guards against taking a second answer to one call for the answer to the next.
 func TestUnsolicitedAnswerClosesConnection(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
@@ -129,7 +130,8 @@
 	}
 }
 
-// Guards against a lack of descriptors that is held against an endpoint: clients who rest make room for its connection.
+// Guards against blaming an endpoint for a lack of descriptors: idle client connections are closed to free descriptors
+// for its connection.
 func TestDialWithoutDescriptors(t *testing.T) {
 	in := newIntakes(t, 64)
 	for i := range 16 {
@@ -151,8 +153,8 @@
 	in.idles(t, 16-descriptorsBack-1)
 }
 
-// Guards against an endpoint that is taken for down because this machine could not make a connection for a moment (connect(2)),
-// against one that is held to be up because it cannot be reached, and against a try without end.
+// Guards against taking an endpoint for down because this machine could not make a connection for a moment
+// (connect(2)), against taking an unreachable one for up, and against endless attempts.
 func TestLocalDialErrorsAreRetried(t *testing.T) {
 	for _, test := range []struct {
 		err   error
@@ -184,19 +186,19 @@
 	}
 }
 
-// broken is a connection whose reads fail.
+// brokenConn is a connection whose reads fail.
 type brokenConn struct {
 	net.Conn
 	err error
 }
 
 func (b *brokenConn) Read([]byte) (int, error) {
-	time.Sleep(20 * time.Millisecond) // the request is written by then
+	time.Sleep(20 * time.Millisecond) // the request has been written by then
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", b.err)}
 }
 
-// Guards against a call that counts as never made because its connection broke (tcp(7)): its last byte was written, so it may
-// have run.
+// Guards against a call that counts as never sent because its connection broke (tcp(7)): its last byte was written, so
+// it may have run.
 func TestConnectionBreakDuringCallIsReset(t *testing.T) {
 	for _, err := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
 		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
@@ -216,7 +218,8 @@
 	}
 }
 
-// Guards against parts that add up to more than there is, or leave clients or endpoints nothing.
+// Guards against shares of the descriptors that add up to more than there are, or that leave none for clients or
+// endpoints.
 func TestDescriptorShares(t *testing.T) {
 	for _, sockets := range []int{16, 64, 128, 256, 512, 1024, 4096} {
 		for _, workers := range []int{4, 27, 60} {
--- a/internal/relay/hostrequest.go
+++ b/internal/relay/hostrequest.go
@@ -7,26 +7,28 @@
 	"time"
 )
 
-// hostRequest is one request to a host, as far as its connection knows it: what has gone out of it, and what has come of its
-// answer.
+// hostRequest is the state of one request to a host, as its connection sees it: what was written of it, and what was
+// received of its answer.
 type hostRequest struct {
-	unread        *bytes.Reader // what is left of it to hand to the library; of whoever writes the connection
-	fullyWritten  atomic.Bool   // all of the request may have been written
-	answerStarted atomic.Bool   // bytes of its answer have come, whether or not it has gone out whole
-	onWritten     func()        // called once it has been written
-	// admit is asked right before the first byte of the request is written; leave is called once that is done. Nil lets all begin.
+	unread        *bytes.Reader // the part of the body that net/http has not read yet; used only by the goroutine that writes the connection
+	fullyWritten  atomic.Bool   // the whole request may have been written
+	answerStarted atomic.Bool   // part of the answer has arrived, whether or not the request was fully written
+	onWritten     func()        // called once the request is fully written
+	// admit is called right before the first byte of the request is written, and leave once that write is done. If
+	// admit is nil, every request may start.
 	admit          func() (leave func(), err error)
-	statusLine     []byte      // the start of the answer, up to its first line; of whoever reads the connection
-	statusLineRead bool        // that has come
-	delivered      atomic.Bool // and says 200
+	statusLine     []byte      // the start of the answer, up to the end of its status line; used only by the goroutine that reads the connection
+	statusLineRead bool        // the status line is complete, or too long
+	delivered      atomic.Bool // the status line has status 200
 	answerTimer    atomic.Pointer[time.Timer]
-	cancel         func() // the rest of the answer
+	cancel         func() // cancels reading the rest of the answer
 }
 
 const (
-	maxStatusLine = 256 // bytes of a first line
-	// headIn is for the rest of an answer's head to come once its first line says all that counts, drainIn for the rest
-	// of its body: then the connection is given up, and the slot with it.
+	maxStatusLine = 256 // size limit of a status line in bytes
+	// headTimeout is the time within which the rest of an answer's header must arrive after its status line, which says
+	// all that matters. drainTimeout is the same for the rest of the body. After that the connection is closed, and the
+	// call slot is free again.
 	headTimeout  = time.Second
 	drainTimeout = 100 * time.Millisecond
 )
@@ -35,23 +37,25 @@
 	return &hostRequest{unread: bytes.NewReader(body), onWritten: onWritten}
 }
 
-// reader is the body for net/http, which cannot rewind it: a request that bears an Idempotency-Key would be sent again by the
-// library after a broken connection if its body were http.NoBody or had GetBody. The library does not know that it lies in memory
-// either, and so writes the head first: a connection that breaks at that shows for certain that the call never ran.
+// requestBody returns the body for net/http, in a form that net/http cannot rewind. If the body were http.NoBody or had
+// GetBody, net/http would resend a request that has an Idempotency-Key after its connection broke. As net/http does not
+// know that the body is in memory, it also writes the header first: a connection that breaks during that write shows
+// for certain that the call did not run.
 func (r *hostRequest) requestBody() io.ReadCloser { return opaqueReader{r.unread} }
 
-// requestBody hides what kind of reader a body is.
+// opaqueReader hides the concrete type of a body's reader.
 type opaqueReader struct{ io.Reader }
 
-// Close does nothing.
+// Close implements io.Closer and does nothing.
 func (opaqueReader) Close() error { return nil }
 
-// neverRan tells whether a request that failed surely did not run: its last byte did not go out, and its endpoint has not begun
-// to answer it. An answer that cannot be read counts as one to a request that may have run, whenever it comes.
+// neverRan reports whether a failed request certainly did not run: its last byte was not written, and its endpoint has
+// not started to answer. If an answer arrived that cannot be parsed, the request may have run, no matter when the
+// answer came.
 func (r *hostRequest) neverRan() bool { return !r.fullyWritten.Load() && !r.answerStarted.Load() }
 
-// heard takes in what has come of the answer: a message is delivered when a first line with 200 has been written here,
-// whatever becomes of the rest.
+// answerReceived processes the next bytes of the answer. A message is delivered once a status line with 200 has been
+// received, whatever becomes of the rest.
 func (r *hostRequest) answerReceived(p []byte) {
 	r.answerStarted.Store(true)
 	if r.statusLineRead {
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -11,33 +11,33 @@
 	"larchrouter/internal/discovery"
 )
 
-// endpoints is the list as the relay goes by it.
+// endpointList is the endpoint list that is in effect in the relay.
 type endpointList struct {
 	hosts          map[string]*host
-	destWaits      map[int]*hostWait // ever listed
-	appliedVersion int64             // of the list
-	// listVersion is the same for other goroutines.
+	destWaits      map[int]*hostWait // by destination, for all destinations that were ever listed
+	appliedVersion int64             // version of the list that the loop has applied
+	// listVersion is the same version, for other goroutines.
 	listVersion   atomic.Int64
-	zoneNames     []string                       // in the order of Host.Zone
+	zoneNames     []string                       // indexed by choice.Host.Zone
 	hostTransport atomic.Pointer[http.Transport] // for other goroutines, too
 }
 
 // host is what the relay needs to call an endpoint.
 type host struct {
-	entry      discovery.Server // as last listed
+	entry      discovery.Server // the entry as last listed
 	id, addr   string
 	dest, zone int
 	maxPerCall int
 	state      choice.State
-	closed     atomic.Bool // drains, is gone or out by hand: nothing new may go there
-	wait       *hostWait   // of its destination; its own where routes are apart
+	closed     atomic.Bool // the endpoint drains, was removed or is manually disabled: no new call may be sent to it
+	wait       *hostWait   // shared by all hosts of the destination; the host's own if the routes of its kind are separate units
 }
 
-// waiting is until when nothing may go to a destination, by the relay's clock. The decisions hear of a wait
-// with the end of the call that told it; calls that still wait for their connection by then look here.
+// hostWait is the time until which nothing may be sent to a destination, by the relay's clock. The Chooser learns of a
+// wait only when the call that received it ends; calls that are still waiting for a connection check it here.
 type hostWait struct{ until atomic.Int64 }
 
-// heed takes in a wait that ends at a time.
+// extend sets the end of the wait, unless it already ends later.
 func (w *hostWait) extend(until time.Duration) {
 	for {
 		old := w.until.Load()
@@ -47,12 +47,13 @@
 	}
 }
 
-// left is how much of the wait there is.
+// remaining returns the time that is left of the wait.
 func (w *hostWait) remaining(now time.Duration) time.Duration {
 	return max(0, time.Duration(w.until.Load())-now)
 }
 
-// listed takes in news of the list: at once for the calls that have not gone yet, and for the decisions.
+// applyList applies a new list, or changes of it. It takes effect at once for calls that are not written yet, and is
+// passed to the Chooser with the next step.
 func (r *Relay) applyList(list discovery.List) {
 	listing, settings := choice.Listing{Whole: list.Full}, r.settings.Load()
 	r.appliedVersion = list.Version
@@ -80,7 +81,7 @@
 		}
 		current := &host{id: server.ID, addr: server.Addr, dest: server.Cell, zone: listedHost.Zone, maxPerCall: 1}
 		if previous := oldHosts[server.ID]; previous != nil && previous.addr == current.addr && previous.dest == current.dest {
-			current = previous // calls that are out hold on to it
+			current = previous // calls in flight refer to it
 		} else if previous != nil {
 			previous.closed.Store(true)
 		}
@@ -100,7 +101,7 @@
 			}
 		}
 	}
-	if list.Full { // only now: one that stays must not look closed for a moment to a call about to go
+	if list.Full { // only now: an endpoint that stays must never look closed to a call that is about to be sent
 		for id, h := range oldHosts {
 			if r.hosts[id] != h {
 				h.closed.Store(true)
@@ -111,8 +112,8 @@
 	slog.Debug("the list is applied", "version", list.Version, "whole", list.Full, "entries", len(list.Servers))
 }
 
-// zone is the number of a zone; one that the settings do not name gets the next.
-// A change of settings leaves the numbers as they are.
+// zoneNumber returns the number of a zone. A zone that the settings do not name is given the next free number. A change
+// of settings leaves the numbers unchanged.
 func (r *Relay) zoneNumber(name string) int {
 	i := slices.Index(r.zoneNames, name)
 	if i < 0 {
--- a/internal/relay/hostwrites_test.go
+++ b/internal/relay/hostwrites_test.go
@@ -17,13 +17,13 @@
 	"larchrouter/choice"
 )
 
-// The story of these tests: TestVastAnswerIsBounded failed at times (327 of 14,400 calls with eight of its processes to a core
-// less than three), because a call went out in two writes, head and body. An endpoint that answers once it has the head could
-// be heard between them. If its answer could not be read, the connection was closed, the second write failed with "use of closed
-// network connection", and the relay took the call for one that never went out, which may be made again. Each of 248 traced
-// failures was of that form: 160 bytes written, answer bytes read, last write failed.
+// These tests cover a fault that showed in TestResponseHeadSizeIsBounded (327 of 14,400 calls, with eight of its
+// processes on less than three cores). A call is sent in two writes, header and body, and an endpoint may answer
+// between them, once it has the header. If its answer could not be parsed, the connection was closed, the second write
+// failed with "use of closed network connection", and the relay treated the call as never sent, which allows a repeat.
+// All of 248 traced failures had this form: 160 bytes written, bytes of the answer read, last write failed.
 
-// writesCounted counts the writes of a connection, and can hold those after the first until the connection is closed.
+// countingConn counts the writes of a connection, and can block all but the first one until the connection is closed.
 type countingConn struct {
 	net.Conn
 	count            *atomic.Int32
@@ -45,7 +45,7 @@
 	return err
 }
 
-// countWrites puts a writesCounted under each connection that a relay makes to an endpoint.
+// countWrites puts a countingConn under each connection that a relay makes to an endpoint.
 func countWrites(relay *Relay, blockAfterFirst bool) (count *atomic.Int32) {
 	count = new(atomic.Int32)
 	dial := relay.hostTransport.Load().DialContext
@@ -61,8 +61,9 @@
 	return count
 }
 
-// Guards against a call that counts as never made though its endpoint has begun to answer it: the answer cannot be read, the
-// call's last byte cannot be written any more, and a message that must not run twice would go out again.
+// Guards against a call that counts as never sent although its endpoint has started to answer: the answer cannot be
+// parsed, the last byte of the call cannot be written any more, and a message that must not run twice would be sent
+// again.
 func TestCallWithStartedAnswerMayHaveRun(t *testing.T) {
 	for _, status := range []int{200, 500, 503} {
 		t.Run(fmt.Sprint(status), func(t *testing.T) {
@@ -74,20 +75,20 @@
 			countWrites(relay, true)
 			expected := choice.Reset
 			if status == http.StatusOK {
-				expected = choice.Served // its first line says so of a single message
+				expected = choice.Served // the status line counts for a single message
 			}
-			large := string(bytes.Repeat([]byte("x"), maxBody)) // in several writes
+			large := string(bytes.Repeat([]byte("x"), maxBody)) // needs several writes
 			want(t, "outcome", callOutcome(relay, context.Background(), newSingleCall(addr, large)), expected)
 		})
 	}
 }
 
-// Guards against a call whose connection breaks with no word before its last byte is written, and that counts as one which may
-// have run: then it would not be made again.
+// Guards against a call that counts as possibly run although its connection broke without any answer before its last
+// byte was written: it would not be repeated.
 func TestUnansweredCallThatBreaksNeverRan(t *testing.T) {
 	addr := newRawHost(t, func(conn net.Conn) {
 		io.CopyN(io.Discard, conn, 100)
-		time.Sleep(10 * time.Millisecond) // the rest of the first write has come: closed over it, the connection is reset
+		time.Sleep(10 * time.Millisecond) // the rest of the first write has arrived, so that closing the connection over it resets the connection
 	})
 	r := newCallingRelay()
 	countWrites(r, true)
--- a/internal/relay/late_answer_test.go
+++ b/internal/relay/late_answer_test.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/journal"
 )
 
-// takeOutOn has the relay hold a message that a call is out with.
+// addInFlight adds a pending message to the relay, with a call in flight.
 func (g *noticeRig) addInFlight(id string) (*message, *call) {
 	msg := &message{Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: time.Now().Add(time.Hour).UnixMilli()}}
 	hostCall := &call{host: &host{id: "s-1"}, members: []*message{msg}}
@@ -23,26 +23,26 @@
 	return msg, hostCall
 }
 
-// inLoop has the loop do something, and waits for that turn to end.
+// inLoop runs a function in the loop, and waits for the end of that turn.
 func (g *noticeRig) inLoop(f func()) {
 	g.post(f)
 	synctest.Wait()
 }
 
-// counted are the ends of messages of the class that takeOutOn uses.
+// endCounts returns how messages of the class that addInFlight uses have ended.
 func (g *noticeRig) endCounts() ends {
 	g.figures.mu.Lock()
 	defer g.figures.mu.Unlock()
 	return *g.figures.of("payment")
 }
 
-// Guards against a client that is told "undeliverable" of what was delivered: the answer of a shared call came after the own
-// time of one of its members, but before its notice went out.
+// Guards against a client that is told "undeliverable" of a delivered message: the answer of a shared call came after
+// the deadline of one of its members, but before that member's notice was sent.
 func TestNoticeOfLateDeliveryIsWithdrawn(t *testing.T) {
 	const silentFor = 5 * time.Second
 	platform := &memoryPlatform{react: func(_, _ int, now time.Duration) reaction { return reaction{silent: now < silentFor} }}
 	inNoticeRig(t, platform, func(rig *noticeRig) {
-		for _, id := range makeIDs(maxNoticeBatches) { // as many batches as may be under way at once
+		for _, id := range makeIDs(maxNoticeBatches) { // as many batches as may be in flight at once
 			rig.end(id)
 			time.Sleep(maxNoticeBatches * noticeStagger)
 		}
@@ -62,7 +62,7 @@
 	})
 }
 
-// Guards against the same where the answer comes before the decisions have ended the member.
+// Guards against the same if the answer comes before the Chooser has ended the member.
 func TestLateAnswerBeforeChooserEndsMember(t *testing.T) {
 	platform := &memoryPlatform{}
 	inNoticeRig(t, platform, func(rig *noticeRig) {
@@ -80,8 +80,8 @@
 	})
 }
 
-// Guards against a notice that is withdrawn though it has gone out: its message would count twice, and the platform's
-// acceptance would be held for that of another notice.
+// Guards against withdrawing a notice that was already sent: its message would be counted twice, and the platform's
+// acceptance would be taken for that of another notice.
 func TestNoticeInFlightIsNotWithdrawn(t *testing.T) {
 	platform := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: 300 * time.Millisecond} }}
 	inNoticeRig(t, platform, func(rig *noticeRig) {
--- a/internal/relay/leasestart_test.go
+++ b/internal/relay/leasestart_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Seen: under load a message that may be repeated ended undeliverable 70 ms after its process had restarted, with no second call.
-// Cause: the lease had run out, and the decisions heard of it with the follower's first word; until then each of their calls was
-// withheld, and used up an attempt. Here that first word does not come.
+// Guards against attempts that are used up at a start under an expired lease. A repeatable message ended undeliverable
+// 70 ms after its process had restarted under load, without a second call: the Chooser learned of the expired lease
+// only with the first update of the list's follower, and each call before that was withheld and used up an attempt.
+// Here that first update never comes.
 func TestExpiredListAtStartUsesNoAttempt(t *testing.T) {
 	platform := newFakePlatform(t, testEndpoint("s-1", newScriptedHost(t, answerStatus(500)).addr, "taller"))
 	dir := t.TempDir()
--- a/internal/relay/leasewrites_test.go
+++ b/internal/relay/leasewrites_test.go
@@ -13,19 +13,22 @@
 	"larchrouter/internal/discovery"
 )
 
-// Seen: after a drain counted as told, single requests went to the draining endpoint 1.1 to 1.4 s later, where 1 s is allowed,
-// though the list's lease was in force by then. They came about the time of the process's next call for the list.
-// Cause: the lease and the endpoint were checked when a request got its connection, and the request was written some time later.
-// What changed in between did not hold it back; a fixed pause before each call for the list stood in for that, no longer than a
-// process may be held up. The other way round, a renewed lease held at once, and the list that it was for only once the
-// loop had applied it.
-// Proof: on a staged fleet with a log line at each write, requests were written up to 0.4 ms after their lease had ended; here the
-// process is held up at the two places in between, and as a list is about to be applied.
+// These tests cover a fault in which single requests were sent to a draining endpoint 1.1 to 1.4 s after the drain was
+// binding, where 1 s is allowed, although the lease of the list was in effect. The requests came about the time of the
+// process's next call for the list.
+//
+// Lease and endpoint were checked when a request got its connection, and the request was written some time later: a
+// change in between did not stop it. A fixed pause before each call for the list did not help if the process was
+// delayed for longer than that. Conversely, a renewed lease took effect at once, but its list only when the loop had
+// applied it.
+//
+// With a log line at each write, requests were seen up to 0.4 ms after the end of their lease. The tests delay the
+// process at the two places between check and write, and while a list is about to be applied.
 
-// stalledConn holds up whoever is about to use a connection, until it is let go.
+// stalledConn calls functions that may block before and after a connection is used.
 type stalledConn struct {
 	net.Conn
-	beforeDeadline, beforeWrite func() // called first by SetWriteDeadline and by Write
+	beforeDeadline, beforeWrite func() // called before SetWriteDeadline and Write
 	afterWrite                  func() // called once a write has returned
 }
 
@@ -40,8 +43,9 @@
 	return c.Conn.Write(p)
 }
 
-// relayThatDials starts a relay with one endpoint, whose connections are made by a function, and a channel of what the endpoint
-// reads first of each: a part of a request, or nothing as the connection ends.
+// startRelayWithDialer starts a relay with one endpoint, and wraps each connection to it by a function. The channel
+// receives the first bytes that the endpoint reads from each connection: a part of a request, or nothing if the
+// connection closes.
 func startRelayWithDialer(t *testing.T, wrap func(net.Conn) net.Conn) (relay *Relay, addr string, read chan string) {
 	read = make(chan string, 10)
 	addr = newRawHost(t, func(conn net.Conn) {
@@ -63,8 +67,8 @@
 	return relay, addr, read
 }
 
-// Guards against a request that is written after the lease has ended, wherever its process is held up since the check: once the
-// end is known to whoever calls for the list next, no request may begin.
+// Guards against a request that is written after the lease has ended, wherever the process is delayed since the check.
+// Once leaseRenewed has returned, and the next call for the list may go out, no request may start.
 func TestNoRequestStartsAfterLeaseEnd(t *testing.T) {
 	nothing := func() {}
 	for _, place := range []string{"before the write", "at the write"} {
@@ -101,7 +105,7 @@
 			var end time.Time
 			select {
 			case end = <-ended:
-			case <-time.After(50 * time.Millisecond): // it waits for what is about to be written
+			case <-time.After(50 * time.Millisecond): // it waits for the request that is about to be written
 			}
 			close(release)
 			if end.IsZero() {
@@ -118,8 +122,8 @@
 	}
 }
 
-// Guards against a renewed lease that holds before the list that it is for: a call that has waited for its connection since the
-// last lease goes by neither.
+// Guards against a renewed lease that takes effect before its list: a call that has waited for its connection since the
+// previous lease may be sent under neither of them.
 func TestRenewedLeaseTakesEffectWithItsList(t *testing.T) {
 	dialed, connect := make(chan struct{}, 10), make(chan struct{})
 	relay, addr, read := startRelayWithDialer(t, func(conn net.Conn) net.Conn {
@@ -131,7 +135,7 @@
 	receive(t, dialed, "connection")
 	setLeaseExpiry(relay, time.Now().Add(-time.Hour))
 	apply := make(chan struct{})
-	relay.post(func() { <-apply }) // the loop is held up
+	relay.post(func() { <-apply }) // the loop is blocked
 	drains := testEndpoint("s-1", addr, "taller")
 	drains.State = "leaving"
 	relay.post(func() { relay.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{drains}}) })
@@ -143,7 +147,8 @@
 	close(apply)
 }
 
-// Guards against a process that takes a list for fresh since the lease of the process before it was lost: it may have been about to end.
+// Guards against a process that takes its list for current because the previous process's lease was lost: that lease
+// may have been about to end.
 func TestLostLeaseCountsAsExpired(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	for name, damage := range map[string]func(path string) error{
--- a/internal/relay/listlease.go
+++ b/internal/relay/listlease.go
@@ -17,40 +17,42 @@
 	"larchrouter/internal/steady"
 )
 
-// heldUp is how long a relay may be held up between its look at the clock and the first byte that it writes; the last 50 ms are
-// for what the look itself takes on a busy machine.
+// maxWriteDelay is how long the relay may be delayed between its last check of the lease and the first byte of a
+// request. The last 50 ms of it are for the check itself on a busy machine.
 const maxWriteDelay = 200 * time.Millisecond
 
-// sendingMost is for how long the end of a lease waits for requests that are being written.
+// maxSettleWait is how long the end of a lease waits for requests that are being written.
 const maxSettleWait = 500 * time.Millisecond
 
-// listLease bounds how long the relay acts on its list without another answer of discovery. A change of the list binds
-// from some time on whether the relay has heard of it or not, so past that nothing may be sent by a list without it.
+// listLease limits how long the relay acts on its list without another answer of discovery. A change of the list is
+// binding from a certain time on, whether or not the relay has received it. After that time nothing may be sent by a
+// list that lacks the change.
 type listLease struct {
-	// sendUntil is when the last request may go out by the list, by the relay's clock; 0 for a relay that has no lease. Any
-	// goroutine reads it; leaseMutex guards its changes.
+	// sendUntil is the time until which requests may be sent by the list, in nanoseconds by the relay's clock; 0 for a
+	// relay that has no lease. Any goroutine may read it; leaseMutex guards its changes.
 	sendUntil       atomic.Int64
 	leaseMutex      sync.Mutex
-	leaseCount      int // leases told so far
+	leaseCount      int // number of leases received so far
 	currentLease    discovery.Lease
-	reportedExpired bool         // as the decisions know it
-	expiryTimer     *time.Timer  // for when the lease runs out
-	storedUntil     atomic.Int64 // the end of the lease that the file has, steady Unix milliseconds; of the follower
+	reportedExpired bool         // the Chooser was told that the lease has expired
+	expiryTimer     *time.Timer  // fires when the lease expires
+	storedUntil     atomic.Int64 // the end of the lease in the file, in Unix milliseconds of the steady clock; used only by the goroutine that follows the list
 }
 
-// leaseFile has the lease in the folder that lasts: what binds a relay binds the process after a restart, too.
+// leaseFile is the name of the lease's file in the state directory. A lease is binding for the process after a restart,
+// too.
 const leaseFile = "list"
 
-// keptLease is what the file holds. Times are steady Unix milliseconds.
+// storedLease is the content of the file. Times are Unix milliseconds of the steady clock.
 type storedLease struct {
 	Confirmed int64 `json:"confirmed"`
 	Expires   int64 `json:"expires"`
 	Failures  int   `json:"failures"`
-	Version   int64 `json:"version"` // of the list
+	Version   int64 `json:"version"` // version of the list
 }
 
-// leaseBefore is the lease of a list as the process before this one kept it; nil if there was none before. A list that is older
-// than the one which that process had is not covered by it.
+// loadLease returns the lease that the previous process stored for its list; nil if there was no previous process. The
+// lease does not cover a list that is older than the one which that process had.
 func loadLease(dir string, version int64) *discovery.Lease {
 	var stored storedLease
 	now := time.Now()
@@ -58,22 +60,23 @@
 		if !journal.Present(dir) {
 			return nil
 		}
-		// The lease was lost: it could not be written, or was damaged. It may have been about to end.
+		// The lease could not be written or is damaged. It may have been about to end.
 		return &discovery.Lease{Confirmed: now, Expires: now.Add(-discovery.HeardIn), Version: version}
 	}
 	lease := &discovery.Lease{Confirmed: now.Add(-max(0, steady.Since(stored.Confirmed))), Expires: now.Add(steady.Until(stored.Expires)), Failures: stored.Failures,
 		Version: version}
-	if version < stored.Version { // that process was told of what this list lacks, by then at the latest
+	if version < stored.Version { // the previous process received changes that this list lacks; they were binding by then at the latest
 		lease.Expires = lease.Confirmed
 	}
 	return lease
 }
 
-// keepLease has the next process know of a lease. One that cannot be kept is not left to an older word that allows more.
+// storeLease stores a lease for the next process. If that fails, the file is removed, so that no older lease remains
+// that allows more.
 func (r *Relay) storeLease(lease discovery.Lease) {
 	stored := storedLease{Confirmed: steady.UnixMilli() - time.Since(lease.Confirmed).Milliseconds(),
 		Expires: steady.UnixMilli() + time.Until(lease.Expires).Milliseconds(), Failures: lease.Failures, Version: lease.Version}
-	if change := stored.Expires - r.storedUntil.Load(); change <= 1 && change >= -1 { // both clocks are read twice
+	if change := stored.Expires - r.storedUntil.Load(); change <= 1 && change >= -1 { // both clocks are read twice, which rounds by up to 1 ms
 		return
 	}
 	path := filepath.Join(r.config.State, leaseFile)
@@ -86,8 +89,8 @@
 	r.storedUntil.Store(stored.Expires)
 }
 
-// startLease has the decisions know from their first step how the process before this one held the list. Until they did, each
-// call that they sent by one that has run out would be withheld, and use up one of its message's attempts.
+// resumeLease reports the previous process's lease to the Chooser before its first step. Otherwise each call that it
+// decides on under an expired lease would be withheld, and would use up one of its message's attempts.
 func (r *Relay) resumeLease(stored *discovery.Lease) {
 	if stored == nil {
 		return
@@ -96,13 +99,14 @@
 	r.checkLease()
 }
 
-// listExpired tells whether nothing may be sent by the list any more.
+// listExpired reports whether nothing may be sent by the list any more.
 func (l *listLease) listExpired(now time.Duration) bool {
 	until := l.sendUntil.Load()
 	return until != 0 && int64(now) >= until
 }
 
-// leaseRenewed takes in how the list stands, from any goroutine.
+// leaseRenewed applies a new lease of the list. Any goroutine may call it. If the lease has expired, leaseRenewed waits
+// for requests that are being written, up to maxSettleWait.
 func (r *Relay) leaseRenewed(lease discovery.Lease) {
 	renewal := r.shortenLease(lease)
 	if r.listExpired(r.now()) && !r.writeGate.settle(maxSettleWait) {
@@ -113,10 +117,10 @@
 		r.extendLease(lease, renewal)
 		r.checkLease()
 	})
-	r.storeLease(lease) // last: a slow disk must not hold the others up
+	r.storeLease(lease) // last, so that a slow disk does not delay the rest
 }
 
-// shortenLease has calls heed a lease at once as far as it ends sooner than the one before, and returns its number.
+// shortenLease applies a lease at once if it ends before the current one, and returns the lease's number.
 func (r *Relay) shortenLease(lease discovery.Lease) (renewal int) {
 	r.leaseMutex.Lock()
 	defer r.leaseMutex.Unlock()
@@ -127,8 +131,8 @@
 	return r.leaseCount
 }
 
-// extendLease has calls heed the whole of a lease, in the loop: the list that it is for has been applied by then, and until then a
-// call might go by the one before. Nothing is extended by a lease that another has followed.
+// extendLease applies the whole of a lease. It runs in the loop, after the list of the lease has been applied; before
+// that, a call might still be sent by the previous list. It does nothing if a later lease has been received.
 func (r *Relay) extendLease(lease discovery.Lease, renewal int) {
 	r.leaseMutex.Lock()
 	defer r.leaseMutex.Unlock()
@@ -137,20 +141,21 @@
 	}
 }
 
-// sendLimit is when the last request may go out under a lease, as sendUntil has it.
+// sendLimit returns the time until which requests may be sent under a lease, as in sendUntil.
 func (r *Relay) sendLimit(lease discovery.Lease) int64 {
 	until := lease.Expires.Sub(r.startedAt) + r.settings.Load().Rules.DrainGrace - maxWriteDelay
 	return max(1, int64(until))
 }
 
-// bindLease has calls heed a lease, whatever holds before.
+// setSendUntil replaces sendUntil by the limit of a lease.
 func (r *Relay) setSendUntil(lease discovery.Lease) {
 	r.sendUntil.Store(r.sendLimit(lease))
 	until := time.Duration(r.sendUntil.Load())
 	slog.Debug("the list's lease", "send_for", until-r.now(), "age", time.Since(lease.Confirmed), "version", lease.Version, "failures", lease.Failures)
 }
 
-// checkLease tells the decisions when the lease has run out, or holds again, and looks again when it runs out.
+// checkLease reports to the Chooser when the lease has expired, or is valid again, and schedules the check at its
+// expiry.
 func (r *Relay) checkLease() {
 	now := r.now()
 	expired := r.listExpired(now)
@@ -163,7 +168,7 @@
 	}
 	r.reportedExpired = expired
 	r.events = append(r.events, choice.ListExpiry{Expired: expired})
-	level := slog.LevelDebug // an answer may be a little late
+	level := slog.LevelDebug // an answer of discovery may be slightly late
 	if r.currentLease.Failures > 0 {
 		level = slog.LevelInfo
 	}
@@ -175,7 +180,7 @@
 	}
 }
 
-// awaitExpiry has the lease looked at again as it runs out.
+// scheduleExpiryCheck schedules checkLease for the expiry of the lease.
 func (r *Relay) scheduleExpiryCheck(remaining time.Duration) {
 	if r.expiryTimer == nil {
 		r.expiryTimer = time.AfterFunc(remaining, func() { r.post(r.checkLease) })
--- a/internal/relay/listlease_test.go
+++ b/internal/relay/listlease_test.go
@@ -8,12 +8,13 @@
 	"larchrouter/internal/discovery"
 )
 
-// noNews is a source that never tells anything.
+// silentSource is a source that never sends a list.
 type silentSource struct{}
 
 func (silentSource) Follow(ctx context.Context, _ func(discovery.List)) { <-ctx.Done() }
 
-// relayWithoutNews starts a relay that works by the list of its configuration, and hears nothing of discovery.
+// startRelayWithoutDiscovery starts a relay that uses the list of its configuration, and receives nothing from
+// discovery.
 func startRelayWithoutDiscovery(t *testing.T, servers ...discovery.Server) *Relay {
 	t.Helper()
 	platform := newFakePlatform(t, servers...)
@@ -34,16 +35,16 @@
 	return relay
 }
 
-// expire has a relay's list run out at a time, and returns once its loop knows.
-func setLeaseExpiry(relay *Relay, at time.Time) {
-	relay.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: at})
+// setLeaseExpiry sets the expiry of the lease of a relay's list, and returns once the relay's loop has applied it.
+func setLeaseExpiry(relay *Relay, expiresAt time.Time) {
+	relay.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: expiresAt})
 	done := make(chan struct{})
 	relay.post(func() { close(done) })
 	<-done
 }
 
-// Guards against messages sent by a list that may lack what counts as told, and against ones that stay where they are once it
-// is renewed; they are taken on all the while.
+// Guards against messages sent by a list that may lack binding changes, and against messages that are not sent once the
+// lease is renewed. Messages are accepted all the while.
 func TestNothingIsSentWithExpiredList(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	relay := startRelayWithoutDiscovery(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
@@ -62,7 +63,7 @@
 	shows(t, relay, "svc.list.expired=0", "svc.in_flight=0", "svc.attempts=1")
 }
 
-// Guards against a lease that runs out unseen, for nothing else happens then.
+// Guards against a lease whose expiry goes unnoticed because no other event occurs.
 func TestListExpiresWithoutOtherEvents(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	r := startRelayWithoutDiscovery(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
@@ -70,8 +71,9 @@
 	shows(t, r, "svc.list.expired=1")
 }
 
-// Seen: a process that had just started sent requests to endpoints that counted as told to drain, for it took the list that it
-// was started with as just heard of. What the process before it was told, or should have been, binds it too.
+// Guards against a process that takes the list it was started with as just received: it sent requests to endpoints that
+// were already due to drain. What the previous process received, or should have received, is binding for the next one,
+// too.
 func TestRestartKeepsListLease(t *testing.T) {
 	for name, test := range map[string]struct {
 		before  discovery.Lease
--- a/internal/relay/notice_delivery.go
+++ b/internal/relay/notice_delivery.go
@@ -12,44 +12,45 @@
 	"time"
 )
 
-// The platform answers a POST of notices at once. One that has no answer after a short while most likely went out on a
-// connection that is dead but was not closed, so the same POST goes out again on a new one (a hedged request): accepting a
-// notice twice does no harm, and accepting it late breaks the limit of 300 ms.
+// The platform answers a POST of notices at once. A POST that has no answer after a short time was most likely sent on
+// a connection that is dead but was not closed. The same POST is then sent on a new connection (a hedged request):
+// accepting a notice twice does no harm, and accepting it late breaks the limit of 300 ms.
 const (
-	// noticeRetry is the longest time from one attempt at a batch to the next.
+	// noticeRetryInterval is the longest time from one attempt at a batch to the next.
 	noticeRetryInterval = 80 * time.Millisecond
-	// noticeBackoff is the pause after the first attempt that failed. It doubles with each failure, up to noticeRetry.
+	// noticeBackoff is the pause after the first failed attempt. It doubles with each failure, up to
+	// noticeRetryInterval.
 	noticeBackoff = 10 * time.Millisecond
-	// noticeIn bounds one attempt.
+	// noticeTimeout is the time limit of one attempt.
 	noticeTimeout = time.Second
 )
 
-// errUnanswered says that an attempt made room for a later one.
+// errUnanswered reports that an unanswered attempt was cancelled for a later one.
 var errUnanswered = errors.New("no answer yet")
 
-// attempt is one POST of a batch.
+// noticeAttempt is one POST of a batch.
 type noticeAttempt struct {
 	cancel context.CancelFunc
-	err    error // once it has ended
+	err    error // set once it has ended
 }
 
-// delivery sends one batch until the platform has accepted it.
+// noticeDelivery sends one batch until the platform has accepted it.
 type noticeDelivery struct {
 	sender    *noticeSender
 	batch     noticeBatch
 	addr      string
-	running   []*noticeAttempt // oldest first; a second one only with a hedge
-	ownsHedge bool             // holds one of the sender's hedges
+	running   []*noticeAttempt // oldest first; at most two, the second one only with a hedge
+	ownsHedge bool             // it holds one of the sender's hedges
 	ended     chan *noticeAttempt
-	nextTimer *time.Timer // starts the next attempt
+	nextTimer *time.Timer // fires when the next attempt is due
 	nextAt    time.Time
 	failures  uint
 }
 
-// deliver returns an error only if the context ends first.
+// deliver sends a batch until the platform has accepted it. It returns an error only if the context ends first.
 func (s *noticeSender) deliver(ctx context.Context, batch noticeBatch) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // attempts still running are given up
+	defer cancel() // cancels attempts that are still running
 	addr, valid := s.platform.Get()
 	delivery := &noticeDelivery{sender: s, batch: batch, addr: addr, ended: make(chan *noticeAttempt), nextTimer: time.NewTimer(noticeRetryInterval)}
 	defer delivery.nextTimer.Stop()
@@ -59,7 +60,7 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-valid.Done(): // the platform has moved
+		case <-valid.Done(): // the platform's address has changed
 			delivery.cancelAll()
 			delivery.addr, valid = s.platform.Get()
 			delivery.restart(ctx)
@@ -105,8 +106,8 @@
 	d.nextTimer.Reset(after)
 }
 
-// makeRoom tells whether one more attempt may start, and gives up the second one for it. The oldest is kept until its own
-// limit, for the platform may only be slow.
+// prepareAttempt reports whether one more attempt may start, and cancels the second running one to that end. The oldest
+// attempt is left running until its own time limit, since the platform may just be slow.
 func (d *noticeDelivery) prepareAttempt() bool {
 	switch len(d.running) {
 	case 0:
@@ -121,7 +122,7 @@
 	return true
 }
 
-// hedge tells whether this batch may have a second attempt beside the first.
+// acquireHedge reports whether this batch may have a second attempt beside the first.
 func (d *noticeDelivery) acquireHedge() bool {
 	select {
 	case d.sender.hedges <- struct{}{}:
@@ -131,7 +132,7 @@
 	return d.ownsHedge
 }
 
-// endHedge gives the hedge back, if this batch has one.
+// releaseHedge returns the hedge, if this batch has one.
 func (d *noticeDelivery) releaseHedge() {
 	if d.ownsHedge {
 		<-d.sender.hedges
@@ -147,10 +148,10 @@
 	d.running = nil
 }
 
-// failed brings the next attempt forward after one that failed.
+// attemptFailed schedules the next attempt earlier after a failed one.
 func (d *noticeDelivery) attemptFailed(attempt *noticeAttempt) {
 	i := slices.Index(d.running, attempt)
-	if i < 0 { // it was given up
+	if i < 0 { // it was cancelled
 		return
 	}
 	d.running = slices.Delete(d.running, i, i+1)
@@ -162,7 +163,7 @@
 	d.warn(attempt.err)
 }
 
-// warn counts a failure, and logs it if the count is a power of two: failures may last for long.
+// warn counts a failure, and logs it if the count is a power of two, since failures may continue for a long time.
 func (d *noticeDelivery) warn(err error) {
 	d.failures++
 	if bits.OnesCount(d.failures) == 1 {
@@ -170,11 +171,11 @@
 	}
 }
 
-// attemptKey is the key of a context's value: the context itself.
+// attemptKey is the key of a context value that holds the context itself.
 type attemptKey struct{}
 
-// attemptOf is the context of the attempt that a connection is opened for. The one that net/http passes to a dialer outlives
-// its request, so that connections to a machine which says nothing would pile up.
+// attemptContext returns the context of the attempt for which a connection is dialed. The context that net/http passes
+// to a dialer outlives its request, so that connections to a machine which does not respond would pile up.
 func attemptContext(dialContext context.Context) context.Context {
 	if ctx, ok := dialContext.Value(attemptKey{}).(context.Context); ok {
 		return ctx
@@ -182,7 +183,7 @@
 	return dialContext
 }
 
-// post makes one POST.
+// post sends one POST.
 func (s *noticeSender) post(ctx context.Context, addr string, body []byte) error {
 	ctx = context.WithValue(ctx, attemptKey{}, ctx)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/status", bytes.NewReader(body))
--- a/internal/relay/notice_sender.go
+++ b/internal/relay/notice_sender.go
@@ -15,27 +15,28 @@
 )
 
 const (
-	// noticeTurn is how long a batch is alone under way. The next one then starts beside it, on a connection of its own: where
-	// the platform answers at once, all go one after the other on a single kept connection. The more are under way, the longer
-	// the next one waits, so that a platform which takes up to a second for each answer still gets one in a third of a second.
+	// noticeStagger is how long a batch is in flight alone. After that the next one starts beside it, on a connection
+	// of its own. If the platform answers at once, all batches are sent one after the other on a single connection. The
+	// more batches are in flight, the longer the next one waits, so that a platform which takes up to a second for each
+	// answer still receives a batch within a third of a second.
 	noticeStagger = 50 * time.Millisecond
-	// noticeBatches bounds the batches under way, noticeHedges those of them that have a second attempt running: together they
-	// bound the connections.
+	// maxNoticeBatches limits the batches in flight, maxNoticeHedges those of them that have a second attempt running.
+	// Together they limit the number of connections.
 	maxNoticeBatches = 7
 	maxNoticeHedges  = 2
 )
 
-// noticeSender sends queued notices to the platform, in batches, until it has accepted them. Whoever queues notices never
-// waits for the platform, and batches do not wait for one that gets no answer. Its connections serve nothing else: one that
-// has fallen silent for discovery must not hold up a notice.
+// noticeSender sends queued notices to the platform in batches, and repeats them until the platform has accepted them.
+// Queuing a notice never waits for the platform, and batches do not wait for one that gets no answer. The connections
+// are used for nothing else: a connection to discovery that gets no answers must not delay a notice.
 type noticeSender struct {
 	platform   *discovery.At
 	transport  *http.Transport
-	onSending  func([]notice) // is called, by any goroutine, with what leaves the queue
-	onAccepted func([]notice) // likewise, with what the platform has accepted
+	onSending  func([]notice) // called with the notices that leave the queue, by any goroutine
+	onAccepted func([]notice) // called with the notices that the platform has accepted, by any goroutine
 
-	slots  chan struct{} // a value for each batch under way
-	hedges chan struct{} // a value for each batch with a second attempt
+	slots  chan struct{} // holds one value for each batch in flight
+	hedges chan struct{} // holds one value for each batch with a second attempt
 
 	mu     sync.Mutex
 	queue  []notice
@@ -52,18 +53,18 @@
 	return sender
 }
 
-// add queues notices. It waits for nobody's answer; what is queued is bounded by what the relay holds.
+// add queues notices. It never blocks; the queue is limited by the number of messages that are pending in the relay.
 func (s *noticeSender) add(notices []notice) {
 	s.mu.Lock()
 	s.queue = append(s.queue, notices...)
 	s.mu.Unlock()
 	select {
 	case s.queued <- struct{}{}:
-	default: // run has not seen the last value yet
+	default: // run has not received the last value yet
 	}
 }
 
-// withdraw takes a notice out of the queue, and tells whether it was still there.
+// withdraw removes a notice from the queue, and reports whether it was still there.
 func (s *noticeSender) withdraw(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,14 +73,15 @@
 	return len(s.queue) < lengthBefore
 }
 
-// empty tells whether nothing is queued.
+// empty reports whether nothing is queued.
 func (s *noticeSender) empty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.queue) == 0
 }
 
-// run sends what is queued until the context ends. What waits for its turn stays in the queue, where it can be withdrawn.
+// run sends queued notices until the context ends. A notice stays in the queue until its batch starts, so that it can
+// be withdrawn.
 func (s *noticeSender) run(ctx context.Context) {
 	var deliveries sync.WaitGroup
 	defer s.transport.CloseIdleConnections()
@@ -98,7 +100,7 @@
 			return
 		}
 		batch := s.nextBatch()
-		if len(batch.notices) == 0 { // withdrawn
+		if len(batch.notices) == 0 { // all notices were withdrawn
 			<-s.slots
 			continue
 		}
@@ -119,13 +121,13 @@
 	}
 }
 
-// noticeBatch is what goes in one POST: a JSON object a line.
+// noticeBatch is the content of one POST: one JSON object per line.
 type noticeBatch struct {
 	notices []notice
 	body    []byte
 }
 
-// nextBatch removes from the queue what one POST may hold, which may be nothing. Only run calls it.
+// nextBatch removes from the queue the notices of one POST, possibly none. Only run calls it.
 func (s *noticeSender) nextBatch() noticeBatch {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,7 +136,7 @@
 	var batch noticeBatch
 	removed := 0
 	for _, notice := range s.queue[:min(len(s.queue), maxEventsPerStep)] {
-		if err := encoder.Encode(notice); err != nil { // strings and numbers can be encoded; if not, the journal keeps it
+		if err := encoder.Encode(notice); err != nil { // strings and numbers can always be encoded; if that fails, the notice stays in the journal
 			slog.Error("notice not encoded", "id", notice.ID, "err", err)
 			removed++
 			continue
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -6,22 +6,22 @@
 	"larchrouter/internal/journal"
 )
 
-// How a message that was taken on ended undelivered.
+// Status of a message that was accepted and ended undelivered.
 const (
-	deferred      = "deferred"      // never ran, or may be repeated: the client may come again
-	undeliverable = "undeliverable" // final
+	deferred      = "deferred"      // it never ran, or may be repeated: the client may send it again
+	undeliverable = "undeliverable" // final: the client must not send it again
 )
 
 // notice tells the platform how a message ended.
 type notice struct {
 	ID           string        `json:"id"`
 	Status       string        `json:"status"`
-	RetryAfterMS int64         `json:"again_ms,omitempty"` // when the client should come again
-	class        string        // of a message that ended in this process; empty for one that an earlier one ended
-	due          time.Duration // when the message's time is up, by the relay's clock; 0 for one that an earlier process ended
+	RetryAfterMS int64         `json:"again_ms,omitempty"` // milliseconds after which the client should send the message again
+	class        string        // class of a message that ended in this process; empty for one that ended in an earlier process
+	due          time.Duration // deadline of the message by the relay's clock; 0 for one that ended in an earlier process
 }
 
-// how is the ending that a notice tells of.
+// ending returns the ending that the notice reports.
 func (n notice) ending() ending {
 	if n.Status == undeliverable {
 		return failedEnd
@@ -29,7 +29,7 @@
 	return refusedEnd
 }
 
-// noticesSending counts the messages whose notices leave the queue: their ends are final now.
+// noticesSending counts the messages whose notices leave the queue: their endings are final now.
 func (r *Relay) noticesSending(batch []notice) {
 	for _, n := range batch {
 		if n.class != "" {
@@ -38,8 +38,8 @@
 	}
 }
 
-// noticesAccepted records that notices are no longer owed: the platform has accepted them. If the loop ends first they stay
-// in the journal, and the next start sends them again, which does no harm.
+// noticesAccepted records that the platform has accepted notices, so that they are no longer pending. If the loop ends
+// first they stay in the journal, and the next start sends them again, which does no harm.
 func (r *Relay) noticesAccepted(batch []notice) {
 	r.post(func() {
 		for _, n := range batch {
@@ -49,11 +49,11 @@
 	})
 }
 
-// servedLate takes in that a message was delivered by a call that outlasted the message's own time. Its notice is withdrawn
-// if it has not gone out yet: a client that is told of a failure takes what was delivered for lost.
+// servedLate handles the delivery of a message by a call that outlasted the message's deadline. The message's notice is
+// withdrawn if it has not been sent yet: otherwise the client would be told that a delivered message failed.
 func (r *Relay) servedLate(msg *message) {
 	if r.heir != nil {
-		return // its end is the next process's
+		return // the next process ends the message
 	}
 	msg.served = true
 	if msg.over && r.notices.withdraw(msg.ID) {
--- a/internal/relay/notices_relay_test.go
+++ b/internal/relay/notices_relay_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// noticeRig is a relay of which only the loop and the sender of notices run, in a bubble, with stand-ins by address.
+// noticeRig is a relay of which only the loop and the sender of notices run, in a synctest bubble, with simulated
+// platforms by address.
 type noticeRig struct {
 	*Relay
 	t         *testing.T
@@ -46,7 +47,7 @@
 			relay.stop()
 			cancel()
 			running.Wait()
-			time.Sleep(time.Minute) // what a stand-in is about to answer has ended, too
+			time.Sleep(time.Minute) // pending answers of a platform have ended by then, too
 			relay.tcp.Close()
 			relay.journal.Close()
 		}()
@@ -64,7 +65,7 @@
 	return g.platforms[addr].dial(ctx)
 }
 
-// end has messages end undelivered, in one turn of the loop, and waits for that turn.
+// end ends messages undelivered, in one turn of the loop, and waits for that turn.
 func (g *noticeRig) end(ids ...string) {
 	g.t.Helper()
 	done := make(chan struct{})
@@ -77,7 +78,7 @@
 	<-done
 }
 
-// left is how many notices are still owed. The loop has to answer at once.
+// pending returns the number of pending notices. The loop must answer at once.
 func (g *noticeRig) pending() int {
 	g.t.Helper()
 	count, begun := make(chan int, 1), time.Now()
@@ -94,7 +95,8 @@
 	}
 }
 
-// takenBy checks that each id was taken by a time, and that nothing is owed soon after.
+// wantAcceptedBy checks that the notice of each id was accepted by a time since the platform's start, and that no
+// notice is pending then.
 func (g *noticeRig) wantAcceptedBy(platform *memoryPlatform, limit time.Duration, ids ...string) {
 	g.t.Helper()
 	time.Sleep(limit - time.Since(platform.startedAt))
@@ -112,7 +114,7 @@
 	}
 }
 
-// idsOf makes so many ids as they are in service.
+// makeIDs returns n ids of the length that is used in production.
 func makeIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
--- a/internal/relay/notices_rig_test.go
+++ b/internal/relay/notices_rig_test.go
@@ -13,37 +13,38 @@
 	"time"
 )
 
-// noticeLimit is how late a notice may be taken in these tests: less than the 350 ms of the rules, which the relay's
-// decisions and the machine have their part of, too.
+// noticeDelayLimit is how late a notice may be accepted in these tests. It is less than the 350 ms that the platform
+// allows, since the relay's decisions and the machine take a part of that.
 const noticeDelayLimit = 200 * time.Millisecond
 
-// reaction is what a stand-in for the platform does with one POST of notices.
+// reaction is how a simulated platform handles one POST of notices.
 type reaction struct {
 	delay  time.Duration
-	status int  // 0 for 204
-	silent bool // it never answers
-	reset  bool // it ends the connection instead of answering
+	status int  // 0 stands for 204
+	silent bool // never answer
+	reset  bool // close the connection instead of answering
 }
 
-// memoryPlatform takes notices over connections in memory, so that time is exact in a test that runs in a bubble.
+// memoryPlatform accepts notices over in-memory connections, so that times are exact in a synctest bubble.
 type memoryPlatform struct {
 	startedAt time.Time
-	// react decides on a POST by the number of its connection and by its number on that, both from 1, and its time.
+	// react decides on a POST by the number of its connection, by its number on that connection, both from 1, and by
+	// its time.
 	react func(conn, post int, now time.Duration) reaction
-	// dialable tells whether a connection comes up at a time; nil for always.
+	// dialable reports whether a connection can be established at a time; nil for always.
 	dialable func(now time.Duration) bool
 
 	mu            sync.Mutex
-	conns         int // so far
+	conns         int // connections so far
 	openConns     int
 	maxOpenConns  int
 	posts         int
-	longestBody   int                        // body
-	acceptedTimes map[string][]time.Duration // when the POSTs with an id were answered 2xx
+	longestBody   int                        // in bytes
+	acceptedTimes map[string][]time.Duration // when POSTs with an id were answered 2xx
 	readTimes     map[string]time.Duration   // when the first POST with an id was read
 }
 
-// dial opens a connection; what cannot be reached says nothing.
+// dial opens a connection. If the platform cannot be reached, dial blocks until the context ends.
 func (p *memoryPlatform) dial(ctx context.Context) (net.Conn, error) {
 	p.mu.Lock()
 	p.conns++
@@ -61,14 +62,14 @@
 	return near, nil
 }
 
-// openNow is how many connections are open or on their way.
+// openCount returns how many connections are open or being established.
 func (p *memoryPlatform) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openConns
 }
 
-// posted is how many POSTs came.
+// postCount returns how many POSTs were received.
 func (p *memoryPlatform) postCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +82,7 @@
 	p.openConns--
 }
 
-// serve answers what comes on a connection.
+// serve answers the POSTs on a connection.
 func (p *memoryPlatform) serve(conn net.Conn, number int) {
 	defer p.connClosed()
 	defer conn.Close()
@@ -127,7 +128,7 @@
 	}
 }
 
-// take notes the ids of a body.
+// recordAccepted records the ids of an accepted body.
 func (p *memoryPlatform) recordAccepted(body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -136,14 +137,14 @@
 	}
 }
 
-// timesTaken is how often notices of a message were answered 2xx.
+// timesAccepted returns how often notices of a message were answered 2xx.
 func (p *memoryPlatform) timesAccepted(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.acceptedTimes[id])
 }
 
-// idsIn are the ids of the notices in a body.
+// noticeIDs returns the ids of the notices in a body.
 func noticeIDs(body []byte) (ids []string) {
 	for lines := json.NewDecoder(bytes.NewReader(body)); ; {
 		var queued notice
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -11,9 +11,9 @@
 	"larchrouter/internal/fleet"
 )
 
-// Guards against a notice, and all behind it, that wait for one connection or one answer.
+// Guards against a notice, and all notices behind it, waiting for one connection or one answer.
 func TestNoticesDoNotWaitForOneAnswer(t *testing.T) {
-	const from = 100 * time.Millisecond // the second POST; the first left a kept connection
+	const from = 100 * time.Millisecond // time of the second POST; the first one left an idle connection
 	for name, act := range map[string]reaction{
 		"kept connection is silent":       {silent: true},
 		"kept connection is reset":        {reset: true},
@@ -40,7 +40,7 @@
 	}
 }
 
-// endApart has messages end undelivered one after the other, so long apart, and returns their ids.
+// endSpaced ends messages undelivered one after the other, at an interval, and returns their ids.
 func (g *noticeRig) endSpaced(count int, interval time.Duration) []string {
 	g.t.Helper()
 	ids := makeIDs(count)
@@ -51,7 +51,7 @@
 	return ids
 }
 
-// Guards against batches that wait for each other where each answer takes a while.
+// Guards against batches that wait for each other if each answer takes a while.
 func TestNoticesWithSlowPlatform(t *testing.T) {
 	platform := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: 180 * time.Millisecond} }}
 	inNoticeRig(t, platform, func(rig *noticeRig) {
@@ -66,8 +66,8 @@
 	})
 }
 
-// Guards against notices that wait for the answers to those before them where each answer takes most of a second: the platform
-// has taken what it has read.
+// Guards against notices that wait for the answers to earlier ones if each answer takes most of a second: the platform
+// has accepted a notice once it has read it.
 func TestNoticesDoNotWaitForSlowAnswers(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 950 * time.Millisecond} {
 		platform := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: slow} }}
@@ -85,8 +85,8 @@
 	}
 }
 
-// Guards against a notice that goes long after the platform can take it again; and against sockets, goroutines and memory
-// without bound, and a loop that stands still, while it cannot.
+// Guards against notices that are sent long after the platform has recovered, and against an unlimited number of
+// sockets and goroutines, unlimited memory, or a blocked loop while it is down.
 func TestNoticesAreSentOncePlatformRecovers(t *testing.T) {
 	const back = 30 * time.Second
 	for name, platform := range map[string]*memoryPlatform{
@@ -116,7 +116,7 @@
 				}
 				want(t, "notices owed meanwhile", rig.pending(), len(ids))
 				rig.wantAcceptedBy(platform, back+noticeDelayLimit, ids...)
-				if platform.maxOpenConns > 12 { // of each batch one may be on its way out
+				if platform.maxOpenConns > 12 { // a connection of each batch may be closing
 					t.Errorf("%d connections at once, want 12 at most", platform.maxOpenConns)
 				}
 				t.Logf("%d connections, %d POSTs, %d connections at once", platform.conns, platform.posts, platform.maxOpenConns)
@@ -125,7 +125,7 @@
 	}
 }
 
-// Guards against a notice that waits for an address at which the platform is no more.
+// Guards against notices that wait for an address which the platform has left.
 func TestNoticesFollowPlatformAddress(t *testing.T) {
 	const moved = 500 * time.Millisecond
 	for name, act := range map[string]reaction{"silent": {silent: true}, "errors": {status: http.StatusServiceUnavailable}} {
@@ -147,8 +147,8 @@
 	}
 }
 
-// Guards against bodies over the 64 KiB that one may have, and against more than one connection and one POST of a notice
-// where the platform answers at once.
+// Guards against bodies over the limit of 64 KiB, and against more than one connection, or more than one POST of a
+// notice, if the platform answers at once.
 func TestManyNoticesInOneTurn(t *testing.T) {
 	for name, pad := range map[string]string{"in service": "", "long": "-", "long, and longer in JSON": "<"} {
 		t.Run(name, func(t *testing.T) {
@@ -172,13 +172,13 @@
 	}
 }
 
-// Guards against a loop that waits for the sender of notices while that waits for the loop.
+// Guards against a deadlock in which the loop waits for the sender of notices while the sender waits for the loop.
 func TestLoopAndSenderNeverWaitForEachOther(t *testing.T) {
 	platform := &memoryPlatform{}
 	inNoticeRig(t, platform, func(rig *noticeRig) {
 		ids := makeIDs(4 * maxPendingNotices)
 		rig.post(func() {
-			for range 4 * cap(rig.inbox) { // what comes in keeps the inbox full
+			for range 4 * cap(rig.inbox) { // new functions keep the inbox full
 				go rig.post(func() {})
 			}
 			for len(rig.inbox) < cap(rig.inbox) {
--- a/internal/relay/pausepoint_test.go
+++ b/internal/relay/pausepoint_test.go
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// instant holds whoever comes to a point in the program until the test goes on. Only an armed one holds, and only once.
+// pausePoint blocks the goroutine that reaches a point in the program until the test releases it. It blocks only once,
+// and only if it is armed.
 type pausePoint struct {
 	armed   chan struct{}
 	reached chan struct{}
@@ -31,18 +32,18 @@
 	}
 }
 
-// instants are the points at which a test holds the connections of a server.
+// connPausePoints are the points at which a test can block the connections of a server.
 type connPausePoints struct {
-	read       *pausePoint // bytes came from the system, and nobody has seen them yet
-	dispatched *pausePoint // the whole head was read, and no handler runs
-	written    *pausePoint // an answer goes out
+	read       *pausePoint // bytes were received from the system, and not returned yet
+	dispatched *pausePoint // the whole header was read, and no handler runs yet
+	written    *pausePoint // an answer is about to be written
 }
 
 func newConnPausePoints() *connPausePoints {
 	return &connPausePoints{newPausePoint(), newPausePoint(), newPausePoint()}
 }
 
-// wrap puts the points into the connections of a listener.
+// wrap adds the points to the connections of a listener.
 func (at *connPausePoints) wrap(l net.Listener) net.Listener {
 	return &pausingListener{l.(*net.TCPListener), at}
 }
@@ -78,7 +79,7 @@
 	return c.TCPConn.Write(p)
 }
 
-// SetWriteDeadline is what net/http does last when it has read the head of a request.
+// SetWriteDeadline is the last call of net/http after it has read the header of a request.
 func (c *pausingConn) SetWriteDeadline(t time.Time) error {
 	if !t.IsZero() {
 		c.points.dispatched.reach()
@@ -86,7 +87,7 @@
 	return c.TCPConn.SetWriteDeadline(t)
 }
 
-// wantStatus reads an answer.
+// wantStatus reads an answer, and checks its status.
 func wantStatus(t *testing.T, what string, reader *bufio.Reader, status int) {
 	t.Helper()
 	got, _, err := answered(reader)
@@ -96,7 +97,7 @@
 	want(t, what, got, status)
 }
 
-// wantEnd reads the end of a connection.
+// wantEOF checks that a connection ends without an error.
 func wantEOF(t *testing.T, what string, reader *bufio.Reader) {
 	t.Helper()
 	if b, err := reader.ReadByte(); err != io.EOF {
@@ -104,8 +105,8 @@
 	}
 }
 
-// Guards against ending a connection whose request has been read whole, but which no handler has yet: it is refused, and
-// not taken on; what was sent behind it is nobody's.
+// Guards against closing a connection whose request was read completely but has no handler yet: the request is refused
+// and not accepted, and data behind it is ignored.
 func TestUndispatchedRequestIsRefused(t *testing.T) {
 	for name, end := range map[string]func(*intakes){
 		"stop": func(in *intakes) { in.retire(true) },
@@ -130,7 +131,8 @@
 	}
 }
 
-// Guards against ending a connection in silence whose request has come in part: its client may have written all of it.
+// Guards against closing a connection without an answer whose request was received in part: its client may have written
+// all of it.
 func TestPartlyReadRequestIsRefused(t *testing.T) {
 	in := newIntakes(t, 8)
 	conn := in.dial(t)
@@ -145,7 +147,7 @@
 	want(t, "taken on", in.took("part"), 0)
 }
 
-// begins waits until a request has begun.
+// waitForRequest waits until the first bytes of a request have been received.
 func (in *intakes) waitForRequest(t *testing.T) {
 	t.Helper()
 	for begun, end := false, time.Now().Add(30*time.Second); !begun; time.Sleep(time.Millisecond) {
@@ -156,22 +158,23 @@
 	}
 }
 
-// Guards against failing a request, or ending it in silence, whose last bytes nobody read before its time was up: the
-// process may have got no core meanwhile. It is refused, which lets its client hand it in again.
+// Guards against failing a request, or closing its connection without an answer, if its last bytes were not read before
+// its read deadline: the process may have got no CPU meanwhile. The request is refused, so that its client may send it
+// again.
 func TestRequestPastReadDeadlineIsRefused(t *testing.T) {
 	for _, n := range []int{1, 30} {
 		in := newIntakes(t, 8)
 		conn := in.dial(t)
 		io.WriteString(conn, message7("late")[:n])
 		in.waitForRequest(t)
-		in.each(func(c *peer) { c.Conn.SetReadDeadline(time.Unix(1, 0)) }) // as net/http's, long over
+		in.each(func(c *peer) { c.Conn.SetReadDeadline(time.Unix(1, 0)) }) // like the deadline of net/http, long expired
 		r := bufio.NewReader(conn)
 		wantStatus(t, "answer", r, http.StatusServiceUnavailable)
 		wantEOF(t, "connection", r)
 	}
 }
 
-// Guards against an end that cuts a request under way: while a handler has it, or as its answer is being written.
+// Guards against cutting off a request in progress: while a handler has it, or while its answer is being written.
 func TestRequestInProgressIsAnswered(t *testing.T) {
 	for name, end := range map[string]func(*intakes){
 		"stop": func(in *intakes) { in.retire(true) },
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,10 +1,9 @@
-// Package relay is the real relay round package choice: it keeps the time, the
-// sockets and the durable record, and decides nothing about hosts, time-outs
-// or further tries.
+// Package relay runs the decision logic of package choice: it owns the clock, the sockets and the durable records, and
+// makes no decision about hosts, time-outs or retries itself.
 //
-// One goroutine, the loop, owns the Chooser and all state. Everything else
-// posts functions to it; it runs those that have come in as one batch, lets
-// the Chooser decide once, writes the journal, and carries the actions out.
+// One goroutine, the loop, owns the Chooser and all state. All other goroutines post functions to it. The loop runs the
+// functions that are queued as one batch, calls the Chooser once, writes the journal, and carries out the Chooser's
+// actions.
 package relay
 
 import (
@@ -30,31 +29,31 @@
 	maxPendingNotices = 8192
 )
 
-// Relay is one relay. The parts that it embeds, and the fields below the channels, belong to the loop unless they say
-// otherwise.
+// Relay is one relay. Its embedded parts, and the fields below the channels, belong to the loop unless their comments
+// say otherwise.
 type Relay struct {
 	config         Config
 	settings       atomic.Pointer[standing]
 	startedAt      time.Time
 	server         *http.Server
 	listener       *peers
-	tcp            *net.TCPListener // under listener
-	platformClient *http.Client     // for discovery
-	// platformAt is where discovery and the taker of notices are.
+	tcp            *net.TCPListener // the listening socket that listener wraps
+	platformClient *http.Client     // for calls to discovery
+	// platformAddr is the current address of discovery and of the receiver of notices.
 	platformAddr *discovery.At
-	listSource   discovery.Source // of the endpoints
+	listSource   discovery.Source // the source of the endpoint list
 	callContext  context.Context
 	cancelCalls  context.CancelCauseFunc
 	inbox        chan func()
-	quit         chan struct{} // the loop is to end
-	loopEnded    chan struct{} // and has
+	quit         chan struct{} // closed when the loop must end
+	loopEnded    chan struct{} // closed when the loop has ended
 	stopOnce     sync.Once
-	admin        *http.Server // of the second address; nil where there is none
+	admin        *http.Server // serves the admin address; nil if none is configured
 	adminPeers   *peers
 	adminAt      net.Addr
-	ready        atomic.Bool // clients may come
-	draining     atomic.Bool // and may not any more
-	closing      atomic.Bool // their connections end with the next answer
+	ready        atomic.Bool // clients may connect
+	draining     atomic.Bool // the relay is shutting down, and clients should no longer connect
+	closing      atomic.Bool // client connections are closed after the next answer
 	figures      figures
 
 	books
@@ -70,12 +69,12 @@
 	wakeAt         time.Duration
 	timerDelays    delayMeter
 	wakeDue        bool
-	callsInFlight  int  // calls
-	stopped        bool // no more decisions; outcomes are still recorded
+	callsInFlight  int  // number of calls to endpoints in flight
+	stopped        bool // no more decisions are made; outcomes are still recorded
 	cancelPlatform context.CancelFunc
 }
 
-// New replays the journal and listens; Serve does the rest.
+// New opens the relay's stored state, replays the journal, and starts listening. Call Serve to run the relay.
 func New(config Config) (relay *Relay, err error) {
 	settings := config.Settings
 	relay = &Relay{config: config, platformAddr: discovery.NewAt(config.Discovery), startedAt: time.Now(), inbox: make(chan func(), 1024),
@@ -161,7 +160,7 @@
 	relay.listener.snapshot = func() any { return relay.snapshot() }
 	relay.server = newServer(relay.handler(), relay.listener)
 	if handover := relay.heritage; handover != nil {
-		// Until the other process has ended the limit on sockets is for both.
+		// Until the previous process has ended, both processes share the limit on sockets.
 		relay.listener.allow(max(maxClients/4, maxClients-handover.Peers))
 		relay.applyList(discovery.List{Version: handover.Version, Full: true, Servers: append(handover.Servers, handover.Gone...)})
 		relay.adopt(handover)
@@ -184,11 +183,11 @@
 	return relay, nil
 }
 
-// listen takes the clients' address from the process that runs as this relay, if there is one.
-// Before that the journal is not this process's to open.
+// listen takes over the clients' address from the running process of this relay, if there is one, and opens it
+// otherwise. The journal may be opened only after that: until then it belongs to the other process.
 func (r *Relay) listen() (err error) {
 	if r.heritage, err = inherit(r.config.State); err != nil {
-		// It may have died; if it has not, the address is taken.
+		// The other process may have died. If it still runs, listening on the address below fails.
 		slog.Warn("nothing taken over", "err", err)
 	}
 	if r.heritage != nil {
@@ -203,5 +202,5 @@
 	return nil
 }
 
-// Addr is where clients connect.
+// Addr returns the address on which clients connect.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -35,16 +35,16 @@
 "rules":{"cold":13,"cold-from":0.22,"drain-grace":0.25,"fall":2,"grace-to-answer":0.02,"overload-factor":2},
 "skus":["marketplace","customer-system"],"tick":0.005,"weights":"off","zones":["taller","oficinas","almacen"]}`
 
-// platform stands in for discovery and the taker of notices.
+// fakePlatform stands in for discovery and for the receiver of notices.
 type fakePlatform struct {
 	*httptest.Server
 	mu             sync.Mutex
 	list           discovery.List
 	changed        chan struct{}
-	queries        chan string // raw queries, as far as a test reads them
+	queries        chan string // raw queries of calls for the list; dropped if the test does not read them
 	notices        chan notice
-	failingNotices int  // so many POSTs are answered 500 first
-	refuseLists    bool // calls for the list
+	failingNotices int  // number of POSTs of notices that are still to be answered 500
+	refuseLists    bool // answer calls for the list with 503
 }
 
 func newFakePlatform(t testing.TB, servers ...discovery.Server) *fakePlatform {
@@ -111,14 +111,15 @@
 
 func (p *fakePlatform) addr() string { return p.Listener.Addr().String() }
 
-// seen is one call as a host got it.
+// receivedCall is one call as a host received it.
 type receivedCall struct {
 	host, id, key, body string
 	receivedAt          time.Time
-	answer              chan int // status; a header may precede it
+	answer              chan int // status; for 429 the host adds a Retry-After header
 }
 
-// fakeHost hands each call to the test and answers what the test says.
+// newFakeHost starts a host that passes each call to the test and answers with the status that the test sends. It
+// returns the host's address.
 func newFakeHost(t *testing.T, name string, calls chan *receivedCall) string {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
@@ -178,7 +179,8 @@
 	return relay
 }
 
-// hand posts one message and returns status and Retry-After.
+// postMessage posts one message to a relay, and returns the status and Retry-After of the answer. more holds further
+// headers as names and values in turn.
 func postMessage(t *testing.T, addr, id, class string, more ...string) (int, string) {
 	t.Helper()
 	req, _ := http.NewRequest("POST", "http://"+addr+"/api", strings.NewReader("body of "+id))
@@ -246,7 +248,7 @@
 	call := receive(t, calls, "call")
 	want(t, "id of the next call", call.id, "m2")
 	call.answer <- 200
-	status, _ = postMessage(t, relay.Addr(), "m1", "payment") // by now over
+	status, _ = postMessage(t, relay.Addr(), "m1", "payment") // it has ended by now
 	want(t, "status", status, 202)
 	postMessage(t, relay.Addr(), "m3", "payment")
 	call = receive(t, calls, "call")
@@ -254,7 +256,7 @@
 	call.answer <- 200
 }
 
-// Guards against taking on a message whose client has already gone.
+// Guards against accepting a message whose client has already disconnected.
 func TestMessageOfDepartedClientIsNotAccepted(t *testing.T) {
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")), nil)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -266,7 +268,7 @@
 	want(t, "messages held", receive(t, held, "count"), 0)
 }
 
-// leaver is the context of a client that leaves once it was asked so many times whether it is there.
+// leavingContext is the context of a client that disconnects after a number of checks whether it is still there.
 type leavingContext struct {
 	context.Context
 	checksLeft atomic.Int32
@@ -279,8 +281,8 @@
 	return context.Canceled
 }
 
-// Guards against a handler, and its connection, that wait for ever once the client has left, and
-// against an answer 200, which the library gives by itself, to a message that is given up.
+// Guards against a handler, and its connection, that waits forever once the client has disconnected, and against the
+// answer 200 that net/http gives by default to a message that is given up.
 func TestLeavingClientIsRefused(t *testing.T) {
 	leaving := testEndpoint("s-1", "127.0.0.1:1", "taller")
 	leaving.State = "leaving" // so that messages wait
@@ -303,7 +305,7 @@
 	}
 }
 
-// Guards against losing a message that came on two connections when the first one broke.
+// Guards against losing a message that arrived on two connections when the first one broke.
 func TestWithdrawKeepsMessageReceivedTwice(t *testing.T) {
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller")), nil)
 	held := make(chan int, 1)
@@ -350,8 +352,8 @@
 	c.answer <- 200
 }
 
-// Guards against a message that stands in the body of another: a peer tells the body's length
-// twice, and the relay believes the shorter one.
+// Guards against request smuggling: a client gives the length of a body in two ways, the relay trusts the shorter one,
+// and reads the rest of the body as another message.
 func TestBodyIsNeverParsedAsRequest(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
@@ -369,7 +371,7 @@
 		}
 		conn.SetReadDeadline(time.Now().Add(20 * time.Second))
 		fmt.Fprint(conn, post("outer", framing, body))
-		response, _ := io.ReadAll(conn) // the relay ends the connection
+		response, _ := io.ReadAll(conn) // the relay closes the connection
 		conn.Close()
 		if n := strings.Count(string(response), "HTTP/1.1 "); n != 1 || !strings.HasPrefix(string(response), "HTTP/1.1 4") &&
 			!strings.HasPrefix(string(response), "HTTP/1.1 5") {
@@ -383,7 +385,7 @@
 	c.answer <- 200
 }
 
-// Guards against taking on more than the settings allow, and against a refusal that says not when to come again.
+// Guards against accepting more messages than the settings allow, and against a refusal without a Retry-After time.
 func TestFullRelayRefuses(t *testing.T) {
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")),
 		func(c *Config) { c.Settings.MaxHeld = 1 })
@@ -398,7 +400,7 @@
 	}
 }
 
-// Guards against a call before the end of a wait, which has decimals.
+// Guards against a call before the end of a wait, here one with a fraction of a second.
 func TestRetryAfterIsHonoured(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
@@ -420,19 +422,19 @@
 	}
 }
 
-// Guards against sends to a host that the list withdraws while messages come in.
+// Guards against calls to a host that the list marks as leaving while messages arrive.
 func TestLeavingHostGetsNoNewCalls(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
-	a, b := testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "almacen")
-	platform := newFakePlatform(t, a, b)
+	leaving, staying := testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "almacen")
+	platform := newFakePlatform(t, leaving, staying)
 	relay := startRelay(t, platform, nil)
 	for q := ""; !strings.Contains(q, "since=1&"); {
 		q = receive(t, platform.queries, "watch")
 	}
-	a.State = "leaving"
-	platform.publish(2, false, a)
+	leaving.State = "leaving"
+	platform.publish(2, false, leaving)
 	for q := ""; !strings.Contains(q, "since=2&"); {
-		q = receive(t, platform.queries, "next watch") // it is asked for after the change was handed on
+		q = receive(t, platform.queries, "next watch") // it is sent after the change was passed to the loop
 	}
 	for i := range 5 {
 		postMessage(t, relay.Addr(), fmt.Sprint("m", i), "payment")
@@ -452,7 +454,8 @@
 	return records
 }
 
-// Guards against calls held back, or let through, by a whole list: it closes just the hosts it leaves out.
+// Guards against a full list that closes hosts which it contains, or leaves hosts open which it omits. A manually
+// disabled host stays closed, and a host with a new address is closed under the old one only.
 func TestFullListClosesMissingHosts(t *testing.T) {
 	relay := &Relay{endpointList: endpointList{hosts: map[string]*host{}, destWaits: map[int]*hostWait{}}, books: books{journal: openJournal(t)}}
 	relay.settings.Store(&standing{})
@@ -492,7 +495,8 @@
 	c.answer <- 200
 }
 
-// Guards against building changes on another history of the list.
+// Guards against applying changes on top of a list with another history: a list older than the known one causes a
+// request for the full list.
 func TestOlderListVersionCausesResync(t *testing.T) {
 	platform := newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))
 	startRelay(t, platform, nil)
@@ -503,14 +507,14 @@
 	want(t, "query after an older version", receive(t, platform.queries, "query"), "")
 }
 
-// Guards against losing a notice that the platform did not take at once.
+// Guards against losing a notice that the platform did not accept at first.
 func TestRejectedNoticeIsRetried(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	platform.failingNotices = 2
 	relay := startRelay(t, platform, nil)
 	postMessage(t, relay.Addr(), "m1", "payment")
-	receive(t, calls, "call").answer <- 500 // it may have run, and must not again
+	receive(t, calls, "call").answer <- 500 // it may have run, and must not run again
 	queued := receive(t, platform.notices, "notice")
 	want(t, "notice", queued, notice{ID: "m1", Status: undeliverable})
 	pending := make(chan int)
@@ -543,8 +547,8 @@
 	}
 }
 
-// Guards against a relay that sleeps past a deadline: a step for another reason comes just after a
-// wake-up fell due and before its tick was read.
+// Guards against a loop that sleeps past a deadline: a step for another event runs just after a wake-up was due and
+// before its tick was read.
 func TestDueWakeUpIsReplaced(t *testing.T) {
 	relay := &Relay{wakeTimer: time.NewTimer(time.Hour)}
 	relay.armWake(0, time.Nanosecond)
@@ -560,7 +564,7 @@
 	want(t, "earlier wake-up", relay.wakeAt, 3*time.Second)
 }
 
-// Real processes.
+// The tests below run the program in processes of its own.
 
 var buildProgram = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "larchrouter")
@@ -583,7 +587,7 @@
 	os.Exit(code)
 }
 
-// process starts the program and tells its address once it serves.
+// startProcess starts the program, and returns its address once it serves.
 func startProcess(t *testing.T, platform *fakePlatform, state string) (*exec.Cmd, string) {
 	t.Helper()
 	path, err := buildProgram()
@@ -625,8 +629,9 @@
 	want(t, "status of /up", resp.StatusCode, 200)
 }
 
-// Guards against loss and against a second effect when a relay is killed with a call out: what is
-// safe goes again, what is keyed goes again in the same zone, what is unsafe ends by a notice.
+// Guards against a lost message and against a second effect when a relay is killed with a call in flight: an idempotent
+// message is sent again, one with a key is sent again in the same zone, and one that must not run twice ends with a
+// notice.
 func TestKillAndRestart(t *testing.T) {
 	for _, class := range []string{"job-order", "status-update", "payment"} {
 		t.Run(class, func(t *testing.T) {
@@ -662,7 +667,7 @@
 	}
 }
 
-// Guards against a stop that drops a call out, or refuses clients that still come.
+// Guards against a stop that drops a call in flight, or refuses clients that still connect.
 func TestSIGTERM(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
@@ -685,8 +690,8 @@
 	}
 }
 
-// Guards against a relay that ends on SIGHUP, or goes on with the address that the platform gave up. A
-// configuration that cannot be read changes nothing.
+// Guards against a relay that exits on SIGHUP, or that keeps using the platform's previous address. A configuration
+// that cannot be read changes nothing.
 func TestSIGHUP(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	host := testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")
@@ -715,7 +720,7 @@
 	want(t, "notice", receive(t, moved.notices, "notice"), notice{ID: "m1", Status: undeliverable})
 }
 
-// Guards against a late notice for what ran out of time while the relay was down.
+// Guards against a late notice for a message whose time expired while the relay was down.
 func TestExpiredMessageIsReportedAtStart(t *testing.T) {
 	for _, test := range []struct {
 		class, status string
@@ -742,9 +747,8 @@
 	}
 }
 
-// Guards the two rules that matter most across every kind of failure and two kills, or two upgrades:
-// what was taken on ends, and what may not be repeated is not. Hosts answer, refuse, fail, break off
-// and hang in turn.
+// Guards the two most important rules across every kind of failure and two kills, or two upgrades: each accepted
+// message ends, and a message that must not be repeated is not. The hosts answer, refuse, fail, reset and hang in turn.
 func TestNothingLostOrRepeatedAcrossProcesses(t *testing.T) {
 	t.Run("kills", func(t *testing.T) {
 		testAcrossProcesses(t, func(old *exec.Cmd, next func() (*exec.Cmd, string)) (*exec.Cmd, string) {
@@ -848,8 +852,8 @@
 	}
 }
 
-// Guards against a stop that waits for a host that never answers, until SIGKILL ends it: the call is
-// left to the journal, and the next process ends the message.
+// Guards against a stop that waits for a host that never answers, until SIGKILL ends it: the call is left to the
+// journal, and the next process ends the message.
 func TestSIGTERMWithHangingCall(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
@@ -871,7 +875,7 @@
 	want(t, "further calls", len(calls), 0)
 }
 
-// Guards against a refusal that becomes a crash: a relay whose disk is full answers 503 and goes on.
+// Guards against a crash where a refusal is due: a relay whose disk is full answers 503 and continues.
 func TestFullDiskRefuses(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller")), nil)
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -15,12 +15,12 @@
 	"larchrouter/internal/journal"
 )
 
-// Slopes of the whole relay, for docs/CAPACITY.md: processor time is that of client, relay and endpoints together. The
-// largest sizes are left out with -short.
+// These benchmarks measure how the cost of the whole relay grows, for docs/CAPACITY.md. Processor time is that of
+// client, relay and endpoints together. The largest sizes are skipped with -short.
 //
 //	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./internal/relay
 
-// sizes are those of a benchmark; the last ones are left out with -short.
+// benchSizes returns the sizes of a benchmark. The last ones, as many as largest says, are left out with -short.
 func benchSizes(largest int, all ...int) []int {
 	if testing.Short() {
 		return all[:len(all)-largest]
@@ -28,10 +28,10 @@
 	return all
 }
 
-// roomy gives a relay room for what a benchmark brings.
+// unlimited raises the limits of a relay above the load of a benchmark.
 func unlimited(c *Config) { c.Sockets, c.Settings.MaxHeld = 16_000, 0 }
 
-// BenchmarkScaleMessageByBody is the whole path on loopback, by the bytes of a message.
+// BenchmarkScaleMessageByBody measures the whole path of a message on loopback, by the size of its body in bytes.
 func BenchmarkScaleMessageByBody(b *testing.B) {
 	for _, n := range []int{60, 600, 6_000, 60_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -41,7 +41,8 @@
 	}
 }
 
-// BenchmarkScaleMessageByClients is the whole path while so many other clients keep an idle connection.
+// BenchmarkScaleMessageByClients measures the whole path of a message while a number of other clients have an idle
+// connection.
 func BenchmarkScaleMessageByClients(b *testing.B) {
 	for _, n := range []int{10, 100, 1_000, 4_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -55,13 +56,13 @@
 	}
 }
 
-// spread is a relay with so many destinations of one endpoint each, and a client that hands in for one after the other.
+// spreadRig is a relay with a number of destinations of one endpoint each, and a client that sends to them in turn.
 type spreadRig struct {
 	*costRig
 	destinations, next int
 }
 
-// smallHost answers each call at once, and takes little memory for a connection.
+// newSmallHost starts a host that answers each call at once, and uses little memory for a connection.
 func newSmallHost(tb testing.TB) string {
 	answer := []byte("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 	return newRawHost(tb, func(conn net.Conn) {
@@ -88,7 +89,7 @@
 	return &spreadRig{costRig: newCostRig(tb, 200, change, more...), destinations: destinations}
 }
 
-// each has a message for each destination be served, so that there is a connection to each.
+// serveEach has one message served for each destination, so that there is a connection to each.
 func (s *spreadRig) serveEach() {
 	for range s.destinations {
 		s.serveNext()
@@ -96,7 +97,7 @@
 	s.settle()
 }
 
-// serveNext has a message for the next destination be taken on.
+// serveNext posts a message for the next destination, and checks that it is accepted.
 func (s *spreadRig) serveNext() {
 	cell := 7 + s.next%s.destinations
 	s.next++
@@ -116,7 +117,7 @@
 	}
 }
 
-// settled is how many descriptors there are once those of a relay before this one have been closed.
+// settledDescriptors returns the number of open descriptors once those of an earlier relay have been closed.
 func settledDescriptors(tb testing.TB) int {
 	for n := countDescriptors(tb); ; {
 		time.Sleep(200 * time.Millisecond)
@@ -128,8 +129,9 @@
 	}
 }
 
-// BenchmarkScaleConnectionsByDestinations is what is kept after a call to each of so many destinations: descriptors of this
-// process, in which the endpoints are too, and bytes; and processor time a message that goes to one after the other.
+// BenchmarkScaleConnectionsByDestinations measures what remains after a call to each of a number of destinations:
+// descriptors and bytes of this process, which also contains the endpoints. It also measures the processor time of a
+// message if messages go to the destinations in turn.
 func BenchmarkScaleConnectionsByDestinations(b *testing.B) {
 	for _, n := range benchSizes(1, 10, 100, 1_000, 3_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -145,8 +147,8 @@
 	}
 }
 
-// BenchmarkScaleListByKnown is what a whole list of so many endpoints takes when the relay first hears of it, on its loop, and
-// what it keeps of each.
+// BenchmarkScaleListByKnown measures how long the loop takes to apply the first full list of a number of endpoints, and
+// the memory that is retained for each.
 func BenchmarkScaleListByKnown(b *testing.B) {
 	for _, n := range benchSizes(1, 200, 2_000, 20_000, 200_000, 760_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -156,7 +158,7 @@
 			var once time.Duration
 			for b.Loop() {
 				if once == 0 {
-					held = retainedPer(b, n, func() { // the list itself is dropped, but for its texts
+					held = retainedPer(b, n, func() { // only the strings of the list itself are retained
 						list, begun := longList(n), time.Now()
 						c.applyList(list)
 						once = time.Since(begun)
@@ -170,18 +172,19 @@
 	}
 }
 
-// listed has the loop take a list in, and waits until it has decided on it.
+// applyList has the loop apply a list, and waits until the Chooser has processed it.
 func (c *costRig) applyList(list discovery.List) {
 	done := make(chan struct{})
 	c.r.post(func() { c.r.applyList(list) })
 	c.r.post(func() { close(done) })
 	<-done
 	done = make(chan struct{})
-	c.r.post(func() { close(done) }) // the turn that the list came in is over
+	c.r.post(func() { close(done) }) // the turn that applied the list has ended
 	<-done
 }
 
-// owing fills a folder with so many messages that a relay owes, which cannot go: their endpoint drains.
+// configWithPending returns the configuration of a relay whose state directory holds a number of pending messages. They
+// cannot be sent, since their endpoint drains.
 func configWithPending(tb testing.TB, messages int) (conf Config) {
 	tb.Helper()
 	platform := newFakePlatform(tb, testEndpoint("s-1", "127.0.0.1:1", "taller"))
@@ -213,7 +216,8 @@
 	return conf
 }
 
-// started runs a relay, and waits until its loop has decided on what it owes; it returns what is held then, and the end.
+// startWithPending runs a relay, and waits until its loop has processed the pending messages. It returns their number
+// and a function that stops the relay.
 func startWithPending(tb testing.TB, conf Config) (pending int, end func()) {
 	tb.Helper()
 	relay, err := New(conf)
@@ -222,19 +226,19 @@
 	}
 	done, count := make(chan struct{}), make(chan int, 1)
 	go func() { relay.Serve(); close(done) }()
-	for range 2 { // the second turn is after the one that took in what was owed
+	for range 2 { // the second turn comes after the one that restored the pending messages
 		relay.post(func() { count <- len(relay.held) })
 		pending = <-count
 	}
 	return pending, func() { relay.stop(); <-done }
 }
 
-// BenchmarkScaleStartByHeld is what a start of a relay takes that owes so many messages, until its loop has decided on them,
-// and what it holds of each from then on.
+// BenchmarkScaleStartByHeld measures the start of a relay with a number of pending messages, until its loop has
+// processed them, and the memory that it retains for each from then on.
 func BenchmarkScaleStartByHeld(b *testing.B) {
 	for _, n := range benchSizes(1, 100, 1_000, 10_000, 100_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			newCostRig(b, 200, nil).settle() // what a first relay of a process makes once
+			newCostRig(b, 200, nil).settle() // creates what the first relay of a process allocates once
 			conf := configWithPending(b, n)
 			file := int64(0)
 			if info, err := os.Stat(filepath.Join(conf.State, "journal")); err == nil {
@@ -264,8 +268,8 @@
 	}
 }
 
-// Guards the benchmarks above: each destination gets a connection of its own, a list is all taken in, and a start holds all
-// that it owes.
+// Guards the set-up of the benchmarks above: each destination gets a connection of its own, a full list is applied
+// completely, and a start restores all pending messages.
 func TestScaleBenchmarkSetups(t *testing.T) {
 	spread := newSpread(t, 10, unlimited)
 	spread.serveEach()
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/steady"
 )
 
-// step lets the Chooser decide on what has come in, and carries its actions out.
+// step passes the events received since the last step to the Chooser, and carries out the actions that it returns.
 func (r *Relay) step() {
 	if r.heir != nil {
 		r.events = nil
@@ -68,13 +68,14 @@
 	r.dispatch(sends)
 }
 
-// takeOn records what came since the last step, and answers its clients. Only what is in the journal is taken on.
+// acceptNew records the messages that arrived since the last step, and answers their clients. A message is accepted
+// only once it is in the journal.
 func (r *Relay) acceptNew() {
 	for _, msg := range r.newMessages {
 		if msg.over {
 			continue
 		}
-		err := r.bindAfterFlush([]journal.Record{{Op: journal.OpTaken, Entry: msg.Entry}}, countIn, func(committed bool) {
+		err := r.bindInOrder([]journal.Record{{Op: journal.OpTaken, Entry: msg.Entry}}, countIn, func(committed bool) {
 			switch {
 			case msg.over:
 			case committed:
@@ -95,19 +96,19 @@
 	}
 }
 
-// arm sets the timer for the earliest wake-up asked for. One that fell due, but whose tick
-// the loop has not read yet, no longer counts: the Chooser has asked anew, will not ask
-// again before that, and without the guard sleeps until something else comes in.
+// armWake sets the timer for the earliest wake-up that was asked for. A wake-up that is due, but whose tick the loop
+// has not read yet, no longer counts: the Chooser has asked for its next wake-up since, and does not ask again before
+// that. Without this check the loop would sleep until another event arrives.
 func (r *Relay) armWake(now, after time.Duration) {
 	if at := now + after; r.wakeAt <= now || at < r.wakeAt {
 		r.wakeAt = at
-		r.wakeTimer.Reset(after) // drops an unread tick
+		r.wakeTimer.Reset(after) // Reset drops an unread tick
 	}
 }
 
-// refuse ends a message that was never taken on.
+// refuse ends a message that was never accepted, and tells its client to retry after the given time.
 func (r *Relay) refuse(msg *message, retryAfter time.Duration) {
-	if r.copies != nil && r.journal.Entry(msg.ID) != nil { // on disk, but it does not count yet
+	if r.copies != nil && r.journal.Entry(msg.ID) != nil { // on disk, but not committed yet
 		r.uncounted(msg)
 		return
 	}
@@ -116,7 +117,8 @@
 	msg.answer(answer{status: http.StatusServiceUnavailable, after: retryAfter, text: "refused"})
 }
 
-// final ends a message that the Chooser has given up, at once.
+// endUndelivered ends a message that the Chooser has given up. After retryAfter the client may send a deferred message
+// again.
 func (r *Relay) endUndelivered(id, status string, retryAfter time.Duration) {
 	switch msg := r.held[id]; {
 	case msg == nil:
@@ -129,7 +131,7 @@
 	}
 }
 
-// dispatch groups the sends of one Step into calls, records them, and starts them.
+// dispatch groups the sends of one step into calls, records them, and starts them.
 func (r *Relay) dispatch(sends []choice.Send) {
 	openCalls := map[string]*call{}
 	var calls []*call
@@ -144,7 +146,7 @@
 			continue
 		}
 		hostCall, size := openCalls[send.Host], frameSize(msg)
-		if hostCall == nil || len(hostCall.members) >= host.maxPerCall || hostCall.size+size > maxBody { // no body may be longer
+		if hostCall == nil || len(hostCall.members) >= host.maxPerCall || hostCall.size+size > maxBody { // a request body may have maxBody bytes at most
 			hostCall = &call{host: host}
 			openCalls[send.Host] = hostCall
 			calls = append(calls, hostCall)
@@ -157,9 +159,9 @@
 		for i, msg := range hostCall.members {
 			records = append(records, journal.Record{Op: journal.OpTry, ID: msg.ID, At: wallTime, Wait: hostCall.sends[i].Timeout.Milliseconds(), Zone: hostCall.host.zone})
 		}
-		// An attempt that a restart would not know of must not go out.
+		// An attempt must not be sent unless it is recorded: after a restart, nothing would be known of it.
 		recordedAt := time.Now()
-		err := r.bindAfterFlush(records, freshIn, func(committed bool) { r.startRecorded(hostCall, recordedAt, committed) })
+		err := r.bindInOrder(records, freshIn, func(committed bool) { r.startRecorded(hostCall, recordedAt, committed) })
 		if err != nil {
 			slog.Error("attempts not sent", "err", err, "remedy", remedy.Of(err))
 			r.reportNotSent(hostCall)
@@ -167,27 +169,28 @@
 	}
 }
 
-// unsent tells the decisions that a call does not go.
+// reportNotSent reports to the Chooser that no message of a call was sent.
 func (r *Relay) reportNotSent(c *call) {
 	for _, send := range c.sends {
 		r.events = append(r.events, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.NotSent})
 	}
 }
 
-// startCounted starts a call whose record counts, unless something came between: then all of it stays.
+// startRecorded starts a call whose record is committed. None of its messages is sent if the record was not committed,
+// took too long, or if the call has been forbidden since.
 func (r *Relay) startRecorded(hostCall *call, recordedAt time.Time, committed bool) {
 	if r.copies == nil {
 		r.startCall(hostCall)
 		return
 	}
 	waited := time.Since(recordedAt)
-	withheld := !committed || waited >= freshIn || r.stopped || r.heir != nil || hostCall.host.closed.Load() ||
+	forbidden := !committed || waited >= freshIn || r.stopped || r.heir != nil || hostCall.host.closed.Load() ||
 		slices.ContainsFunc(hostCall.members, func(m *message) bool { return m.over })
-	for i := range hostCall.sends { // a call that lasts to the end of its message's time must end then
+	for i := range hostCall.sends { // a call that lasts until its message's deadline must still end at the deadline
 		hostCall.sends[i].Timeout -= waited
-		withheld = withheld || hostCall.sends[i].Timeout <= 0
+		forbidden = forbidden || hostCall.sends[i].Timeout <= 0
 	}
-	if !withheld {
+	if !forbidden {
 		hostCall.startBy = recordedAt.Add(freshIn)
 		r.startCall(hostCall)
 		return
@@ -200,9 +203,9 @@
 	r.reportNotSent(hostCall)
 }
 
-// ended takes in what became of one message's attempt.
+// attemptEnded handles the result of one message's attempt.
 func (r *Relay) attemptEnded(hostCall *call, msg *message, result memberResult, feedback hostFeedback) {
-	if msg.call != hostCall { // its own time was up before the call's
+	if msg.call != hostCall { // the message reached its own time-out before the call ended
 		if result.outcome == choice.Served {
 			r.servedLate(msg)
 		}
@@ -210,11 +213,11 @@
 	}
 	msg.call = nil
 	if r.heir != nil {
-		r.hostTransport.Load().CloseIdleConnections() // descriptors count for both processes together
+		r.hostTransport.Load().CloseIdleConnections() // both processes share the limit on descriptors
 		r.heir.send(passed{End: &endPassed{msg.ID, result.outcome, result.done, feedback.elapsed, feedback.retryAfter, feedback.loadReport, feedback.staleConn}})
 		return
 	}
-	if feedback.retryAfter > 0 && r.copies != nil { // an heir is to know of it
+	if feedback.retryAfter > 0 && r.copies != nil { // a successor must know of the wait
 		r.record(journal.Record{Op: journal.OpWait, ID: hostCall.host.id, At: steady.UnixMilli(), Wait: feedback.retryAfter.Milliseconds()})
 	}
 	r.events = append(r.events, choice.Result{ID: msg.ID, Host: hostCall.host.id, Outcome: result.outcome, Took: feedback.elapsed, Wait: feedback.retryAfter,
@@ -222,7 +225,7 @@
 	if msg.over {
 		switch {
 		case result.outcome != choice.Served:
-		case msg.gone: // delivered from here all the same; the other finds out by its own call
+		case msg.gone: // delivered by this relay all the same; the relay that took the message over learns of it by its own call
 			r.figures.ended(msg.Class, servedEnd)
 		default:
 			r.servedLate(msg)
@@ -231,7 +234,7 @@
 	}
 	if result.done || result.outcome == choice.Served {
 		finalEnding := servedEnd
-		if result.outcome != choice.Served { // over at the host: out of time
+		if result.outcome != choice.Served { // the endpoint reports that the message's time has expired
 			finalEnding = failedEnd
 		}
 		r.finish(msg, finalEnding)
--- a/internal/relay/withdraw.go
+++ b/internal/relay/withdraw.go
@@ -66,7 +66,7 @@
 		return false
 	}
 	r.flush()
-	if err := r.bindAfterFlush([]journal.Record{{Op: journal.OpEnd, ID: id}}, countIn, then); err != nil {
+	if err := r.bindInOrder([]journal.Record{{Op: journal.OpEnd, ID: id}}, countIn, then); err != nil {
 		slog.Error("message not withdrawn", "err", err, "remedy", remedy.Of(err))
 		return false
 	}
