--- a/internal/relay/agreement.go
+++ b/internal/relay/agreement.go
@@ -78,7 +78,7 @@
 		}
 		var err error
 		if reply, err = r.fleetConfig.Hear(r.now(), heard.Asked, heard.Standing); err != nil {
-			slog.Warn("an answer of the keepers is not taken", "err", err, "remedy", remedy.Of(err))
+			slog.Warn("answer of the keepers rejected", "err", err, "remedy", remedy.Of(err))
 		}
 		r.refreshAgreed()
 		have, ok = r.fleetConfig.Have(), err == nil
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -34,23 +34,23 @@
 		hostCall.sends = append(hostCall.sends, choice.Send{ID: id, Timeout: time.Duration(i+1) * time.Minute})
 	}
 	relay.startCall(hostCall)
-	want(t, "the message that leads", strings.Fields(receive(t, bodies, "call"))[0], "b")
-	want(t, "its send", hostCall.sends[0].ID, "b")
+	want(t, "first message of the call", strings.Fields(receive(t, bodies, "call"))[0], "b")
+	want(t, "first send of the call", hostCall.sends[0].ID, "b")
 	receive(t, relay.inbox, "result")()
 	got := map[string]choice.Outcome{}
 	for _, e := range relay.events {
 		got[e.(choice.Result).ID] = e.(choice.Result).Outcome
 	}
-	want(t, "ends of all", len(got), 3)
-	want(t, "end of a", got["a"], choice.Error)
-	want(t, "end of b", got["b"], choice.Served)
-	want(t, "end of c", got["c"], choice.Refused)
+	want(t, "number of results", len(got), 3)
+	want(t, "result of a", got["a"], choice.Error)
+	want(t, "result of b", got["b"], choice.Served)
+	want(t, "result of c", got["c"], choice.Refused)
 }
 
 // Guards against two results, or none, for a member of a shared call that times out at the moment of the answer: the
 // loop may receive either one first.
 func TestAnswerRacesMemberTimeout(t *testing.T) {
-	for name, timeoutFirst := range map[string]bool{"its end first": true, "the answer first": false} {
+	for name, timeoutFirst := range map[string]bool{"time-out first": true, "answer first": false} {
 		ended := make(chan struct{})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			io.Copy(io.Discard, req.Body)
@@ -66,7 +66,7 @@
 			hostCall.members, hostCall.sends = append(hostCall.members, m), append(hostCall.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 		}
 		relay.startCall(hostCall)
-		timedOut := receive(t, relay.inbox, "end of the short one")
+		timedOut := receive(t, relay.inbox, "time-out of the short one")
 		close(ended)
 		answered := receive(t, relay.inbox, "answer")
 		server.Close()
@@ -77,7 +77,7 @@
 		for _, f := range order {
 			f()
 		}
-		want(t, name+": ends", len(relay.events), 2)
+		want(t, name+": results", len(relay.events), 2)
 		outcomes := map[string]choice.Outcome{}
 		for _, e := range relay.events {
 			outcomes[e.(choice.Result).ID] = e.(choice.Result).Outcome
@@ -86,7 +86,7 @@
 		want(t, name+": records", len(relay.records), 2)
 		short := map[bool]choice.Outcome{true: choice.Timeout, false: choice.Served}[timeoutFirst]
 		want(t, name+": the short one", outcomes["short"], short)
-		want(t, name+": it is held, for the decisions to end it", relay.held["short"] != nil, timeoutFirst)
+		want(t, name+": it is pending until the Chooser ends it", relay.held["short"] != nil, timeoutFirst)
 	}
 }
 
@@ -98,7 +98,7 @@
 		"a ok\r\na later\r\na later\r\n": choice.Error, "a exhausted\r\na later\r\n": choice.Error,
 		"a ok\r\na ok\r\n": choice.Served, "a later\r\na later\r\n": choice.Refused,
 	} {
-		want(t, fmt.Sprintf("end after %q", body), parseBatchResults([]byte(body), []string{"a"})[0], memberResult{outcome: outcome})
+		want(t, fmt.Sprintf("result of %q", body), parseBatchResults([]byte(body), []string{"a"})[0], memberResult{outcome: outcome})
 	}
 }
 
@@ -115,11 +115,11 @@
 	relay.startCall(hostCall)
 	receive(t, relay.inbox, "result")()
 	if hostCall.timeout > time.Minute {
-		t.Errorf("it has %v, and its message a minute", hostCall.timeout)
+		t.Errorf("the call has a time-out of %v, want at most the minute that its message has", hostCall.timeout)
 	}
 	want(t, "calls", received.Load(), 1)
 	late := newSingleCall(server.Listener.Addr().String(), "x")
 	late.startedAt = time.Now().Add(-late.timeout)
-	want(t, "outcome of one that begins as its time is up", callOutcome(relay, context.Background(), late), choice.NoConnection)
+	want(t, "outcome of a call that starts at its deadline", callOutcome(relay, context.Background(), late), choice.NoConnection)
 	want(t, "calls", received.Load(), 1)
 }
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -17,8 +17,8 @@
 
 var (
 	errTimeout   = errors.New("time-out")
-	errCancelled = errors.New("called off")
-	errStopping  = errors.New("relay stops")
+	errCancelled = errors.New("call cancelled")
+	errStopping  = errors.New("relay is stopping")
 )
 
 // newHostTransport returns the HTTP transport for calls to hosts, with at most maxIdleConns idle connections.
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -39,8 +39,8 @@
 }
 
 func callOutcomeAndStale(r *Relay, ctx context.Context, c *call) (choice.Outcome, bool) {
-	ends, told := r.exchange(ctx, c, []string{"m1"})
-	return ends[0].outcome, told.staleConn
+	ends, feedback := r.exchange(ctx, c, []string{"m1"})
+	return ends[0].outcome, feedback.staleConn
 }
 
 // Guards against net/http resending a request by itself: one with an Idempotency-Key is sent twice if its reused
@@ -67,16 +67,16 @@
 		want(t, "first outcome", callOutcome(relay, context.Background(), newSingleCall(addr, body)), choice.Served)
 		outcome, stale := callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
 		want(t, "outcome of a call that breaks", outcome, choice.Reset)
-		want(t, "it says that a kept connection was stale", stale, true)
+		want(t, "reused connection is reported stale", stale, true)
 		staleConnWindow = 0
 		callOutcome(relay, context.Background(), newSingleCall(addr, body))
 		got.Store(1)
 		_, stale = callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
-		want(t, "the same of one that broke late", stale, false)
+		want(t, "reused connection that broke late is reported stale", stale, false)
 		staleConnWindow = time.Hour
 		got.Store(1)
 		_, stale = callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
-		want(t, "the same of a new connection", stale, false)
+		want(t, "new connection is reported stale", stale, false)
 		got.Store(2)
 		want(t, "requests on the wire", got.Load(), 2)
 	}
@@ -100,11 +100,11 @@
 		while  func(*Relay, *call)
 		reason withheld
 	}{
-		"drains":               {func(_ *Relay, c *call) { c.host.closed.Store(true) }, endpointShut},
-		"may drain, unheard":   {func(r *Relay, _ *call) { r.sendUntil.Store(1) }, listTooOld},
-		"tells to wait":        {func(r *Relay, c *call) { c.host.wait.extend(r.now() + time.Hour) }, toldToWait},
-		"no longer a repeat":   {func(_ *Relay, c *call) { c.writeBy = time.Now().Add(-time.Nanosecond) }, outOfTime},
-		"handed over long ago": {func(r *Relay, _ *call) { r.passedAt.Store(time.Now().Add(-lateCall).UnixNano()) }, handedOver},
+		"drains":                             {func(_ *Relay, c *call) { c.host.closed.Store(true) }, endpointShut},
+		"may drain by a change not received": {func(r *Relay, _ *call) { r.sendUntil.Store(1) }, listTooOld},
+		"advises a wait":                     {func(r *Relay, c *call) { c.host.wait.extend(r.now() + time.Hour) }, toldToWait},
+		"repeat window has ended":            {func(_ *Relay, c *call) { c.writeBy = time.Now().Add(-time.Nanosecond) }, outOfTime},
+		"handed over long ago":               {func(r *Relay, _ *call) { r.passedAt.Store(time.Now().Add(-lateCall).UnixNano()) }, handedOver},
 	} {
 		t.Run(name, func(t *testing.T) { testWithheldAfterConnecting(t, test.while, test.reason) })
 	}
@@ -155,12 +155,12 @@
 		relay.events = nil
 	}
 	runNext()
-	want(t, "end of the one whose time is up", ends["short"], choice.Timeout)
+	want(t, "result of the timed-out message", ends["short"], choice.Timeout)
 	want(t, "ends", len(ends), 1)
 	close(connect)
 	runNext()
-	want(t, "end of the other", ends["long"], choice.NotSent)
-	want(t, "calls that went out", requests.Load(), 0)
+	want(t, "result of the other message", ends["long"], choice.NotSent)
+	want(t, "requests sent", requests.Load(), 0)
 }
 
 // deadlineRecorder records the last write deadline of a connection.
@@ -228,11 +228,11 @@
 func TestSingleResultByStatus(t *testing.T) {
 	for status, o := range map[int]memberResult{200: {choice.Served, false}, 500: {choice.Error, false}, 429: {choice.Refused, false},
 		503: {choice.Refused, false}, 504: {choice.NotSent, false}, 410: {choice.NotSent, true}, 418: {choice.Error, false}} {
-		want(t, fmt.Sprint("end after ", status), singleResult(&http.Response{StatusCode: status}, false), o)
+		want(t, fmt.Sprint("result of status ", status), singleResult(&http.Response{StatusCode: status}, false), o)
 	}
 	noSlot := &http.Response{StatusCode: 503, Header: http.Header{"X-Over-Slots": {"1"}}}
-	want(t, "end without a slot", singleResult(noSlot, false), memberResult{choice.NotSent, false})
-	want(t, "end of a call too large", singleResult(&http.Response{StatusCode: 413}, true), memberResult{choice.NotSent, false})
+	want(t, "result without a slot", singleResult(noSlot, false), memberResult{choice.NotSent, false})
+	want(t, "result of a call that is too large", singleResult(&http.Response{StatusCode: 413}, true), memberResult{choice.NotSent, false})
 }
 
 // Guards against hosts whose answers exhaust the memory: an answer with an endless header is no answer, except that its
@@ -253,7 +253,7 @@
 		})
 		want(t, fmt.Sprint("outcome of ", status), callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), outcome)
 		if n := written.Load(); n > 32<<20 {
-			t.Errorf("%d bytes were taken of a head", n)
+			t.Errorf("%d bytes of a header were accepted", n)
 		}
 	}
 }
@@ -308,8 +308,8 @@
 	if !slices.Equal(got, []choice.Outcome{choice.Served, choice.Error, choice.Refused, choice.NotSent, choice.NotSent, choice.Error}) {
 		t.Fatalf("outcomes %v", got)
 	}
-	want(t, "end of the fourth", relay.events[3].(choice.Result).Done, true)
-	want(t, "end of the fifth", relay.events[4].(choice.Result).Done, false)
+	want(t, "done of the fourth", relay.events[3].(choice.Result).Done, true)
+	want(t, "done of the fifth", relay.events[4].(choice.Result).Done, false)
 }
 
 // Guards against losing a retry-after time because the rest of its answer was cut off, or because the messages of its
@@ -322,13 +322,13 @@
 	}))
 	defer server.Close()
 	relay, call := newCallingRelay(), newSingleCall(server.Listener.Addr().String(), "x")
-	ends, told := relay.exchange(context.Background(), call, []string{"a", "b"})
+	ends, feedback := relay.exchange(context.Background(), call, []string{"a", "b"})
 	want(t, "outcome", ends[0].outcome, choice.Reset)
-	want(t, "wait", told.retryAfter, 1000*time.Second)
-	ends, told = relay.exchange(context.Background(), call, []string{"c"})
+	want(t, "wait", feedback.retryAfter, 1000*time.Second)
+	ends, feedback = relay.exchange(context.Background(), call, []string{"c"})
 	want(t, "outcome of the next call", ends[0].outcome, choice.NotSent)
-	if told.retryAfter <= 0 || told.retryAfter > 1000*time.Second {
-		t.Errorf("the decisions hear of %v to wait, want what is left of 1000s", told.retryAfter)
+	if feedback.retryAfter <= 0 || feedback.retryAfter > 1000*time.Second {
+		t.Errorf("the call reports a wait of %v, want the rest of 1000s", feedback.retryAfter)
 	}
 }
 
@@ -372,7 +372,7 @@
 	}
 	relay.dispatch(sends)
 	want(t, "calls", relay.callsInFlight, 2)
-	want(t, "messages in the second", len(relay.held["m1"].call.members), 2)
+	want(t, "messages in the second call", len(relay.held["m1"].call.members), 2)
 }
 
 // Guards against treating a message as safe to repeat if a garbled answer does not clearly say so.
@@ -384,11 +384,11 @@
 		ids := []string{"a", "b"}
 		ends := parseBatchResults([]byte(body), ids)
 		if len(ends) != len(ids) {
-			t.Fatalf("%d ends for %d messages", len(ends), len(ids))
+			t.Fatalf("%d results for %d messages", len(ends), len(ids))
 		}
 		for i, e := range ends {
 			if e.outcome != choice.Error && !strings.Contains(body, ids[i]) {
-				t.Fatalf("%q is %v without being named", ids[i], e)
+				t.Fatalf("%q has result %v without being named", ids[i], e)
 			}
 		}
 	})
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -134,10 +134,10 @@
 
 // settle waits until the relay has no more pending messages than at first.
 func (c *costRig) settle() {
-	held := make(chan int, 1)
+	pending := make(chan int, 1)
 	for {
-		c.r.post(func() { held <- len(c.r.held) })
-		if <-held <= c.pendingBaseline {
+		c.r.post(func() { pending <- len(c.r.held) })
+		if <-pending <= c.pendingBaseline {
 			return
 		}
 		time.Sleep(200 * time.Microsecond)
@@ -185,15 +185,15 @@
 }
 
 // measure runs a benchmark's loop, and reports the processor time and the bytes of the journal for each message.
-func measure(b *testing.B, rig *costRig, messages int, each func()) {
+func measure(b *testing.B, rig *costRig, messages int, serve func()) {
 	for range 50 { // creates connections and buffers
-		each()
+		serve()
 	}
 	b.ReportAllocs()
 	rig.settle()
 	before, journal := processorTime(b), rig.journalSize()
 	for b.Loop() {
-		each()
+		serve()
 	}
 	rig.settle()
 	n := float64(b.N * messages)
@@ -280,9 +280,9 @@
 }
 
 // retainedPer runs a function that creates n objects, and returns the bytes that are retained for each of them.
-func retainedPer(tb testing.TB, n int, what func()) float64 {
+func retainedPer(tb testing.TB, n int, create func()) float64 {
 	before := retainedBytes()
-	what()
+	create()
 	return (retainedBytes() - before) / float64(n)
 }
 
@@ -335,19 +335,19 @@
 // BenchmarkHeld measures what a relay retains for each pending message, idle client and known endpoint. The client's
 // side of a connection is in the same process and is counted, too.
 func BenchmarkHeld(b *testing.B) {
-	report := func(b *testing.B, n int, what func(rig *costRig, n int) func()) {
+	report := func(b *testing.B, n int, create func(rig *costRig, n int) func()) {
 		rig := newCostRig(b, 200, drainingEndpoint)
 		rig.addPending(20)
 		var end func()
 		fds := countDescriptors(b)
-		held := retainedPer(b, n, func() { end = what(rig, n) })
+		retained := retainedPer(b, n, func() { end = create(rig, n) })
 		fds = countDescriptors(b) - fds
 		if end != nil {
 			end()
 		}
 		for b.Loop() { // the time is of no interest here
 		}
-		b.ReportMetric(held, "held-B")
+		b.ReportMetric(retained, "held-B")
 		b.ReportMetric(float64(fds)/float64(n), "fds")
 		b.ReportMetric(0, "ns/op")
 	}
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -86,7 +86,7 @@
 				}
 				wantEndedOnce(t, server, state, class, repeatable, "m1")
 				if n := host.count(); n != want {
-					t.Errorf("%d calls came, want %d", n, want)
+					t.Errorf("%d calls, want %d", n, want)
 				}
 			})
 		}
@@ -121,7 +121,7 @@
 	for len(relay.events) > 0 {
 		relay.step()
 	}
-	want(t, "calls out", relay.callsInFlight, 1)
+	want(t, "calls in flight", relay.callsInFlight, 1)
 	receive(t, relay.inbox, "outcome") // received, but not run
 	relay.stop()
 	relay.journal.Close()
@@ -132,7 +132,7 @@
 func wantEndedOnce(t *testing.T, server discovery.Server, state, class string, repeatable bool, ids ...string) {
 	t.Helper()
 	platform := newFakePlatform(t, server)
-	relay := startRelay(t, platform, func(conf *Config) { conf.State = state })
+	relay := startRelay(t, platform, func(config *Config) { config.State = state })
 	for pending := -1; pending != 0; {
 		counts := make(chan int, 1)
 		relay.post(func() { counts <- len(relay.held) + relay.owed + relay.journal.Len() })
--- a/internal/relay/due_notices.go
+++ b/internal/relay/due_notices.go
@@ -50,7 +50,7 @@
 			return true
 		})
 		if len(due) > 0 {
-			slog.Warn("ends are told that holders do not have yet", "messages", len(due))
+			slog.Warn("notices of due messages sent before replicas have their records", "messages", len(due))
 			r.notices.add(due)
 		}
 	}
--- a/internal/relay/flush.go
+++ b/internal/relay/flush.go
@@ -17,11 +17,11 @@
 // bindInOrder records what a new message or call depends on. It fails if earlier records are not written yet: if they
 // were written after the new ones, the end of an earlier message would end a new one with the same id, and an outcome
 // would be taken for that of a new attempt.
-func (r *Relay) bindInOrder(records []journal.Record, maxWait time.Duration, then func(committed bool)) error {
+func (r *Relay) bindInOrder(records []journal.Record, maxWait time.Duration, onCommit func(committed bool)) error {
 	if len(r.records) > 0 {
 		return errUnwritten
 	}
-	return r.bind(records, maxWait, then)
+	return r.bind(records, maxWait, onCommit)
 }
 
 // flush records what has ended. Records that cannot be written now are retained, and no notice is sent before its
@@ -31,26 +31,26 @@
 	if r.heir != nil {
 		return // the journal belongs to the next process
 	}
-	all := r.records
+	allRecords := r.records
 	for len(r.records) > 0 {
 		batch := r.records[:min(len(r.records), maxRecordsPerWrite)]
 		notices := r.noticesFor(batch)
-		var then func(counts bool)
+		var onCommit func(committed bool)
 		if len(notices) > 0 {
-			then = r.whenNoticesCommitted(notices)
+			onCommit = r.whenNoticesCommitted(notices)
 		}
-		if err := r.bind(batch, 0, then); err != nil {
-			if then != nil {
+		if err := r.bind(batch, 0, onCommit); err != nil {
+			if onCommit != nil {
 				r.dropUncommittedNotices()
 			}
-			slog.Error("not recorded", "records", len(r.records), "err", err, "remedy", remedy.Of(err))
+			slog.Error("records could not be written to the journal", "records", len(r.records), "err", err, "remedy", remedy.Of(err))
 			r.scheduleFlush()
 			return
 		}
 		r.records = r.records[len(batch):]
 		r.untold = r.untold[len(notices):]
 	}
-	r.records = all[:0]
+	r.records = allRecords[:0]
 	if len(r.untold) > 0 { // an earlier process recorded them
 		r.sendNotices(r.untold, true)
 	}
--- a/internal/relay/hostconn.go
+++ b/internal/relay/hostconn.go
@@ -16,7 +16,7 @@
 }
 
 // errUnsolicited reports that a host sent data although no request was pending.
-var errUnsolicited = errors.New("an answer to no request")
+var errUnsolicited = errors.New("host sent data without a pending request")
 
 func (c *hostConn) Write(p []byte) (int, error) {
 	request := c.writing.Load()
--- a/internal/relay/hostconn_test.go
+++ b/internal/relay/hostconn_test.go
@@ -83,7 +83,7 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\na ok\r\nb ok\r\n", false, 2, choice.Served},
 		{"HTTP/1.1 503 Busy\r\nContent-Length: 12\r\n\r\nhalf", false, 2, choice.Refused},
 	} {
-		t.Run(fmt.Sprintf("%.60q ends %v, of %d", test.text, test.ends, test.ids), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%.60q closes %v, messages %d", test.text, test.ends, test.ids), func(t *testing.T) {
 			t.Parallel()
 			call := newSingleCall(newScriptedAnswerHost(t, test.text, test.ends), "x")
 			if test.want == choice.Timeout {
@@ -106,16 +106,16 @@
 
 // Guards against taking a second answer to one call for the answer to the next.
 func TestUnsolicitedAnswerClosesConnection(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	conn := &hostConn{Conn: near}
+	relaySide, hostSide := net.Pipe()
+	defer hostSide.Close()
+	conn := &hostConn{Conn: relaySide}
 	request := newHostRequest([]byte("x"), func() {})
 	request.unread.Read(make([]byte, 2))
 	conn.writing.Store(request)
 	go func() {
-		far.Read(make([]byte, 9))
-		io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
-		io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
+		hostSide.Read(make([]byte, 9))
+		io.WriteString(hostSide, "HTTP/1.1 200 OK\r\n\r\n")
+		io.WriteString(hostSide, "HTTP/1.1 200 OK\r\n\r\n")
 	}()
 	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
@@ -174,9 +174,9 @@
 			server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
 			defer server.Close()
 			relay := newCallingRelay()
-			begin, dial := time.Now(), relay.hostTransport.Load().DialContext
+			startedAt, dial := time.Now(), relay.hostTransport.Load().DialContext
 			relay.hostTransport.Load().DialContext = patient(func(ctx context.Context, network, addr string) (net.Conn, error) {
-				if time.Since(begin) < test.lasts {
+				if time.Since(startedAt) < test.lasts {
 					return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", test.err)}
 				}
 				return dial(ctx, network, addr)
@@ -225,16 +225,16 @@
 		for _, workers := range []int{4, 27, 60} {
 			for _, admin := range []string{"", "x"} {
 				config := Config{Sockets: sockets, Admin: admin}
-				clients, kept := config.parts(workers)
-				if clients < 2 || kept < 1 {
-					t.Errorf("%d sockets: %d clients, %d kept", sockets, clients, kept)
+				clients, idleHostConns := config.parts(workers)
+				if clients < 2 || idleHostConns < 1 {
+					t.Errorf("%d sockets: %d clients, %d idle host connections", sockets, clients, idleHostConns)
 				}
-				all := clients + max(2, clients/8) + kept + workers + ownDescriptors
+				total := clients + max(2, clients/8) + idleHostConns + workers + ownDescriptors
 				if admin != "" {
-					all += adminMost + adminMost/8
+					total += adminMost + adminMost/8
 				}
-				if all > sockets && sockets >= 256 {
-					t.Errorf("%d sockets, %d workers, second address %q: parts add up to %d", sockets, workers, admin, all)
+				if total > sockets && sockets >= 256 {
+					t.Errorf("%d sockets, %d workers, admin address %q: shares add up to %d", sockets, workers, admin, total)
 				}
 			}
 		}
--- a/internal/relay/hosts.go
+++ b/internal/relay/hosts.go
@@ -109,7 +109,7 @@
 		}
 	}
 	r.events = append(r.events, listing)
-	slog.Debug("the list is applied", "version", list.Version, "whole", list.Full, "entries", len(list.Servers))
+	slog.Debug("endpoint list applied", "version", list.Version, "whole", list.Full, "entries", len(list.Servers))
 }
 
 // zoneNumber returns the number of a zone. A zone that the settings do not name is given the next free number. A change
--- a/internal/relay/leasestart_test.go
+++ b/internal/relay/leasestart_test.go
@@ -13,12 +13,12 @@
 	platform := newFakePlatform(t, testEndpoint("s-1", newScriptedHost(t, answerStatus(500)).addr, "taller"))
 	dir := t.TempDir()
 	sendAndDropOutcomes(t, platform, dir, "job-order", "m1") // leaves a journal, and no lease
-	conf, err := readTestConfig(t, testConfig(t, platform), dir)
+	config, err := readTestConfig(t, testConfig(t, platform), dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	withAdmin(&conf)
-	relay, err := New(conf)
+	withAdmin(&config)
+	relay, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	t.Cleanup(func() { relay.stop(); <-done })
 	select {
 	case n := <-platform.notices:
-		t.Fatalf("%s is told to be %s", n.ID, n.Status)
+		t.Fatalf("notice that %s is %s, want none", n.ID, n.Status)
 	case <-time.After(500 * time.Millisecond):
 	}
 	shows(t, relay, "svc.in_flight=1", "svc.list.expired=1", "svc.withheld.list_too_old=0")
--- a/internal/relay/leasewrites_test.go
+++ b/internal/relay/leasewrites_test.go
@@ -95,7 +95,7 @@
 			select {
 			case <-reached:
 			case <-time.After(5 * time.Second):
-				t.Fatal("no request came so far")
+				t.Fatal("no request reached the pause")
 			}
 			ended := make(chan time.Time)
 			go func() {
@@ -142,7 +142,7 @@
 	relay.leaseRenewed(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 2})
 	close(connect)
 	if first := receive(t, read, "end of the connection"); first != "" {
-		t.Errorf("the endpoint drains by the list that the lease is for, and got %q", first)
+		t.Errorf("the endpoint drains by the list of the lease, and received %q", first)
 	}
 	close(apply)
 }
--- a/internal/relay/listlease.go
+++ b/internal/relay/listlease.go
@@ -83,7 +83,7 @@
 	if err := smallfile.Write(path, stored); err != nil {
 		os.Remove(path)
 		r.storedUntil.Store(0)
-		slog.Warn("the list's lease is not kept", "err", err, "remedy", remedy.Of(err))
+		slog.Warn("lease of the endpoint list could not be stored", "err", err, "remedy", remedy.Of(err))
 		return
 	}
 	r.storedUntil.Store(stored.Expires)
@@ -110,7 +110,7 @@
 func (r *Relay) leaseRenewed(lease discovery.Lease) {
 	renewal := r.shortenLease(lease)
 	if r.listExpired(r.now()) && !r.writeGate.settle(maxSettleWait) {
-		slog.Warn("requests that were about to be written as the list expired are still under way", "for", maxSettleWait)
+		slog.Warn("requests that were about to be written when the endpoint list expired are still in progress", "for", maxSettleWait)
 	}
 	r.post(func() {
 		r.currentLease = lease
@@ -151,7 +151,7 @@
 func (r *Relay) setSendUntil(lease discovery.Lease) {
 	r.sendUntil.Store(r.sendLimit(lease))
 	until := time.Duration(r.sendUntil.Load())
-	slog.Debug("the list's lease", "send_for", until-r.now(), "age", time.Since(lease.Confirmed), "version", lease.Version, "failures", lease.Failures)
+	slog.Debug("lease of the endpoint list set", "send_for", until-r.now(), "age", time.Since(lease.Confirmed), "version", lease.Version, "failures", lease.Failures)
 }
 
 // checkLease reports to the Chooser when the lease has expired, or is valid again, and schedules the check at its
@@ -173,10 +173,10 @@
 		level = slog.LevelInfo
 	}
 	if expired {
-		slog.Log(context.Background(), level, "the list has expired: nothing is sent until discovery answers", "age", time.Since(r.currentLease.Confirmed), "failures", r.currentLease.Failures,
+		slog.Log(context.Background(), level, "endpoint list expired: nothing is sent until discovery answers", "age", time.Since(r.currentLease.Confirmed), "failures", r.currentLease.Failures,
 			"held", len(r.held))
 	} else {
-		slog.Log(context.Background(), level, "the list may be acted on again", "age", time.Since(r.currentLease.Confirmed), "held", len(r.held))
+		slog.Log(context.Background(), level, "endpoint list is valid again", "age", time.Since(r.currentLease.Confirmed), "held", len(r.held))
 	}
 }
 
--- a/internal/relay/listlease_test.go
+++ b/internal/relay/listlease_test.go
@@ -18,12 +18,12 @@
 func startRelayWithoutDiscovery(t *testing.T, servers ...discovery.Server) *Relay {
 	t.Helper()
 	platform := newFakePlatform(t, servers...)
-	conf, err := readTestConfig(t, testConfig(t, platform), t.TempDir())
+	config, err := readTestConfig(t, testConfig(t, platform), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	withAdmin(&conf)
-	relay, err := New(conf)
+	withAdmin(&config)
+	relay, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	relay := startRelayWithoutDiscovery(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
 	setLeaseExpiry(relay, time.Now().Add(-time.Hour))
 	if status, _ := postMessage(t, relay.Addr(), "m1", "payment"); status != 202 {
-		t.Errorf("a message is answered %d while the list has expired, want 202", status)
+		t.Errorf("status %d for a message while the list has expired, want 202", status)
 	}
 	shows(t, relay, "svc.list.expired=1", "svc.in_flight=1", "svc.attempts=0")
 	select {
@@ -79,9 +79,9 @@
 		before  discovery.Lease
 		expired bool
 	}{
-		"run out":        {discovery.Lease{Confirmed: time.Now().Add(-8 * time.Second), Expires: time.Now().Add(-2 * time.Second), Failures: 2, Version: 1}, true},
-		"running":        {discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 1}, false},
-		"a newer list's": {discovery.Lease{Confirmed: time.Now().Add(-5 * time.Second), Expires: time.Now().Add(time.Hour), Version: 2}, true},
+		"expired lease":         {discovery.Lease{Confirmed: time.Now().Add(-8 * time.Second), Expires: time.Now().Add(-2 * time.Second), Failures: 2, Version: 1}, true},
+		"running":               {discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 1}, false},
+		"lease of a newer list": {discovery.Lease{Confirmed: time.Now().Add(-5 * time.Second), Expires: time.Now().Add(time.Hour), Version: 2}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			calls := make(chan *receivedCall, 10)
--- a/internal/relay/notice_delivery.go
+++ b/internal/relay/notice_delivery.go
@@ -26,7 +26,7 @@
 )
 
 // errUnanswered reports that an unanswered attempt was cancelled for a later one.
-var errUnanswered = errors.New("no answer yet")
+var errUnanswered = errors.New("no answer from the platform yet")
 
 // noticeAttempt is one POST of a batch.
 type noticeAttempt struct {
@@ -167,7 +167,7 @@
 func (d *noticeDelivery) warn(err error) {
 	d.failures++
 	if bits.OnesCount(d.failures) == 1 {
-		slog.Warn("notices not accepted", "notices", len(d.batch.notices), "attempts", d.failures, "err", err)
+		slog.Warn("platform did not accept notices", "notices", len(d.batch.notices), "attempts", d.failures, "err", err)
 	}
 }
 
@@ -197,7 +197,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("platform answered with status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/relay/notice_sender.go
+++ b/internal/relay/notice_sender.go
@@ -137,7 +137,7 @@
 	removed := 0
 	for _, notice := range s.queue[:min(len(s.queue), maxEventsPerStep)] {
 		if err := encoder.Encode(notice); err != nil { // strings and numbers can always be encoded; if that fails, the notice stays in the journal
-			slog.Error("notice not encoded", "id", notice.ID, "err", err)
+			slog.Error("notice could not be encoded", "id", notice.ID, "err", err)
 			removed++
 			continue
 		}
--- a/internal/relay/notices_relay_test.go
+++ b/internal/relay/notices_relay_test.go
@@ -26,13 +26,13 @@
 // inNoticeRig runs a test with the first platform in place.
 func inNoticeRig(t *testing.T, platform *memoryPlatform, test func(*noticeRig)) {
 	t.Helper()
-	conf, err := readTestConfig(t, testConfig(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))), t.TempDir())
+	config, err := readTestConfig(t, testConfig(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Discovery = firstAddr
+	config.Discovery = firstAddr
 	synctest.Test(t, func(t *testing.T) {
-		relay, err := New(conf)
+		relay, err := New(config)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -81,16 +81,16 @@
 // pending returns the number of pending notices. The loop must answer at once.
 func (g *noticeRig) pending() int {
 	g.t.Helper()
-	count, begun := make(chan int, 1), time.Now()
+	count, startedAt := make(chan int, 1), time.Now()
 	g.post(func() { count <- g.owed })
 	select {
 	case n := <-count:
-		if waited := time.Since(begun); waited > 0 {
-			g.t.Errorf("the loop stood still for %v", waited)
+		if waited := time.Since(startedAt); waited > 0 {
+			g.t.Errorf("the loop was blocked for %v", waited)
 		}
 		return n
 	case <-time.After(time.Hour):
-		g.t.Error("the loop stands still")
+		g.t.Error("the loop is blocked")
 		return -1
 	}
 }
@@ -104,13 +104,13 @@
 	platform.mu.Lock()
 	for _, id := range ids {
 		if times := platform.acceptedTimes[id]; len(times) == 0 {
-			g.t.Errorf("notice of %.20s not taken after %v", id, limit)
+			g.t.Errorf("notice of %.20s not accepted after %v", id, limit)
 			break
 		}
 	}
 	platform.mu.Unlock()
 	if n := g.pending(); n != 0 {
-		g.t.Errorf("%d notices owed, want 0", n)
+		g.t.Errorf("%d pending notices, want 0", n)
 	}
 }
 
--- a/internal/relay/notices_rig_test.go
+++ b/internal/relay/notices_rig_test.go
@@ -57,9 +57,9 @@
 		p.connClosed()
 		return nil, ctx.Err()
 	}
-	near, far := net.Pipe()
-	go p.serve(far, number)
-	return near, nil
+	relaySide, platformSide := net.Pipe()
+	go p.serve(platformSide, number)
+	return relaySide, nil
 }
 
 // openCount returns how many connections are open or being established.
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -15,9 +15,9 @@
 func TestNoticesDoNotWaitForOneAnswer(t *testing.T) {
 	const from = 100 * time.Millisecond // time of the second POST; the first one left an idle connection
 	for name, act := range map[string]reaction{
-		"kept connection is silent":       {silent: true},
-		"kept connection is reset":        {reset: true},
-		"one answer comes late":           {delay: 900 * time.Millisecond},
+		"reused connection is silent":     {silent: true},
+		"reused connection is reset":      {reset: true},
+		"one answer is late":              {delay: 900 * time.Millisecond},
 		"one answer is an error":          {status: http.StatusInternalServerError},
 		"one answer is an error and late": {delay: 120 * time.Millisecond, status: http.StatusInternalServerError},
 	} {
@@ -60,7 +60,7 @@
 		rig.wantAcceptedBy(platform, notices*apart+limit, ids...)
 		for i, id := range ids {
 			if times := platform.acceptedTimes[id]; len(times) > 0 && times[0]-time.Duration(i)*apart > limit {
-				t.Errorf("notice %d taken after %v", i, times[0]-time.Duration(i)*apart)
+				t.Errorf("notice %d accepted after %v", i, times[0]-time.Duration(i)*apart)
 			}
 		}
 	})
@@ -78,7 +78,7 @@
 			for i, id := range ids {
 				ended := time.Duration(i) * apart
 				if read, ok := platform.readTimes[id]; !ok || read-ended > limit {
-					t.Errorf("answers after %v: notice %d read %v after it was queued", slow, i, read-ended)
+					t.Errorf("answers after %v: notice %d was read %v after it was queued", slow, i, read-ended)
 				}
 			}
 		})
@@ -108,18 +108,18 @@
 					time.Sleep(back / 100)
 					synctest.Wait()
 					if n := runtime.NumGoroutine() - before; n > 100 {
-						t.Fatalf("%d more goroutines", n)
+						t.Fatalf("%d more goroutines, want 100 at most", n)
 					}
 					if n := platform.openCount(); n > 9 {
 						t.Fatalf("%d connections, want 9 at most", n)
 					}
 				}
-				want(t, "notices owed meanwhile", rig.pending(), len(ids))
+				want(t, "pending notices meanwhile", rig.pending(), len(ids))
 				rig.wantAcceptedBy(platform, back+noticeDelayLimit, ids...)
 				if platform.maxOpenConns > 12 { // a connection of each batch may be closing
 					t.Errorf("%d connections at once, want 12 at most", platform.maxOpenConns)
 				}
-				t.Logf("%d connections, %d POSTs, %d connections at once", platform.conns, platform.posts, platform.maxOpenConns)
+				t.Logf("%d connections in all, %d POSTs, %d connections at once", platform.conns, platform.posts, platform.maxOpenConns)
 			})
 		})
 	}
@@ -133,11 +133,11 @@
 			platform, next := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return act }}, &memoryPlatform{}
 			inNoticeRig(t, platform, func(rig *noticeRig) {
 				rig.add(secondAddr, next)
-				rig.end("under way")
+				rig.end("in flight")
 				time.Sleep(moved)
 				rig.end("behind")
 				rig.post(func() { rig.retune(fleet.File{Set: rig.config.Settings}, secondAddr) })
-				rig.wantAcceptedBy(next, moved, "under way", "behind")
+				rig.wantAcceptedBy(next, moved, "in flight", "behind")
 				posts := platform.postCount()
 				time.Sleep(2 * time.Minute)
 				want(t, "POSTs to the old address", platform.postCount()-posts, 0)
@@ -150,7 +150,7 @@
 // Guards against bodies over the limit of 64 KiB, and against more than one connection, or more than one POST of a
 // notice, if the platform answers at once.
 func TestManyNoticesInOneTurn(t *testing.T) {
-	for name, pad := range map[string]string{"in service": "", "long": "-", "long, and longer in JSON": "<"} {
+	for name, pad := range map[string]string{"as in production": "", "long": "-", "long, and longer in JSON": "<"} {
 		t.Run(name, func(t *testing.T) {
 			platform := &memoryPlatform{}
 			inNoticeRig(t, platform, func(rig *noticeRig) {
@@ -190,7 +190,7 @@
 		})
 		time.Sleep(time.Second)
 		if len(rig.inbox) > 0 {
-			t.Error("the loop stands still")
+			t.Error("the loop is blocked")
 			return
 		}
 		rig.wantAcceptedBy(platform, time.Second, ids...)
--- a/internal/relay/pausepoint_test.go
+++ b/internal/relay/pausepoint_test.go
@@ -101,7 +101,7 @@
 func wantEOF(t *testing.T, what string, reader *bufio.Reader) {
 	t.Helper()
 	if b, err := reader.ReadByte(); err != io.EOF {
-		t.Fatalf("%s: read %q and %v, want an end in order", what, b, err)
+		t.Fatalf("%s: read %q and %v, want EOF", what, b, err)
 	}
 }
 
@@ -112,7 +112,7 @@
 		"stop": func(in *intakes) { in.retire(true) },
 		"room": func(in *intakes) { in.room() },
 	} {
-		for first, behind := range map[string]string{"new connection": "", "one behind it": message7("behind")} {
+		for first, behind := range map[string]string{"new connection": "", "second request behind it": message7("behind")} {
 			t.Run(name+", "+first, func(t *testing.T) {
 				points := newConnPausePoints()
 				in := newIntakes(t, 1, points.wrap)
@@ -125,7 +125,7 @@
 				r := bufio.NewReader(conn)
 				wantStatus(t, "answer", r, http.StatusServiceUnavailable)
 				wantEOF(t, "connection", r)
-				want(t, "taken on", in.took("whole")+in.took("behind"), 0)
+				want(t, "accepted messages", in.took("whole")+in.took("behind"), 0)
 			})
 		}
 	}
@@ -144,7 +144,7 @@
 	r := bufio.NewReader(conn)
 	wantStatus(t, "answer", r, http.StatusServiceUnavailable)
 	wantEOF(t, "connection", r)
-	want(t, "taken on", in.took("part"), 0)
+	want(t, "accepted messages", in.took("part"), 0)
 }
 
 // waitForRequest waits until the first bytes of a request have been received.
@@ -153,7 +153,7 @@
 	for begun, end := false, time.Now().Add(30*time.Second); !begun; time.Sleep(time.Millisecond) {
 		in.each(func(c *peer) { begun = begun || !c.begun.IsZero() })
 		if time.Now().After(end) {
-			t.Fatal("no request has begun")
+			t.Fatal("no request has started")
 		}
 	}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -124,7 +124,7 @@
 		return nil, err
 	}
 	if err := steady.Anchor(config.State); err != nil {
-		slog.Warn("no steady time across restarts", "err", err, "remedy", remedy.Of(err))
+		slog.Warn("steady clock is not available across restarts", "err", err, "remedy", remedy.Of(err))
 	}
 	version := config.Known.Version
 	if relay.heritage != nil {
@@ -188,7 +188,7 @@
 func (r *Relay) listen() (err error) {
 	if r.heritage, err = inherit(r.config.State); err != nil {
 		// The other process may have died. If it still runs, listening on the address below fails.
-		slog.Warn("nothing taken over", "err", err)
+		slog.Warn("no state taken over from a running process", "err", err)
 	}
 	if r.heritage != nil {
 		r.tcp = r.heritage.tcp
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -162,14 +162,14 @@
 
 func startRelay(t testing.TB, platform *fakePlatform, configure func(*Config)) *Relay {
 	t.Helper()
-	conf, err := readTestConfig(t, testConfig(t, platform), t.TempDir())
+	config, err := readTestConfig(t, testConfig(t, platform), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	if configure != nil {
-		configure(&conf)
+		configure(&config)
 	}
-	relay, err := New(conf)
+	relay, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,7 +206,7 @@
 	case v := <-ch:
 		return v
 	case <-time.After(30 * time.Second):
-		t.Fatalf("no %s came", what)
+		t.Fatalf("no %s within 30 s", what)
 		panic("unreachable")
 	}
 }
@@ -261,11 +261,11 @@
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", make(chan *receivedCall, 10)), "taller")), nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	held := make(chan int, 1)
+	pending := make(chan int, 1)
 	in := &intake{entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, due: relay.now() + time.Second, ctx: ctx,
 		reply: make(chan answer, 1)}
-	relay.post(func() { relay.take(in); held <- len(relay.held) })
-	want(t, "messages held", receive(t, held, "count"), 0)
+	relay.post(func() { relay.take(in); pending <- len(relay.held) })
+	want(t, "pending messages", receive(t, pending, "count"), 0)
 }
 
 // leavingContext is the context of a client that disconnects after a number of checks whether it is still there.
@@ -287,37 +287,37 @@
 	leaving := testEndpoint("s-1", "127.0.0.1:1", "taller")
 	leaving.State = "leaving" // so that messages wait
 	relay := startRelay(t, newFakePlatform(t, leaving), nil)
-	for name, there := range map[string]int32{"before it is taken on": 0, "after that": 1} {
+	for name, there := range map[string]int32{"before the message is accepted": 0, "after the message is accepted": 1} {
 		req := httptest.NewRequest("POST", "/api", strings.NewReader("x"))
 		for k, v := range map[string]string{"X-Request-Id": "m1", "X-Class": "payment", "X-Deadline-Ms": "9000",
 			"X-Addressing": "dest=7"} {
 			req.Header.Set(k, v)
 		}
-		gone := &leavingContext{Context: context.Background()}
-		gone.checksLeft.Store(there)
+		clientContext := &leavingContext{Context: context.Background()}
+		clientContext.checksLeft.Store(there)
 		recorder, done := httptest.NewRecorder(), make(chan bool)
-		go func() { relay.serveAPI(recorder, req.WithContext(gone)); close(done) }()
-		receive(t, done, "answer to a client that left "+name)
-		want(t, "status for a client that left "+name, recorder.Code, 503)
-		held := make(chan int, 1)
-		relay.post(func() { held <- len(relay.held) })
-		want(t, "messages held", receive(t, held, "count"), 0)
+		go func() { relay.serveAPI(recorder, req.WithContext(clientContext)); close(done) }()
+		receive(t, done, "answer to a client that disconnects "+name)
+		want(t, "status for a client that disconnects "+name, recorder.Code, 503)
+		pending := make(chan int, 1)
+		relay.post(func() { pending <- len(relay.held) })
+		want(t, "pending messages", receive(t, pending, "count"), 0)
 	}
 }
 
 // Guards against losing a message that arrived on two connections when the first one broke.
 func TestWithdrawKeepsMessageReceivedTwice(t *testing.T) {
 	relay := startRelay(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller")), nil)
-	held := make(chan int, 1)
+	pending := make(chan int, 1)
 	relay.post(func() {
 		for _, id := range []string{"once", "twice"} {
 			relay.held[id] = &message{Entry: &journal.Entry{ID: id}, twice: id == "twice"}
 			relay.withdraw(id, nil)
 		}
-		held <- len(relay.held)
+		pending <- len(relay.held)
 		delete(relay.held, "twice")
 	})
-	want(t, "messages held", receive(t, held, "count"), 1)
+	want(t, "pending messages", receive(t, pending, "count"), 1)
 }
 
 func TestMalformedRequests(t *testing.T) {
@@ -346,7 +346,7 @@
 	io.Copy(io.Discard, conn)
 	conn.Close()
 	status, _ := postMessage(t, relay.Addr(), "m2", "payment")
-	want(t, "status of a sound one", status, 202)
+	want(t, "status of a valid request", status, 202)
 	c := receive(t, calls, "call")
 	want(t, "id", c.id, "m2")
 	c.answer <- 200
@@ -379,7 +379,7 @@
 		}
 	}
 	status, _ := postMessage(t, relay.Addr(), "m1", "payment")
-	want(t, "status of a sound one", status, 202)
+	want(t, "status of a valid request", status, 202)
 	c := receive(t, calls, "call")
 	want(t, "id of the only call", c.id, "m1")
 	c.answer <- 200
@@ -396,7 +396,7 @@
 	}
 	want(t, "status", status, 503)
 	if s, err := strconv.ParseFloat(after, 64); err != nil || s <= 0 {
-		t.Fatalf("Retry-After is %q", after)
+		t.Fatalf("Retry-After is %q, want a positive number", after)
 	}
 }
 
@@ -410,7 +410,7 @@
 	call.answer <- 429
 	call = receive(t, calls, "second call")
 	if gap := call.receivedAt.Sub(answeredAt); gap < 300*time.Millisecond {
-		t.Fatalf("called again after %v, told to wait 300 ms", gap)
+		t.Fatalf("second call after %v, want at least the advised 300 ms", gap)
 	}
 	call.answer <- 200
 }
@@ -434,7 +434,7 @@
 	leaving.State = "leaving"
 	platform.publish(2, false, leaving)
 	for q := ""; !strings.Contains(q, "since=2&"); {
-		q = receive(t, platform.queries, "next watch") // it is sent after the change was passed to the loop
+		q = receive(t, platform.queries, "next query") // it is sent after the change was passed to the loop
 	}
 	for i := range 5 {
 		postMessage(t, relay.Addr(), fmt.Sprint("m", i), "payment")
@@ -466,13 +466,13 @@
 	one, two, three := relay.hosts["s-1"], relay.hosts["s-2"], relay.hosts["s-3"]
 	relay.applyList(discovery.List{Version: 2, Full: true, Servers: []discovery.Server{testEndpoint("s-1", "x:1", "taller"), testEndpoint("s-3", "x:9", "taller")}})
 	relay.applyList(discovery.List{Version: 3, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
-	want(t, "the one that operators took out is closed", relay.hosts["s-4"].closed.Load(), true)
+	want(t, "manually disabled host is closed", relay.hosts["s-4"].closed.Load(), true)
 	relay.applyList(discovery.List{Version: 4, Servers: []discovery.Server{testEndpoint("s-4", "x:4", "taller")}})
-	want(t, "the one that operators took out is closed", relay.hosts["s-4"].closed.Load(), true)
-	want(t, "the one that stays is closed", one.closed.Load(), false)
-	want(t, "the one left out is closed", two.closed.Load(), true)
-	want(t, "the one that moved is closed at its old place", three.closed.Load(), true)
-	want(t, "and open at the new one", relay.hosts["s-3"].closed.Load(), false)
+	want(t, "manually disabled host is closed", relay.hosts["s-4"].closed.Load(), true)
+	want(t, "host that stays is closed", one.closed.Load(), false)
+	want(t, "omitted host is closed", two.closed.Load(), true)
+	want(t, "moved host is closed at its old address", three.closed.Load(), true)
+	want(t, "moved host is closed at its new address", relay.hosts["s-3"].closed.Load(), false)
 }
 
 // Guards against attempts that are neither sent nor reported while the disk is broken.
@@ -534,9 +534,9 @@
 	}
 	for _, change := range [][2]string{{`"listen"`, `"nothing"`}, {`"workers":7`, `"workers":0`}, {`"sockets":1024`, `"sockets":0`},
 		{"{", "["}, {`"seed":"8`, `"seed":"x`}, {`"seed"`, `"source":"here","seed"`}, {"deduplicated", "odd"}} {
-		conf, err := readTestConfig(t, []byte(strings.Replace(good, change[0], change[1], 1)), t.TempDir())
+		config, err := readTestConfig(t, []byte(strings.Replace(good, change[0], change[1], 1)), t.TempDir())
 		if err == nil {
-			_, err = New(conf)
+			_, err = New(config)
 		}
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: error is %v, want one line", change[1], change[0], err)
@@ -554,10 +554,10 @@
 	relay.armWake(0, time.Nanosecond)
 	relay.armWake(time.Second, 50*time.Millisecond)
 	want(t, "next wake-up", relay.wakeAt, time.Second+50*time.Millisecond)
-	begin := time.Now()
+	startedAt := time.Now()
 	<-relay.wakeTimer.C
-	if early := time.Since(begin) < 40*time.Millisecond; early {
-		t.Fatal("the old tick came through")
+	if early := time.Since(startedAt) < 40*time.Millisecond; early {
+		t.Fatal("the old tick was not dropped")
 	}
 	relay.armWake(2*time.Second, time.Second)
 	relay.armWake(2*time.Second, time.Minute)
@@ -660,7 +660,7 @@
 			want(t, "body", call.body, first.body)
 			want(t, "key", call.key, first.key)
 			if class == "job-order" {
-				want(t, "host, which alone remembers the key", call.host, first.host)
+				want(t, "host, the only one that knows the key", call.host, first.host)
 			}
 			call.answer <- 200
 		})
@@ -683,7 +683,7 @@
 	first.answer <- 200
 	receive(t, calls, "second call").answer <- 200
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("exit: %v, want 0", err)
+		t.Fatalf("exit: %v, want status 0", err)
 	}
 	if len(platform.notices) > 0 {
 		t.Fatalf("notice %v, want none", <-platform.notices)
@@ -714,7 +714,7 @@
 		checkUp(t, addr)
 	}
 	want(t, "first query at the new address", receive(t, moved.queries, "query"), "")
-	want(t, "next one", strings.HasPrefix(receive(t, moved.queries, "query"), "since=1&"), true)
+	want(t, "next query has the known version", strings.HasPrefix(receive(t, moved.queries, "query"), "since=1&"), true)
 	postMessage(t, addr, "m1", "payment")
 	receive(t, calls, "call").answer <- 500
 	want(t, "notice", receive(t, moved.notices, "notice"), notice{ID: "m1", Status: undeliverable})
@@ -728,8 +728,8 @@
 	}{{"status-update", deferred, true}, {"payment", deferred, false}, {"payment", undeliverable, true}} {
 		calls := make(chan *receivedCall, 10)
 		platform := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
-		startRelay(t, platform, func(conf *Config) {
-			records, err := journal.Open(conf.State, 3e6)
+		startRelay(t, platform, func(config *Config) {
+			records, err := journal.Open(config.State, 3e6)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -826,7 +826,7 @@
 			mu.Unlock()
 		case <-progress:
 		case <-time.After(30 * time.Second):
-			t.Fatal("messages without an end")
+			t.Fatal("some messages have not ended")
 		}
 		unfinished = false
 		mu.Lock()
@@ -844,10 +844,10 @@
 			t.Errorf("payment %s may have run %d times", id, inFirst+inSecond)
 		}
 		if classes[n%3] == "job-order" && inFirst > 0 && inSecond > 0 {
-			t.Errorf("job order %s may have run in both buildings", id)
+			t.Errorf("job order %s may have run in both zones", id)
 		}
 		if tries[id] > 6 {
-			t.Errorf("%s went out %d times, 6 are allowed", id, tries[id])
+			t.Errorf("%s was sent %d times, want 6 at most", id, tries[id])
 		}
 	}
 }
@@ -865,10 +865,10 @@
 		t.Fatal(err)
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Fatalf("exit: %v, want 0", err)
+		t.Fatalf("exit: %v, want status 0", err)
 	}
 	if len(platform.notices) > 0 {
-		t.Fatalf("notice %v before the message's time was up", <-platform.notices)
+		t.Fatalf("notice %v before the message's deadline", <-platform.notices)
 	}
 	startProcess(t, platform, state)
 	want(t, "notice", receive(t, platform.notices, "notice"), notice{ID: "m1", Status: undeliverable})
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -49,9 +49,9 @@
 			rig := newCostRig(b, 200, unlimited)
 			before := retainedBytes()
 			defer rig.connectClients(n)()
-			held := (retainedBytes() - before) / float64(n)
+			retained := (retainedBytes() - before) / float64(n)
 			measure(b, rig, 1, rig.serve)
-			b.ReportMetric(held, "B/client")
+			b.ReportMetric(retained, "B/client")
 		})
 	}
 }
@@ -139,10 +139,10 @@
 			spread.settle()
 			fds, before := settledDescriptors(b), retainedBytes()
 			spread.serveEach()
-			held, kept := (retainedBytes()-before)/float64(n), float64(countDescriptors(b)-fds)/2
+			retained, connections := (retainedBytes()-before)/float64(n), float64(countDescriptors(b)-fds)/2
 			measure(b, spread.costRig, 1, spread.serveNext)
-			b.ReportMetric(held, "B/destination")
-			b.ReportMetric(kept, "connections")
+			b.ReportMetric(retained, "B/destination")
+			b.ReportMetric(connections, "connections")
 		})
 	}
 }
@@ -154,19 +154,19 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			c := newCostRig(b, 200, func(c *Config) { drainingEndpoint(c); unlimited(c) })
 			c.settle()
-			var held float64
-			var once time.Duration
+			var retained float64
+			var elapsed time.Duration
 			for b.Loop() {
-				if once == 0 {
-					held = retainedPer(b, n, func() { // only the strings of the list itself are retained
-						list, begun := longList(n), time.Now()
+				if elapsed == 0 {
+					retained = retainedPer(b, n, func() { // only the strings of the list itself are retained
+						list, startedAt := longList(n), time.Now()
 						c.applyList(list)
-						once = time.Since(begun)
+						elapsed = time.Since(startedAt)
 					})
 				}
 			}
-			b.ReportMetric(float64(once.Nanoseconds())/float64(n), "ns/endpoint")
-			b.ReportMetric(held, "B/endpoint")
+			b.ReportMetric(float64(elapsed.Nanoseconds())/float64(n), "ns/endpoint")
+			b.ReportMetric(retained, "B/endpoint")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
@@ -185,17 +185,17 @@
 
 // configWithPending returns the configuration of a relay whose state directory holds a number of pending messages. They
 // cannot be sent, since their endpoint drains.
-func configWithPending(tb testing.TB, messages int) (conf Config) {
+func configWithPending(tb testing.TB, messages int) (config Config) {
 	tb.Helper()
 	platform := newFakePlatform(tb, testEndpoint("s-1", "127.0.0.1:1", "taller"))
-	conf, err := readTestConfig(tb, testConfig(tb, platform), tb.TempDir())
+	config, err := readTestConfig(tb, testConfig(tb, platform), tb.TempDir())
 	if err != nil {
 		tb.Fatal(err)
 	}
-	drainingEndpoint(&conf)
-	unlimited(&conf)
-	conf.DiskMB = 4096
-	records, err := journal.Open(conf.State, 4e9)
+	drainingEndpoint(&config)
+	unlimited(&config)
+	config.DiskMB = 4096
+	records, err := journal.Open(config.State, 4e9)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -213,14 +213,14 @@
 			tb.Fatal(err)
 		}
 	}
-	return conf
+	return config
 }
 
 // startWithPending runs a relay, and waits until its loop has processed the pending messages. It returns their number
 // and a function that stops the relay.
-func startWithPending(tb testing.TB, conf Config) (pending int, end func()) {
+func startWithPending(tb testing.TB, config Config) (pending int, end func()) {
 	tb.Helper()
-	relay, err := New(conf)
+	relay, err := New(config)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -239,27 +239,27 @@
 	for _, n := range benchSizes(1, 100, 1_000, 10_000, 100_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			newCostRig(b, 200, nil).settle() // creates what the first relay of a process allocates once
-			conf := configWithPending(b, n)
+			config := configWithPending(b, n)
 			file := int64(0)
-			if info, err := os.Stat(filepath.Join(conf.State, "journal")); err == nil {
+			if info, err := os.Stat(filepath.Join(config.State, "journal")); err == nil {
 				file = info.Size()
 			}
-			var took, cpu time.Duration
+			var elapsed, cpu time.Duration
 			var perMessage float64
 			for b.Loop() {
-				if took > 0 {
+				if elapsed > 0 {
 					continue
 				}
-				begun, used, before := time.Now(), processorTime(b), retainedBytes()
-				got, end := startWithPending(b, conf)
-				took, cpu = time.Since(begun), processorTime(b)-used
+				startedAt, used, before := time.Now(), processorTime(b), retainedBytes()
+				got, end := startWithPending(b, config)
+				elapsed, cpu = time.Since(startedAt), processorTime(b)-used
 				perMessage = (retainedBytes() - before) / float64(n)
 				end()
 				if got != n {
-					b.Fatalf("%d messages held, want %d", got, n)
+					b.Fatalf("%d pending messages, want %d", got, n)
 				}
 			}
-			b.ReportMetric(float64(took.Nanoseconds())/float64(n), "ns/held")
+			b.ReportMetric(float64(elapsed.Nanoseconds())/float64(n), "ns/held")
 			b.ReportMetric(float64(cpu.Nanoseconds())/float64(n), "cpu-ns/held")
 			b.ReportMetric(perMessage, "B/held")
 			b.ReportMetric(float64(file)/float64(n), "file-B/held")
@@ -274,24 +274,24 @@
 	spread := newSpread(t, 10, unlimited)
 	spread.serveEach()
 	spread.serveEach()
-	var open int
+	var known int
 	done := make(chan struct{})
-	spread.r.post(func() { open = len(spread.r.destWaits); close(done) })
+	spread.r.post(func() { known = len(spread.r.destWaits); close(done) })
 	<-done
-	if open != 10 {
-		t.Errorf("%d destinations known, want 10", open)
+	if known != 10 {
+		t.Errorf("%d destinations known, want 10", known)
 	}
 	spread.applyList(longList(200))
 	done = make(chan struct{})
-	spread.r.post(func() { open = len(spread.r.hosts); close(done) })
+	spread.r.post(func() { known = len(spread.r.hosts); close(done) })
 	<-done
-	if open != 200 {
-		t.Errorf("%d endpoints after a whole list of 200", open)
+	if known != 200 {
+		t.Errorf("%d endpoints after a full list of 200", known)
 	}
-	held, end := startWithPending(t, configWithPending(t, 100))
+	pending, end := startWithPending(t, configWithPending(t, 100))
 	end()
-	if held != 100 {
-		t.Errorf("%d messages held after a start that owes 100", held)
+	if pending != 100 {
+		t.Errorf("%d pending messages after a start with 100", pending)
 	}
 	one := newCostRig(t, 60, unlimited)
 	ends := one.connectClients(10)
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -85,7 +85,7 @@
 			}
 		})
 		if err != nil {
-			slog.Error("message not taken on", "err", err, "remedy", remedy.Of(err))
+			slog.Error("message not accepted: could not be recorded", "err", err, "remedy", remedy.Of(err))
 			r.events = append(r.events, choice.Withdrawn{ID: msg.ID})
 			r.refuse(msg, comeBack)
 		}
@@ -163,7 +163,7 @@
 		recordedAt := time.Now()
 		err := r.bindInOrder(records, freshIn, func(committed bool) { r.startRecorded(hostCall, recordedAt, committed) })
 		if err != nil {
-			slog.Error("attempts not sent", "err", err, "remedy", remedy.Of(err))
+			slog.Error("attempts not sent: could not be recorded", "err", err, "remedy", remedy.Of(err))
 			r.reportNotSent(hostCall)
 		}
 	}
