--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -195,7 +195,7 @@
 	if full := (*backlog.Full)(nil); errors.As(err, &full) && full.Wait > 0 {
 		after = min(full.Wait, r.settings.Load().MaxRetryAfter)
 	}
-	if r.overflow.refused++; !r.stopped && r.overflow.refused%maxEventsPerStep == 1 {
+	if r.overflow.refused++; !r.stopped && r.overflow.refused%maxBatch == 1 {
 		slog.Error("message not put on disk", "err", err, "remedy", remedy.Of(err), "refused", r.overflow.refused)
 	}
 	r.refuse(m, after)
--- a/internal/relay/hostrequest.go
+++ b/internal/relay/hostrequest.go
@@ -17,11 +17,11 @@
 	// admit is called right before the first byte of the request is written, and leave once that write is done. If
 	// admit is nil, every request may start.
 	admit          func() (leave func(), err error)
-	statusLine     []byte      // the start of the answer, up to the end of its status line; used only by the goroutine that reads the connection
-	statusLineRead bool        // the status line is complete, or too long
-	delivered      atomic.Bool // the status line has status 200
-	answerTimer    atomic.Pointer[time.Timer]
-	cancel         func() // cancels reading the rest of the answer
+	statusLine     []byte                     // the start of the answer, up to the end of its status line; used only by the goroutine that reads the connection
+	statusLineRead bool                       // the status line is complete, or too long
+	delivered      atomic.Bool                // the status line has status 200
+	answerTimer    atomic.Pointer[time.Timer] // calls cancel after headTimeout
+	cancel         func()                     // cancels reading the rest of the answer
 }
 
 const (
--- a/internal/relay/listlease.go
+++ b/internal/relay/listlease.go
@@ -34,9 +34,11 @@
 	leaseMutex      sync.Mutex
 	leaseCount      int // number of leases received so far
 	currentLease    discovery.Lease
-	reportedExpired bool         // the Chooser was told that the lease has expired
-	expiryTimer     *time.Timer  // fires when the lease expires
-	storedUntil     atomic.Int64 // the end of the lease in the file, in Unix milliseconds of the steady clock; used only by the goroutine that follows the list
+	reportedExpired bool        // the Chooser was told that the lease has expired
+	expiryTimer     *time.Timer // fires when the lease expires
+	// storedUntil is the end of the lease in the file, in Unix milliseconds of the steady clock. Only the goroutine that
+	// follows the list uses it.
+	storedUntil atomic.Int64
 }
 
 // leaseFile is the name of the lease's file in the state directory. A lease is binding for the process after a restart,
--- a/internal/relay/notice_sender.go
+++ b/internal/relay/notice_sender.go
@@ -135,7 +135,7 @@
 	encoder := json.NewEncoder(&body)
 	var batch noticeBatch
 	removed := 0
-	for _, notice := range s.queue[:min(len(s.queue), maxEventsPerStep)] {
+	for _, notice := range s.queue[:min(len(s.queue), maxBatch)] {
 		if err := encoder.Encode(notice); err != nil { // strings and numbers can always be encoded; if that fails, the notice stays in the journal
 			slog.Error("notice could not be encoded", "id", notice.ID, "err", err)
 			removed++
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -25,7 +25,9 @@
 )
 
 const (
-	maxEventsPerStep  = 256
+	// maxBatch limits the functions that the loop runs before a step, and the notices in one POST.
+	maxBatch = 256
+	// maxPendingNotices is the number of pending notices from which on no more messages are accepted.
 	maxPendingNotices = 8192
 )
 
@@ -34,7 +36,7 @@
 type Relay struct {
 	config         Config
 	settings       atomic.Pointer[standing]
-	startedAt      time.Time
+	startedAt      time.Time // zero of the relay's clock
 	server         *http.Server
 	listener       *peers
 	tcp            *net.TCPListener // the listening socket that listener wraps
@@ -42,9 +44,9 @@
 	// platformAddr is the current address of discovery and of the receiver of notices.
 	platformAddr *discovery.At
 	listSource   discovery.Source // the source of the endpoint list
-	callContext  context.Context
+	callContext  context.Context  // parent of the contexts of all calls to endpoints
 	cancelCalls  context.CancelCauseFunc
-	inbox        chan func()
+	inbox        chan func()   // functions for the loop to run
 	quit         chan struct{} // closed when the loop must end
 	loopEnded    chan struct{} // closed when the loop has ended
 	stopOnce     sync.Once
@@ -59,19 +61,19 @@
 	books
 	endpointList
 	listLease
-	writeGate sendGate
+	writeGate sendGate // used by any goroutine
 	agreement
 	succession
 	chooser        *choice.Chooser
-	events         []choice.Event
-	newMessages    []*message
+	events         []choice.Event // for the next step
+	newMessages    []*message     // arrived since the last step, and not accepted yet
 	wakeTimer      *time.Timer
-	wakeAt         time.Duration
+	wakeAt         time.Duration // when wakeTimer fires, by the relay\'s clock
 	timerDelays    delayMeter
-	wakeDue        bool
-	callsInFlight  int  // number of calls to endpoints in flight
-	stopped        bool // no more decisions are made; outcomes are still recorded
-	cancelPlatform context.CancelFunc
+	wakeDue        bool               // wakeTimer has fired since the last step
+	callsInFlight  int                // number of calls to endpoints in flight
+	stopped        bool               // no more decisions are made; outcomes are still recorded
+	cancelPlatform context.CancelFunc // ends the following of the list and the sending of notices
 }
 
 // New opens the relay's stored state, replays the journal, and starts listening. Call Serve to run the relay.
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -158,7 +158,7 @@
 			r.overflow.shut()
 			return
 		}
-		for n := 1; n < maxEventsPerStep; n++ {
+		for n := 1; n < maxBatch; n++ {
 			select {
 			case f := <-r.inbox:
 				f()
