--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -68,12 +68,12 @@
 	events         []choice.Event // for the next step
 	newMessages    []*message     // arrived since the last step, and not accepted yet
 	wakeTimer      *time.Timer
-	wakeAt         time.Duration // when wakeTimer fires, by the relay\'s clock
+	wakeAt         time.Duration // when wakeTimer fires, by the relay's clock
 	timerDelays    delayMeter
 	wakeDue        bool               // wakeTimer has fired since the last step
 	callsInFlight  int                // number of calls to endpoints in flight
 	stopped        bool               // no more decisions are made; outcomes are still recorded
-	cancelPlatform context.CancelFunc // ends the following of the list and the sending of notices
+	cancelPlatform context.CancelFunc // ends the goroutines that serve discovery, notices and the keepers' session
 }
 
 // New opens the relay's stored state, replays the journal, and starts listening. Call Serve to run the relay.
