--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -88,7 +88,7 @@
 // byHand does what operators ask for an endpoint. Asking twice is as good as once. It is recorded
 // first: what they were told outlasts the process.
 func (r *Relay) byHand(id string, out bool) error {
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		return errHandedOver
 	}
 	h := r.hosts[id]
--- a/internal/relay/agreed.go
+++ b/internal/relay/agreed.go
@@ -62,13 +62,13 @@
 
 // hear has the loop take in an answer of the keepers, and act by it.
 func (r *Relay) hear(h fleet.Heard) (have []uint64, w fleet.Word, ok bool) {
-	if r.copies != nil {
-		r.copies.owner.Hear(h.Standing.Owned)
+	if r.replication != nil {
+		r.replication.owner.Hear(h.Standing.Owned)
 	}
 	done := make(chan struct{})
 	r.post(func() {
 		defer close(done)
-		if r.heir != nil { // the next process speaks for the relay
+		if r.nextProcess != nil { // the next process speaks for the relay
 			return
 		}
 		var err error
--- a/internal/relay/backlog_config_test.go
+++ b/internal/relay/backlog_config_test.go
@@ -56,7 +56,7 @@
 
 	without := keeping{state: conf.State, change: func(c *Config) { c.Backlog = nil }}
 	_, err = newKeeping(t, p, without)
-	if owing := (*Owing)(nil); !errors.As(err, &owing) || owing.Messages == 0 || owing.Remedy() == "" {
+	if owing := (*PendingBacklogError)(nil); !errors.As(err, &owing) || owing.Messages == 0 || owing.Remedy() == "" {
 		t.Fatalf("a start without the key: %v", err)
 	}
 	p = newPlatform(t, ps.cell(7, true))
@@ -65,7 +65,7 @@
 	shows(t, r, "svc.in_flight=0")
 	stop()
 	r, stop = startKeeping(t, p, without)
-	for _, name := range []string{backlogName, "journal.tmp"} {
+	for _, name := range []string{backlogFolder, "journal.tmp"} {
 		if _, err := os.Stat(filepath.Join(conf.State, name)); !os.IsNotExist(err) {
 			t.Errorf("%s is there still: %v", name, err)
 		}
--- a/internal/relay/backlog_faults_test.go
+++ b/internal/relay/backlog_faults_test.go
@@ -233,6 +233,6 @@
 // counts are what the decisions have and what the disk has.
 func counts(t testing.TB, r *Relay) (held, disk int) {
 	t.Helper()
-	inLoop(t, r, func() { held, disk = len(r.held), r.overflow.len() })
+	inLoop(t, r, func() { held, disk = len(r.pending), r.overflow.len() })
 	return held, disk
 }
--- a/internal/relay/backlog_start_test.go
+++ b/internal/relay/backlog_start_test.go
@@ -98,10 +98,10 @@
 	r, _ := startKeeping(t, p, k)
 	promised(t, r, many(20, 7, "m", given{})...)
 	inLoop(t, r, func() { // nothing but the disk has anything
-		for _, m := range r.held {
+		for _, m := range r.pending {
 			r.events = append(r.events, choice.Withdrawn{ID: m.ID})
 			r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
-			r.drop(m)
+			r.forget(m)
 		}
 		r.draining.Store(true)
 		want(t, "idle with messages on disk alone", r.idle(), true)
@@ -132,13 +132,13 @@
 	}
 	hand(old, 20)
 	for _, says := range []string{"hello", handoverHello, handoverHello + "mine!\n"} {
-		conn, err := net.Dial("unix", filepath.Join(k.state, handoverName))
+		conn, err := net.Dial("unix", filepath.Join(k.state, handoverSocket))
 		if err != nil {
 			t.Fatal(err)
 		}
 		io.WriteString(conn, says)
 		if says == handoverHello { // it opens all, as it would, and dies
-			r, err := backlog.Open(filepath.Join(k.state, backlogName), backlog.Options{Disk: 8e6})
+			r, err := backlog.Open(filepath.Join(k.state, backlogFolder), backlog.Options{Disk: 8e6})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -183,8 +183,8 @@
 	t.Cleanup(func() { openStore = open })
 	inLoop(t, r, func() {
 		openStore = func(string, backlog.Options) (store, error) { return nil, errDisk }
-		r.overflow.shut()
-		r.openAgain()
+		r.overflow.close()
+		r.reopenBacklog()
 	})
 	shows(t, r, "svc.backlog.shut=1")
 	for dest := range 2 {
--- a/internal/relay/bequeath.go
+++ b/internal/relay/bequeath.go
@@ -20,8 +20,8 @@
 
 // awaitHeir listens for the next process of this relay. Without it the relay runs all the same, but
 // cannot be followed by another under load.
-func (r *Relay) awaitHeir() {
-	path := filepath.Join(r.conf.State, handoverName)
+func (r *Relay) listenForNextProcess() {
+	path := filepath.Join(r.conf.State, handoverSocket)
 	os.Remove(path) // of a process that is gone, or has handed over
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -29,26 +29,26 @@
 		return
 	}
 	l.SetUnlinkOnClose(false) // by then the name is that of the next process
-	r.heirs = l
+	r.handoverListener = l
 	go func() {
-		for asking := listen.Lasting(l); ; {
-			accepted, err := asking.Accept()
+		for requests := listen.Lasting(l); ; {
+			accepted, err := requests.Accept()
 			if err != nil {
 				return
 			}
 			conn := accepted.(*net.UnixConn)
 			hello := make([]byte, len(handoverHello))
-			conn.SetDeadline(time.Now().Add(handoverIn))
+			conn.SetDeadline(time.Now().Add(handoverTimeout))
 			if _, err := io.ReadFull(conn, hello); err != nil || string(hello) != handoverHello {
 				conn.Close()
 				continue
 			}
 			r.post(func() {
-				if r.heir != nil || len(r.askers) >= askersMost {
+				if r.nextProcess != nil || len(r.handoverRequests) >= maxHandoverRequests {
 					conn.Close() // there is a next process already
 					return
 				}
-				r.askers = append(r.askers, conn)
+				r.handoverRequests = append(r.handoverRequests, conn)
 			})
 			select {
 			case <-r.quit: // nobody will hand over any more
@@ -61,22 +61,22 @@
 
 // handOverToFirst hands over to the process that asked first. Any other goes without if that succeeds.
 func (r *Relay) handOverToFirst() {
-	conn := r.askers[0]
-	r.askers = r.askers[1:]
+	conn := r.handoverRequests[0]
+	r.handoverRequests = r.handoverRequests[1:]
 	r.handOver(conn)
-	if r.heir != nil {
-		for _, other := range r.askers {
+	if r.nextProcess != nil {
+		for _, other := range r.handoverRequests {
 			other.Close()
 		}
-		r.askers = nil
+		r.handoverRequests = nil
 	}
-	r.takeDeferred()
+	r.acceptDeferred()
 }
 
 // handOver gives all that this process holds to the next one. It runs in the loop, right after a
 // step: nothing is undecided then. If it fails this process goes on as if nothing had been.
 func (r *Relay) handOver(conn *net.UnixConn) {
-	l, err := r.bequeath(conn)
+	l, err := r.transferState(conn)
 	if err != nil {
 		slog.Error("not handed over", "err", err)
 		conn.Close()
@@ -84,148 +84,148 @@
 			r.journal.Break(err)
 			slog.Error("journal lost in a hand-over", "err", err)
 		}
-		r.openAgain()
+		r.reopenBacklog()
 		return
 	}
-	slog.Info("handed over", "held", len(r.held), "calls", r.out)
-	r.heir, r.asked = l, map[int64]*intake{}
+	slog.Info("handed over", "held", len(r.pending), "calls", r.out)
+	r.nextProcess, r.forwardedIntakes = l, map[int64]*intake{}
 	r.overflow = nil
 	r.figures.hold(0, 0, 0) // they are the next process's
 	r.figures.waiting(nil)
-	r.passedAt.Store(steady.Now().UnixNano())
-	r.records, r.untold = nil, nil
+	r.handedOverAt.Store(steady.Now().UnixNano())
+	r.pendingRecords, r.unrecordedNotices = nil, nil
 	r.journal.Close()
-	r.heirs.Close()
-	r.endCopies()
+	r.handoverListener.Close()
+	r.closeReplication()
 	r.endPlatform()
 	r.tcp.Close()                            // the next process has the socket, and all in its queue
 	r.hostSide.Load().CloseIdleConnections() // descriptors count for both processes together
 	go func() {
-		hear(l, func(v returned) { r.post(func() { r.answered(v) }) })
-		r.post(r.heirGone)
+		readUpdates(l, func(v handoverReply) { r.post(func() { r.handleHandoverReply(v) }) })
+		r.post(r.nextProcessExited)
 	}()
 }
 
 // bequeath hands everything over and waits for the word that it has arrived.
-func (r *Relay) bequeath(conn *net.UnixConn) (*link, error) {
-	if r.flush(); r.stopped || len(r.records) > 0 {
+func (r *Relay) transferState(conn *net.UnixConn) (*processLink, error) {
+	if r.flush(); r.stopped || len(r.pendingRecords) > 0 {
 		return nil, errors.New("this process stops, or cannot write its journal")
 	}
-	r.overflow.shut()
+	r.overflow.close()
 	file, err := r.tcp.File()
 	if err != nil {
 		return nil, fmt.Errorf("listener: %w", err)
 	}
 	defer file.Close()
-	conn.SetDeadline(time.Now().Add(handoverIn))
+	conn.SetDeadline(time.Now().Add(handoverTimeout))
 	if _, _, err := conn.WriteMsgUnix([]byte{'\n'}, syscall.UnixRights(int(file.Fd())), nil); err != nil {
 		return nil, fmt.Errorf("listener: %w", err)
 	}
-	if err := json.NewEncoder(conn).Encode(r.bequest()); err != nil {
+	if err := json.NewEncoder(conn).Encode(r.newHandoverSnapshot()); err != nil {
 		return nil, err
 	}
-	if err := awaitTaken(conn); err != nil {
+	if err := awaitAccepted(conn); err != nil {
 		return nil, err
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return nil, err
 	}
-	return newLink(conn, json.NewDecoder(conn)), nil
+	return newProcessLink(conn, json.NewDecoder(conn)), nil
 }
 
-func (r *Relay) bequest() bequest {
-	e := bequest{Version: r.version, Memory: r.chooser.Memory(r.now()), Past: r.past.all(), Peers: r.listener.count()}
-	if r.copies != nil {
-		e.Writer = r.copies.writer(r.kept.Instance)
+func (r *Relay) newHandoverSnapshot() handoverSnapshot {
+	snapshot := handoverSnapshot{Version: r.version, Memory: r.chooser.Memory(r.now()), EndedIDs: r.endedIDs.all(), ClientConns: r.listener.count()}
+	if r.replication != nil {
+		snapshot.Writer = r.replication.writer(r.kept.Instance)
 	}
 	listed := map[string]bool{}
 	for id, h := range r.hosts {
-		e.Servers = append(e.Servers, h.entry)
+		snapshot.Servers = append(snapshot.Servers, h.entry)
 		listed[id] = true
 	}
 	numbers := map[*call]int{}
-	for _, m := range r.held {
+	for _, m := range r.pending {
 		if m.call == nil {
 			continue
 		}
 		n, ok := numbers[m.call]
 		if !ok {
-			n = len(e.Calls)
+			n = len(snapshot.RunningCalls)
 			numbers[m.call] = n
 			h := m.call.host
-			e.Calls = append(e.Calls, callOut{Host: h.id, Ago: time.Since(m.call.began)})
+			snapshot.RunningCalls = append(snapshot.RunningCalls, runningCall{Host: h.id, Elapsed: time.Since(m.call.began)})
 			if !listed[h.id] {
-				e.Gone = append(e.Gone, h.entry)
+				snapshot.Departed = append(snapshot.Departed, h.entry)
 				listed[h.id] = true
 			}
 		}
-		e.Calls[n].IDs = append(e.Calls[n].IDs, m.ID)
+		snapshot.RunningCalls[n].IDs = append(snapshot.RunningCalls[n].IDs, m.ID)
 	}
-	return e
+	return snapshot
 }
 
 // pass hands a client's message to the next process.
-func (r *Relay) pass(in *intake) {
-	r.askedN++
-	r.asked[r.askedN] = in
-	if !r.heir.send(passed{N: r.askedN, Take: in.entry, Left: in.due - r.now()}) {
-		r.answered(returned{N: r.askedN, Status: 503, After: comeBack, Text: "no next process"})
+func (r *Relay) forward(in *intake) {
+	r.lastForwardedID++
+	r.forwardedIntakes[r.lastForwardedID] = in
+	if !r.nextProcess.send(forwarded{RequestID: r.lastForwardedID, Entry: in.entry, TimeLeft: in.due - r.now()}) {
+		r.handleHandoverReply(handoverReply{RequestID: r.lastForwardedID, Status: 503, RetryAfter: comeBack, Text: "no next process"})
 	}
 }
 
 // answered takes in what the next process tells.
-func (r *Relay) answered(v returned) {
-	if m := r.held[v.Cancel]; m != nil && m.call != nil {
+func (r *Relay) handleHandoverReply(reply handoverReply) {
+	if m := r.pending[reply.CancelID]; m != nil && m.call != nil {
 		m.call.cancel(errCalled)
 	}
-	if in := r.asked[v.N]; in != nil {
-		delete(r.asked, v.N)
-		in.reply <- answer{status: v.Status, after: v.After, text: v.Text}
+	if in := r.forwardedIntakes[reply.RequestID]; in != nil {
+		delete(r.forwardedIntakes, reply.RequestID)
+		in.reply <- answer{status: reply.Status, after: reply.RetryAfter, text: reply.Text}
 	}
 }
 
 // heirGone ends this process: the journal is no longer its own.
-func (r *Relay) heirGone() {
+func (r *Relay) nextProcessExited() {
 	slog.Error("the next process has gone")
-	r.unsure()
+	r.answerUnconfirmed()
 	r.stop()
 }
 
 // unsure answers the clients whose messages the next process got and gave no word of: it may have taken them on, and what
 // is on record is delivered by whoever runs next. Only where a second delivery does no harm are they told to come again.
-func (r *Relay) unsure() {
-	for n, in := range r.asked {
-		v := returned{N: n, Status: http.StatusInternalServerError, Text: "it is not known whether it will be delivered"}
+func (r *Relay) answerUnconfirmed() {
+	for requestID, in := range r.forwardedIntakes {
+		reply := handoverReply{RequestID: requestID, Status: http.StatusInternalServerError, Text: "it is not known whether it will be delivered"}
 		if in.entry.Terms != nil && in.entry.Terms.Class.Effect == choice.Safe {
-			v = returned{N: n, Status: http.StatusServiceUnavailable, After: comeBack, Text: "no next process"}
+			reply = handoverReply{RequestID: requestID, Status: http.StatusServiceUnavailable, RetryAfter: comeBack, Text: "no next process"}
 		}
-		r.answered(v)
+		r.handleHandoverReply(reply)
 	}
 }
 
 // lastWord answers, as the loop ends, the clients whose answer hangs on another process. What does not count yet is taken
 // out of the record before its client hears so.
-func (r *Relay) lastWord() {
-	r.unsure()
-	if r.copies == nil || r.heir != nil {
+func (r *Relay) answerAtExit() {
+	r.answerUnconfirmed()
+	if r.replication == nil || r.nextProcess != nil {
 		return
 	}
-	for _, m := range r.held {
-		if m.fresh != nil && r.journal.Entry(m.ID) != nil {
-			r.uncounted(m)
+	for _, m := range r.pending {
+		if m.unanswered != nil && r.journal.Entry(m.ID) != nil {
+			r.endUncommitted(m)
 		}
 	}
 }
 
 // late tells whether a call that has only now got its connection must not go any more.
-func (r *Relay) late() bool {
-	at := r.passedAt.Load()
-	return at > 0 && steady.Now().Sub(time.Unix(0, at)) > lateCall
+func (r *Relay) dialedTooLate() bool {
+	at := r.handedOverAt.Load()
+	return at > 0 && steady.Now().Sub(time.Unix(0, at)) > lateDialLimit
 }
 
 // endCopies leaves estates, copies and the fleet address to the next process.
-func (r *Relay) endCopies() {
-	c := r.copies
+func (r *Relay) closeReplication() {
+	c := r.replication
 	if c == nil {
 		return
 	}
@@ -233,16 +233,16 @@
 		s.Close()
 		s.gates.Forget()
 	}
-	if h := c.holder.Load(); h != nil {
+	if h := c.replica.Load(); h != nil {
 		h.Close()
 	}
 }
 
 // takeDeferred takes on what came while the next process asked.
-func (r *Relay) takeDeferred() {
-	all := r.deferred
-	r.deferred = nil
-	for _, in := range all {
+func (r *Relay) acceptDeferred() {
+	deferred := r.deferredIntakes
+	r.deferredIntakes = nil
+	for _, in := range deferred {
 		r.take(in)
 	}
 }
--- a/internal/relay/books.go
+++ b/internal/relay/books.go
@@ -15,150 +15,150 @@
 // What the relay holds for others, and its record of that.
 
 // errUnwritten says that earlier records still wait to be written.
-var errUnwritten = errors.New("journal: earlier records are not written yet")
+var errRecordsPending = errors.New("journal: earlier records are not written yet")
 
 // message is one that this relay owes its end.
 type message struct {
 	*journal.Entry
-	due   time.Duration
-	call  *call     // out now
-	fresh []*intake // its client still waits for an answer; more than one if it sent it twice
-	twice bool      // its client sent it on a second connection
-	gone  bool      // it has become another relay's
-	over  bool
+	due         time.Duration
+	call        *call     // out now
+	unanswered  []*intake // its client still waits for an answer; more than one if it sent it twice
+	resent      bool      // its client sent it on a second connection
+	transferred bool      // it has become another relay's
+	ended       bool
 	// cost is what it takes of the window, in bytes, while it does; served says that it ended by a delivery.
 	cost   int
 	served bool
 }
 
 func (m *message) answer(a answer) {
-	for _, in := range m.fresh {
+	for _, in := range m.unanswered {
 		in.reply <- a
 	}
-	m.fresh = nil
+	m.unanswered = nil
 }
 
 // books is what a relay has taken on and what it has on record of that.
-type books struct {
-	journal *journal.Journal
-	held    map[string]*message
-	past    recent
-	records []journal.Record
-	untold  []notice // go out once they are recorded
-	owed    int      // notices
-	notices *noticeSender
-	flushes bool     // what could not be written is about to be tried again
-	copies  *copying // nil in a relay that copies nothing
+type messageRecords struct {
+	journal           *journal.Journal
+	pending           map[string]*message
+	endedIDs          recentIDs
+	pendingRecords    []journal.Record
+	unrecordedNotices []notice // go out once they are recorded
+	pendingNotices    int      // notices
+	notices           *noticeSender
+	flushScheduled    bool         // what could not be written is about to be tried again
+	replication       *replication // nil in a relay that copies nothing
 	// overflow is what the decisions have no room for; nil in a relay that keeps no backlog.
 	overflow *overflow
 }
 
 // restore takes up what the journal holds. What is in an estate waits until that is known to be this relay's still.
 func (r *Relay) restore() {
-	wall := steady.UnixMilli()
+	wallTime := steady.UnixMilli()
 	for e := range r.journal.All() {
-		if r.copies == nil || e.Estate == 0 || r.copies.streams[e.Estate] != nil {
+		if r.replication == nil || e.Estate == 0 || r.replication.streams[e.Estate] != nil {
 			// In an upgrade all calls of the process before are known: any other that is out is another relay's.
-			r.takeUp(e, r.heritage != nil && r.heritage.callOf(e.ID) == nil)
+			r.resume(e, r.previousProcess != nil && r.previousProcess.callOf(e.ID) == nil)
 		}
 	}
 	for id, s := range r.journal.Unwell() {
-		if r.heritage != nil { // the decisions remember more
+		if r.previousProcess != nil { // the decisions remember more
 			break
 		}
 		r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
 	}
 	for id, h := range r.journal.ByHand() {
-		r.events = append(r.events, choice.ByHand{Host: id, Out: h.Ran, Ago: time.Duration(max(1, wall-h.At)) * time.Millisecond})
+		r.events = append(r.events, choice.ByHand{Host: id, Out: h.Ran, Ago: time.Duration(max(1, wallTime-h.At)) * time.Millisecond})
 	}
-	slog.Info("journal replayed", "held", len(r.held), "owed", r.owed)
+	slog.Info("journal replayed", "held", len(r.pending), "owed", r.pendingNotices)
 }
 
 // takeUpNow has a message go on where the process before left it. Last says that it may not be tried any more.
-func (r *Relay) takeUpNow(e *journal.Entry, last bool) {
-	wall := steady.UnixMilli()
+func (r *Relay) resumeNow(entry *journal.Entry, lastAttemptMade bool) {
+	wallTime := steady.UnixMilli()
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
-	id := e.ID
-	if e.Status != "" {
-		r.owe(notice{ID: e.ID, Status: e.Status, Again: e.Again})
-		r.past.add(e.ID)
+	id := entry.ID
+	if entry.Status != "" {
+		r.queueNotice(notice{ID: entry.ID, Status: entry.Status, Again: entry.Again})
+		r.endedIDs.add(entry.ID)
 		return
 	}
-	if e.Out && r.heritage.callOf(id) == nil {
+	if entry.Out && r.previousProcess.callOf(id) == nil {
 		// The process died before the outcome was recorded: it may have run.
 		r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: true})
 	}
-	class := r.set.Load().class(e.Class, 0)
-	if class < 0 && e.Terms == nil { // taken on by a version that did not record them
-		r.give(&message{Entry: e}, notice{ID: e.ID, Status: undeliverable})
+	class := r.set.Load().class(entry.Class, 0)
+	if class < 0 && entry.Terms == nil { // taken on by a version that did not record them
+		r.endWithNotice(&message{Entry: entry}, notice{ID: entry.ID, Status: undeliverable})
 		return
 	}
-	left := ms(e.Due - wall)
-	left -= r.endMargin(lifetimeOf(e, left))
-	m := &message{Entry: e, due: r.now() + left}
-	r.held[id] = m
+	timeLeft := ms(entry.Due - wallTime)
+	timeLeft -= r.endMargin(lifetimeOf(entry, timeLeft))
+	m := &message{Entry: entry, due: r.now() + timeLeft}
+	r.pending[id] = m
 	r.overflow.enter(m)
-	adopted := r.heritage.callOf(id)
-	ev := choice.Restored{Arrival: choice.Arrival{ID: id, Class: class, Dest: e.Dest, Left: left,
-		Key: e.Order, Tenant: slices.Index(r.set.Load().TenantNames, e.Tenant), Terms: e.Terms},
-		Attempts: e.Tries, Timeout: ms(e.Wait), Ran: e.Ran, RanAgo: ms(wall - e.RanAt), RanZone: e.Zone}
-	if adopted != nil {
-		m.call = adopted
-		ev.Out = &choice.Running{Host: adopted.host.id, Call: adopted.number, Ago: time.Since(adopted.began)}
-	} else if e.Out && !e.Ran {
-		ev.Ran, ev.RanAgo, ev.RanZone = true, ms(wall-e.OutAt), e.OutTo
+	runningCall := r.previousProcess.callOf(id)
+	restored := choice.Restored{Arrival: choice.Arrival{ID: id, Class: class, Dest: entry.Dest, Left: timeLeft,
+		Key: entry.Order, Tenant: slices.Index(r.set.Load().TenantNames, entry.Tenant), Terms: entry.Terms},
+		Attempts: entry.Tries, Timeout: ms(entry.Wait), Ran: entry.Ran, RanAgo: ms(wallTime - entry.RanAt), RanZone: entry.Zone}
+	if runningCall != nil {
+		m.call = runningCall
+		restored.Out = &choice.Running{Host: runningCall.host.id, Call: runningCall.number, Ago: time.Since(runningCall.began)}
+	} else if entry.Out && !entry.Ran {
+		restored.Ran, restored.RanAgo, restored.RanZone = true, ms(wallTime-entry.OutAt), entry.OutTo
 	}
-	if last {
-		ev.Attempts = math.MaxInt32
+	if lastAttemptMade {
+		restored.Attempts = math.MaxInt32
 	}
-	r.events = append(r.events, ev)
+	r.events = append(r.events, restored)
 }
 
-func (r *Relay) record(rec journal.Record) { r.records = append(r.records, rec) }
+func (r *Relay) record(rec journal.Record) { r.pendingRecords = append(r.pendingRecords, rec) }
 
 // owe has a notice told once what it says is recorded.
-func (r *Relay) owe(n notice) {
-	r.owed++
-	r.untold = append(r.untold, n)
+func (r *Relay) queueNotice(n notice) {
+	r.pendingNotices++
+	r.unrecordedNotices = append(r.unrecordedNotices, n)
 }
 
 // give ends a message undelivered.
-func (r *Relay) give(m *message, n notice) {
+func (r *Relay) endWithNotice(m *message, n notice) {
 	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: n.Status, Again: n.Again})
 	n.class, n.due = m.Class, r.now()+steady.Until(m.Due)
-	r.owe(n)
-	r.drop(m)
+	r.queueNotice(n)
+	r.forget(m)
 }
 
 // release has a message be held no longer.
 func (r *Relay) release(m *message) {
-	m.over = true
-	delete(r.held, m.ID)
+	m.ended = true
+	delete(r.pending, m.ID)
 	r.overflow.leave(m, r.now())
 }
 
 // drop forgets a message that has ended, but for its id.
-func (r *Relay) drop(m *message) {
+func (r *Relay) forget(m *message) {
 	r.release(m)
-	r.past.add(m.ID)
+	r.endedIDs.add(m.ID)
 }
 
 // all has the ids, the oldest first.
-func (s *recent) all() []string {
+func (s *recentIDs) all() []string {
 	return slices.DeleteFunc(slices.Concat(s.ring[min(s.next, len(s.ring)):], s.ring[:s.next]),
 		func(id string) bool { return id == "" })
 }
 
 // recent is a bounded memory of ids.
-type recent struct {
+type recentIDs struct {
 	ids  map[string]bool
 	ring []string
 	next int
 }
 
-func (s *recent) has(id string) bool { return s.ids[id] }
+func (s *recentIDs) has(id string) bool { return s.ids[id] }
 
-func (s *recent) add(id string) {
+func (s *recentIDs) add(id string) {
 	if s.ids == nil {
 		s.ids, s.ring = map[string]bool{}, make([]string, 4096)
 	}
--- a/internal/relay/bring.go
+++ b/internal/relay/bring.go
@@ -16,108 +16,108 @@
 // From the disk to the decisions.
 
 // leastWait bounds how often the loop looks at what it cannot bring in yet. lastLook has room for it.
-const leastWait = 5 * time.Millisecond
+const minLoadDelay = 5 * time.Millisecond
 
 // bring has messages come in from disk: those whose time is all but up, which the decisions end, and the oldest of each
 // destination that has room. One turn does a bounded part of it.
-func (r *Relay) bring() {
+func (r *Relay) loadFromBacklog() {
 	o, now := r.overflow, r.now()
-	if o == nil || r.stopped || r.heir != nil {
+	if o == nil || r.stopped || r.nextProcess != nil {
 		return
 	}
-	o.more = false
+	o.moreWork = false
 	if r.draining.Load() { // what lies on disk stays there
 		return
 	}
-	defer r.lookAgain()
-	if now < o.rest {
+	defer r.scheduleLoad()
+	if now < o.readRetryAt {
 		return
 	}
 	if o.store == nil {
-		if err := r.openFolder(); err != nil {
-			r.cannotRead("backlog not opened", err, comeBack)
+		if err := r.openBacklogFolder(); err != nil {
+			r.pauseLoading("backlog not opened", err, comeBack)
 			return
 		}
 	}
-	r.handIn()
-	o.sweep(now)
-	left := moveMost
-	if r.mayEnd() {
-		hs, err := o.store.Due(steady.Now().Add(r.lastLook()).UnixMilli(), left+len(o.moved))
+	r.submitMoving()
+	o.checkAll(now)
+	budget := maxMovedMessages
+	if r.mayLoadExpired() {
+		stored, err := o.store.Due(steady.Now().Add(r.lastLook()).UnixMilli(), budget+len(o.moving))
 		if err != nil {
-			r.cannotRead("backlog not read", err, comeBack)
+			r.pauseLoading("backlog not read", err, comeBack)
 			return
 		}
-		hs = slices.DeleteFunc(hs, func(h backlog.Held) bool {
-			return slices.ContainsFunc(o.moved, func(m *moved) bool { return m.entry.ID == h.ID })
+		stored = slices.DeleteFunc(stored, func(h backlog.Held) bool {
+			return slices.ContainsFunc(o.moving, func(m *movingMessage) bool { return m.entry.ID == h.ID })
 		})
-		left -= len(hs)
-		o.more = left <= 0
-		if !r.move(hs) {
+		budget -= len(stored)
+		o.moreWork = budget <= 0
+		if !r.moveToJournal(stored) {
 			return
 		}
 	}
-	if len(o.moved) > 0 { // nothing goes off the disk: only what must end comes in
+	if len(o.moving) > 0 { // nothing goes off the disk: only what must end comes in
 		return
 	}
-	for n := 0; left > 0 && n < lookMost && len(o.look) > 0; n++ {
-		dest := o.next()
-		room := o.room(dest, now, r.journal.Crowded())
-		if room == 0 || o.store.LenOf(dest) == 0 {
+	for n := 0; budget > 0 && n < maxCheckedDests && len(o.checkQueue) > 0; n++ {
+		dest := o.nextCheck()
+		capacity := o.capacity(dest, now, r.journal.Crowded())
+		if capacity == 0 || o.store.LenOf(dest) == 0 {
 			continue
 		}
-		hs, err := o.store.Next(dest, min(room, left), moveBytes)
+		stored, err := o.store.Next(dest, min(capacity, budget), maxMovedBytes)
 		if err != nil {
-			r.cannotRead("backlog not read", err, comeBack)
+			r.pauseLoading("backlog not read", err, comeBack)
 			return
 		}
-		left -= max(1, len(hs))
-		if !r.move(hs) {
+		budget -= max(1, len(stored))
+		if !r.moveToJournal(stored) {
 			return
 		}
-		if len(hs) < room { // what is left of it comes when it is its turn again
-			o.lookAt(dest)
+		if len(stored) < capacity { // what is left of it comes when it is its turn again
+			o.queueCheck(dest)
 		}
 	}
-	o.more = o.more || len(o.look) > 0
-	r.toldOfDamage()
+	o.moreWork = o.moreWork || len(o.checkQueue) > 0
+	r.logBacklogDamage()
 }
 
 // mayEnd tells whether messages on disk whose time is up may come in: taking on never waits for their notices.
-func (r *Relay) mayEnd() bool {
-	return r.owed < maxOwed/2 && (!r.journal.Crowded() || r.owed < 4*moveMost)
+func (r *Relay) mayLoadExpired() bool {
+	return r.pendingNotices < maxOwed/2 && (!r.journal.Crowded() || r.pendingNotices < 4*maxMovedMessages)
 }
 
 // cannotRead has the folder be left alone for a while.
-func (r *Relay) cannotRead(what string, err error, rest time.Duration) {
-	r.overflow.rest, r.overflow.more = r.now()+rest, false
+func (r *Relay) pauseLoading(what string, err error, pause time.Duration) {
+	r.overflow.readRetryAt, r.overflow.moreWork = r.now()+pause, false
 	slog.Error(what, "err", err, "remedy", remedy.Of(err))
 }
 
 // lookAgain has the loop look again in a while, and as the first message's time is up.
-func (r *Relay) lookAgain() {
+func (r *Relay) scheduleLoad() {
 	o := r.overflow
-	if o.store != nil && o.store.Len() == 0 && len(o.moved) == 0 {
+	if o.store != nil && o.store.Len() == 0 && len(o.moving) == 0 {
 		return
 	}
-	wait := sweepEach
+	delay := checkAllInterval
 	if o.store != nil {
 		if due, ok := o.store.NextDue(); ok {
-			wait = min(wait, steady.Until(due)-r.lastLook())
+			delay = min(delay, steady.Until(due)-r.lastLook())
 		}
 	}
-	o.timer.Reset(max(wait, o.rest-r.now(), leastWait))
+	o.timer.Reset(max(delay, o.readRetryAt-r.now(), minLoadDelay))
 }
 
 // move records messages as taken on from disk, then has them off it.
-func (r *Relay) move(hs []backlog.Held) bool {
+func (r *Relay) moveToJournal(stored []backlog.Held) bool {
 	o := r.overflow
-	var recs []journal.Record
-	var fresh []*moved
+	var records []journal.Record
+	var moving []*movingMessage
 	size := 0
-	for i, h := range hs {
-		if size += len(h.Data); i > 0 && size > moveBytes {
-			o.more = true
+	for i, h := range stored {
+		if size += len(h.Data); i > 0 && size > maxMovedBytes {
+			o.moreWork = true
 			break
 		}
 		e, err := entry.Unpack(h)
@@ -125,54 +125,54 @@
 			slog.Error("message on disk cannot be read", "err", err, "remedy", remedy.Of(err))
 			e = &journal.Entry{ID: h.ID, Dest: h.Dest, Due: h.Due}
 		}
-		known := r.journal.Entry(h.ID) != nil // then the journal has the last word
-		if !known {
-			recs = append(recs, journal.Record{Op: journal.OpTaken, Entry: e})
+		journaled := r.journal.Entry(h.ID) != nil // then the journal has the last word
+		if !journaled {
+			records = append(records, journal.Record{Op: journal.OpTaken, Entry: e})
 		}
-		fresh = append(fresh, &moved{entry: e, place: h.Place, known: known})
+		moving = append(moving, &movingMessage{entry: e, place: h.Place, submitted: journaled})
 	}
-	o.moved = append(o.moved, fresh...)
-	if err := r.journal.Append(recs...); err != nil {
-		o.moved = slices.DeleteFunc(o.moved, func(m *moved) bool { return slices.Contains(fresh, m) })
+	o.moving = append(o.moving, moving...)
+	if err := r.journal.Append(records...); err != nil {
+		o.moving = slices.DeleteFunc(o.moving, func(m *movingMessage) bool { return slices.Contains(moving, m) })
 		if wait := comeBack; errors.Is(err, journal.ErrFull) {
-			o.rest, o.more = r.now()+sweepEach/10, false
+			o.readRetryAt, o.moreWork = r.now()+checkAllInterval/10, false
 		} else {
-			r.cannotRead("messages not brought in", err, wait)
+			r.pauseLoading("messages not brought in", err, wait)
 		}
 		return false
 	}
-	r.handIn()
+	r.submitMoving()
 	return true
 }
 
 // handIn gives the decisions what the journal has and the disk has no more. One that the decisions had before could end in the
 // journal and come back from disk, so they wait; but not past their time: then they end as untried ones either way.
-func (r *Relay) handIn() {
+func (r *Relay) submitMoving() {
 	o := r.overflow
-	of, failed, now := map[int][]uint64{}, map[int]bool{}, r.now()
-	for _, m := range o.moved {
-		if failed[m.entry.Dest] = now < o.retry; m.place > 0 && now >= o.retry {
-			of[m.entry.Dest] = append(of[m.entry.Dest], m.place)
+	places, failed, now := map[int][]uint64{}, map[int]bool{}, r.now()
+	for _, m := range o.moving {
+		if failed[m.entry.Dest] = now < o.removeRetryAt; m.place > 0 && now >= o.removeRetryAt {
+			places[m.entry.Dest] = append(places[m.entry.Dest], m.place)
 		}
 	}
-	for dest, places := range of {
-		if err := o.store.Out(dest, places...); err != nil {
-			slog.Error("messages not taken off the disk", "messages", len(places), "err", err, "remedy", remedy.Of(err))
-			failed[dest], o.retry = true, now+sweepEach
+	for dest, destPlaces := range places {
+		if err := o.store.Out(dest, destPlaces...); err != nil {
+			slog.Error("messages not taken off the disk", "messages", len(destPlaces), "err", err, "remedy", remedy.Of(err))
+			failed[dest], o.removeRetryAt = true, now+checkAllInterval
 		}
 	}
-	last := steady.Now().Add(r.lastLook()).UnixMilli()
-	kept := o.moved[:0]
-	for _, m := range o.moved {
-		off := m.place == 0 || !failed[m.entry.Dest]
-		if !m.known && (off || m.entry.Due <= last) {
-			r.takeUpNow(m.entry, false)
-			m.known = true
+	expiryLimit := steady.Now().Add(r.lastLook()).UnixMilli()
+	remaining := o.moving[:0]
+	for _, m := range o.moving {
+		removed := m.place == 0 || !failed[m.entry.Dest]
+		if !m.submitted && (removed || m.entry.Due <= expiryLimit) {
+			r.resumeNow(m.entry, false)
+			m.submitted = true
 		}
-		if !off {
-			kept = append(kept, m)
+		if !removed {
+			remaining = append(remaining, m)
 		}
 	}
-	clear(o.moved[len(kept):])
-	o.moved = kept
+	clear(o.moving[len(remaining):])
+	o.moving = remaining
 }
--- a/internal/relay/call_test.go
+++ b/internal/relay/call_test.go
@@ -30,7 +30,7 @@
 	r.calls = context.Background()
 	c := &call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}}
 	for i, id := range []string{"a", "b", "c"} {
-		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, over: true, due: []time.Duration{1, 3, 2}[i] * time.Hour})
+		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, ended: true, due: []time.Duration{1, 3, 2}[i] * time.Hour})
 		c.sends = append(c.sends, choice.Send{ID: id, Timeout: time.Duration(i+1) * time.Minute})
 	}
 	r.start(c)
@@ -58,11 +58,11 @@
 			io.WriteString(w, "short ok\r\nlong ok\r\n")
 		}))
 		r := caller()
-		r.inbox, r.calls, r.held = make(chan func(), 2), context.Background(), map[string]*message{}
+		r.inbox, r.calls, r.pending = make(chan func(), 2), context.Background(), map[string]*message{}
 		c := &call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}}
 		for id, due := range map[string]time.Duration{"short": 500 * time.Millisecond, "long": time.Hour} {
 			m := &message{Entry: &journal.Entry{ID: id}, due: due}
-			r.held[id] = m
+			r.pending[id] = m
 			c.members, c.sends = append(c.members, m), append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 		}
 		r.start(c)
@@ -83,10 +83,10 @@
 			outcomes[e.(choice.Result).ID] = e.(choice.Result).Outcome
 		}
 		want(t, name+": the long one", outcomes["long"], choice.Served)
-		want(t, name+": records", len(r.records), 2)
+		want(t, name+": records", len(r.pendingRecords), 2)
 		short := map[bool]choice.Outcome{true: choice.Timeout, false: choice.Served}[endFirst]
 		want(t, name+": the short one", outcomes["short"], short)
-		want(t, name+": it is held, for the decisions to end it", r.held["short"] != nil, endFirst)
+		want(t, name+": it is held, for the decisions to end it", r.pending["short"] != nil, endFirst)
 	}
 }
 
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -104,7 +104,7 @@
 		"may drain, unheard":   {func(r *Relay, _ *call) { r.sendUntil.Store(1) }, listTooOld},
 		"tells to wait":        {func(r *Relay, c *call) { c.host.waiting.heed(r.now() + time.Hour) }, toldToWait},
 		"no longer a repeat":   {func(_ *Relay, c *call) { c.before = time.Now().Add(-time.Nanosecond) }, outOfTime},
-		"handed over long ago": {func(r *Relay, _ *call) { r.passedAt.Store(time.Now().Add(-lateCall).UnixNano()) }, handedOver},
+		"handed over long ago": {func(r *Relay, _ *call) { r.handedOverAt.Store(time.Now().Add(-lateDialLimit).UnixNano()) }, handedOver},
 	} {
 		t.Run(name, func(t *testing.T) { drainWhileConnecting(t, test.while, test.reason) })
 	}
@@ -294,7 +294,7 @@
 	ids := []string{"a", "b", "c", "d", "e", "f"}
 	for _, id := range ids {
 		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id, Key: strings.Repeat("k", len(c.members)), Body: []byte("\r\n" + id)},
-			due: time.Hour, over: true})
+			due: time.Hour, ended: true})
 		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
 	r.start(c)
@@ -342,7 +342,7 @@
 		r := caller()
 		r.set.Store(&standing{Settings: settings.Settings{ReportFields: []string{"x1", "x0"}}})
 		r.calls, r.inbox = context.Background(), make(chan func(), 1)
-		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Hour, over: true}
+		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Hour, ended: true}
 		r.start(&call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}, members: []*message{m},
 			sends: []choice.Send{{ID: "m1", Timeout: 20 * time.Second}}})
 		(<-r.inbox)()
@@ -359,19 +359,19 @@
 	r.began, r.inbox, r.calls = time.Now(), make(chan func(), 10), context.Background()
 	r.journal = openJournal(t)
 	h := &host{id: "s-1", addr: "127.0.0.1:1", dest: 7, perCall: 5, waiting: &waiting{}}
-	r.hosts, r.held = map[string]*host{"s-1": h}, map[string]*message{}
+	r.hosts, r.pending = map[string]*host{"s-1": h}, map[string]*message{}
 	var sends []choice.Send
 	for i, size := range []int{maxBody, maxBody / 2, 10} {
 		id := fmt.Sprint("m", i)
 		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: make([]byte, size)}}); err != nil {
 			t.Fatal(err)
 		}
-		r.held[id] = &message{Entry: r.journal.Entry(id), due: time.Hour}
+		r.pending[id] = &message{Entry: r.journal.Entry(id), due: time.Hour}
 		sends = append(sends, choice.Send{ID: id, Host: "s-1", Timeout: time.Minute})
 	}
 	r.dispatch(sends)
 	want(t, "calls", r.out, 2)
-	want(t, "messages in the second", len(r.held["m1"].call.members), 2)
+	want(t, "messages in the second", len(r.pending["m1"].call.members), 2)
 }
 
 // Guards against taking a message for safe to repeat that a garbled answer says nothing sure of.
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -74,7 +74,7 @@
 	if c.Fleet != nil {
 		disk -= fleet.StateMost
 		if c.Fleet.Listen != "" {
-			disk -= int64(c.DiskMB * copiesPart * 1e6)
+			disk -= int64(c.DiskMB * replicaDiskShare * 1e6)
 		}
 	}
 	if c.Backlog != nil {
--- a/internal/relay/copies.go
+++ b/internal/relay/copies.go
@@ -18,55 +18,55 @@
 
 const (
 	// countIn is for a message's record to count: its client waits 400 ms for the answer.
-	countIn = 300 * time.Millisecond
+	commitTimeout = 300 * time.Millisecond
 	// freshIn is for a call to go out, from when its record was written. An heir waits as long before it tries again.
-	freshIn = 500 * time.Millisecond
+	callStartTimeout = 500 * time.Millisecond
 	// copiesPart is the part of the folder's disk that is for copies of other relays' records.
-	copiesPart = 0.5
+	replicaDiskShare = 0.5
 	// bindIn is for the fleet address to become free: in an upgrade the process before this one has it for a moment.
-	bindIn = 5 * time.Second
+	fleetListenTimeout = 5 * time.Second
 )
 
 // copying is the part of the books that is copied. It belongs to the loop; nil in a relay that copies nothing.
-type copying struct {
-	conf    fleet.Config
-	owner   *estate.Owner
-	client  *http.Client
-	main    uint64 // estate that takes on new messages; 0 for none yet
-	streams map[uint64]*stream
-	poked   atomic.Bool // the loop is to look at what counts
-	looks   bool        // and will do so in a while
-	fresh   int64       // bytes of a copy that messages take which are not on record yet
+type replication struct {
+	conf            fleet.Config
+	owner           *estate.Owner
+	client          *http.Client
+	main            uint64 // estate that takes on new messages; 0 for none yet
+	streams         map[uint64]*groupStream
+	checkPosted     atomic.Bool // the loop is to look at what counts
+	checkScheduled  bool        // and will do so in a while
+	unrecordedBytes int64       // bytes of a copy that messages take which are not on record yet
 	// uncounted are notices that wait for their records to count.
-	uncounted []*uncountedNotices
-	adopted   string // writer that the process before this one was, in an upgrade
-	holder    atomic.Pointer[estate.Holder]
-	begun     chan struct{} // closed once new messages can be copied
+	uncommitted   []*uncountedNotices
+	adoptedWriter string // writer that the process before this one was, in an upgrade
+	replica       atomic.Pointer[estate.Holder]
+	ready         chan struct{} // closed once new messages can be copied
 }
 
 // stream is one estate that this relay writes.
-type stream struct {
+type groupStream struct {
 	*estate.Stream
-	estate state.Estate
-	gates  estate.Gates
-	short  time.Duration // since when too few holders have a copy; 0 while they do
+	group      state.Estate
+	gates      estate.Gates
+	shortSince time.Duration // since when too few holders have a copy; 0 while they do
 }
 
 // newCopying is nil where the configuration asks for no copies.
-func newCopying(conf *fleet.Config) *copying {
+func newReplication(conf *fleet.Config) *replication {
 	if conf == nil || conf.Copies == 0 {
 		return nil
 	}
-	return &copying{conf: *conf, streams: map[uint64]*stream{}, begun: make(chan struct{})}
+	return &replication{conf: *conf, streams: map[uint64]*groupStream{}, ready: make(chan struct{})}
 }
 
 // estateOf is the estate that a record belongs to.
-func (r *Relay) estateOf(rec journal.Record) uint64 {
+func (r *Relay) groupOf(rec journal.Record) uint64 {
 	switch rec.Op {
 	case journal.OpTaken:
 		return rec.Entry.Estate
 	case journal.OpByHand, journal.OpWait:
-		return r.copies.main
+		return r.replication.main
 	}
 	if e := r.journal.Entry(rec.ID); e != nil {
 		return e.Estate
@@ -76,10 +76,10 @@
 
 // bind puts records on disk, and has something done once they count: at once where nothing is copied. On an error nothing
 // was recorded. Records that need not count before anything else go without it.
-func (r *Relay) bind(recs []journal.Record, most time.Duration, then func(counts bool)) error {
-	c := r.copies
+func (r *Relay) bind(records []journal.Record, timeout time.Duration, then func(committed bool)) error {
+	c := r.replication
 	if c == nil {
-		if err := r.journal.Append(recs...); err != nil {
+		if err := r.journal.Append(records...); err != nil {
 			return err
 		}
 		if then != nil {
@@ -87,32 +87,32 @@
 		}
 		return nil
 	}
-	of := map[*stream][]journal.Record{}
-	for _, rec := range recs {
-		if s := c.streams[r.estateOf(rec)]; s != nil {
-			of[s] = append(of[s], rec)
+	byStream := map[*groupStream][]journal.Record{}
+	for _, rec := range records {
+		if s := c.streams[r.groupOf(rec)]; s != nil {
+			byStream[s] = append(byStream[s], rec)
 		}
 	}
-	all := recs[:len(recs):len(recs)]
-	for s, own := range of {
-		all = append(all, journal.Record{Op: journal.OpCount, Estate: s.ID, Next: s.Next() + uint64(len(own))})
+	all := records[:len(records):len(records)]
+	for s, streamRecords := range byStream {
+		all = append(all, journal.Record{Op: journal.OpCount, Estate: s.ID, Next: s.Next() + uint64(len(streamRecords))})
 	}
 	if err := r.journal.Append(all...); err != nil {
 		return err
 	}
-	left, failed := len(of), false
-	for s, own := range of {
-		next := s.Append(then != nil, own...)
+	left, failed := len(byStream), false
+	for s, streamRecords := range byStream {
+		next := s.Append(then != nil, streamRecords...)
 		if then == nil {
 			continue
 		}
-		s.gates.Add(next, r.now(), most, func(counts bool) {
-			failed = failed || !counts
+		s.gates.Add(next, r.now(), timeout, func(committed bool) {
+			failed = failed || !committed
 			if left--; left == 0 {
 				then(!failed)
 			}
 		})
-		r.lookSoon()
+		r.scheduleCommitCheck()
 	}
 	if left == 0 && then != nil {
 		then(true)
@@ -121,68 +121,68 @@
 }
 
 // lookSoon has the loop look at gates that may have to be given up.
-func (r *Relay) lookSoon() {
-	if c := r.copies; !c.looks {
-		c.looks = true
-		time.AfterFunc(countIn/4, func() { r.post(func() { c.looks = false; r.counted() }) })
+func (r *Relay) scheduleCommitCheck() {
+	if c := r.replication; !c.checkScheduled {
+		c.checkScheduled = true
+		time.AfterFunc(commitTimeout/4, func() { r.post(func() { c.checkScheduled = false; r.checkCommits() }) })
 	}
 }
 
 // news has the loop look at what counts. It is called by whoever hears from holders.
-func (r *Relay) news() {
-	if r.copies.poked.CompareAndSwap(false, true) {
-		r.post(func() { r.copies.poked.Store(false); r.counted() })
+func (r *Relay) postCommitCheck() {
+	if r.replication.checkPosted.CompareAndSwap(false, true) {
+		r.post(func() { r.replication.checkPosted.Store(false); r.checkCommits() })
 	}
 }
 
 // counted does what waited for records that count by now, and gives up what waited too long.
-func (r *Relay) counted() {
-	waits := false
-	for _, s := range r.copies.streams {
-		st, now := s.Standing(), r.now()
+func (r *Relay) checkCommits() {
+	checkAgain := false
+	for _, s := range r.replication.streams {
+		standing, now := s.Standing(), r.now()
 		switch {
-		case !st.Short:
-			if s.short > 0 {
-				slog.Info("enough holders take copies", "estate", s.ID, "epoch", st.Epoch, "after", now-s.short)
+		case !standing.Short:
+			if s.shortSince > 0 {
+				slog.Info("enough holders take copies", "estate", s.ID, "epoch", standing.Epoch, "after", now-s.shortSince)
 			}
-			s.short = 0
-			if s.ID == r.copies.main {
-				r.copies.begin()
+			s.shortSince = 0
+			if s.ID == r.replication.main {
+				r.replication.markReady()
 			}
-		case s.short == 0:
-			s.short = now
-			slog.Warn("too few holders take copies", "estate", s.ID, "epoch", st.Epoch, "holders", st.States)
+		case s.shortSince == 0:
+			s.shortSince = now
+			slog.Warn("too few holders take copies", "estate", s.ID, "epoch", standing.Epoch, "holders", standing.States)
 		}
-		risk := r.copies.conf.Short == fleet.OwnDisk && s.short > 0 && now-s.short >= countIn/2
-		s.gates.Pass(st.Counted, risk, now)
-		waits = waits || s.gates.Len() > 0 || s.short > 0
+		risk := r.replication.conf.Short == fleet.OwnDisk && s.shortSince > 0 && now-s.shortSince >= commitTimeout/2
+		s.gates.Pass(standing.Counted, risk, now)
+		checkAgain = checkAgain || s.gates.Len() > 0 || s.shortSince > 0
 	}
 	r.tellDue()
-	if waits {
-		r.lookSoon()
+	if checkAgain {
+		r.scheduleCommitCheck()
 	}
-	r.figures.copied(r.standing())
+	r.figures.copied(r.replicationFigures())
 }
 
 // takes tells whether a new message can be copied, or goes on the own disk as configured.
-func (c *copying) takes(now time.Duration) bool {
+func (c *replication) accepts(now time.Duration) bool {
 	if c == nil || c.conf.Short == fleet.OwnDisk {
 		return true
 	}
 	s := c.streams[c.main]
-	return s != nil && (s.short == 0 || now-s.short < countIn)
+	return s != nil && (s.shortSince == 0 || now-s.shortSince < commitTimeout)
 }
 
 // writer is the name by which holders know who writes; that of the process before, where it goes on as that.
-func (c *copying) writer(instance string) string {
+func (c *replication) writer(instance string) string {
 	for _, s := range c.streams {
-		return s.estate.Writer
+		return s.group.Writer
 	}
 	return instance
 }
 
 // waiting tells whether a client waits for its message to count.
-func (c *copying) waiting() bool {
+func (c *replication) hasUncommitted() bool {
 	if c == nil {
 		return false
 	}
@@ -196,22 +196,22 @@
 
 // uncounted ends a message whose record did not count in time. A holder that cannot be reached may have it all the same,
 // and an heir deliver it: where that must not happen twice its client is not told that it may come again.
-func (r *Relay) uncounted(m *message) {
-	if m.over {
+func (r *Relay) endUncommitted(m *message) {
+	if m.ended {
 		return
 	}
 	r.events = append(r.events, choice.Withdrawn{ID: m.ID})
 	r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
 	r.release(m)
-	r.answerUncounted(m)
+	r.answerUncommitted(m)
 }
 
 // answerUncounted answers the client of a message that does not count and has ended here.
-func (r *Relay) answerUncounted(m *message) {
-	a, how := withdrawnHere(m.Entry), refusedEnd
+func (r *Relay) answerUncommitted(m *message) {
+	a, ending := withdrawnHere(m.Entry), refusedEnd
 	if a.status == http.StatusInternalServerError {
-		how = failedEnd
+		ending = failedEnd
 	}
-	r.figures.ended(m.Class, how)
+	r.figures.ended(m.Class, ending)
 	m.answer(a)
 }
--- a/internal/relay/copies_room_test.go
+++ b/internal/relay/copies_room_test.go
@@ -23,22 +23,22 @@
 // copy, and were full with the next message. An end that was due waited for a holder's word all that time.
 
 // copierWith is a relay that copies to so many holders, all of them well and with as much disk as it has.
-func copierWith(t *testing.T, holders int, diskMB float64) (*Relay, *stream) {
+func copierWith(t *testing.T, holders int, diskMB float64) (*Relay, *groupStream) {
 	t.Helper()
-	own, err := journal.Open(t.TempDir(), int64(diskMB*copiesPart*1e6))
+	own, err := journal.Open(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 1024), quit: make(chan struct{}), conf: Config{DiskMB: diskMB},
-		books: books{journal: own, held: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
-			copies: &copying{conf: fleet.Config{Copies: holders - 1}, streams: map[uint64]*stream{}, begun: make(chan struct{}), client: &http.Client{}}}}
+		messageRecords: messageRecords{journal: own, pending: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
+			replication: &replication{conf: fleet.Config{Copies: holders - 1}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: &http.Client{}}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	r.dests = map[int]*waiting{7: {}}
 	r.set.Store(&standing{})
 	t.Cleanup(func() { close(r.quit) })
 	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: holders - 1}
 	for i := range holders {
-		h, err := estate.OpenHolder(t.TempDir(), int64(diskMB*copiesPart*1e6))
+		h, err := estate.OpenHolder(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,10 +50,10 @@
 		t.Cleanup(h.Close)
 		e.Holders = append(e.Holders, state.Holder{Name: fmt.Sprint("holder-", i), Addr: l.Addr().String(), Folder: h.Folder})
 	}
-	if err := r.markEstate(e, 1); err != nil {
+	if err := r.markGroup(e, 1); err != nil {
 		t.Fatal(err)
 	}
-	s := r.newStream(e, 1)
+	s := r.newGroupStream(e, 1)
 	s.Set(e.Epoch, e.Copies, e.Holders)
 	t.Cleanup(s.Close)
 	return r, s
@@ -89,7 +89,7 @@
 	for _, body := range []int{10, 600, 5000} {
 		t.Run(fmt.Sprint(body), func(t *testing.T) {
 			r, s := copierWith(t, 3, 3)
-			r.turns(t, "enough holders", func() bool { return s.short == 0 })
+			r.turns(t, "enough holders", func() bool { return s.shortSince == 0 })
 			for round := range 3 {
 				var held []string
 				for i := 0; ; i++ {
@@ -104,13 +104,13 @@
 				if len(held) < 5 {
 					t.Fatalf("%d messages of %d bytes are taken on", len(held), body)
 				}
-				r.counted()
+				r.checkCommits()
 				want(t, "records that do not count", s.gates.Len(), 0)
-				want(t, "spans without enough holders", s.short, 0)
+				want(t, "spans without enough holders", s.shortSince, 0)
 				// What is held ends, which its holders have room for in any case.
 				for _, id := range held {
 					r.record(journal.Record{Op: journal.OpTry, ID: id, At: time.Now().UnixMilli(), Wait: 100})
-					r.finish(r.held[id], servedEnd)
+					r.finish(r.pending[id], servedEnd)
 				}
 				r.flush()
 				end := s.Next()
@@ -130,11 +130,11 @@
 		if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, 0, nil); err != nil {
 			t.Fatal(err)
 		}
-		r.held[id] = m
-		r.give(m, notice{ID: id, Status: undeliverable})
+		r.pending[id] = m
+		r.endWithNotice(m, notice{ID: id, Status: undeliverable})
 	}
 	r.flush()
-	r.counted()
+	r.checkCommits()
 	queued := func() int { r.notices.mu.Lock(); defer r.notices.mu.Unlock(); return len(r.notices.queue) }
 	want(t, "notices before they count or are due", queued(), 0)
 	r.turns(t, "a notice", func() bool { return queued() > 0 })
@@ -143,7 +143,7 @@
 	}
 	want(t, "notices", queued(), 1)
 	want(t, "the one that is due", r.notices.queue[0].ID, "due")
-	want(t, "notices owed", r.owed, 2)
+	want(t, "notices owed", r.pendingNotices, 2)
 }
 
 // Guards against an end that is told though it is not on record: a start would deliver the message. It waits to be recorded once.
@@ -153,19 +153,19 @@
 	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, 0, nil); err != nil {
 		t.Fatal(err)
 	}
-	r.held["due"] = m
-	r.give(m, notice{ID: "due", Status: undeliverable})
+	r.pending["due"] = m
+	r.endWithNotice(m, notice{ID: "due", Status: undeliverable})
 	r.journal.Break(errors.New("the disk is full"))
 	for range 3 {
 		r.flush()
-		r.counted()
+		r.checkCommits()
 	}
 	want(t, "notices told before they are on record", len(r.notices.queue), 0)
 	if err := r.journal.Compact(); err != nil { // it can be written again
 		t.Fatal(err)
 	}
 	r.flush()
-	r.counted()
+	r.checkCommits()
 	want(t, "notices told", len(r.notices.queue), 1)
-	want(t, "notices owed", r.owed, 1)
+	want(t, "notices owed", r.pendingNotices, 1)
 }
--- a/internal/relay/copies_test.go
+++ b/internal/relay/copies_test.go
@@ -13,18 +13,18 @@
 )
 
 // copier is a relay that copies to holders of whom none answers.
-func copier(t *testing.T, short string) (*Relay, *stream) {
+func copier(t *testing.T, short string) (*Relay, *groupStream) {
 	t.Helper()
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 64), quit: make(chan struct{}),
-		books: books{journal: openJournal(t), held: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
-			copies: &copying{conf: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*stream{}, begun: make(chan struct{}), client: http.DefaultClient}}}
+		messageRecords: messageRecords{journal: openJournal(t), pending: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
+			replication: &replication{conf: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: http.DefaultClient}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	t.Cleanup(func() { close(r.quit) })
 	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Holders: []state.Holder{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
-	if err := r.markEstate(e, 1); err != nil {
+	if err := r.markGroup(e, 1); err != nil {
 		t.Fatal(err)
 	}
-	s := r.newStream(e, 1)
+	s := r.newGroupStream(e, 1)
 	s.Set(e.Epoch, e.Copies, e.Holders)
 	t.Cleanup(s.Close)
 	return r, s
@@ -34,13 +34,13 @@
 func takeOn(t *testing.T, r *Relay, id string, effect choice.Effect) (*message, chan answer) {
 	t.Helper()
 	in := &intake{ctx: context.Background(), reply: make(chan answer, 1)}
-	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, fresh: []*intake{in}}
-	r.held[id] = m
-	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(counts bool) {
+	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, unanswered: []*intake{in}}
+	r.pending[id] = m
+	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, commitTimeout, func(counts bool) {
 		if counts {
 			m.answer(answer{status: http.StatusAccepted})
 		} else {
-			r.uncounted(m)
+			r.endUncommitted(m)
 		}
 	}); err != nil {
 		t.Fatal(err)
@@ -54,12 +54,12 @@
 	r, _ := copier(t, fleet.Refuse)
 	_, keyed := takeOn(t, r, "m1", choice.Keyed)
 	_, once := takeOn(t, r, "m2", choice.Unsafe)
-	r.counted()
+	r.checkCommits()
 	if len(keyed)+len(once) > 0 {
 		t.Fatal("a client is answered before its message counts")
 	}
-	r.began = r.began.Add(-countIn) // so long later
-	r.counted()
+	r.began = r.began.Add(-commitTimeout) // so long later
+	r.checkCommits()
 	if a := <-keyed; a.status != http.StatusServiceUnavailable || a.after <= 0 {
 		t.Errorf("one that may come again: %+v", a)
 	}
@@ -67,13 +67,13 @@
 		t.Errorf("one that must not run twice: %+v", a)
 	}
 	r.flush()
-	if len(r.held) > 0 || r.journal.Len() > 0 {
-		t.Errorf("%d held, %d on record", len(r.held), r.journal.Len())
+	if len(r.pending) > 0 || r.journal.Len() > 0 {
+		t.Errorf("%d held, %d on record", len(r.pending), r.journal.Len())
 	}
-	if r.copies.takes(r.now()) {
+	if r.replication.accepts(r.now()) {
 		t.Error("it takes on more")
 	}
-	if n := r.standing(); n.short != 1 || n.atRisk != 0 {
+	if n := r.replicationFigures(); n.short != 1 || n.atRisk != 0 {
 		t.Errorf("it tells %+v", n)
 	}
 }
@@ -82,13 +82,13 @@
 func TestOwnDisk(t *testing.T) {
 	r, _ := copier(t, fleet.OwnDisk)
 	_, reply := takeOn(t, r, "m1", choice.Unsafe)
-	r.counted()
-	r.began = r.began.Add(-countIn)
-	r.counted()
-	if a := <-reply; a.status != http.StatusAccepted || !r.copies.takes(r.now()) {
+	r.checkCommits()
+	r.began = r.began.Add(-commitTimeout)
+	r.checkCommits()
+	if a := <-reply; a.status != http.StatusAccepted || !r.replication.accepts(r.now()) {
 		t.Errorf("answered %+v", a)
 	}
-	if n := r.standing(); n.short != 1 || n.atRisk != 1 {
+	if n := r.replicationFigures(); n.short != 1 || n.atRisk != 1 {
 		t.Errorf("it tells %+v, want one at risk", n)
 	}
 }
@@ -97,7 +97,7 @@
 func TestCallsWaitForTheirRecord(t *testing.T) {
 	r, s := copier(t, fleet.Refuse)
 	m, _ := takeOn(t, r, "m1", choice.Keyed)
-	for name, written := range map[string]time.Time{"not counted": time.Now(), "too late": time.Now().Add(-freshIn)} {
+	for name, written := range map[string]time.Time{"not counted": time.Now(), "too late": time.Now().Add(-callStartTimeout)} {
 		r.events = nil
 		c := &call{host: &host{id: "h"}, members: []*message{m}, sends: []choice.Send{{ID: "m1", Host: "h", Timeout: time.Minute}}}
 		r.startCounted(c, written, name == "too late")
@@ -116,12 +116,12 @@
 			}
 		}
 	}()
-	(*ownBooks)(r).Lost(s.ID)
+	(*groupRecords)(r).Lost(s.ID)
 	over := make(chan struct{})
 	r.post(func() {
 		defer close(over)
-		if !m.over || !m.gone || len(r.held) > 0 || r.journal.Len() > 0 || r.copies.main != 0 || r.copies.takes(r.now()) {
-			t.Errorf("after it became another's: %+v, %d held, %d on record, main %d", m, len(r.held), r.journal.Len(), r.copies.main)
+		if !m.ended || !m.transferred || len(r.pending) > 0 || r.journal.Len() > 0 || r.replication.main != 0 || r.replication.accepts(r.now()) {
+			t.Errorf("after it became another's: %+v, %d held, %d on record, main %d", m, len(r.pending), r.journal.Len(), r.replication.main)
 		}
 	})
 	<-over
@@ -133,10 +133,10 @@
 	m, _ := takeOn(t, r, "m1", choice.Keyed)
 	said := make(chan bool, 1)
 	want(t, "it is withdrawn", r.withdraw(m.ID, func(counts bool) { said <- counts }), true)
-	r.counted()
+	r.checkCommits()
 	want(t, "words on it before it counts", len(said), 0)
-	r.began = r.began.Add(-countIn) // so long later
-	r.counted()
+	r.began = r.began.Add(-commitTimeout) // so long later
+	r.checkCommits()
 	want(t, "it counts", wait(t, said, "word"), false)
 	r.flush()
 	want(t, "messages on record", r.journal.Len(), 0)
@@ -151,7 +151,7 @@
 func TestARestartLeavesAloneWhatAnOwnerBeforeHasOut(t *testing.T) {
 	for name, atOnce := range map[string]bool{"r": true, "another": false} {
 		r, s := copier(t, fleet.Refuse)
-		delete(r.copies.streams, s.ID)
+		delete(r.replication.streams, s.ID)
 		r.set.Store(&standing{})
 		now := time.Now().UnixMilli()
 		e := &journal.Entry{ID: "m1", Class: "c", Dest: 7, Estate: 1, Due: now + time.Minute.Milliseconds(), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}
@@ -159,12 +159,12 @@
 			t.Fatal(err)
 		}
 		r.conf.Name = "r"
-		begun, err := r.beginEstate(state.Estate{ID: 1, Name: name, Epoch: 2, Owner: "r", Writer: "w2", Main: true, Copies: 1}, nil)
+		begun, err := r.beginGroup(state.Estate{ID: 1, Name: name, Epoch: 2, Owner: "r", Writer: "w2", Main: true, Copies: 1}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(begun.Close)
-		want(t, "messages held", len(r.held), 1)
+		want(t, "messages held", len(r.pending), 1)
 		want(t, "estate of "+name+": the decisions have it at once", len(r.events) == 1, atOnce)
 	}
 }
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -134,7 +134,7 @@
 func (c *costRig) settle() {
 	held := make(chan int, 1)
 	for {
-		c.r.post(func() { held <- len(c.r.held) })
+		c.r.post(func() { held <- len(c.r.pending) })
 		if <-held <= c.held {
 			return
 		}
@@ -214,7 +214,7 @@
 	b.Run("refused", func(b *testing.B) {
 		c := newCostRig(b, 200, func(c *Config) { c.Settings.MaxHeld = 1 })
 		full := make(chan struct{})
-		c.r.post(func() { c.r.held["one"] = &message{Entry: &journal.Entry{ID: "one"}}; close(full) })
+		c.r.post(func() { c.r.pending["one"] = &message{Entry: &journal.Entry{ID: "one"}}; close(full) })
 		<-full
 		c.held = 1
 		measure(b, c, 1, func() {
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -132,7 +132,7 @@
 	r := startRelay(t, p, func(conf *Config) { conf.State = state })
 	for held := -1; held != 0; {
 		counts := make(chan int, 1)
-		r.post(func() { counts <- len(r.held) + r.owed + r.journal.Len() })
+		r.post(func() { counts <- len(r.pending) + r.pendingNotices + r.journal.Len() })
 		held = wait(t, counts, "count")
 	}
 	var ended []string
--- a/internal/relay/due_notices.go
+++ b/internal/relay/due_notices.go
@@ -14,32 +14,32 @@
 
 // noticesCounted is what is to be done with notices once their records count, or are another relay's.
 func (r *Relay) noticesCounted(notices []notice) func(counts bool) {
-	c := r.copies
+	c := r.replication
 	if c == nil {
 		return func(counts bool) { r.sendNotices(notices, counts) }
 	}
 	u := &uncountedNotices{slices.Clone(notices)}
-	c.uncounted = append(c.uncounted, u)
+	c.uncommitted = append(c.uncommitted, u)
 	return func(counts bool) {
-		c.uncounted = slices.DeleteFunc(c.uncounted, func(other *uncountedNotices) bool { return other == u })
+		c.uncommitted = slices.DeleteFunc(c.uncommitted, func(other *uncountedNotices) bool { return other == u })
 		r.sendNotices(u.waiting, counts)
 	}
 }
 
 // dropUncounted forgets the notices of the write before, which failed: they wait to be recorded again.
 func (r *Relay) dropUncounted() {
-	if c := r.copies; c != nil {
-		c.uncounted = c.uncounted[:len(c.uncounted)-1]
+	if c := r.replication; c != nil {
+		c.uncommitted = c.uncommitted[:len(c.uncommitted)-1]
 	}
 }
 
 // tellDue has notices go out whose messages' time is up, though their records do not count yet.
 func (r *Relay) tellDue() {
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		return // they are the next process's
 	}
 	now := r.now()
-	for _, u := range r.copies.uncounted {
+	for _, u := range r.replication.uncommitted {
 		var due []notice
 		u.waiting = slices.DeleteFunc(u.waiting, func(n notice) bool {
 			if n.due > now {
--- a/internal/relay/estates.go
+++ b/internal/relay/estates.go
@@ -13,15 +13,15 @@
 )
 
 // ownBooks is the relay as estate.Owner sees it: each call is done by the loop.
-type ownBooks Relay
+type groupRecords Relay
 
 // done has the loop do something, and tells whether it did.
-func (b *ownBooks) done(f func(*Relay)) bool {
+func (b *groupRecords) runInLoop(f func(*Relay)) bool {
 	r := (*Relay)(b)
-	over := make(chan struct{})
-	r.post(func() { f(r); close(over) })
+	finished := make(chan struct{})
+	r.post(func() { f(r); close(finished) })
 	select {
-	case <-over:
+	case <-finished:
 		return true
 	case <-r.quit:
 		return false
@@ -29,127 +29,127 @@
 }
 
 // Known are the estates that the folder tells of.
-func (b *ownBooks) Known() (all []state.Estate) {
-	b.done(func(r *Relay) {
-		for _, m := range r.journal.Marks() {
-			e := state.Estate{ID: m.Estate, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: m.Writer, Main: m.Main, Copies: m.Copies}
-			if len(m.Sets) > 0 {
-				e.Holders, e.Before = m.Sets[0].Holders, m.Sets[1:]
+func (b *groupRecords) Known() (known []state.Estate) {
+	b.runInLoop(func(r *Relay) {
+		for _, mark := range r.journal.Marks() {
+			group := state.Estate{ID: mark.Estate, Name: mark.Name, Epoch: mark.Epoch, Owner: r.conf.Name, Writer: mark.Writer, Main: mark.Main, Copies: mark.Copies}
+			if len(mark.Sets) > 0 {
+				group.Holders, group.Before = mark.Sets[0].Holders, mark.Sets[1:]
 			}
-			if r.copies.streams[m.Estate] == nil {
-				all = append(all, e)
+			if r.replication.streams[mark.Estate] == nil {
+				known = append(known, group)
 			}
 		}
 	})
-	return all
+	return known
 }
 
 // Mark notes an estate's sets of holders.
-func (b *ownBooks) Mark(e state.Estate) (ok bool) {
-	b.done(func(r *Relay) {
-		s := r.copies.streams[e.ID]
-		if s == nil || r.heir != nil {
+func (b *groupRecords) Mark(group state.Estate) (ok bool) {
+	b.runInLoop(func(r *Relay) {
+		s := r.replication.streams[group.ID]
+		if s == nil || r.nextProcess != nil {
 			return
 		}
-		if err := r.markEstate(e, s.Next()); err != nil {
-			slog.Error("an estate's holders are not noted", "estate", e.ID, "err", err)
+		if err := r.markGroup(group, s.Next()); err != nil {
+			slog.Error("an estate's holders are not noted", "estate", group.ID, "err", err)
 			return
 		}
-		s.estate, ok = e, true
+		s.group, ok = group, true
 	})
 	return ok
 }
 
-func (r *Relay) markEstate(e state.Estate, next uint64) error {
-	return r.journal.Append(journal.Record{Op: journal.OpMark, Mark: &journal.Mark{Estate: e.ID, Name: e.Name, Main: e.Main, Copies: e.Copies, Sets: e.Sets(),
-		Copy: state.Copy{Epoch: e.Epoch, Writer: e.Writer, From: e.Writer, Have: e.Epoch, Next: next}}})
+func (r *Relay) markGroup(group state.Estate, next uint64) error {
+	return r.journal.Append(journal.Record{Op: journal.OpMark, Mark: &journal.Mark{Estate: group.ID, Name: group.Name, Main: group.Main, Copies: group.Copies, Sets: group.Sets(),
+		Copy: state.Copy{Epoch: group.Epoch, Writer: group.Writer, From: group.Writer, Have: group.Epoch, Next: next}}})
 }
 
 // Begin has an estate written by this process.
-func (b *ownBooks) Begin(e state.Estate, found *estate.Found) (s *estate.Stream) {
-	b.done(func(r *Relay) {
-		if r.heir != nil || r.stopped || r.copies.streams[e.ID] != nil {
+func (b *groupRecords) Begin(group state.Estate, found *estate.Found) (s *estate.Stream) {
+	b.runInLoop(func(r *Relay) {
+		if r.nextProcess != nil || r.stopped || r.replication.streams[group.ID] != nil {
 			return
 		}
-		e.Writer = r.kept.Instance
+		group.Writer = r.kept.Instance
 		var err error
-		if s, err = r.beginEstate(e, found); err != nil {
-			slog.Error("an estate is not taken up", "estate", e.ID, "err", err)
+		if s, err = r.beginGroup(group, found); err != nil {
+			slog.Error("an estate is not taken up", "estate", group.ID, "err", err)
 		}
 	})
 	return s
 }
 
 // beginEstate takes up the folder's word on an estate, or what was found at holders if that is newer.
-func (r *Relay) beginEstate(e state.Estate, found *estate.Found) (*estate.Stream, error) {
-	own, known := r.journal.Mark(e.ID)
-	next := max(own.Next, 1)
-	theirs := found != nil && (!known || r.journal.Damaged() || found.Newer(own.Copy))
-	if theirs {
+func (r *Relay) beginGroup(group state.Estate, found *estate.Found) (*estate.Stream, error) {
+	mark, known := r.journal.Mark(group.ID)
+	next := max(mark.Next, 1)
+	useReplica := found != nil && (!known || r.journal.Damaged() || found.Newer(mark.Copy))
+	if useReplica {
 		next = max(next, found.Next)
-		if err := r.journal.Append(r.journal.Forget(e.ID)...); err != nil {
+		if err := r.journal.Append(r.journal.Forget(group.ID)...); err != nil {
 			return nil, err
 		}
-		var recs []journal.Record
+		var missing []journal.Record
 		for _, rec := range found.Records {
-			if rec.Op == journal.OpTaken && rec.Entry != nil && rec.Entry.Estate == e.ID && r.journal.Entry(rec.Entry.ID) == nil {
-				recs = append(recs, rec)
+			if rec.Op == journal.OpTaken && rec.Entry != nil && rec.Entry.Estate == group.ID && r.journal.Entry(rec.Entry.ID) == nil {
+				missing = append(missing, rec)
 			}
 		}
-		if err := r.journal.Append(recs...); err != nil {
+		if err := r.journal.Append(missing...); err != nil {
 			return nil, err
 		}
 	}
-	if err := r.markEstate(e, next); err != nil {
+	if err := r.markGroup(group, next); err != nil {
 		return nil, err
 	}
-	s := r.newStream(e, next)
-	heir := e.Name != r.conf.Name || !e.Main
-	n := 0
+	s := r.newGroupStream(group, next)
+	takenOver := group.Name != r.conf.Name || !group.Main
+	resumed := 0
 	for m := range r.journal.All() {
-		if m.Estate == e.ID {
-			n++
-			r.takeUp(m, theirs || heir) // what its owner before has out is not known
+		if m.Estate == group.ID {
+			resumed++
+			r.resume(m, useReplica || takenOver) // what its owner before has out is not known
 		}
 	}
-	if theirs {
-		r.toldWaits(found.Records)
+	if useReplica {
+		r.applyRecordedWaits(found.Records)
 	}
-	from := "its folder"
-	if theirs {
-		from = found.Holder
+	source := "its folder"
+	if useReplica {
+		source = found.Holder
 	}
-	slog.Info("estate taken up", "estate", e.ID, "of", e.Name, "epoch", e.Epoch, "inherited", heir, "from", from, "messages", n)
+	slog.Info("estate taken up", "estate", group.ID, "of", group.Name, "epoch", group.Epoch, "inherited", takenOver, "from", source, "messages", resumed)
 	return s.Stream, nil
 }
 
 // newStream has an estate's records go to its holders from now on.
-func (r *Relay) newStream(e state.Estate, next uint64) *stream {
-	c := r.copies
-	s := &stream{estate: e, short: max(1, r.now())}
-	s.Stream = estate.NewStream(e.ID, e.Writer, next, c.client, func(ctx context.Context) (recs []journal.Record, next uint64, ok bool) {
-		ok = (*ownBooks)(r).done(func(r *Relay) { recs, next = r.journal.Whole(e.ID), s.Next() })
-		return recs, next, ok && ctx.Err() == nil
-	}, r.news, func(*state.Sealed) { c.owner.Seal(e.ID) })
+func (r *Relay) newGroupStream(group state.Estate, next uint64) *groupStream {
+	c := r.replication
+	s := &groupStream{group: group, shortSince: max(1, r.now())}
+	s.Stream = estate.NewStream(group.ID, group.Writer, next, c.client, func(ctx context.Context) (records []journal.Record, next uint64, ok bool) {
+		ok = (*groupRecords)(r).runInLoop(func(r *Relay) { records, next = r.journal.Whole(group.ID), s.Next() })
+		return records, next, ok && ctx.Err() == nil
+	}, r.postCommitCheck, func(*state.Sealed) { c.owner.Seal(group.ID) })
 	s.BatchMost = min(s.BatchMost, int(journal.CopyBatch(r.conf.copyBudget())))
-	c.streams[e.ID] = s
-	if e.Main {
-		c.main = e.ID
+	c.streams[group.ID] = s
+	if group.Main {
+		c.main = group.ID
 	}
-	r.lookSoon()
+	r.scheduleCommitCheck()
 	return s
 }
 
 // Lost has an estate be another's.
-func (b *ownBooks) Lost(id uint64) {
-	b.done(func(r *Relay) {
-		c := r.copies
+func (b *groupRecords) Lost(id uint64) {
+	b.runInLoop(func(r *Relay) {
+		c := r.replication
 		s := c.streams[id]
 		delete(c.streams, id)
 		if c.main == id {
 			c.main = 0
 		}
-		if r.heir != nil {
+		if r.nextProcess != nil {
 			return
 		}
 		ids := map[string]bool{}
@@ -162,19 +162,19 @@
 			return
 		}
 		for id := range ids {
-			if m := r.held[id]; m != nil {
+			if m := r.pending[id]; m != nil {
 				r.events = append(r.events, choice.Withdrawn{ID: id})
-				m.over, m.gone = true, true
-				delete(r.held, id)
-				if m.fresh != nil {
-					r.answerUncounted(m)
+				m.ended, m.transferred = true, true
+				delete(r.pending, id)
+				if m.unanswered != nil {
+					r.answerUncommitted(m)
 				}
 			}
 		}
-		r.records = slices.DeleteFunc(r.records, func(rec journal.Record) bool { return ids[rec.ID] })
-		old := len(r.untold)
-		r.untold = slices.DeleteFunc(r.untold, func(n notice) bool { return ids[n.ID] })
-		r.owed -= old - len(r.untold)
+		r.pendingRecords = slices.DeleteFunc(r.pendingRecords, func(rec journal.Record) bool { return ids[rec.ID] })
+		countBefore := len(r.unrecordedNotices)
+		r.unrecordedNotices = slices.DeleteFunc(r.unrecordedNotices, func(n notice) bool { return ids[n.ID] })
+		r.pendingNotices -= countBefore - len(r.unrecordedNotices)
 		if s != nil {
 			s.gates.Drop()
 		}
@@ -182,15 +182,15 @@
 			slog.Error("what is another's stays in the folder", "estate", id, "err", err)
 		}
 		slog.Warn("estate is another's", "estate", id, "messages", len(ids))
-		r.figures.copied(r.standing())
+		r.figures.copied(r.replicationFigures())
 	})
 }
 
 // Empty tells whether nothing is left of an estate.
-func (b *ownBooks) Empty(id uint64) (empty bool) {
-	b.done(func(r *Relay) {
-		s := r.copies.streams[id]
-		empty = s != nil && s.gates.Len() == 0 && len(r.records) == 0
+func (b *groupRecords) Empty(id uint64) (empty bool) {
+	b.runInLoop(func(r *Relay) {
+		s := r.replication.streams[id]
+		empty = s != nil && s.gates.Len() == 0 && len(r.pendingRecords) == 0
 		for e := range r.journal.All() {
 			empty = empty && e.Estate != id
 		}
@@ -199,20 +199,20 @@
 }
 
 // adoptEstates goes on with the estates that the process before this one wrote, as the same writer: it has handed over.
-func (r *Relay) adoptEstates(writer string) {
-	c := r.copies
+func (r *Relay) adoptGroups(writer string) {
+	c := r.replication
 	marks := r.journal.Marks()
 	for _, id := range slices.Sorted(maps.Keys(marks)) {
-		m := marks[id]
-		if writer == "" || m.Writer != writer {
+		mark := marks[id]
+		if writer == "" || mark.Writer != writer {
 			continue
 		}
-		e := state.Estate{ID: id, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: writer, Main: m.Main, Copies: m.Copies}
-		if len(m.Sets) > 0 {
-			e.Holders, e.Before = m.Sets[0].Holders, m.Sets[1:]
+		group := state.Estate{ID: id, Name: mark.Name, Epoch: mark.Epoch, Owner: r.conf.Name, Writer: writer, Main: mark.Main, Copies: mark.Copies}
+		if len(mark.Sets) > 0 {
+			group.Holders, group.Before = mark.Sets[0].Holders, mark.Sets[1:]
 		}
-		s := r.newStream(e, max(1, m.Next))
-		s.Set(e.Epoch, e.Copies, e.Holders)
+		s := r.newGroupStream(group, max(1, mark.Next))
+		s.Set(group.Epoch, group.Copies, group.Holders)
 		c.owner.Adopt(s.Stream)
 	}
 }
--- a/internal/relay/flush.go
+++ b/internal/relay/flush.go
@@ -17,8 +17,8 @@
 // bindInOrder records what something new depends on, unless earlier records could not be written yet: written after it,
 // the end of an earlier message would end a new one of the same id, and an outcome would be taken for that of a new attempt.
 func (r *Relay) bindInOrder(recs []journal.Record, most time.Duration, then func(counts bool)) error {
-	if len(r.records) > 0 {
-		return errUnwritten
+	if len(r.pendingRecords) > 0 {
+		return errRecordsPending
 	}
 	return r.bind(recs, most, then)
 }
@@ -27,12 +27,12 @@
 // goes out before it is: a client told to come again, and a restart that takes the
 // message up again, would deliver it twice.
 func (r *Relay) flush() {
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		return // the journal is the next process's
 	}
-	all := r.records
-	for len(r.records) > 0 {
-		part := r.records[:min(len(r.records), recordsAtOnce)]
+	all := r.pendingRecords
+	for len(r.pendingRecords) > 0 {
+		part := r.pendingRecords[:min(len(r.pendingRecords), recordsAtOnce)]
 		notices := r.noticesOf(part)
 		var then func(counts bool)
 		if len(notices) > 0 {
@@ -42,18 +42,18 @@
 			if then != nil {
 				r.dropUncounted()
 			}
-			slog.Error("not recorded", "records", len(r.records), "err", err, "remedy", remedy.Of(err))
+			slog.Error("not recorded", "records", len(r.pendingRecords), "err", err, "remedy", remedy.Of(err))
 			r.flushAgain()
 			return
 		}
-		r.records = r.records[len(part):]
-		r.untold = r.untold[len(notices):]
+		r.pendingRecords = r.pendingRecords[len(part):]
+		r.unrecordedNotices = r.unrecordedNotices[len(notices):]
 	}
-	r.records = all[:0]
-	if len(r.untold) > 0 { // an earlier process recorded them
-		r.sendNotices(r.untold, true)
+	r.pendingRecords = all[:0]
+	if len(r.unrecordedNotices) > 0 { // an earlier process recorded them
+		r.sendNotices(r.unrecordedNotices, true)
 	}
-	r.untold = nil
+	r.unrecordedNotices = nil
 }
 
 // noticesOf are the first of the notices that wait, up to the last one that some records are of. Notices wait in the order
@@ -64,18 +64,18 @@
 		if record.Op != journal.OpNotice {
 			continue
 		}
-		for count < len(r.untold) && r.untold[count].ID != record.ID {
+		for count < len(r.unrecordedNotices) && r.unrecordedNotices[count].ID != record.ID {
 			count++ // an earlier process recorded it
 		}
 		count++
 	}
-	return r.untold[:min(count, len(r.untold))]
+	return r.unrecordedNotices[:min(count, len(r.unrecordedNotices))]
 }
 
 // sendNotices has notices go out once their records count.
 func (r *Relay) sendNotices(notices []notice, counts bool) {
 	if !counts { // another relay ends them
-		r.owed -= len(notices)
+		r.pendingNotices -= len(notices)
 		return
 	}
 	r.notices.add(notices)
@@ -86,9 +86,9 @@
 
 // flushAgain has the loop take a turn, and so flush, in a while; one such turn at a time, however many attempts have failed.
 func (r *Relay) flushAgain() {
-	if r.flushes {
+	if r.flushScheduled {
 		return
 	}
-	r.flushes = true
-	time.AfterFunc(rewriteIn, func() { r.post(func() { r.flushes = false }) })
+	r.flushScheduled = true
+	time.AfterFunc(rewriteIn, func() { r.post(func() { r.flushScheduled = false }) })
 }
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -48,7 +48,7 @@
 		return listTooOld
 	case c.host.waiting.left(now) > 0:
 		return toldToWait
-	case r.late():
+	case r.dialedTooLate():
 		return handedOver
 	case over(c.before) || over(c.fresh): // nobody would drop the repeat any more, or an heir may not know of it
 		return outOfTime
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -23,116 +23,116 @@
 // lets its calls and its clients' connections run out, and passes on outcomes and messages.
 
 const (
-	handoverName  = "handover"
-	handoverHello = "larchrouter handover 1\n"
-	handoverTaken = "taken\n"
+	handoverSocket   = "handover"
+	handoverHello    = "larchrouter handover 1\n"
+	handoverAccepted = "taken\n"
 	// handoverIn is for one side to wait for the other. The loop waits so long at most for what the
 	// next process does in milliseconds; clients wait 400 ms.
-	handoverIn = 2 * time.Second
+	handoverTimeout = 2 * time.Second
 	// lateCall is how long after a hand-over a call may still get its connection: news of its
 	// host's draining no longer reach this process.
-	lateCall = 500 * time.Millisecond
+	lateDialLimit = 500 * time.Millisecond
 	// askersMost bounds how many next processes may wait for a hand-over: one that has died, and the one started in its place.
-	askersMost = 2
-	linkQueue  = 4096
+	maxHandoverRequests = 2
+	linkQueueLength     = 4096
 )
 
 // bequest is what the next process needs besides the journal.
-type bequest struct {
-	Version int64              `json:"version"`
-	Servers []discovery.Server `json:"servers"`
-	Gone    []discovery.Server `json:"gone"` // no longer listed, but with calls out
-	Memory  choice.Memory      `json:"memory"`
-	Calls   []callOut          `json:"calls"`
-	Past    []string           `json:"past"`             // ids that ended not long ago
-	Peers   int                `json:"peers"`            // connections that clients have here
-	Writer  string             `json:"writer,omitempty"` // of estates, as their holders know it
+type handoverSnapshot struct {
+	Version      int64              `json:"version"`
+	Servers      []discovery.Server `json:"servers"`
+	Departed     []discovery.Server `json:"gone"` // no longer listed, but with calls out
+	Memory       choice.Memory      `json:"memory"`
+	RunningCalls []runningCall      `json:"calls"`
+	EndedIDs     []string           `json:"past"`             // ids that ended not long ago
+	ClientConns  int                `json:"peers"`            // connections that clients have here
+	Writer       string             `json:"writer,omitempty"` // of estates, as their holders know it
 }
 
 // callOut is a call that runs on in the process that handed over.
-type callOut struct {
-	Host string        `json:"host"`
-	Ago  time.Duration `json:"ago"` // since it went out
-	IDs  []string      `json:"ids"`
+type runningCall struct {
+	Host    string        `json:"host"`
+	Elapsed time.Duration `json:"ago"` // since it went out
+	IDs     []string      `json:"ids"`
 }
 
 // passed is what the process that handed over goes on to tell.
-type passed struct {
-	N    int64          `json:"n,omitempty"`
-	Take *journal.Entry `json:"take,omitempty"` // a client's message, to be answered under N
-	Left time.Duration  `json:"left,omitempty"`
-	End  *endPassed     `json:"end,omitempty"`
+type forwarded struct {
+	RequestID int64            `json:"n,omitempty"`
+	Entry     *journal.Entry   `json:"take,omitempty"` // a client's message, to be answered under N
+	TimeLeft  time.Duration    `json:"left,omitempty"`
+	Result    *forwardedResult `json:"end,omitempty"`
 }
 
-type endPassed struct {
-	ID      string         `json:"id"`
-	Outcome choice.Outcome `json:"outcome"`
-	Done    bool           `json:"done,omitempty"`
-	Took    time.Duration  `json:"took"`
-	Wait    time.Duration  `json:"wait,omitempty"`
-	Report  string         `json:"load,omitempty"`
-	Stale   bool           `json:"stale,omitempty"`
+type forwardedResult struct {
+	ID         string         `json:"id"`
+	Outcome    choice.Outcome `json:"outcome"`
+	Done       bool           `json:"done,omitempty"`
+	Elapsed    time.Duration  `json:"took"`
+	RetryAfter time.Duration  `json:"wait,omitempty"`
+	LoadReport string         `json:"load,omitempty"`
+	StaleConn  bool           `json:"stale,omitempty"`
 }
 
 // returned is what the next process tells the one before it.
-type returned struct {
-	N      int64         `json:"n,omitempty"`
-	Status int           `json:"status,omitempty"`
-	After  time.Duration `json:"after,omitempty"`
-	Text   string        `json:"text,omitempty"`
-	Cancel string        `json:"cancel,omitempty"` // the call with this message is called off
+type handoverReply struct {
+	RequestID  int64         `json:"n,omitempty"`
+	Status     int           `json:"status,omitempty"`
+	RetryAfter time.Duration `json:"after,omitempty"`
+	Text       string        `json:"text,omitempty"`
+	CancelID   string        `json:"cancel,omitempty"` // the call with this message is called off
 }
 
 // succession is what a relay has of the process before it, and what it owes to the one after it.
-type succession struct {
-	heritage *heritage         // from the process before this one; nil if there was none
-	heirs    *net.UnixListener // where the next process asks; nil if it cannot
-	askers   []*net.UnixConn   // of next processes that have asked, in this order; the first may have died since
-	deferred []*intake         // came since then, and are taken on after the hand-over
-	heir     *link             // it has taken over
-	asked    map[int64]*intake // messages passed to it that it has not answered yet
-	askedN   int64
-	passedAt atomic.Int64 // when it took over, steady Unix nanoseconds; 0 if it has not
+type handoverState struct {
+	previousProcess  *precedingProcess // from the process before this one; nil if there was none
+	handoverListener *net.UnixListener // where the next process asks; nil if it cannot
+	handoverRequests []*net.UnixConn   // of next processes that have asked, in this order; the first may have died since
+	deferredIntakes  []*intake         // came since then, and are taken on after the hand-over
+	nextProcess      *processLink      // it has taken over
+	forwardedIntakes map[int64]*intake // messages passed to it that it has not answered yet
+	lastForwardedID  int64
+	handedOverAt     atomic.Int64 // when it took over, steady Unix nanoseconds; 0 if it has not
 }
 
 // awaitTaken waits for the next process's word. If that comes just as this process stops waiting it holds all the same, or both
 // would go on as this relay: one that comes later fails on the other side.
-func awaitTaken(conn *net.UnixConn) error {
-	word := make([]byte, len(handoverTaken))
-	n, err := io.ReadFull(conn, word)
+func awaitAccepted(conn *net.UnixConn) error {
+	reply := make([]byte, len(handoverAccepted))
+	n, err := io.ReadFull(conn, reply)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		if err := errors.Join(conn.CloseRead(), conn.SetReadDeadline(time.Now().Add(handoverIn))); err != nil {
+		if err := errors.Join(conn.CloseRead(), conn.SetReadDeadline(time.Now().Add(handoverTimeout))); err != nil {
 			return err
 		}
-		_, err = io.ReadFull(conn, word[n:]) // what has come by now
+		_, err = io.ReadFull(conn, reply[n:]) // what has come by now
 	}
 	if err != nil {
 		return err
 	}
-	if string(word) != handoverTaken {
-		return fmt.Errorf("next process says %q", word)
+	if string(reply) != handoverAccepted {
+		return fmt.Errorf("next process says %q", reply)
 	}
 	return nil
 }
 
 // link carries lines of JSON between the two processes. It never blocks who sends.
-type link struct {
-	conn *net.UnixConn
-	in   *json.Decoder
-	out  chan any
-	end  chan struct{} // the other side has gone
-	last chan struct{} // nothing more is to be sent
-	sent chan struct{} // and all has been
+type processLink struct {
+	conn         *net.UnixConn
+	decoder      *json.Decoder
+	queue        chan any
+	disconnected chan struct{} // the other side has gone
+	finishing    chan struct{} // nothing more is to be sent
+	writerDone   chan struct{} // and all has been
 }
 
-func newLink(conn *net.UnixConn, in *json.Decoder) *link {
-	l := &link{conn: conn, in: in, out: make(chan any, linkQueue),
-		end: make(chan struct{}), last: make(chan struct{}), sent: make(chan struct{})}
+func newProcessLink(conn *net.UnixConn, decoder *json.Decoder) *processLink {
+	l := &processLink{conn: conn, decoder: decoder, queue: make(chan any, linkQueueLength),
+		disconnected: make(chan struct{}), finishing: make(chan struct{}), writerDone: make(chan struct{})}
 	go func() {
-		defer close(l.sent)
-		enc := json.NewEncoder(conn)
-		put := func(v any) bool {
-			err := enc.Encode(v)
+		defer close(l.writerDone)
+		encoder := json.NewEncoder(conn)
+		write := func(v any) bool {
+			err := encoder.Encode(v)
 			if err != nil {
 				slog.Warn("hand-over: not passed on", "err", err)
 				conn.Close() // the reader tells
@@ -141,14 +141,14 @@
 		}
 		for {
 			select {
-			case v := <-l.out:
-				if !put(v) {
+			case v := <-l.queue:
+				if !write(v) {
 					return
 				}
-			case <-l.end:
+			case <-l.disconnected:
 				return
-			case <-l.last:
-				for len(l.out) > 0 && put(<-l.out) {
+			case <-l.finishing:
+				for len(l.queue) > 0 && write(<-l.queue) {
 				}
 				return
 			}
@@ -158,19 +158,19 @@
 }
 
 // finish sends what is left, within the time that is left to a process that stops, and ends the link.
-func (l *link) finish() {
+func (l *processLink) finish() {
 	l.conn.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
-	close(l.last)
-	<-l.sent
+	close(l.finishing)
+	<-l.writerDone
 	l.conn.Close()
 }
 
 // send tells whether the other side may still hear of it.
-func (l *link) send(v any) bool {
+func (l *processLink) send(v any) bool {
 	select {
-	case <-l.end:
+	case <-l.disconnected:
 		return false
-	case l.out <- v:
+	case l.queue <- v:
 		return true
 	default:
 		l.conn.Close() // it has not read for thousands of lines: both sides must see that it ended
@@ -179,14 +179,14 @@
 }
 
 // hear reads what the other side tells until it has gone.
-func hear[T any](l *link, each func(T)) {
+func readUpdates[T any](l *processLink, handle func(T)) {
 	defer l.conn.Close()
-	defer close(l.end)
+	defer close(l.disconnected)
 	for {
 		var v T
-		if err := l.in.Decode(&v); err != nil {
+		if err := l.decoder.Decode(&v); err != nil {
 			return
 		}
-		each(v)
+		handle(v)
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -124,7 +124,7 @@
 	old := startRelay(t, p, withAdmin)
 	up(t, old.Addr())
 	for i, says := range []string{"", "hello", handoverHello, handoverHello + "tak", handoverHello + "mine!\n"} {
-		conn, err := net.Dial("unix", filepath.Join(old.conf.State, handoverName))
+		conn, err := net.Dial("unix", filepath.Join(old.conf.State, handoverSocket))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,19 +171,19 @@
 		{name: "an answer to pass back", asked: 1, held: 1, passed: true, stopped: true},
 		{name: "messages of the next process", held: 1, passed: true, idle: true},
 	} {
-		r := &Relay{out: c.out, stopped: c.stopped, books: books{held: map[string]*message{}},
-			succession: succession{heritage: &heritage{calls: map[string]*call{}}, asked: map[int64]*intake{}}}
+		r := &Relay{out: c.out, stopped: c.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
+			handoverState: handoverState{previousProcess: &precedingProcess{calls: map[string]*call{}}, forwardedIntakes: map[int64]*intake{}}}
 		if c.passed {
-			r.heir = &link{}
+			r.nextProcess = &processLink{}
 		}
 		for i := range c.adopted {
-			r.heritage.calls[fmt.Sprint("m", i)] = &call{}
+			r.previousProcess.calls[fmt.Sprint("m", i)] = &call{}
 		}
 		for i := range c.asked {
-			r.asked[int64(i)] = &intake{}
+			r.forwardedIntakes[int64(i)] = &intake{}
 		}
 		for i := range c.held {
-			r.held[fmt.Sprint("m", i)] = &message{}
+			r.pending[fmt.Sprint("m", i)] = &message{}
 		}
 		want(t, c.name, r.idle(), c.idle)
 	}
@@ -193,14 +193,14 @@
 func TestCallsOfAProcessThatEndedAreCalledOff(t *testing.T) {
 	c := &call{host: &host{id: "s-1"}, began: time.Now().Add(-time.Minute)}
 	m := &message{Entry: &journal.Entry{ID: "m1"}, call: c}
-	h := &heritage{calls: map[string]*call{"m1": c}}
-	r := &Relay{succession: succession{heritage: h}, books: books{held: map[string]*message{"m1": m}}}
-	r.orphaned(h)
+	h := &precedingProcess{calls: map[string]*call{"m1": c}}
+	r := &Relay{handoverState: handoverState{previousProcess: h}, messageRecords: messageRecords{pending: map[string]*message{"m1": m}}}
+	r.endOrphanedCalls(h)
 	want(t, "events", len(r.events), 1)
 	e := r.events[0].(choice.Result)
 	want(t, "outcome", e.Outcome, choice.Cancelled)
 	want(t, "took", e.Took >= time.Minute, true)
-	want(t, "it may have run", r.records[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
+	want(t, "it may have run", r.pendingRecords[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
 	want(t, "calls left", len(h.calls), 0)
 }
 
@@ -225,19 +225,19 @@
 // Guards against two processes that both go on as one relay: the word of the next one comes as this one stops waiting.
 func TestTheWordThatComesAsWaitingEnds(t *testing.T) {
 	here, there := unixPair(t)
-	if err := (&heritage{conn: there}).accept(); err != nil {
+	if err := (&precedingProcess{conn: there}).confirm(); err != nil {
 		t.Fatal(err)
 	}
 	here.SetDeadline(time.Now().Add(-time.Second))
-	if err := awaitTaken(here); err != nil {
+	if err := awaitAccepted(here); err != nil {
 		t.Errorf("the next process has taken over, and this one finds %v", err)
 	}
 	here, there = unixPair(t)
 	here.SetDeadline(time.Now().Add(-time.Second))
-	if err := awaitTaken(here); err == nil {
+	if err := awaitAccepted(here); err == nil {
 		t.Error("no word came, and this process finds that it has handed over")
 	}
-	if err := (&heritage{conn: there}).accept(); err == nil {
+	if err := (&precedingProcess{conn: there}).confirm(); err == nil {
 		t.Error("this process goes on, and the next one finds that it has taken over")
 	}
 }
@@ -251,7 +251,7 @@
 	up(t, old.Addr())
 	goOn := make(chan struct{})
 	old.post(func() { <-goOn }) // a turn that lasts until both have asked
-	dead, err := net.Dial("unix", filepath.Join(old.conf.State, handoverName))
+	dead, err := net.Dial("unix", filepath.Join(old.conf.State, handoverSocket))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/relay/inherit.go
+++ b/internal/relay/inherit.go
@@ -17,25 +17,25 @@
 )
 
 // heritage is what a process has from the one before it.
-type heritage struct {
-	bequest
-	conn  *net.UnixConn
-	in    *json.Decoder
-	tcp   *net.TCPListener
-	calls map[string]*call // by message
+type precedingProcess struct {
+	handoverSnapshot
+	conn     *net.UnixConn
+	decoder  *json.Decoder
+	listener *net.TCPListener
+	calls    map[string]*call // by message
 }
 
 // inherit asks the process that runs as this relay to hand over. It returns nil if there is none.
-func inherit(state string) (*heritage, error) {
-	path := filepath.Join(state, handoverName)
-	c, err := net.DialTimeout("unix", path, handoverIn)
+func requestHandover(state string) (*precedingProcess, error) {
+	path := filepath.Join(state, handoverSocket)
+	c, err := net.DialTimeout("unix", path, handoverTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) {
 		return nil, nil
 	}
 	if err != nil {
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
-	h := &heritage{conn: c.(*net.UnixConn), in: json.NewDecoder(c), calls: map[string]*call{}}
+	h := &precedingProcess{conn: c.(*net.UnixConn), decoder: json.NewDecoder(c), calls: map[string]*call{}}
 	if err := h.receive(); err != nil {
 		h.close()
 		return nil, fmt.Errorf("hand-over: %w", err)
@@ -43,8 +43,8 @@
 	return h, nil
 }
 
-func (h *heritage) receive() error {
-	h.conn.SetDeadline(time.Now().Add(2 * handoverIn)) // the other side may be in the middle of a step
+func (h *precedingProcess) receive() error {
+	h.conn.SetDeadline(time.Now().Add(2 * handoverTimeout)) // the other side may be in the middle of a step
 	if _, err := io.WriteString(h.conn, handoverHello); err != nil {
 		return err
 	}
@@ -72,27 +72,27 @@
 		l.Close()
 		return fmt.Errorf("%T came for a listener", l)
 	}
-	h.tcp = tcp
-	return h.in.Decode(&h.bequest)
+	h.listener = tcp
+	return h.decoder.Decode(&h.handoverSnapshot)
 }
 
-func (h *heritage) close() {
+func (h *precedingProcess) close() {
 	h.conn.Close()
-	if h.tcp != nil {
-		h.tcp.Close()
+	if h.listener != nil {
+		h.listener.Close()
 	}
 }
 
 // accept tells the process before this one that it has handed over.
-func (h *heritage) accept() error {
-	if _, err := io.WriteString(h.conn, handoverTaken); err != nil {
+func (h *precedingProcess) confirm() error {
+	if _, err := io.WriteString(h.conn, handoverAccepted); err != nil {
 		return fmt.Errorf("hand-over: %w", err)
 	}
 	return h.conn.SetDeadline(time.Time{})
 }
 
 // callOf is the call that a message is out with in the process before this one; nil for none.
-func (h *heritage) callOf(id string) *call {
+func (h *precedingProcess) callOf(id string) *call {
 	if h == nil {
 		return nil
 	}
@@ -100,42 +100,42 @@
 }
 
 // adopt takes up the calls that run on in the process before this one.
-func (r *Relay) adopt(h *heritage) {
-	for i, c := range h.Calls {
+func (r *Relay) adoptCalls(h *precedingProcess) {
+	for i, c := range h.RunningCalls {
 		if r.hosts[c.Host] == nil {
 			continue // the journal has its messages as ones that may have run
 		}
-		adopted := &call{number: i + 1, host: r.hosts[c.Host], began: time.Now().Add(-c.Ago)}
+		adopted := &call{number: i + 1, host: r.hosts[c.Host], began: time.Now().Add(-c.Elapsed)}
 		for _, id := range c.IDs {
 			h.calls[id] = adopted
 		}
 	}
-	for _, id := range h.Past {
-		r.past.add(id)
+	for _, id := range h.EndedIDs {
+		r.endedIDs.add(id)
 	}
 	r.events = append(r.events, h.Memory)
 }
 
 // attend follows the process before this one until it ends.
-func (r *Relay) attend(h *heritage) {
-	l := newLink(h.conn, h.in)
+func (r *Relay) followPrevious(h *precedingProcess) {
+	l := newProcessLink(h.conn, h.decoder)
 	for id, c := range h.calls {
-		c.cancel = func(error) { l.send(returned{Cancel: id}) }
-		r.endInTime(h, id, c)
+		c.cancel = func(error) { l.send(handoverReply{CancelID: id}) }
+		r.endAtDeadline(h, id, c)
 	}
 	go func() {
-		hear(l, func(v passed) {
+		readUpdates(l, func(v forwarded) {
 			r.post(func() {
-				if v.End != nil {
-					r.endedBefore(h, *v.End)
+				if v.Result != nil {
+					r.endedByPrevious(h, *v.Result)
 				}
-				if v.Take != nil {
-					r.takePassed(l, v)
+				if v.Entry != nil {
+					r.acceptForwarded(l, v)
 				}
 			})
 		})
 		r.post(func() {
-			r.orphaned(h)
+			r.endOrphanedCalls(h)
 			clients, _ := r.conf.parts(r.set.Load().Workers)
 			r.listener.allow(clients)
 			slog.Info("the process before this one has ended")
@@ -145,48 +145,52 @@
 
 // wordIn is for the word of the process before this one on a call whose message's time is up. The end of the message is owed
 // 300 ms after that time.
-const wordIn = 100 * time.Millisecond
+const lateResultGrace = 100 * time.Millisecond
 
 // endInTime ends an attempt of the process before this one once its message's time is up: that process may get no core, or
 // hang, and the end is owed by this one.
-func (r *Relay) endInTime(h *heritage, id string, c *call) {
-	m := r.held[id]
+func (r *Relay) endAtDeadline(h *precedingProcess, id string, c *call) {
+	m := r.pending[id]
 	if m == nil {
 		return
 	}
-	time.AfterFunc(m.due-r.now()+wordIn, func() {
-		r.post(func() { r.endedBefore(h, endPassed{ID: id, Outcome: choice.Timeout, Took: time.Since(c.began)}) })
+	time.AfterFunc(m.due-r.now()+lateResultGrace, func() {
+		r.post(func() {
+			r.endedByPrevious(h, forwardedResult{ID: id, Outcome: choice.Timeout, Elapsed: time.Since(c.began)})
+		})
 	})
 }
 
 // orphaned ends the calls that were still out as the process before this one ended. They may have
 // run, but were broken off on this side: that is not held against their hosts as a reset would be.
-func (r *Relay) orphaned(h *heritage) {
+func (r *Relay) endOrphanedCalls(h *precedingProcess) {
 	for id, c := range h.calls {
-		r.endedBefore(h, endPassed{ID: id, Outcome: choice.Cancelled, Took: time.Since(c.began)})
+		r.endedByPrevious(h, forwardedResult{ID: id, Outcome: choice.Cancelled, Elapsed: time.Since(c.began)})
 	}
 }
 
 // endedBefore takes in how an attempt ended that the process before this one had out.
-func (r *Relay) endedBefore(h *heritage, e endPassed) {
-	c := h.calls[e.ID]
-	delete(h.calls, e.ID)
-	if m := r.held[e.ID]; m != nil && c != nil {
-		r.ended(c, m, end{e.Outcome, e.Done}, told{took: e.Took, wait: e.Wait, report: e.Report, stale: e.Stale})
+func (r *Relay) endedByPrevious(h *precedingProcess, result forwardedResult) {
+	c := h.calls[result.ID]
+	delete(h.calls, result.ID)
+	if m := r.pending[result.ID]; m != nil && c != nil {
+		r.ended(c, m, end{result.Outcome, result.Done}, told{took: result.Elapsed, wait: result.RetryAfter, report: result.LoadReport, stale: result.StaleConn})
 	}
 }
 
 // takePassed takes on a message that came on a connection of the process before this one.
-func (r *Relay) takePassed(l *link, v passed) {
+func (r *Relay) acceptForwarded(l *processLink, update forwarded) {
 	// On its way it may have waited for either process: its time runs by the clock that both read.
-	left := min(v.Left, steady.Until(v.Take.Due))
-	in := &intake{entry: v.Take, due: r.now() + left, ctx: r.calls, reply: make(chan answer, 1)}
-	answered := func(a answer) { l.send(returned{N: v.N, Status: a.status, After: a.after, Text: a.text}) }
+	timeLeft := min(update.TimeLeft, steady.Until(update.Entry.Due))
+	in := &intake{entry: update.Entry, due: r.now() + timeLeft, ctx: r.calls, reply: make(chan answer, 1)}
+	sendReply := func(a answer) {
+		l.send(handoverReply{RequestID: update.RequestID, Status: a.status, RetryAfter: a.after, Text: a.text})
+	}
 	r.take(in)
 	go func() {
 		select {
 		case a := <-in.reply:
-			answered(a)
+			sendReply(a)
 		case <-r.quit:
 		}
 	}()
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -124,7 +124,7 @@
 
 // snapshot are the settings that hold for a request which begins now.
 func (r *Relay) snapshot() *standing {
-	if r.passedAt.Load() > 0 {
+	if r.handedOverAt.Load() > 0 {
 		return nil
 	}
 	return r.set.Load()
@@ -171,20 +171,20 @@
 	}
 	refuse := answer{status: http.StatusServiceUnavailable, after: comeBack, text: "no room"}
 	switch {
-	case r.heir != nil:
-		r.pass(in)
-	case len(r.askers) > 0 && r.copies != nil: // the next process is to have all that counts first
-		r.deferred = append(r.deferred, in)
-	case r.held[id] != nil: // the client sent it again after its connection broke
-		m := r.held[id]
-		m.twice = true
-		if m.fresh == nil {
+	case r.nextProcess != nil:
+		r.forward(in)
+	case len(r.handoverRequests) > 0 && r.replication != nil: // the next process is to have all that counts first
+		r.deferredIntakes = append(r.deferredIntakes, in)
+	case r.pending[id] != nil: // the client sent it again after its connection broke
+		m := r.pending[id]
+		m.resent = true
+		if m.unanswered == nil {
 			in.reply <- answer{status: http.StatusAccepted}
 		} else {
-			m.fresh = append(m.fresh, in)
+			m.unanswered = append(m.unanswered, in)
 		}
-	case r.liesOnDisk(in):
-	case r.past.has(id):
+	case r.answerStoredDuplicate(in):
+	case r.endedIDs.has(id):
 		in.reply <- answer{status: http.StatusAccepted}
 	case r.journal.Entry(id) != nil:
 		r.answerRecorded(in, r.journal.Entry(id))
@@ -195,18 +195,18 @@
 	case r.dests[in.entry.Dest] == nil:
 		r.figures.ended(in.entry.Class, failedEnd)
 		in.reply <- answer{status: http.StatusNotFound, text: "unknown destination"}
-	case r.stopped || !r.copies.takes(r.now()) || set.MaxHeld > 0 && len(r.held)+r.overflow.len() >= set.MaxHeld ||
-		r.owed >= maxOwed || r.overflow.broken() || !r.holdersHaveRoom(in.entry):
+	case r.stopped || !r.replication.accepts(r.now()) || set.MaxHeld > 0 && len(r.pending)+r.overflow.len() >= set.MaxHeld ||
+		r.pendingNotices >= maxOwed || r.overflow.broken() || !r.replicasHaveSpace(in.entry):
 		r.figures.ended(in.entry.Class, refusedEnd)
 		in.reply <- refuse
-	case r.toDisk(in):
+	case r.queueForDisk(in):
 	default:
-		if r.copies != nil {
-			in.entry.Estate = r.copies.main
+		if r.replication != nil {
+			in.entry.Estate = r.replication.main
 		}
 		due := in.due - r.endMargin(in.due-r.now())
-		m := &message{Entry: in.entry, due: due, fresh: []*intake{in}}
-		r.held[id] = m
+		m := &message{Entry: in.entry, due: due, unanswered: []*intake{in}}
+		r.pending[id] = m
 		r.overflow.enter(m)
 		r.fresh = append(r.fresh, m)
 		r.events = append(r.events, choice.Arrival{ID: id, Class: -1, Dest: in.entry.Dest, Terms: in.entry.Terms,
--- a/internal/relay/late_answer_test.go
+++ b/internal/relay/late_answer_test.go
@@ -18,7 +18,7 @@
 		if err := g.journal.Append(journal.Record{Op: journal.OpTaken, Entry: m.Entry}); err != nil {
 			g.t.Error(err)
 		}
-		g.held[id] = m
+		g.pending[id] = m
 	})
 	return m, c
 }
--- a/internal/relay/listlease.go
+++ b/internal/relay/listlease.go
@@ -169,9 +169,9 @@
 	}
 	if expired {
 		slog.Log(context.Background(), level, "the list has expired: nothing is sent until discovery answers", "age", time.Since(r.lease.Confirmed), "failures", r.lease.Failures,
-			"held", len(r.held))
+			"held", len(r.pending))
 	} else {
-		slog.Log(context.Background(), level, "the list may be acted on again", "age", time.Since(r.lease.Confirmed), "held", len(r.held))
+		slog.Log(context.Background(), level, "the list may be acted on again", "age", time.Since(r.lease.Confirmed), "held", len(r.pending))
 	}
 }
 
--- a/internal/relay/notices.go
+++ b/internal/relay/notices.go
@@ -45,19 +45,19 @@
 		for _, n := range batch {
 			r.record(journal.Record{Op: journal.OpEnd, ID: n.ID})
 		}
-		r.owed -= len(batch)
+		r.pendingNotices -= len(batch)
 	})
 }
 
 // servedLate takes in that a message was delivered by a call that outlasted the message's own time. Its notice is withdrawn
 // if it has not gone out yet: a client that is told of a failure takes what was delivered for lost.
 func (r *Relay) servedLate(m *message) {
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		return // its end is the next process's
 	}
 	m.served = true
-	if m.over && r.notices.withdraw(m.ID) {
-		r.owed--
+	if m.ended && r.notices.withdraw(m.ID) {
+		r.pendingNotices--
 		r.figures.ended(m.Class, servedEnd)
 		r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
 	}
--- a/internal/relay/notices_record_test.go
+++ b/internal/relay/notices_record_test.go
@@ -23,8 +23,8 @@
 		}
 		g.journal.Break(errors.New("no disk"))
 		m := &message{Entry: e}
-		g.held[id] = m
-		g.give(m, notice{ID: id, Status: undeliverable})
+		g.pending[id] = m
+		g.endWithNotice(m, notice{ID: id, Status: undeliverable})
 	})
 	<-done
 	synctest.Wait()
--- a/internal/relay/notices_relay_test.go
+++ b/internal/relay/notices_relay_test.go
@@ -70,7 +70,7 @@
 	done := make(chan struct{})
 	g.post(func() {
 		for _, id := range ids {
-			g.owe(notice{ID: id, Status: undeliverable})
+			g.queueNotice(notice{ID: id, Status: undeliverable})
 		}
 		close(done)
 	})
@@ -81,7 +81,7 @@
 func (g *noticeRig) left() int {
 	g.t.Helper()
 	count, begun := make(chan int, 1), time.Now()
-	g.post(func() { count <- g.owed })
+	g.post(func() { count <- g.pendingNotices })
 	select {
 	case n := <-count:
 		if waited := time.Since(begun); waited > 0 {
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -185,7 +185,7 @@
 				runtime.Gosched()
 			}
 			for _, id := range ids {
-				g.owe(notice{ID: id, Status: undeliverable})
+				g.queueNotice(notice{ID: id, Status: undeliverable})
 			}
 		})
 		time.Sleep(time.Second)
--- a/internal/relay/record_order_test.go
+++ b/internal/relay/record_order_test.go
@@ -71,7 +71,7 @@
 	r.step()
 	want(t, "status of the first", status(first), http.StatusAccepted)
 	r.withdraw("m1", nil)
-	r.records = append(append([]journal.Record(nil), r.records...), tooLarge()...)
+	r.pendingRecords = append(append([]journal.Record(nil), r.pendingRecords...), tooLarge()...)
 	early := []*intake{request(t, r, context.Background(), "m1", "payment", time.Minute), request(t, r, context.Background(), "m2", "payment", time.Minute)}
 	for _, in := range early {
 		r.take(in)
@@ -80,7 +80,7 @@
 	for _, in := range early {
 		want(t, "status of "+in.entry.ID+" while records wait", status(in), http.StatusServiceUnavailable)
 	}
-	r.records = r.records[:len(r.records)-len(tooLarge())]
+	r.pendingRecords = r.pendingRecords[:len(r.pendingRecords)-len(tooLarge())]
 	r.step()
 	late := request(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.take(late)
@@ -112,22 +112,22 @@
 		j.Close()
 		r := unserved(t, newPlatform(t, leavingHost()), state)
 		if forget {
-			r.past = recent{}
+			r.endedIDs = recentIDs{}
 		}
 		in := request(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.take(in)
 		r.step()
 		want(t, name+": status", status(in), http.StatusAccepted)
-		want(t, name+": messages held", len(r.held), 0)
-		want(t, name+": notices owed", r.owed, 1)
+		want(t, name+": messages held", len(r.pending), 0)
+		want(t, name+": notices owed", r.pendingNotices, 1)
 		r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has taken it
 		r.step()
 		want(t, name+": messages on record", r.journal.Len(), 0)
 		again := request(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.take(again)
 		r.step()
-		want(t, name+": held, once the notice is told", len(r.held), map[bool]int{false: 0, true: 1}[forget])
-		want(t, name+": on record, once the notice is told", r.journal.Len(), len(r.held))
+		want(t, name+": held, once the notice is told", len(r.pending), map[bool]int{false: 0, true: 1}[forget])
+		want(t, name+": on record, once the notice is told", r.journal.Len(), len(r.pending))
 	}
 }
 
@@ -143,6 +143,6 @@
 		r.take(in)
 		r.step()
 		want(t, class, status(in), said)
-		want(t, "messages held", len(r.held), 0)
+		want(t, "messages held", len(r.pending), 0)
 	}
 }
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -88,14 +88,14 @@
 func TestNoWordOfTheNextProcess(t *testing.T) {
 	for effect, status := range map[choice.Effect]int{choice.Safe: 503, choice.Keyed: 500, choice.Unsafe: 500} {
 		in := &intake{entry: &journal.Entry{ID: "m", Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, reply: make(chan answer, 1)}
-		r := &Relay{quit: make(chan struct{}), succession: succession{asked: map[int64]*intake{1: in}}}
-		r.heirGone()
+		r := &Relay{quit: make(chan struct{}), handoverState: handoverState{forwardedIntakes: map[int64]*intake{1: in}}}
+		r.nextProcessExited()
 		want(t, "status", wait(t, in.reply, "answer").status, status)
-		want(t, "asked", len(r.asked), 0)
+		want(t, "asked", len(r.forwardedIntakes), 0)
 	}
 	unknown := &intake{entry: &journal.Entry{ID: "m"}, reply: make(chan answer, 1)}
-	r := &Relay{succession: succession{asked: map[int64]*intake{1: unknown}}}
-	r.lastWord()
+	r := &Relay{handoverState: handoverState{forwardedIntakes: map[int64]*intake{1: unknown}}}
+	r.answerAtExit()
 	want(t, "status of one whose class is not known here", wait(t, unknown.reply, "answer").status, 500)
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -57,12 +57,12 @@
 	closing    atomic.Bool // their connections end with the next answer
 	figures    figures
 
-	books
+	messageRecords
 	endpoints
 	listLease
 	sending sendGate
 	agreement
-	succession
+	handoverState
 	chooser     *choice.Chooser
 	events      []choice.Event
 	fresh       []*message
@@ -79,9 +79,9 @@
 func New(conf Config) (r *Relay, err error) {
 	set := conf.Settings
 	r = &Relay{conf: conf, platformAt: discovery.NewAt(conf.Discovery), began: time.Now(), inbox: make(chan func(), 1024),
-		books:     books{held: map[string]*message{}},
-		endpoints: endpoints{zones: set.Zones, hosts: map[string]*host{}, dests: map[int]*waiting{}},
-		quit:      make(chan struct{}), halted: make(chan struct{}), wake: time.NewTimer(time.Hour)}
+		messageRecords: messageRecords{pending: map[string]*message{}},
+		endpoints:      endpoints{zones: set.Zones, hosts: map[string]*host{}, dests: map[int]*waiting{}},
+		quit:           make(chan struct{}), halted: make(chan struct{}), wake: time.NewTimer(time.Hour)}
 	clients, kept := conf.parts(set.Workers)
 	r.hostSide.Store(newTransport(&set, kept, r.dial(set.DialTimeout)))
 	r.platform = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: r.dial(0)}}
@@ -112,7 +112,7 @@
 	if err := r.listen(); err != nil {
 		return nil, err
 	}
-	tcp, heritage := r.tcp, r.heritage
+	tcp, heritage := r.tcp, r.previousProcess
 	defer func() {
 		if err != nil {
 			tcp.Close()
@@ -128,8 +128,8 @@
 		slog.Warn("no steady time across restarts", "err", err, "remedy", remedy.Of(err))
 	}
 	version := conf.Known.Version
-	if r.heritage != nil {
-		version = r.heritage.Version
+	if r.previousProcess != nil {
+		version = r.previousProcess.Version
 	}
 	if list.Before = leaseBefore(conf.State, version); list.Before != nil {
 		r.bindLease(*list.Before)
@@ -143,38 +143,38 @@
 	waiting := r.overflow
 	defer func() {
 		if err != nil {
-			waiting.shut()
+			waiting.close()
 		}
 	}()
 	if conf.Fleet != nil {
 		r.kept = fleet.Open(conf.State, newInstance(), fleet.File{Raw: conf.settings, Set: set})
 		r.look()
-		if r.copies = newCopying(conf.Fleet); r.copies != nil {
-			if r.heritage != nil {
-				r.copies.adopted = r.heritage.Writer
+		if r.replication = newReplication(conf.Fleet); r.replication != nil {
+			if r.previousProcess != nil {
+				r.replication.adoptedWriter = r.previousProcess.Writer
 			}
-			r.newOwner()
+			r.newGroupOwner()
 		}
 	}
 	r.listener = newPeers(r.tcp, clients)
 	r.listener.lack = func() { r.hostSide.Load().CloseIdleConnections() }
 	r.listener.snapshot = func() any { return r.snapshot() }
 	r.server = newServer(r.handler(), r.listener)
-	if h := r.heritage; h != nil {
+	if h := r.previousProcess; h != nil {
 		// Until the other process has ended the limit on sockets is for both.
-		r.listener.allow(max(clients/4, clients-h.Peers))
-		r.listed(discovery.List{Version: h.Version, Full: true, Servers: append(h.Servers, h.Gone...)})
-		r.adopt(h)
-		if r.copies != nil {
-			r.adoptEstates(h.Writer)
+		r.listener.allow(max(clients/4, clients-h.ClientConns))
+		r.listed(discovery.List{Version: h.Version, Full: true, Servers: append(h.Servers, h.Departed...)})
+		r.adoptCalls(h)
+		if r.replication != nil {
+			r.adoptGroups(h.Writer)
 		}
 		r.startLease(list.Before)
 		r.restore()
-		for i := range h.Gone {
-			h.Gone[i].State = "left"
+		for i := range h.Departed {
+			h.Departed[i].State = "left"
 		}
-		r.listed(discovery.List{Version: h.Version, Servers: h.Gone})
-		return r, h.accept()
+		r.listed(discovery.List{Version: h.Version, Servers: h.Departed})
+		return r, h.confirm()
 	}
 	if conf.Known.Full || len(conf.Known.Servers) > 0 {
 		r.listed(conf.Known)
@@ -187,12 +187,12 @@
 // listen takes the clients' address from the process that runs as this relay, if there is one.
 // Before that the journal is not this process's to open.
 func (r *Relay) listen() (err error) {
-	if r.heritage, err = inherit(r.conf.State); err != nil {
+	if r.previousProcess, err = requestHandover(r.conf.State); err != nil {
 		// It may have died; if it has not, the address is taken.
 		slog.Warn("nothing taken over", "err", err)
 	}
-	if r.heritage != nil {
-		r.tcp = r.heritage.tcp
+	if r.previousProcess != nil {
+		r.tcp = r.previousProcess.listener
 		return nil
 	}
 	l, err := listen.TCP(r.conf.Listen)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -262,7 +262,7 @@
 	held := make(chan int, 1)
 	in := &intake{entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}, due: r.now() + time.Second, ctx: ctx,
 		reply: make(chan answer, 1)}
-	r.post(func() { r.take(in); held <- len(r.held) })
+	r.post(func() { r.take(in); held <- len(r.pending) })
 	want(t, "messages held", wait(t, held, "count"), 0)
 }
 
@@ -298,7 +298,7 @@
 		wait(t, done, "answer to a client that left "+name)
 		want(t, "status for a client that left "+name, w.Code, 503)
 		held := make(chan int, 1)
-		r.post(func() { held <- len(r.held) })
+		r.post(func() { held <- len(r.pending) })
 		want(t, "messages held", wait(t, held, "count"), 0)
 	}
 }
@@ -309,11 +309,11 @@
 	held := make(chan int, 1)
 	r.post(func() {
 		for _, id := range []string{"once", "twice"} {
-			r.held[id] = &message{Entry: &journal.Entry{ID: id}, twice: id == "twice"}
+			r.pending[id] = &message{Entry: &journal.Entry{ID: id}, resent: id == "twice"}
 			r.withdraw(id, nil)
 		}
-		held <- len(r.held)
-		delete(r.held, "twice")
+		held <- len(r.pending)
+		delete(r.pending, "twice")
 	})
 	want(t, "messages held", wait(t, held, "count"), 1)
 }
@@ -454,7 +454,7 @@
 
 // Guards against calls held back, or let through, by a whole list: it closes just the hosts it leaves out.
 func TestWholeListClosesWhatIsMissing(t *testing.T) {
-	r := &Relay{endpoints: endpoints{hosts: map[string]*host{}, dests: map[int]*waiting{}}, books: books{journal: openJournal(t)}}
+	r := &Relay{endpoints: endpoints{hosts: map[string]*host{}, dests: map[int]*waiting{}}, messageRecords: messageRecords{journal: openJournal(t)}}
 	r.set.Store(&standing{})
 	if err := r.journal.Append(journal.Record{Op: journal.OpByHand, ID: "s-4", Ran: true}); err != nil {
 		t.Fatal(err)
@@ -515,7 +515,7 @@
 	want(t, "notice", n, notice{ID: "m1", Status: undeliverable})
 	owed := make(chan int)
 	for {
-		r.post(func() { owed <- r.owed + r.journal.Len() })
+		r.post(func() { owed <- r.pendingNotices + r.journal.Len() })
 		if wait(t, owed, "count") == 0 {
 			break
 		}
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -90,7 +90,7 @@
 
 // retune takes another file up, in the loop.
 func (r *Relay) retune(file fleet.File, platform string) error {
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		return errHandedOver
 	}
 	if old, _ := r.platformAt.Get(); platform != old {
--- a/internal/relay/restart_states_test.go
+++ b/internal/relay/restart_states_test.go
@@ -62,7 +62,7 @@
 						r.step()
 						want(t, "notices", len(queuedNotices(r)), 1)
 						want(t, "status", queuedNotices(r)[0].Status, status)
-						want(t, "messages held", len(r.held), 0)
+						want(t, "messages held", len(r.pending), 0)
 						want(t, "messages on record", r.journal.Len(), 1)
 						r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has taken it
 						r.step()
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -40,7 +40,7 @@
 			Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}}))
 		later(r, time.Minute)
 		r.step()
-		want(t, "messages held whose time is up", len(r.held), 0)
+		want(t, "messages held whose time is up", len(r.pending), 0)
 		queued := queuedNotices(r)
 		want(t, "notices", len(queued), 1)
 		want(t, "status of the notice", queued[0].Status, status)
@@ -55,7 +55,7 @@
 // Guards against a repeat after its window, by as much as a start was held up.
 func TestARestoredMessageRanAsLongAgoAsItDid(t *testing.T) {
 	before := choice.Restored{Arrival: choice.Arrival{Left: 9 * time.Second}, RanAgo: time.Second, Out: &choice.Running{Ago: 2 * time.Second}}
-	e := restoredAt(before, 5*time.Second)
+	e := withTimeLeft(before, 5*time.Second)
 	want(t, "left", e.Left, 5*time.Second)
 	want(t, "since it ran", e.RanAgo, 5*time.Second)
 	want(t, "since it went out", e.Out.Ago, 6*time.Second)
@@ -85,20 +85,20 @@
 // Guards against two ends of an adopted call: by its message's time, and by the word that comes after that.
 func TestLateWordOfAnAdoptedCallIsNoSecondEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := &Relay{began: time.Now(), inbox: make(chan func(), 1), quit: make(chan struct{}), books: books{held: map[string]*message{}}}
+		r := &Relay{began: time.Now(), inbox: make(chan func(), 1), quit: make(chan struct{}), messageRecords: messageRecords{pending: map[string]*message{}}}
 		r.set.Store(&standing{})
 		c := &call{host: &host{id: "s-1"}, began: time.Now()}
 		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Second, call: c}
-		r.held["m1"] = m
-		h := &heritage{calls: map[string]*call{"m1": c}}
-		r.endInTime(h, "m1", c)
+		r.pending["m1"] = m
+		h := &precedingProcess{calls: map[string]*call{"m1": c}}
+		r.endAtDeadline(h, "m1", c)
 		(<-r.inbox)()
-		want(t, "it ends after", r.now(), time.Second+wordIn)
+		want(t, "it ends after", r.now(), time.Second+lateResultGrace)
 		want(t, "outcome", r.events[0].(choice.Result).Outcome, choice.Timeout)
-		r.endedBefore(h, endPassed{ID: "m1", Outcome: choice.Served})
+		r.endedByPrevious(h, forwardedResult{ID: "m1", Outcome: choice.Served})
 		want(t, "ends", len(r.events), 1)
-		want(t, "it may have run", r.records[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
-		want(t, "records", len(r.records), 1)
+		want(t, "it may have run", r.pendingRecords[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
+		want(t, "records", len(r.pendingRecords), 1)
 	})
 }
 
@@ -106,8 +106,8 @@
 func TestAPassedMessagesTimeRunsOnItsWay(t *testing.T) {
 	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
 	in := request(t, r, context.Background(), "m1", "payment", time.Minute)
-	r.takePassed(nil, passed{N: 1, Take: in.entry, Left: 2 * time.Minute}) // a minute ago
-	if left := r.held["m1"].due - r.now(); left > time.Minute {
+	r.acceptForwarded(nil, forwarded{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // a minute ago
+	if left := r.pending["m1"].due - r.now(); left > time.Minute {
 		t.Errorf("%v are left, want a minute at most", left)
 	}
 }
@@ -122,13 +122,13 @@
 		(&Relay{conf: Config{State: folder}}).keepLease(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 1})
 		r := unserved(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), folder)
 		if upgraded {
-			r.heritage = &heritage{calls: map[string]*call{}}
+			r.previousProcess = &precedingProcess{calls: map[string]*call{}}
 		}
 		r.events = slices.DeleteFunc(r.events, func(e choice.Event) bool { _, is := e.(choice.Restored); return is })
-		r.held, r.records = map[string]*message{}, nil
+		r.pending, r.pendingRecords = map[string]*message{}, nil
 		r.restore()
 		r.step()
-		want(t, "messages held", len(r.held), 1)
+		want(t, "messages held", len(r.pending), 1)
 		want(t, "calls out, "+name, r.out, map[bool]int{false: 1, true: 0}[upgraded])
 	}
 }
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -223,7 +223,7 @@
 	done, count := make(chan struct{}), make(chan int, 1)
 	go func() { r.Serve(); close(done) }()
 	for range 2 { // the second turn is after the one that took in what was owed
-		r.post(func() { count <- len(r.held) })
+		r.post(func() { count <- len(r.pending) })
 		held = <-count
 	}
 	return held, func() { r.stop(); <-done }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -12,25 +12,25 @@
 func (r *Relay) Serve() {
 	ctx, cancel := context.WithCancel(context.Background())
 	r.endPlatform = cancel
-	if r.heritage != nil {
-		r.attend(r.heritage)
+	if r.previousProcess != nil {
+		r.followPrevious(r.previousProcess)
 	}
-	r.awaitHeir()
+	r.listenForNextProcess()
 	go r.list.Follow(ctx, func(l discovery.List) { r.post(func() { r.listed(l) }) })
 	go r.notices.run(ctx)
 	if r.kept != nil {
-		go r.carry(ctx, r.session())
+		go r.runReplication(ctx, r.session())
 	}
 	go r.server.Serve(r.listener)
-	r.whenReady()
+	r.reportReady()
 	r.loop()
 	close(r.halted)
 	cancel()
-	if r.heir != nil {
-		r.heir.finish()
+	if r.nextProcess != nil {
+		r.nextProcess.finish()
 	}
-	if r.heirs != nil {
-		r.heirs.Close()
+	if r.handoverListener != nil {
+		r.handoverListener.Close()
 	}
 	r.endCalls(errStopping)
 	r.closing.Store(true)
@@ -62,7 +62,7 @@
 func (r *Relay) Drain() {
 	r.draining.Store(true)
 	begin, from, taking := time.Now(), stopKeeping, stopTaking
-	if r.passedAt.Load() > 0 {
+	if r.handedOverAt.Load() > 0 {
 		// The clients' connections end with their next answer, none of them under a request.
 		from, taking = stopPassing, stopPassing
 	}
@@ -95,16 +95,16 @@
 // idle tells whether nothing is left that a relay which stops should wait for.
 func (r *Relay) idle() bool {
 	out := r.out
-	if r.heritage != nil { // the process before this one may have calls out, whose ends come here
-		out += len(r.heritage.calls)
+	if r.previousProcess != nil { // the process before this one may have calls out, whose ends come here
+		out += len(r.previousProcess.calls)
 	}
-	if r.heir != nil {
-		return out == 0 && len(r.asked) == 0
+	if r.nextProcess != nil {
+		return out == 0 && len(r.forwardedIntakes) == 0
 	}
-	if r.copies.waiting() { // clients among them: they are answered, or their messages taken out of the record
+	if r.replication.hasUncommitted() { // clients among them: they are answered, or their messages taken out of the record
 		return false
 	}
-	return out == 0 && (r.stopped || len(r.held)+r.owed == 0)
+	return out == 0 && (r.stopped || len(r.pending)+r.pendingNotices == 0)
 }
 
 // stop ends the relay as it is; the journal has the rest.
@@ -129,8 +129,8 @@
 			r.look()
 		}
 		r.step()
-		if r.heir == nil {
-			r.figures.hold(len(r.held)+r.overflow.len(), len(r.hosts), r.chooser.Excluded())
+		if r.nextProcess == nil {
+			r.figures.hold(len(r.pending)+r.overflow.len(), len(r.hosts), r.chooser.Excluded())
 			if r.overflow != nil {
 				r.figures.waiting(r.overflow)
 			}
@@ -138,10 +138,10 @@
 		var again <-chan struct{}
 		if len(r.events) > 0 { // the step left some; nothing else may come in for long
 			again = atOnce
-		} else if len(r.askers) > 0 && !r.copies.waiting() {
+		} else if len(r.handoverRequests) > 0 && !r.replication.hasUncommitted() {
 			r.handOverToFirst()
 			again = atOnce // there may be a second one
-		} else if r.overflow.unfinished() {
+		} else if r.overflow.hasMoreWork() {
 			again = atOnce
 		}
 		select {
@@ -153,9 +153,9 @@
 		case <-r.overflow.tick():
 		case <-again:
 		case <-r.quit:
-			r.lastWord()
+			r.answerAtExit()
 			r.flush()
-			r.overflow.shut()
+			r.overflow.close()
 			return
 		}
 		for n := 1; n < batchMost; n++ {
--- a/internal/relay/server.go
+++ b/internal/relay/server.go
@@ -41,7 +41,7 @@
 // leave ends a client's connection with the answer that follows, once the relay stops or the next process has taken
 // over: the client's next one comes elsewhere. It is asked as the answer goes out, for a request may have been read before.
 func (r *Relay) leave(w http.ResponseWriter) {
-	if r.closing.Load() || r.passedAt.Load() > 0 {
+	if r.closing.Load() || r.handedOverAt.Load() > 0 {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -180,7 +180,7 @@
 		want(t, "id of the call", c.id, id)
 		c.answer <- http.StatusOK
 		for over := make(chan bool, 1); ; time.Sleep(time.Millisecond) { // the room is free again
-			r.post(func() { over <- r.held[id] == nil })
+			r.post(func() { over <- r.pending[id] == nil })
 			if <-over {
 				break
 			}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -14,11 +14,11 @@
 
 // step lets the Chooser decide on what has come in, and carries its actions out.
 func (r *Relay) step() {
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		r.events = nil
 		return
 	}
-	r.putFresh()
+	r.storeQueued()
 	if r.stopped {
 		r.events = nil
 		for _, m := range r.fresh {
@@ -28,7 +28,7 @@
 		r.flush()
 		return
 	}
-	r.bring()
+	r.loadFromBacklog()
 	if r.woken {
 		r.events = append(r.events, choice.Woken{})
 	}
@@ -38,7 +38,7 @@
 	}
 	events, now := r.events, r.now()
 	r.events = nil
-	r.timeFrom(now, events)
+	r.updateTimeLeft(now, events)
 	if r.woken {
 		r.woken, r.wakeAt = false, 0
 	}
@@ -52,7 +52,7 @@
 		case choice.Fail:
 			r.final(a.ID, undeliverable, 0)
 		case choice.Cancel:
-			if m := r.held[a.ID]; m != nil && m.call != nil {
+			if m := r.pending[a.ID]; m != nil && m.call != nil {
 				m.call.cancel(errCalled)
 			}
 		case choice.Wake:
@@ -71,16 +71,16 @@
 // takeOn records what came since the last step, and answers its clients. Only what is in the journal is taken on.
 func (r *Relay) takeOn() {
 	for _, m := range r.fresh {
-		if m.over {
+		if m.ended {
 			continue
 		}
-		err := r.bindInOrder([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(counts bool) {
+		err := r.bindInOrder([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, commitTimeout, func(counts bool) {
 			switch {
-			case m.over:
+			case m.ended:
 			case counts:
 				m.answer(answer{status: http.StatusAccepted})
 			default:
-				r.uncounted(m)
+				r.endUncommitted(m)
 			}
 		})
 		if err != nil {
@@ -90,8 +90,8 @@
 		}
 	}
 	r.fresh = r.fresh[:0]
-	if r.copies != nil {
-		r.copies.fresh = 0
+	if r.replication != nil {
+		r.replication.unrecordedBytes = 0
 	}
 }
 
@@ -107,8 +107,8 @@
 
 // refuse ends a message that was never taken on.
 func (r *Relay) refuse(m *message, after time.Duration) {
-	if r.copies != nil && r.journal.Entry(m.ID) != nil { // on disk, but it does not count yet
-		r.uncounted(m)
+	if r.replication != nil && r.journal.Entry(m.ID) != nil { // on disk, but it does not count yet
+		r.endUncommitted(m)
 		return
 	}
 	r.figures.ended(m.Class, refusedEnd)
@@ -118,14 +118,14 @@
 
 // final ends a message that the Chooser has given up, at once.
 func (r *Relay) final(id, status string, after time.Duration) {
-	switch m := r.held[id]; {
+	switch m := r.pending[id]; {
 	case m == nil:
-	case m.fresh != nil:
+	case m.unanswered != nil:
 		r.refuse(m, after)
 	case m.served:
 		r.finish(m, servedEnd)
 	default:
-		r.give(m, notice{ID: id, Status: status, Again: after.Milliseconds()})
+		r.endWithNotice(m, notice{ID: id, Status: status, Again: after.Milliseconds()})
 	}
 }
 
@@ -135,7 +135,7 @@
 	var calls []*call
 	wall := steady.UnixMilli()
 	for _, s := range sends {
-		m, h := r.held[s.ID], r.hosts[s.Host]
+		m, h := r.pending[s.ID], r.hosts[s.Host]
 		if m == nil || h == nil || h.dest != m.Dest || h.closed.Load() {
 			if h != nil && h.closed.Load() {
 				r.figures.withheld(endpointShut, 1)
@@ -159,7 +159,7 @@
 		}
 		// An attempt that a restart would not know of must not go out.
 		written := time.Now()
-		err := r.bindInOrder(recs, freshIn, func(counts bool) { r.startCounted(c, written, counts) })
+		err := r.bindInOrder(recs, callStartTimeout, func(counts bool) { r.startCounted(c, written, counts) })
 		if err != nil {
 			slog.Error("attempts not sent", "err", err, "remedy", remedy.Of(err))
 			r.unsent(c)
@@ -176,24 +176,24 @@
 
 // startCounted starts a call whose record counts, unless something came between: then all of it stays.
 func (r *Relay) startCounted(c *call, written time.Time, counts bool) {
-	if r.copies == nil {
+	if r.replication == nil {
 		r.start(c)
 		return
 	}
 	waited := time.Since(written)
-	late := !counts || waited >= freshIn || r.stopped || r.heir != nil || c.host.closed.Load() ||
-		slices.ContainsFunc(c.members, func(m *message) bool { return m.over })
+	late := !counts || waited >= callStartTimeout || r.stopped || r.nextProcess != nil || c.host.closed.Load() ||
+		slices.ContainsFunc(c.members, func(m *message) bool { return m.ended })
 	for i := range c.sends { // a call that lasts to the end of its message's time must end then
 		c.sends[i].Timeout -= waited
 		late = late || c.sends[i].Timeout <= 0
 	}
 	if !late {
-		c.fresh = written.Add(freshIn)
+		c.fresh = written.Add(callStartTimeout)
 		r.start(c)
 		return
 	}
 	for _, m := range c.members {
-		if !m.over {
+		if !m.ended {
 			r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID})
 		}
 	}
@@ -209,20 +209,20 @@
 		return
 	}
 	m.call = nil
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		r.hostSide.Load().CloseIdleConnections() // descriptors count for both processes together
-		r.heir.send(passed{End: &endPassed{m.ID, e.outcome, e.done, t.took, t.wait, t.report, t.stale}})
+		r.nextProcess.send(forwarded{Result: &forwardedResult{m.ID, e.outcome, e.done, t.took, t.wait, t.report, t.stale}})
 		return
 	}
-	if t.wait > 0 && r.copies != nil { // an heir is to know of it
+	if t.wait > 0 && r.replication != nil { // an heir is to know of it
 		r.record(journal.Record{Op: journal.OpWait, ID: c.host.id, At: steady.UnixMilli(), Wait: t.wait.Milliseconds()})
 	}
 	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.outcome, Took: t.took, Wait: t.wait,
 		Stale: t.stale, Report: r.reportOf(t), Done: e.done || e.outcome == choice.Served})
-	if m.over {
+	if m.ended {
 		switch {
 		case e.outcome != choice.Served:
-		case m.gone: // delivered from here all the same; the other finds out by its own call
+		case m.transferred: // delivered from here all the same; the other finds out by its own call
 			r.figures.ended(m.Class, servedEnd)
 		default:
 			r.servedLate(m)
@@ -246,5 +246,5 @@
 	r.figures.ended(m.Class, how)
 	r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
 	m.served = how == servedEnd
-	r.drop(m)
+	r.forget(m)
 }
--- a/internal/relay/takeup.go
+++ b/internal/relay/takeup.go
@@ -10,27 +10,27 @@
 
 // takeUp has a message of an estate go on. One that another process may have out is left alone until that has ended for
 // certain: its time-out, the time in which the call may have gone out, and what clocks differ by.
-func (r *Relay) takeUp(e *journal.Entry, another bool) {
-	wait := time.Duration(0)
-	if another && e.Out && e.Status == "" {
-		wait = time.Duration(e.Wait)*time.Millisecond + freshIn
-		wait += wait / 100
+func (r *Relay) resume(entry *journal.Entry, mayRunElsewhere bool) {
+	delay := time.Duration(0)
+	if mayRunElsewhere && entry.Out && entry.Status == "" {
+		delay = time.Duration(entry.Wait)*time.Millisecond + callStartTimeout
+		delay += delay / 100
 	}
-	if wait == 0 {
-		r.takeUpNow(e, false)
+	if delay == 0 {
+		r.resumeNow(entry, false)
 		return
 	}
-	left := time.Duration(e.Due-steady.UnixMilli()) * time.Millisecond
-	m := &message{Entry: e, due: r.now() + left}
-	r.held[e.ID] = m
+	timeLeft := time.Duration(entry.Due-steady.UnixMilli()) * time.Millisecond
+	m := &message{Entry: entry, due: r.now() + timeLeft}
+	r.pending[entry.ID] = m
 	// Its time may be up before that: then it ends by its class, without another try.
-	left -= r.endMargin(lifetimeOf(e, left))
-	last := wait >= left
-	time.AfterFunc(min(wait, max(0, left)), func() {
+	timeLeft -= r.endMargin(lifetimeOf(entry, timeLeft))
+	lastAttemptMade := delay >= timeLeft
+	time.AfterFunc(min(delay, max(0, timeLeft)), func() {
 		r.post(func() {
-			if r.held[e.ID] == m && !r.stopped && r.heir == nil {
-				delete(r.held, e.ID)
-				r.takeUpNow(e, last)
+			if r.pending[entry.ID] == m && !r.stopped && r.nextProcess == nil {
+				delete(r.pending, entry.ID)
+				r.resumeNow(entry, lastAttemptMade)
 			}
 		})
 	})
@@ -38,53 +38,53 @@
 
 // timeFrom has messages come to the decisions with the time that is left to them at a step. It may be long after they came to
 // the loop: a start takes up what the journal holds before it serves, and a process may get no core meanwhile.
-func (r *Relay) timeFrom(now time.Duration, events []choice.Event) {
+func (r *Relay) updateTimeLeft(now time.Duration, events []choice.Event) {
 	for i, event := range events {
 		switch e := event.(type) {
 		case choice.Arrival:
-			if m := r.held[e.ID]; m != nil {
+			if m := r.pending[e.ID]; m != nil {
 				e.Left = m.due - now
 				events[i] = e
 			}
 		case choice.Restored:
-			if m := r.held[e.ID]; m != nil {
-				events[i] = restoredAt(e, m.due-now)
+			if m := r.pending[e.ID]; m != nil {
+				events[i] = withTimeLeft(e, m.due-now)
 			}
 		}
 	}
 }
 
 // restoredAt is what is known of a message that was taken up, once only so much time is left to it.
-func restoredAt(e choice.Restored, left time.Duration) choice.Restored {
-	late := e.Left - left
-	e.Left, e.RanAgo = left, e.RanAgo+late
-	if e.Out != nil {
-		out := *e.Out
-		out.Ago += late
-		e.Out = &out
+func withTimeLeft(restored choice.Restored, timeLeft time.Duration) choice.Restored {
+	elapsed := restored.Left - timeLeft
+	restored.Left, restored.RanAgo = timeLeft, restored.RanAgo+elapsed
+	if restored.Out != nil {
+		running := *restored.Out
+		running.Ago += elapsed
+		restored.Out = &running
 	}
-	return e
+	return restored
 }
 
 // lifetimeOf is the whole time of a message on record; what is left of it if its terms were not recorded.
-func lifetimeOf(e *journal.Entry, left time.Duration) time.Duration {
-	if e.Terms != nil {
-		return e.Terms.Class.Deadline
+func lifetimeOf(entry *journal.Entry, timeLeft time.Duration) time.Duration {
+	if entry.Terms != nil {
+		return entry.Terms.Class.Deadline
 	}
-	return left
+	return timeLeft
 }
 
 // toldWaits has the decisions hear of waits that the process before told of.
-func (r *Relay) toldWaits(recs []journal.Record) {
-	for _, w := range recs {
-		if w.Op != journal.OpWait {
+func (r *Relay) applyRecordedWaits(records []journal.Record) {
+	for _, record := range records {
+		if record.Op != journal.OpWait {
 			continue
 		}
-		if left := time.Duration(w.At+w.Wait-steady.UnixMilli()) * time.Millisecond; left > 0 {
-			if h := r.hosts[w.ID]; h != nil {
-				h.waiting.heed(r.now() + left)
+		if remaining := time.Duration(record.At+record.Wait-steady.UnixMilli()) * time.Millisecond; remaining > 0 {
+			if h := r.hosts[record.ID]; h != nil {
+				h.waiting.heed(r.now() + remaining)
 			}
-			r.events = append(r.events, choice.Waits{Host: w.ID, Left: left})
+			r.events = append(r.events, choice.Waits{Host: record.ID, Left: remaining})
 		}
 	}
 }
--- a/internal/relay/terms_test.go
+++ b/internal/relay/terms_test.go
@@ -58,7 +58,7 @@
 			}
 			want(t, "answer to one that began before", status, http.StatusAccepted)
 			terms := make(chan choice.Terms, 1)
-			r.post(func() { terms <- *r.held["first"].Terms })
+			r.post(func() { terms <- *r.pending["first"].Terms })
 			got := wait(t, terms, "terms")
 			want(t, "its attempts", got.Attempts, 6)
 			want(t, "its effect", got.Class.Effect, choice.Safe)
--- a/internal/relay/withdraw.go
+++ b/internal/relay/withdraw.go
@@ -61,12 +61,12 @@
 // another id. It tells whether it did, and calls then once it is known whether that counts. One that was sent, or came twice, goes
 // on; its id may still be in use. So does one whose end cannot be recorded at once: the next start would deliver it.
 func (r *Relay) withdraw(id string, then func(counts bool)) bool {
-	m := r.held[id]
-	if r.heir != nil || m == nil || m.Tries > 0 || m.twice {
+	m := r.pending[id]
+	if r.nextProcess != nil || m == nil || m.Tries > 0 || m.resent {
 		return false
 	}
 	r.flush()
-	if err := r.bindInOrder([]journal.Record{{Op: journal.OpEnd, ID: id}}, countIn, then); err != nil {
+	if err := r.bindInOrder([]journal.Record{{Op: journal.OpEnd, ID: id}}, commitTimeout, then); err != nil {
 		slog.Error("message not withdrawn", "err", err, "remedy", remedy.Of(err))
 		return false
 	}
@@ -82,5 +82,5 @@
 		in.reply <- answer{status: http.StatusAccepted}
 		return
 	}
-	r.answerUncounted(&message{Entry: e, fresh: []*intake{in}})
+	r.answerUncommitted(&message{Entry: e, unanswered: []*intake{in}})
 }
--- a/internal/relay/withdraw_test.go
+++ b/internal/relay/withdraw_test.go
@@ -42,7 +42,7 @@
 	withdrawal()
 	wait(t, answered, "answer")
 	want(t, "status while nothing can be written", w.Code, http.StatusAccepted)
-	want(t, "it is held", r.held["m1"] != nil, true)
+	want(t, "it is held", r.pending["m1"] != nil, true)
 	if err := r.journal.Compact(); err != nil {
 		t.Fatal(err)
 	}
@@ -136,9 +136,9 @@
 			wait(t, answered, "answer")
 			want(t, "status on the first", w.Code, c.one)
 			want(t, "status on the second", status(two), c.two)
-			want(t, "messages held", len(r.held), 1)
+			want(t, "messages held", len(r.pending), 1)
 			next := reopened(t, p, r, state)
-			want(t, "messages held after a kill", len(next.held), 1)
+			want(t, "messages held after a kill", len(next.pending), 1)
 		})
 	}
 }
@@ -162,7 +162,7 @@
 	for _, name := range []string{"held", "ended"} {
 		ended := name == "ended"
 		if ended {
-			r.give(r.held["m1"], notice{ID: "m1", Status: undeliverable})
+			r.endWithNotice(r.pending["m1"], notice{ID: "m1", Status: undeliverable})
 			r.step()
 		}
 		w, answered := leaving(r, "m1", 0)
@@ -175,6 +175,6 @@
 			}
 		}
 		want(t, "status on the second, of one that is "+name, w.Code, http.StatusAccepted)
-		want(t, "it is held", r.held["m1"] != nil, !ended)
+		want(t, "it is held", r.pending["m1"] != nil, !ended)
 	}
 }
