--- a/internal/relay/standing_test.go
+++ b/internal/relay/acceptance_test.go
@@ -19,7 +19,7 @@
 
 // Guards against a kill right behind the answer that takes a message on: its record has to be in the file before the answer
 // leaves the loop. The answer has nobody who takes it here, so the loop stands right there while the file is read.
-func TestARecordComesBeforeItsAnswer(t *testing.T) {
+func TestRecordIsWrittenBeforeAnswer(t *testing.T) {
 	state := t.TempDir()
 	conf, err := readTestConfig(t, testConfig(t, newPlatform(t, at("s1", "127.0.0.1:1", "taller"))), state)
 	if err != nil {
@@ -38,7 +38,7 @@
 	go func() { r.take(in); r.step(); close(stepped) }()
 	// The answer may be on its way only once the file has the record; before that there is nothing to wait for but the record.
 	answered := make(chan answer, 1)
-	on := func() bool {
+	recorded := func() bool {
 		data, err := os.ReadFile(filepath.Join(state, "journal"))
 		if err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 		defer j.Close()
 		return j.Entry("m1") != nil
 	}
-	for end := time.Now().Add(time.Second); !on(); time.Sleep(10 * time.Millisecond) {
+	for end := time.Now().Add(time.Second); !recorded(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the answer waits to go, and the message is not on record")
 		}
@@ -65,7 +65,7 @@
 }
 
 // Guards against taking a message on only once it is delivered: its endpoint answers only after the client has its answer.
-func TestTakenOnBeforeItIsDelivered(t *testing.T) {
+func TestAcceptedBeforeDelivery(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	status := make(chan int, 1)
@@ -85,7 +85,7 @@
 
 // Guards against a client that is misread because it writes slowly, in pieces, many requests at once or in another of the
 // forms that HTTP allows: each gets its answer, and each body reaches the endpoint as it was.
-func TestRequestsInPiecesAndForms(t *testing.T) {
+func TestFragmentedPipelinedAndUnusualRequests(t *testing.T) {
 	calls := make(chan *seen, 100)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	body := "\r\n\x00\xffPOST /api HTTP/1.1\r\n\r\n"
@@ -126,34 +126,34 @@
 			want(t, "status of "+name, status, http.StatusAccepted)
 		}
 	}
-	came := map[string]string{}
-	for len(came) < 6 {
+	received := map[string]string{}
+	for len(received) < 6 {
 		c := wait(t, calls, "call")
-		came[c.id] = c.body
+		received[c.id] = c.body
 		c.answer <- http.StatusOK
 	}
 	for _, id := range []string{"bytes", "other", "many", "many-2", "many-3"} {
-		want(t, "body of "+id, came[id], body)
+		want(t, "body of "+id, received[id], body)
 	}
-	want(t, "body of empty", came["empty"], "")
+	want(t, "body of empty", received["empty"], "")
 }
 
 // Guards against a restarted relay that turns away all that it gets: what it found untried waits for an endpoint that never
 // answers and takes three quarters of the room, and what is handed in for another one is still taken on and sent.
-func TestAFullRoomAfterARestartStillServes(t *testing.T) {
-	const room = 40
+func TestNearlyFullRelayServesAfterRestart(t *testing.T) {
+	const capacity = 40
 	calls := make(chan *seen, 1000)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", make(chan *seen, 1000)), "taller"))
-	other := at("s-2", fakeHost(t, "b", calls), "taller")
-	other.Cell = 8
-	p.now.Servers = append(p.now.Servers, other)
+	otherServer := at("s-2", fakeHost(t, "b", calls), "taller")
+	otherServer.Cell = 8
+	p.now.Servers = append(p.now.Servers, otherServer)
 	state := t.TempDir()
 	j, err := journal.Open(state, 3e6)
 	if err != nil {
 		t.Fatal(err)
 	}
 	terms := &choice.Terms{Class: choice.Class{Name: "status-update", Aim: time.Second, Deadline: time.Minute, Worth: 1}, Attempts: 6}
-	for k := range room * 3 / 4 {
+	for k := range capacity * 3 / 4 {
 		e := &journal.Entry{ID: fmt.Sprint("old", k), Class: "status-update", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(), Terms: terms}
 		if err := j.Append(journal.Record{Op: journal.OpTaken, Entry: e}); err != nil {
 			t.Fatal(err)
@@ -164,7 +164,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Settings.MaxHeld = room
+	conf.Settings.MaxHeld = capacity
 	r, err := New(conf)
 	if err != nil {
 		t.Fatal(err)
@@ -172,16 +172,16 @@
 	done := make(chan struct{})
 	go func() { r.Serve(); close(done) }()
 	t.Cleanup(func() { r.stop(); <-done })
-	for k := range 2 * room {
+	for k := range 2 * capacity {
 		id := fmt.Sprint("new", k)
 		status, _ := hand(t, r.Addr(), id, "payment", "X-Addressing", "dest=8")
 		want(t, "status of "+id, status, http.StatusAccepted)
 		c := wait(t, calls, "call")
 		want(t, "id of the call", c.id, id)
 		c.answer <- http.StatusOK
-		for over := make(chan bool, 1); ; time.Sleep(time.Millisecond) { // the room is free again
-			r.post(func() { over <- r.pending[id] == nil })
-			if <-over {
+		for ended := make(chan bool, 1); ; time.Sleep(time.Millisecond) { // the room is free again
+			r.post(func() { ended <- r.pending[id] == nil })
+			if <-ended {
 				break
 			}
 		}
--- a/internal/relay/backlog_config_test.go
+++ b/internal/relay/backlog_config_test.go
@@ -13,21 +13,21 @@
 
 // Guards against settings that make no sense together, that are half taken up, or that have what is owed be passed over.
 func TestBacklogConfiguration(t *testing.T) {
-	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false))
-	whole := changed(t, testConfig(t, p), `"disk_mb":3}`, `"disk_mb":12},"backlog":{"disk_mb":8}`)
+	ps := newRecordingEndpoint(t)
+	p := newPlatform(t, ps.server(7, false))
+	complete := changed(t, testConfig(t, p), `"disk_mb":3}`, `"disk_mb":12},"backlog":{"disk_mb":8}`)
 	for name, data := range map[string][]byte{
-		"none":           changed(t, whole, `"backlog":{"disk_mb":8}`, `"backlog":{}`),
-		"negative":       changed(t, whole, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":-1}`),
-		"no journal":     changed(t, whole, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":11.5}`),
-		"copies as well": changed(t, whole, `"backlog"`, `"fleet":{"keepers":["127.0.0.1:1"],"listen":"127.0.0.1:0","copies":1},"backlog"`),
+		"none":           changed(t, complete, `"backlog":{"disk_mb":8}`, `"backlog":{}`),
+		"negative":       changed(t, complete, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":-1}`),
+		"no journal":     changed(t, complete, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":11.5}`),
+		"copies as well": changed(t, complete, `"backlog"`, `"fleet":{"keepers":["127.0.0.1:1"],"listen":"127.0.0.1:0","copies":1},"backlog"`),
 	} {
 		_, err := readTestConfig(t, data, t.TempDir())
 		if bad := (*BadBacklog)(nil); !errors.As(err, &bad) || !strings.Contains(remedy.Of(err), bad.Advice) {
 			t.Errorf("%s: %v, remedy %q", name, err, remedy.Of(err))
 		}
 	}
-	conf, err := readTestConfig(t, whole, t.TempDir())
+	conf, err := readTestConfig(t, complete, t.TempDir())
 	if err != nil || conf.Backlog.DiskMB != 8 || conf.journalBytes() != 4e6-smallFiles {
 		t.Fatalf("%v, journal %d", err, conf.journalBytes())
 	}
@@ -36,41 +36,41 @@
 		t.Error("copies of others and a backlog leave no room for the journal")
 	}
 
-	r, stop := startKeeping(t, p, keeping{state: conf.State})
-	r.conf.whole = whole
+	r, stop := startBacklogRelay(t, p, backlogOptions{state: conf.State})
+	r.conf.whole = complete
 	for name, next := range map[string][]byte{
-		"less":  changed(t, whole, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":4}`),
-		"gone":  changed(t, whole, `,"backlog":{"disk_mb":8}`, ``),
-		"other": changed(t, whole, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":8.5}`, `"max-attempts":6`, `"max-attempts":1`),
+		"less":  changed(t, complete, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":4}`),
+		"gone":  changed(t, complete, `,"backlog":{"disk_mb":8}`, ``),
+		"other": changed(t, complete, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":8.5}`, `"max-attempts":6`, `"max-attempts":1`),
 	} {
 		if err := reload(t, r, next); err == nil || remedy.Of(err) == "" {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 	want(t, "attempts after files that are not taken up", r.set.Load().MaxAttempts, 6)
-	if err := reload(t, r, changed(t, whole, `"max-attempts":6`, `"max-attempts":5`)); err != nil {
+	if err := reload(t, r, changed(t, complete, `"max-attempts":6`, `"max-attempts":5`)); err != nil {
 		t.Error(err)
 	}
-	promised(t, r, many(20, 7, "m", given{})...)
+	submitAccepted(t, r, numberedMessages(20, 7, "m", testMessage{})...)
 	stop()
 
-	without := keeping{state: conf.State, change: func(c *Config) { c.Backlog = nil }}
-	_, err = newKeeping(t, p, without)
+	without := backlogOptions{state: conf.State, change: func(c *Config) { c.Backlog = nil }}
+	_, err = newBacklogRelay(t, p, without)
 	if owing := (*PendingBacklogError)(nil); !errors.As(err, &owing) || owing.Messages == 0 || owing.Remedy() == "" {
 		t.Fatalf("a start without the key: %v", err)
 	}
-	p = newPlatform(t, ps.cell(7, true))
-	r, stop = startKeeping(t, p, keeping{state: conf.State})
-	ps.await(t, 20)
+	p = newPlatform(t, ps.server(7, true))
+	r, stop = startBacklogRelay(t, p, backlogOptions{state: conf.State})
+	ps.awaitMessages(t, 20)
 	shows(t, r, "svc.in_flight=0")
 	stop()
-	r, stop = startKeeping(t, p, without)
+	r, stop = startBacklogRelay(t, p, without)
 	for _, name := range []string{backlogFolder, "journal.tmp"} {
 		if _, err := os.Stat(filepath.Join(conf.State, name)); !os.IsNotExist(err) {
 			t.Errorf("%s is there still: %v", name, err)
 		}
 	}
-	if text := metrics(t, r); strings.Contains(text, "backlog") || r.overflow != nil {
+	if text := metricsText(t, r); strings.Contains(text, "backlog") || r.overflow != nil {
 		t.Error("a relay without the key tells of a backlog")
 	}
 	stop()
@@ -81,16 +81,16 @@
 
 // Guards against an older version that starts on a folder with a backlog and passes over it: it cannot remove what stands
 // where its journal's temporary file was.
-func TestOlderVersionsAreKeptOut(t *testing.T) {
-	ps := newPartners(t)
-	k := keeping{state: t.TempDir()}
-	r, _ := startKeeping(t, newPlatform(t, ps.cell(7, false)), k)
+func TestOlderVersionsAreFencedOut(t *testing.T) {
+	ps := newRecordingEndpoint(t)
+	k := backlogOptions{state: t.TempDir()}
+	r, _ := startBacklogRelay(t, newPlatform(t, ps.server(7, false)), k)
 	old := filepath.Join(k.state, "journal.tmp")
-	promised(t, r, many(2, 7, "few", given{})...)
+	submitAccepted(t, r, numberedMessages(2, 7, "few", testMessage{})...)
 	if _, err := os.Stat(old); !os.IsNotExist(err) {
 		t.Error("a folder without messages on disk keeps older versions out")
 	}
-	promised(t, r, many(20, 7, "m", given{})...)
+	submitAccepted(t, r, numberedMessages(20, 7, "m", testMessage{})...)
 	if err := os.Remove(old); err == nil || os.IsNotExist(err) {
 		t.Errorf("an older version could start: %v", err)
 	}
--- a/internal/relay/backlog_rig_test.go
+++ b/internal/relay/backlog_rig_test.go
@@ -17,35 +17,35 @@
 )
 
 // partners stand behind all endpoints of a test. They note each message that they get, in the order in which it came.
-type partners struct {
-	addr string
-	mu   sync.Mutex
-	got  []string // ids
-	body map[string]string
-	out  map[string]int // calls out, by order key: what stands in an id before the dot
-	most int            // of them at once
-	news chan struct{}
-	each chan string // ids as well, for who reads them one by one
+type recordingEndpoint struct {
+	addr        string
+	mu          sync.Mutex
+	received    []string // ids
+	bodies      map[string]string
+	inFlight    map[string]int // calls out, by order key: what stands in an id before the dot
+	maxInFlight int            // of them at once
+	arrived     chan struct{}
+	ids         chan string // ids as well, for who reads them one by one
 }
 
-func newPartners(t *testing.T) *partners {
-	p := &partners{body: map[string]string{}, out: map[string]int{}, news: make(chan struct{}, 1), each: make(chan string, 10000)}
+func newRecordingEndpoint(t *testing.T) *recordingEndpoint {
+	p := &recordingEndpoint{bodies: map[string]string{}, inFlight: map[string]int{}, arrived: make(chan struct{}, 1), ids: make(chan string, 10000)}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
 		id := req.Header.Get("X-Request-Id")
 		key, _, _ := strings.Cut(id, ".")
 		p.mu.Lock()
-		p.got, p.body[id] = append(p.got, id), string(body)
-		p.each <- id
-		p.out[key]++
-		p.most = max(p.most, p.out[key])
+		p.received, p.bodies[id] = append(p.received, id), string(body)
+		p.ids <- id
+		p.inFlight[key]++
+		p.maxInFlight = max(p.maxInFlight, p.inFlight[key])
 		p.mu.Unlock()
 		w.WriteHeader(http.StatusOK)
 		p.mu.Lock()
-		p.out[key]--
+		p.inFlight[key]--
 		p.mu.Unlock()
 		select {
-		case p.news <- struct{}{}:
+		case p.arrived <- struct{}{}:
 		default:
 		}
 	}))
@@ -55,46 +55,46 @@
 }
 
 // await waits until so many messages came, and returns their ids.
-func (p *partners) await(t *testing.T, n int) []string {
+func (p *recordingEndpoint) awaitMessages(t *testing.T, n int) []string {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; {
 		p.mu.Lock()
-		got := append([]string(nil), p.got...)
+		received := append([]string(nil), p.received...)
 		p.mu.Unlock()
-		if len(got) >= n {
-			return got
+		if len(received) >= n {
+			return received
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d messages came, want %d", len(got), n)
+			t.Fatalf("%d messages came, want %d", len(received), n)
 		}
 		select {
-		case <-p.news:
+		case <-p.arrived:
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 }
 
 // once fails if a message came twice, or another than these.
-func (p *partners) once(t *testing.T, ids ...string) {
+func (p *recordingEndpoint) expectOnce(t *testing.T, ids ...string) {
 	t.Helper()
-	got := p.await(t, len(ids))
+	received := p.awaitMessages(t, len(ids))
 	wanted := map[string]bool{}
 	for _, id := range ids {
 		wanted[id] = true
 	}
-	for _, id := range got {
+	for _, id := range received {
 		if !wanted[id] {
-			t.Fatalf("%s came twice, or was not to come; %d came", id, len(got))
+			t.Fatalf("%s came twice, or was not to come; %d came", id, len(received))
 		}
 		delete(wanted, id)
-		if p.body[id] != "body of "+id {
-			t.Fatalf("%s came with %q", id, p.body[id])
+		if p.bodies[id] != "body of "+id {
+			t.Fatalf("%s came with %q", id, p.bodies[id])
 		}
 	}
 }
 
 // cell is an endpoint of a destination, ready or not.
-func (p *partners) cell(dest int, ready bool) discovery.Server {
+func (p *recordingEndpoint) server(dest int, ready bool) discovery.Server {
 	s := at(fmt.Sprint("s-", dest), p.addr, "taller")
 	if s.Cell = dest; !ready {
 		s.State = "leaving"
@@ -103,48 +103,48 @@
 }
 
 // keeping says how a relay with a backlog is started: by default with a window of 8 messages.
-type keeping struct {
+type backlogOptions struct {
 	state  string
 	window state.Load
 	wrap   func(store) store
 	change func(*Config)
 }
 
-func keep(conf *Config) {
+func enableBacklog(conf *Config) {
 	conf.Backlog, conf.DiskMB = &Backlog{DiskMB: 8}, 12
 	conf.Settings.MaxHeld = 1e6
 	withAdmin(conf)
 }
 
 // newKeeping makes a relay with a backlog; serving starts it.
-func newKeeping(t testing.TB, p *platform, k keeping) (*Relay, error) {
+func newBacklogRelay(t testing.TB, p *platform, options backlogOptions) (*Relay, error) {
 	t.Helper()
-	if k.state == "" {
-		k.state = t.TempDir()
+	if options.state == "" {
+		options.state = t.TempDir()
 	}
-	conf, err := readTestConfig(t, testConfig(t, p), k.state)
+	conf, err := readTestConfig(t, testConfig(t, p), options.state)
 	if err != nil {
 		t.Fatal(err)
 	}
-	keep(&conf)
-	if k.change != nil {
-		k.change(&conf)
+	enableBacklog(&conf)
+	if options.change != nil {
+		options.change(&conf)
 	}
 	r, err := New(conf)
 	if err == nil && r.overflow != nil {
-		r.overflow.window.Total = k.window
-		if k.window.N == 0 {
+		r.overflow.window.Total = options.window
+		if options.window.N == 0 {
 			r.overflow.window.Total = state.Load{N: 8, Bytes: 1 << 20}
 		}
-		if k.wrap != nil {
-			r.overflow.store = k.wrap(r.overflow.store)
+		if options.wrap != nil {
+			r.overflow.store = options.wrap(r.overflow.store)
 		}
 	}
 	return r, err
 }
 
 // serving runs a relay; stop ends it as it is, as a kill does but for open files.
-func serving(t testing.TB, r *Relay) (stop func()) {
+func serveUntilStopped(t testing.TB, r *Relay) (stop func()) {
 	done := make(chan struct{})
 	go func() { r.Serve(); close(done) }()
 	stop = func() { r.stop(); <-done }
@@ -152,78 +152,80 @@
 	return stop
 }
 
-func startKeeping(t testing.TB, p *platform, k keeping) (*Relay, func()) {
+func startBacklogRelay(t testing.TB, p *platform, options backlogOptions) (*Relay, func()) {
 	t.Helper()
-	r, err := newKeeping(t, p, k)
+	r, err := newBacklogRelay(t, p, options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r, serving(t, r)
+	return r, serveUntilStopped(t, r)
 }
 
 // given is what a test hands in.
-type given struct {
+type testMessage struct {
 	id, class, order string
 	dest             int
-	left             time.Duration
+	timeLeft         time.Duration
 	body             string
 }
 
 // give hands messages in, as many handlers at once would, and returns their answers.
-func give(t testing.TB, r *Relay, all ...given) []answer {
+func submit(t testing.TB, r *Relay, messages ...testMessage) []answer {
 	t.Helper()
-	replies := make([]chan answer, len(all))
-	for i, g := range all {
-		if g.class == "" {
-			g.class = "status-update"
+	replies := make([]chan answer, len(messages))
+	for i, message := range messages {
+		if message.class == "" {
+			message.class = "status-update"
 		}
-		if g.left == 0 {
-			g.left = time.Minute
+		if message.timeLeft == 0 {
+			message.timeLeft = time.Minute
 		}
-		if g.body == "" {
-			g.body = "body of " + g.id
+		if message.body == "" {
+			message.body = "body of " + message.id
 		}
-		e := &journal.Entry{ID: g.id, Class: g.class, Dest: g.dest, Order: g.order, Key: "key-" + g.id, Body: []byte(g.body), Due: time.Now().Add(g.left).UnixMilli()}
+		e := &journal.Entry{ID: message.id, Class: message.class, Dest: message.dest, Order: message.order, Key: "key-" + message.id, Body: []byte(message.body), Due: time.Now().Add(message.timeLeft).UnixMilli()}
 		terms, err := admit(r.set.Load(), e, r.now())
 		if err != nil {
 			t.Fatal(err)
 		}
 		e.Terms, replies[i] = terms, make(chan answer, 1)
-		r.post(func() { r.take(&intake{entry: e, due: r.now() + g.left, ctx: context.Background(), reply: replies[i]}) })
+		r.post(func() {
+			r.take(&intake{entry: e, due: r.now() + message.timeLeft, ctx: context.Background(), reply: replies[i]})
+		})
 	}
-	answers := make([]answer, len(all))
+	answers := make([]answer, len(messages))
 	for i, reply := range replies {
 		select {
 		case answers[i] = <-reply:
 		case <-time.After(30 * time.Second):
-			t.Fatalf("no answer to %s", all[i].id)
+			t.Fatalf("no answer to %s", messages[i].id)
 		}
 	}
 	return answers
 }
 
 // promised hands messages in and wants all of them taken on.
-func promised(t testing.TB, r *Relay, all ...given) (ids []string) {
+func submitAccepted(t testing.TB, r *Relay, messages ...testMessage) (ids []string) {
 	t.Helper()
-	for i, a := range give(t, r, all...) {
+	for i, a := range submit(t, r, messages...) {
 		if a.status != 202 {
-			t.Fatalf("%s is answered %d %s, want 202", all[i].id, a.status, a.text)
+			t.Fatalf("%s is answered %d %s, want 202", messages[i].id, a.status, a.text)
 		}
-		ids = append(ids, all[i].id)
+		ids = append(ids, messages[i].id)
 	}
 	return ids
 }
 
-func many(n, dest int, name string, of given) (all []given) {
+func numberedMessages(n, dest int, name string, template testMessage) (messages []testMessage) {
 	for i := range n {
-		of.id, of.dest = fmt.Sprintf("%s.%d", name, i), dest
-		all = append(all, of)
+		template.id, template.dest = fmt.Sprintf("%s.%d", name, i), dest
+		messages = append(messages, template)
 	}
-	return all
+	return messages
 }
 
 // ends collects notices until there are so many, and wants them to be of different messages.
-func (p *platform) ends(t *testing.T, n int) map[string]string {
+func (p *platform) collectNotices(t *testing.T, n int) map[string]string {
 	t.Helper()
 	ends := map[string]string{}
 	for len(ends) < n {
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -14,79 +14,79 @@
 
 // Guards against one destination that is down for long and fills the room of others, and against what waited for it being
 // lost, doubled or mixed up as it is back.
-func TestOneDownWhileOthersAreServed(t *testing.T) {
-	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
-	r, _ := startKeeping(t, p, keeping{})
-	ids := promised(t, r, many(300, 7, "down", given{})...)
-	held, disk := counts(t, r)
+func TestUnavailableDestinationDoesNotBlockOthers(t *testing.T) {
+	ps := newRecordingEndpoint(t)
+	p := newPlatform(t, ps.server(7, false), ps.server(8, true))
+	r, _ := startBacklogRelay(t, p, backlogOptions{})
+	ids := submitAccepted(t, r, numberedMessages(300, 7, "down", testMessage{})...)
+	held, disk := pendingAndStored(t, r)
 	if held > 8 || held+disk != 300 {
 		t.Fatalf("the decisions have %d, the disk %d, of 300 and a window of 8", held, disk)
 	}
 	shows(t, r, "svc.in_flight=300", fmt.Sprintf("svc.backlog.messages=%d", disk))
 	for n := range 5 {
-		ids := promised(t, r, many(40, 8, fmt.Sprint("up", n), given{})...)
-		ps.await(t, (n+1)*len(ids))
+		ids := submitAccepted(t, r, numberedMessages(40, 8, fmt.Sprint("up", n), testMessage{})...)
+		ps.awaitMessages(t, (n+1)*len(ids))
 	}
-	if _, now := counts(t, r); now < disk {
+	if _, now := pendingAndStored(t, r); now < disk {
 		t.Errorf("%d came in for a destination that takes nothing", disk-now)
 	}
 	ps.mu.Lock()
-	ps.got = nil
+	ps.received = nil
 	ps.mu.Unlock()
-	p.publish(2, true, ps.cell(7, true), ps.cell(8, true))
-	ps.once(t, ids...)
+	p.publish(2, true, ps.server(7, true), ps.server(8, true))
+	ps.expectOnce(t, ids...)
 	shows(t, r, "svc.in_flight=0", "svc.backlog.messages=0")
 }
 
 // Guards against thousands of destinations that are down, each with a little, and that together keep out one that is well; and
 // against a return of all at once in which something is lost or doubled.
-func TestThousandsDownAtOnceAndBack(t *testing.T) {
+func TestThousandUnavailableDestinationsRecover(t *testing.T) {
 	const dests = 1000
-	ps := newPartners(t)
-	all := []discovery.Server{ps.cell(9000, true)}
+	ps := newRecordingEndpoint(t)
+	all := []discovery.Server{ps.server(9000, true)}
 	for d := range dests {
-		all = append(all, ps.cell(d, false))
+		all = append(all, ps.server(d, false))
 	}
 	p := newPlatform(t, all...)
-	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 64, Bytes: 1 << 20}})
-	var gs []given
+	r, _ := startBacklogRelay(t, p, backlogOptions{window: state.Load{N: 64, Bytes: 1 << 20}})
+	var messages []testMessage
 	for n := range 3 {
 		for d := range dests {
-			gs = append(gs, given{id: fmt.Sprintf("d%d.%d", d, n), dest: d})
+			messages = append(messages, testMessage{id: fmt.Sprintf("d%d.%d", d, n), dest: d})
 		}
 	}
-	ids := promised(t, r, gs...)
-	held, disk := counts(t, r)
+	ids := submitAccepted(t, r, messages...)
+	held, disk := pendingAndStored(t, r)
 	if held > dests+64 || held+disk != len(ids) {
 		t.Fatalf("the decisions have %d, the disk %d, of %d", held, disk, len(ids))
 	}
-	up := promised(t, r, many(200, 9000, "up", given{})...)
-	ps.once(t, up...)
+	up := submitAccepted(t, r, numberedMessages(200, 9000, "up", testMessage{})...)
+	ps.expectOnce(t, up...)
 	ps.mu.Lock()
-	ps.got = nil
+	ps.received = nil
 	ps.mu.Unlock()
 	for i := range all {
 		all[i].State = "active"
 	}
 	p.publish(2, true, all...)
-	ps.once(t, ids...)
+	ps.expectOnce(t, ids...)
 }
 
 // Guards against messages on disk whose time runs out unanswered, or is answered twice; and against thousands that do so at
 // once and stop what can still be served.
-func TestManyOutOfTimeAtOnce(t *testing.T) {
-	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+func TestManyMessagesExpireTogether(t *testing.T) {
+	ps := newRecordingEndpoint(t)
+	p := newPlatform(t, ps.server(7, false), ps.server(8, true))
 	p.notices = make(chan notice, 10000)
-	r, _ := startKeeping(t, p, keeping{})
-	stay := promised(t, r, many(10, 7, "stay", given{})...) // so that nothing comes in for want of room
-	ids := promised(t, r, many(4000, 7, "late", given{left: 3 * time.Second})...)
-	up := promised(t, r, many(50, 8, "up", given{})...)
-	ends := p.ends(t, 1)
-	up = append(up, promised(t, r, many(50, 8, "more", given{})...)...)
-	ps.once(t, up...)
-	for id, status := range p.ends(t, len(ids)-1) {
+	r, _ := startBacklogRelay(t, p, backlogOptions{})
+	stay := submitAccepted(t, r, numberedMessages(10, 7, "stay", testMessage{})...) // so that nothing comes in for want of room
+	ids := submitAccepted(t, r, numberedMessages(4000, 7, "late", testMessage{timeLeft: 3 * time.Second})...)
+	up := submitAccepted(t, r, numberedMessages(50, 8, "up", testMessage{})...)
+	ends := p.collectNotices(t, 1)
+	up = append(up, submitAccepted(t, r, numberedMessages(50, 8, "more", testMessage{})...)...)
+	ps.expectOnce(t, up...)
+	for id, status := range p.collectNotices(t, len(ids)-1) {
 		ends[id] = status
 	}
 	for _, id := range ids {
@@ -100,11 +100,11 @@
 
 // Guards against a message that is put a second time, or lost, as its client comes again; and against one whose client left
 // unanswered that stays.
-func TestRepeatsAndWithdrawalsOnDisk(t *testing.T) {
-	r, f, ps, p, ids := startFaulty(t, "status-update")
+func TestDuplicatesAndWithdrawalsOnDisk(t *testing.T) {
+	r, f, ps, p, ids := startFaultyRelay(t, "status-update")
 	last := ids[len(ids)-1]
-	promised(t, r, given{id: last, dest: 7}, given{id: last, dest: 7})
-	promised(t, r, given{id: "twice", dest: 7}, given{id: "twice", dest: 7}) // of one turn, as likely as not
+	submitAccepted(t, r, testMessage{id: last, dest: 7}, testMessage{id: last, dest: 7})
+	submitAccepted(t, r, testMessage{id: "twice", dest: 7}, testMessage{id: "twice", dest: 7}) // of one turn, as likely as not
 	ids = append(ids, "twice")
 	shows(t, r, "svc.in_flight=31")
 	leave := func(id string) int {
@@ -123,37 +123,37 @@
 	shows(t, r, "svc.in_flight=31")
 	leave(last) // it came twice before: it goes on
 	shows(t, r, "svc.in_flight=31")
-	inLoop(t, r, func() { f.out = errDisk })
+	runInLoop(t, r, func() { f.outErr = errDisk })
 	want(t, "a client that leaves what cannot be taken out", leave("stays"), 202)
-	inLoop(t, r, func() { f.out, f.find = nil, errDisk })
-	want(t, "while nothing can be found", give(t, r, given{id: last, dest: 7})[0].status, 503)
-	inLoop(t, r, func() { f.find = nil })
-	p.publish(2, true, ps.cell(7, true), ps.cell(8, true))
-	ps.once(t, append(ids, "stays")...)
-	promised(t, r, given{id: last, dest: 7}) // over by now
+	runInLoop(t, r, func() { f.outErr, f.findErr = nil, errDisk })
+	want(t, "while nothing can be found", submit(t, r, testMessage{id: last, dest: 7})[0].status, 503)
+	runInLoop(t, r, func() { f.findErr = nil })
+	p.publish(2, true, ps.server(7, true), ps.server(8, true))
+	ps.expectOnce(t, append(ids, "stays")...)
+	submitAccepted(t, r, testMessage{id: last, dest: 7}) // over by now
 	shows(t, r, "svc.in_flight=0")
-	want(t, "messages that came", len(ps.await(t, 32)), 32)
+	want(t, "messages that came", len(ps.awaitMessages(t, 32)), 32)
 }
 
 // Guards against a message in doubt that is sent as if it were new where a second time does harm; and against one that cannot
 // be read and has no end.
-func TestDoubtAndDamage(t *testing.T) {
+func TestDoubtfulAndUnreadableStoredMessages(t *testing.T) {
 	for class, status := range map[string]string{"payment": undeliverable, "job-order": undeliverable, "status-update": ""} {
-		r, f, ps, p, ids := startFaulty(t, class)
-		held, _ := counts(t, r)
-		inLoop(t, r, func() { f.doubt = true })
+		r, f, ps, p, ids := startFaultyRelay(t, class)
+		held, _ := pendingAndStored(t, r)
+		runInLoop(t, r, func() { f.doubt = true })
 		if status == "" {
-			inLoop(t, r, func() {
+			runInLoop(t, r, func() {
 				f.store.Put(backlog.Message{ID: "strange", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(), Data: []byte{99}})
 			})
 		}
-		p.publish(2, true, ps.cell(7, true), ps.cell(8, true))
+		p.publish(2, true, ps.server(7, true), ps.server(8, true))
 		if status == "" {
-			ps.once(t, ids...)
-			want(t, "end of one that cannot be read", p.ends(t, 1)["strange"], undeliverable)
+			ps.expectOnce(t, ids...)
+			want(t, "end of one that cannot be read", p.collectNotices(t, 1)["strange"], undeliverable)
 		} else {
-			ps.once(t, ids[:held]...)
-			for id, got := range p.ends(t, len(ids)-held) {
+			ps.expectOnce(t, ids[:held]...)
+			for id, got := range p.collectNotices(t, len(ids)-held) {
 				want(t, class+" "+id+" ends", got, status)
 			}
 		}
@@ -162,22 +162,22 @@
 }
 
 // Guards against a message that never goes for its size: it is larger than all of the window.
-func TestAMessageLargerThanTheWindow(t *testing.T) {
-	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false))
-	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 4, Bytes: 8 << 10}})
-	var all []given
+func TestMessageLargerThanWindow(t *testing.T) {
+	ps := newRecordingEndpoint(t)
+	p := newPlatform(t, ps.server(7, false))
+	r, _ := startBacklogRelay(t, p, backlogOptions{window: state.Load{N: 4, Bytes: 8 << 10}})
+	var all []testMessage
 	for i := range 6 {
 		id := fmt.Sprint("m.", i)
-		all = append(all, given{id: id, dest: 7, body: strings.Repeat("x", 60<<10)})
+		all = append(all, testMessage{id: id, dest: 7, body: strings.Repeat("x", 60<<10)})
 	}
-	promised(t, r, all...)
-	held, _ := counts(t, r)
+	submitAccepted(t, r, all...)
+	held, _ := pendingAndStored(t, r)
 	want(t, "held by the decisions", held, 1)
-	p.publish(2, true, ps.cell(7, true))
-	ps.await(t, 6)
+	p.publish(2, true, ps.server(7, true))
+	ps.awaitMessages(t, 6)
 	shows(t, r, "svc.in_flight=0")
-	for id, body := range ps.body {
+	for id, body := range ps.bodies {
 		want(t, "length of "+id, len(body), 60<<10)
 	}
 }
--- a/internal/relay/contended_rig_test.go
+++ b/internal/relay/contended_rig_test.go
@@ -25,7 +25,7 @@
 // now and then say nothing, and relays that are restarted.
 
 // promise is one message that a relay answered with 202.
-type promise struct {
+type acceptedMessage struct {
 	relay int
 	due   time.Time
 }
@@ -33,18 +33,18 @@
 // outcomes are what clients were promised, and when each message was delivered or its end told.
 type outcomes struct {
 	mu       sync.Mutex
-	promised map[string]promise
+	accepted map[string]acceptedMessage
 	ended    map[string]time.Time
 }
 
 func newOutcomes() *outcomes {
-	return &outcomes{promised: map[string]promise{}, ended: map[string]time.Time{}}
+	return &outcomes{accepted: map[string]acceptedMessage{}, ended: map[string]time.Time{}}
 }
 
-func (o *outcomes) promise(id string, p promise) {
+func (o *outcomes) accept(id string, p acceptedMessage) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.promised[id] = p
+	o.accepted[id] = p
 }
 
 func (o *outcomes) end(id string) {
@@ -56,14 +56,14 @@
 }
 
 // endpoint answers a part of its calls, and never the others.
-func endpoint(t *testing.T, o *outcomes, answers float64) string {
+func startPartialEndpoint(t *testing.T, outcomes *outcomes, answerRate float64) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
-		if rand.Float64() >= answers {
+		if rand.Float64() >= answerRate {
 			<-req.Context().Done()
 			return
 		}
-		o.end(req.Header.Get("X-Request-Id"))
+		outcomes.end(req.Header.Get("X-Request-Id"))
 	}))
 	t.Cleanup(s.CloseClientConnections)
 	return s.Listener.Addr().String()
@@ -71,32 +71,32 @@
 
 // noticeTaker is a platform whose connections fall silent after some POSTs of notices each: what is sent on them from then
 // on is read by nobody.
-type noticeTaker struct {
+type stallingPlatform struct {
 	*platform
 	outcomes *outcomes
 }
 
 const noticesPerConn = 8
 
-type postsKey struct{}
+type postCountKey struct{}
 
-func startNoticeTaker(t *testing.T, o *outcomes, p *platform) string {
-	taker := &noticeTaker{p, o}
-	s := httptest.NewUnstartedServer(http.HandlerFunc(taker.serve))
+func startStallingPlatform(t *testing.T, o *outcomes, p *platform) string {
+	stalling := &stallingPlatform{p, o}
+	s := httptest.NewUnstartedServer(http.HandlerFunc(stalling.serve))
 	s.Config.ConnContext = func(ctx context.Context, _ net.Conn) context.Context {
-		return context.WithValue(ctx, postsKey{}, new(int))
+		return context.WithValue(ctx, postCountKey{}, new(int))
 	}
 	s.Start()
 	t.Cleanup(s.CloseClientConnections)
 	return s.Listener.Addr().String()
 }
 
-func (n *noticeTaker) serve(w http.ResponseWriter, req *http.Request) {
+func (n *stallingPlatform) serve(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/status" {
 		n.platform.serve(w, req)
 		return
 	}
-	posts := req.Context().Value(postsKey{}).(*int)
+	posts := req.Context().Value(postCountKey{}).(*int)
 	if *posts++; *posts > noticesPerConn {
 		<-req.Context().Done()
 		return
@@ -116,14 +116,14 @@
 	t.Helper()
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	var was unix.CPUSet
-	if err := unix.SchedGetaffinity(0, &was); err != nil {
+	var previous unix.CPUSet
+	if err := unix.SchedGetaffinity(0, &previous); err != nil {
 		t.Fatal(err)
 	}
 	if err := unix.SchedSetaffinity(0, &cores); err != nil {
 		t.Fatal(err)
 	}
-	defer unix.SchedSetaffinity(0, &was)
+	defer unix.SchedSetaffinity(0, &previous)
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -133,7 +133,7 @@
 type outage struct{ from, to time.Time }
 
 // restarted is a relay, process after process.
-type restarted struct {
+type restartedRelay struct {
 	number        int
 	config, state string
 	addr          string
@@ -145,13 +145,13 @@
 }
 
 // newRestarted has a relay listen at a fixed address, so that clients find it again.
-func newRestarted(t *testing.T, number int, config string, cores unix.CPUSet) *restarted {
+func newRestartedRelay(t *testing.T, number int, config string, cores unix.CPUSet) *restartedRelay {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer free.Close()
-	r := &restarted{number: number, config: filepath.Join(t.TempDir(), "config.json"), state: t.TempDir(),
+	r := &restartedRelay{number: number, config: filepath.Join(t.TempDir(), "config.json"), state: t.TempDir(),
 		addr: free.Addr().String(), cores: cores}
 	text := strings.Replace(config, "127.0.0.1:0", r.addr, 1)
 	if err := os.WriteFile(r.config, []byte(text), 0o600); err != nil {
@@ -161,7 +161,7 @@
 }
 
 // start starts a process, and waits until it is ready.
-func (r *restarted) start(t *testing.T) {
+func (r *restartedRelay) start(t *testing.T) {
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
@@ -173,9 +173,9 @@
 	r.mu.Lock()
 	r.cmd = cmd
 	r.mu.Unlock()
-	patient := http.Client{Timeout: time.Second}
+	client := http.Client{Timeout: time.Second}
 	for end := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
-		resp, err := patient.Get("http://" + r.addr + "/up")
+		resp, err := client.Get("http://" + r.addr + "/up")
 		if err == nil {
 			resp.Body.Close()
 			return
@@ -187,7 +187,7 @@
 }
 
 // restart ends the process by a signal, and starts the next one.
-func (r *restarted) restart(t *testing.T, signal syscall.Signal) {
+func (r *restartedRelay) restart(t *testing.T, signal syscall.Signal) {
 	from := time.Now()
 	r.cmd.Process.Signal(signal)
 	kill := time.AfterFunc(3700*time.Millisecond, func() { r.cmd.Process.Kill() })
@@ -200,7 +200,7 @@
 }
 
 // upgrade starts the next process beside the one that runs, and then ends that.
-func (r *restarted) upgrade(t *testing.T) {
+func (r *restartedRelay) upgrade(t *testing.T) {
 	from, old := time.Now(), r.cmd
 	r.start(t)
 	old.Process.Signal(syscall.SIGTERM)
@@ -211,7 +211,7 @@
 }
 
 // limit is by when a message has to have ended: no notice is overdue from a restart until some time after the relay is ready.
-func (r *restarted) limit(p promise) time.Time {
+func (r *restartedRelay) endDeadline(p acceptedMessage) time.Time {
 	const grace = 1500 * time.Millisecond
 	limit := p.due.Add(endLimit)
 	r.mu.Lock()
--- a/internal/relay/contended_test.go
+++ b/internal/relay/contended_test.go
@@ -20,10 +20,10 @@
 // Guards the rule on lost messages with real processes: ten relays of four threads each on two cores, a platform whose
 // connections fall silent, endpoints that do not answer, restarts of every kind, and clients that keep their connections,
 // pipeline, half close and come again. Every message that was answered with 202 is delivered or ended by a notice in time.
-func TestNothingIsLostWithMoreRelaysThanCores(t *testing.T) {
+func TestNoMessageIsLostWithMoreRelaysThanCores(t *testing.T) {
 	for range 5 {
 		valid := false
-		t.Run("round", func(t *testing.T) { valid = contended(t) })
+		t.Run("round", func(t *testing.T) { valid = runContendedFleet(t) })
 		if valid || t.Failed() {
 			return
 		}
@@ -33,22 +33,22 @@
 
 // standInSlack is how late this process's own timers may be, and with them its clients, endpoints and platform: less than
 // the relays have to spare.
-const standInSlack = 100 * time.Millisecond
+const maxTimerLateness = 100 * time.Millisecond
 
-func contended(t *testing.T) (valid bool) {
-	const relays, clients, lasts = 10, 4, 10 * time.Second
-	told := newOutcomes()
-	some, none := at("s-1", endpoint(t, told, 0.5), "taller"), at("s-2", endpoint(t, told, 0), "almacen")
-	none.Cell = 8
-	p := newPlatform(t, some, none)
-	config := strings.NewReplacer(p.addr(), startNoticeTaker(t, told, p), `"workers":7`, `"workers":40`,
+func runContendedFleet(t *testing.T) (valid bool) {
+	const relays, clients, duration = 10, 4, 10 * time.Second
+	outcomes := newOutcomes()
+	partial, silent := at("s-1", startPartialEndpoint(t, outcomes, 0.5), "taller"), at("s-2", startPartialEndpoint(t, outcomes, 0), "almacen")
+	silent.Cell = 8
+	p := newPlatform(t, partial, silent)
+	config := strings.NewReplacer(p.addr(), startStallingPlatform(t, outcomes, p), `"workers":7`, `"workers":40`,
 		`"most-held":50`, `"most-held":500`, `"cores":1`, `"cores":4`).Replace(string(testConfig(t, p)))
 	var cores unix.CPUSet
 	cores.Set(0)
 	cores.Set(1)
-	fleet := make([]*restarted, relays)
+	fleet := make([]*restartedRelay, relays)
 	for i := range fleet {
-		fleet[i] = newRestarted(t, i, config, cores)
+		fleet[i] = newRestartedRelay(t, i, config, cores)
 		fleet[i].start(t)
 	}
 	var late atomic.Int64
@@ -57,11 +57,11 @@
 	running.Go(func() { watchTimers(stop, &late) })
 	for _, r := range fleet {
 		for k := range clients {
-			c := &contendedClient{relay: r, number: k, told: told, rng: rand.New(rand.NewPCG(uint64(r.number), uint64(k)))}
+			c := &contendedClient{relay: r, number: k, outcomes: outcomes, rng: rand.New(rand.NewPCG(uint64(r.number), uint64(k)))}
 			running.Go(func() { c.run(stop) })
 		}
 	}
-	for k, end := 0, time.Now().Add(lasts); time.Now().Before(end); k++ {
+	for k, end := 0, time.Now().Add(duration); time.Now().Before(end); k++ {
 		time.Sleep(300 * time.Millisecond)
 		switch r := fleet[k%relays]; k % 3 {
 		case 0:
@@ -75,65 +75,65 @@
 	time.Sleep(2 * time.Second) // what a restart has left is told
 	close(stop)
 	running.Wait()
-	time.Sleep(longestTime + 2*time.Second)
-	if time.Duration(late.Load()) > standInSlack {
+	time.Sleep(maxLifetime + 2*time.Second)
+	if time.Duration(late.Load()) > maxTimerLateness {
 		t.Logf("this machine's timers were late by %v", time.Duration(late.Load()))
 		return false
 	}
-	told.check(t, fleet)
+	outcomes.check(t, fleet)
 	return true
 }
 
 // watchTimers notes by how much this process's own timers are late at most.
 func watchTimers(stop chan struct{}, late *atomic.Int64) {
-	const each = 5 * time.Millisecond
+	const interval = 5 * time.Millisecond
 	for begin := time.Now(); ; begin = time.Now() {
 		select {
 		case <-stop:
 			return
-		case <-time.After(each):
-			late.Store(max(late.Load(), int64(time.Since(begin)-each)))
+		case <-time.After(interval):
+			late.Store(max(late.Load(), int64(time.Since(begin)-interval)))
 		}
 	}
 }
 
-func (o *outcomes) check(t *testing.T, fleet []*restarted) {
+func (o *outcomes) check(t *testing.T, fleet []*restartedRelay) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	lost := 0
-	for id, p := range o.promised {
+	for id, p := range o.accepted {
 		at, ok := o.ended[id]
-		if limit := fleet[p.relay].limit(p); ok && !at.After(limit) {
+		if limit := fleet[p.relay].endDeadline(p); ok && !at.After(limit) {
 			continue
 		}
 		if lost++; lost <= 10 {
 			t.Errorf("%s was told 202: ended %v, %v after its time", id, ok, at.Sub(p.due))
 		}
 	}
-	if len(o.promised) < 1000 {
-		t.Errorf("only %d messages were taken on", len(o.promised))
+	if len(o.accepted) < 1000 {
+		t.Errorf("only %d messages were taken on", len(o.accepted))
 	}
-	t.Logf("%d of %d messages lost", lost, len(o.promised))
+	t.Logf("%d of %d messages lost", lost, len(o.accepted))
 }
 
 const (
-	shortestTime = 500 * time.Millisecond // of a message
-	longestTime  = 1500 * time.Millisecond
+	minLifetime = 500 * time.Millisecond // of a message
+	maxLifetime = 1500 * time.Millisecond
 )
 
 // contendedClient hands in messages one after the other, in each of the ways that clients have.
 type contendedClient struct {
-	relay  *restarted
-	number int
-	told   *outcomes
-	rng    *rand.Rand
-	sent   int
-	conn   *net.TCPConn
-	in     *bufio.Reader
+	relay    *restartedRelay
+	number   int
+	outcomes *outcomes
+	rng      *rand.Rand
+	sent     int
+	conn     *net.TCPConn
+	in       *bufio.Reader
 }
 
 func (c *contendedClient) run(stop chan struct{}) {
-	defer c.leave()
+	defer c.disconnect()
 	for {
 		select {
 		case <-stop:
@@ -146,19 +146,19 @@
 		var err error
 		switch c.rng.IntN(10) {
 		case 0:
-			err = c.hand(2, false) // one request behind the other
+			err = c.submit(2, false) // one request behind the other
 		case 1:
-			err = errors.Join(c.hand(1, true), errLeft)
+			err = errors.Join(c.submit(1, true), errDisconnected)
 		default:
-			err = c.hand(1, false)
+			err = c.submit(1, false)
 		}
 		if err != nil {
-			c.leave()
+			c.disconnect()
 		}
 	}
 }
 
-var errLeft = errors.New("the client has left")
+var errDisconnected = errors.New("the client has left")
 
 func (c *contendedClient) connect() error {
 	conn, err := net.DialTimeout("tcp", c.relay.addr, answerPatience)
@@ -170,7 +170,7 @@
 	return nil
 }
 
-func (c *contendedClient) leave() {
+func (c *contendedClient) disconnect() {
 	if c.conn != nil {
 		c.conn.Close()
 		c.conn = nil
@@ -178,17 +178,17 @@
 }
 
 // hand writes some requests at once, and reads their answers.
-func (c *contendedClient) hand(requests int, halfClose bool) error {
+func (c *contendedClient) submit(requests int, halfClose bool) error {
 	var text strings.Builder
 	var ids []string
-	var left []time.Duration
+	var timeLeft []time.Duration
 	for range requests {
 		c.sent++
 		ids = append(ids, fmt.Sprintf("%d-%d-%d", c.relay.number, c.number, c.sent))
-		left = append(left, shortestTime+time.Duration(c.rng.Int64N(int64(longestTime-shortestTime))))
+		timeLeft = append(timeLeft, minLifetime+time.Duration(c.rng.Int64N(int64(maxLifetime-minLifetime))))
 		fmt.Fprintf(&text, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\n"+
 			"X-Addressing: dest=%d\r\nContent-Length: 2\r\n\r\nhi", ids[len(ids)-1], []string{"payment", "status-update"}[c.rng.IntN(2)],
-			left[len(left)-1].Milliseconds(), 7+c.rng.IntN(2))
+			timeLeft[len(timeLeft)-1].Milliseconds(), 7+c.rng.IntN(2))
 	}
 	if _, err := c.conn.Write([]byte(text.String())); err != nil {
 		return err
@@ -204,10 +204,10 @@
 			return err
 		}
 		if status == http.StatusAccepted {
-			c.told.promise(id, promise{relay: c.relay.number, due: sent.Add(left[i])})
+			c.outcomes.accept(id, acceptedMessage{relay: c.relay.number, due: sent.Add(timeLeft[i])})
 		}
 		if closes {
-			return errLeft
+			return errDisconnected
 		}
 	}
 	return nil
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -109,11 +109,11 @@
 // dropOutcomes takes messages on, has them go out, and kills the relay with their outcomes ready and not taken in.
 func dropOutcomes(t *testing.T, p *platform, state, class string, ids ...string) {
 	t.Helper()
-	r := unserved(t, p, state)
+	r := newSteppedRelay(t, p, state)
 	for _, id := range ids {
-		in := request(t, r, context.Background(), id, class, time.Minute)
+		in := newIntake(t, r, context.Background(), id, class, time.Minute)
 		r.take(in)
-		defer func() { want(t, "status", status(in), http.StatusAccepted) }()
+		defer func() { want(t, "status", replyStatus(in), http.StatusAccepted) }()
 	}
 	r.step()
 	for len(r.events) > 0 {
--- a/internal/relay/full_journal_test.go
+++ b/internal/relay/full_journal_test.go
@@ -14,37 +14,37 @@
 
 // Guards against ends that are never told because the journal has no room for the records of all of them at once: as many
 // messages as the disk takes, tried or not, end in one turn of the loop.
-func TestManyEndsFromAFullJournal(t *testing.T) {
+func TestAllMessagesOfFullJournalEnd(t *testing.T) {
 	for name, bodySize := range map[string]int{"small messages": 1, "large messages": 4000} {
 		t.Run(name, func(t *testing.T) {
-			leaving := at("s-1", "127.0.0.1:1", "taller")
-			leaving.State = "leaving" // so that messages wait
-			p := newPlatform(t, leaving)
+			leavingServer := at("s-1", "127.0.0.1:1", "taller")
+			leavingServer.State = "leaving" // so that messages wait
+			p := newPlatform(t, leavingServer)
 			p.notices = make(chan notice, 10000)
 			r := startRelay(t, p, func(c *Config) { c.DiskMB, c.Settings.MaxHeld = 3, 0 })
 			due := r.now() + 4*time.Second
-			taken := 0
+			accepted := 0
 			for full := false; !full; {
 				in := &intake{ctx: context.Background(), reply: make(chan answer, 1), due: due}
-				in.entry = &journal.Entry{ID: fmt.Sprintf("%016x", taken), Class: "payment", Dest: 7, Body: []byte(strings.Repeat("x", bodySize)),
+				in.entry = &journal.Entry{ID: fmt.Sprintf("%016x", accepted), Class: "payment", Dest: 7, Body: []byte(strings.Repeat("x", bodySize)),
 					Due: time.Now().Add(due - r.now()).UnixMilli()}
 				in.entry.Terms = &choice.Terms{Class: r.set.Load().Classes[2], Attempts: 6}
 				r.post(func() { r.take(in) })
 				if full = wait(t, in.reply, "answer").status != http.StatusAccepted; !full {
-					taken++
+					accepted++
 				}
 			}
 			if r.now() > due-time.Second {
-				t.Fatalf("taking on %d messages took too long", taken)
+				t.Fatalf("taking on %d messages took too long", accepted)
 			}
-			for n := range taken {
+			for n := range accepted {
 				select {
 				case <-p.notices:
 				case <-time.After(time.Until(r.began.Add(due + 5*time.Second))):
-					t.Fatalf("%d of %d ends were told", n, taken)
+					t.Fatalf("%d of %d ends were told", n, accepted)
 				}
 			}
-			t.Logf("%d ends, the last one told %v after its time", taken, r.now()-due)
+			t.Logf("%d ends, the last one told %v after its time", accepted, r.now()-due)
 		})
 	}
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -85,7 +85,7 @@
 
 // succession is what a relay has of the process before it, and what it owes to the one after it.
 type handoverState struct {
-	previousProcess  *precedingProcess // from the process before this one; nil if there was none
+	previousProcess  *previousProcess  // from the process before this one; nil if there was none
 	handoverListener *net.UnixListener // where the next process asks; nil if it cannot
 	handoverRequests []*net.UnixConn   // of next processes that have asked, in this order; the first may have died since
 	deferredIntakes  []*intake         // came since then, and are taken on after the hand-over
--- a/internal/relay/inherit.go
+++ b/internal/relay/handover_receive.go
@@ -17,7 +17,7 @@
 )
 
 // heritage is what a process has from the one before it.
-type precedingProcess struct {
+type previousProcess struct {
 	handoverSnapshot
 	conn     *net.UnixConn
 	decoder  *json.Decoder
@@ -26,7 +26,7 @@
 }
 
 // inherit asks the process that runs as this relay to hand over. It returns nil if there is none.
-func requestHandover(state string) (*precedingProcess, error) {
+func requestHandover(state string) (*previousProcess, error) {
 	path := filepath.Join(state, handoverSocket)
 	c, err := net.DialTimeout("unix", path, handoverTimeout)
 	if errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, os.ErrNotExist) {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("hand-over: %w", err)
 	}
-	h := &precedingProcess{conn: c.(*net.UnixConn), decoder: json.NewDecoder(c), calls: map[string]*call{}}
+	h := &previousProcess{conn: c.(*net.UnixConn), decoder: json.NewDecoder(c), calls: map[string]*call{}}
 	if err := h.receive(); err != nil {
 		h.close()
 		return nil, fmt.Errorf("hand-over: %w", err)
@@ -43,7 +43,7 @@
 	return h, nil
 }
 
-func (h *precedingProcess) receive() error {
+func (h *previousProcess) receive() error {
 	h.conn.SetDeadline(time.Now().Add(2 * handoverTimeout)) // the other side may be in the middle of a step
 	if _, err := io.WriteString(h.conn, handoverHello); err != nil {
 		return err
@@ -76,7 +76,7 @@
 	return h.decoder.Decode(&h.handoverSnapshot)
 }
 
-func (h *precedingProcess) close() {
+func (h *previousProcess) close() {
 	h.conn.Close()
 	if h.listener != nil {
 		h.listener.Close()
@@ -84,7 +84,7 @@
 }
 
 // accept tells the process before this one that it has handed over.
-func (h *precedingProcess) confirm() error {
+func (h *previousProcess) confirm() error {
 	if _, err := io.WriteString(h.conn, handoverAccepted); err != nil {
 		return fmt.Errorf("hand-over: %w", err)
 	}
@@ -92,7 +92,7 @@
 }
 
 // callOf is the call that a message is out with in the process before this one; nil for none.
-func (h *precedingProcess) callOf(id string) *call {
+func (h *previousProcess) callOf(id string) *call {
 	if h == nil {
 		return nil
 	}
@@ -100,7 +100,7 @@
 }
 
 // adopt takes up the calls that run on in the process before this one.
-func (r *Relay) adoptCalls(h *precedingProcess) {
+func (r *Relay) adoptCalls(h *previousProcess) {
 	for i, c := range h.RunningCalls {
 		if r.hosts[c.Host] == nil {
 			continue // the journal has its messages as ones that may have run
@@ -117,7 +117,7 @@
 }
 
 // attend follows the process before this one until it ends.
-func (r *Relay) followPrevious(h *precedingProcess) {
+func (r *Relay) followPrevious(h *previousProcess) {
 	l := newProcessLink(h.conn, h.decoder)
 	for id, c := range h.calls {
 		c.cancel = func(error) { l.send(handoverReply{CancelID: id}) }
@@ -149,7 +149,7 @@
 
 // endInTime ends an attempt of the process before this one once its message's time is up: that process may get no core, or
 // hang, and the end is owed by this one.
-func (r *Relay) endAtDeadline(h *precedingProcess, id string, c *call) {
+func (r *Relay) endAtDeadline(h *previousProcess, id string, c *call) {
 	m := r.pending[id]
 	if m == nil {
 		return
@@ -163,14 +163,14 @@
 
 // orphaned ends the calls that were still out as the process before this one ended. They may have
 // run, but were broken off on this side: that is not held against their hosts as a reset would be.
-func (r *Relay) endOrphanedCalls(h *precedingProcess) {
+func (r *Relay) endOrphanedCalls(h *previousProcess) {
 	for id, c := range h.calls {
 		r.endedByPrevious(h, forwardedResult{ID: id, Outcome: choice.Cancelled, Elapsed: time.Since(c.began)})
 	}
 }
 
 // endedBefore takes in how an attempt ended that the process before this one had out.
-func (r *Relay) endedByPrevious(h *precedingProcess, result forwardedResult) {
+func (r *Relay) endedByPrevious(h *previousProcess, result forwardedResult) {
 	c := h.calls[result.ID]
 	delete(h.calls, result.ID)
 	if m := r.pending[result.ID]; m != nil && c != nil {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -34,25 +34,25 @@
 // Guards against all that a new version under load may not do: turn clients back, on new and on old
 // connections; send what is out a second time; forget a wait, or what operators took out; count
 // what the process before it did, or miss what ends after it took over.
-func TestHandOver(t *testing.T) {
+func TestHandoverKeepsMessagesCallsAndWaits(t *testing.T) {
 	calls := make(chan *seen, 10)
-	other := at("s-3", fakeHost(t, "c", calls), "taller")
-	other.Cell = 8
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"), at("s-2", fakeHost(t, "b", calls), "taller"), other)
+	otherServer := at("s-3", fakeHost(t, "c", calls), "taller")
+	otherServer.Cell = 8
+	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"), at("s-2", fakeHost(t, "b", calls), "taller"), otherServer)
 	state := t.TempDir()
 	old := startRelay(t, p, func(conf *Config) { withAdmin(conf); conf.State = state })
 	up(t, old.Addr())
 	if status, _ := operate(t, old, "PUT", "/endpoints/disable/s-2"); status != 200 {
 		t.Fatal(status)
 	}
-	kept := &http.Client{Transport: &http.Transport{}} // its connection stays with the old process
+	oldConnClient := &http.Client{Transport: &http.Transport{}} // its connection stays with the old process
 	post := func(id string) *http.Response {
 		t.Helper()
 		req, _ := http.NewRequest("POST", "http://"+old.Addr()+"/api", strings.NewReader("body of "+id))
 		for k, v := range map[string]string{"X-Request-Id": id, "X-Class": "payment", "X-Deadline-Ms": "15000", "X-Addressing": "dest=7"} {
 			req.Header.Set(k, v)
 		}
-		resp, err := kept.Do(req)
+		resp, err := oldConnClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,25 +61,25 @@
 		return resp
 	}
 	want(t, "m1", post("m1").StatusCode, 202)
-	out := wait(t, calls, "call")
+	inFlight := wait(t, calls, "call")
 	hand(t, old.Addr(), "m2", "payment", "X-Addressing", "dest=8")
-	told := wait(t, calls, "call")
-	toldAt := time.Now()
-	told.answer <- 429 // and to wait 0.3 s
+	waitCall := wait(t, calls, "call")
+	waitToldAt := time.Now()
+	waitCall.answer <- 429 // and to wait 0.3 s
 	shows(t, old, "svc.attempts=2", "svc.in_flight=2")
 
 	next := upgrade(t, p, old)
 	next.listener.mu.Lock()
-	most := next.listener.most
+	maxConns := next.listener.most
 	next.listener.mu.Unlock()
-	if n := old.listener.count(); n == 0 || most+n > next.conf.Sockets/2 {
-		t.Errorf("clients hold %d sockets here and may hold %d there, of %d", n, most, next.conf.Sockets)
+	if n := old.listener.count(); n == 0 || maxConns+n > next.conf.Sockets/2 {
+		t.Errorf("clients hold %d sockets here and may hold %d there, of %d", n, maxConns, next.conf.Sockets)
 	}
 	shows(t, next, "svc.attempts=0", "svc.in_flight=2", "svc.endpoints_known=3", "svc.endpoints_excluded=1",
 		"svc.requests.payment.served=0")
-	passed := post("m3")
-	want(t, "m3, on the old connection", passed.StatusCode, 202)
-	want(t, "the old connection ends with it", passed.Close, true)
+	forwardedResponse := post("m3")
+	want(t, "m3, on the old connection", forwardedResponse.StatusCode, 202)
+	want(t, "the old connection ends with it", forwardedResponse.Close, true)
 	want(t, "m1 again", post("m1").StatusCode, 202)
 	want(t, "no class", func() int { s, _ := hand(t, old.Addr(), "m5", "none"); return s }(), 400)
 	for n := range 2 { // m2 after its wait, and m3
@@ -87,19 +87,19 @@
 		if c.id != "m2" && c.id != "m3" || c.host == "b" {
 			t.Fatalf("call %d has %s, at %s", n, c.id, c.host)
 		}
-		if c.id == "m2" && c.at.Sub(toldAt) < 300*time.Millisecond {
-			t.Errorf("m2 went %v after a wait of 0.3 s was told", c.at.Sub(toldAt))
+		if c.id == "m2" && c.at.Sub(waitToldAt) < 300*time.Millisecond {
+			t.Errorf("m2 went %v after a wait of 0.3 s was told", c.at.Sub(waitToldAt))
 		}
 		c.answer <- 200
 	}
-	out.answer <- 200
+	inFlight.answer <- 200
 	shows(t, next, "svc.requests.payment.served=3", "svc.attempts=2", "svc.in_flight=0")
-	after := upgrade(t, p, next)
-	status, _ := hand(t, after.Addr(), "m3", "payment")
+	afterNext := upgrade(t, p, next)
+	status, _ := hand(t, afterNext.Addr(), "m3", "payment")
 	want(t, "m3 once more, two processes on", status, 202)
-	shows(t, after, "svc.requests.payment.served=0", "svc.in_flight=0")
+	shows(t, afterNext, "svc.requests.payment.served=0", "svc.in_flight=0")
 	next.stop()
-	next = after
+	next = afterNext
 	shows(t, old, "svc.requests.payment.served=0", "svc.attempts=2", "svc.in_flight=0")
 	if status, _ := operate(t, old, "PUT", "/endpoints/enable/s-2"); status != 503 {
 		t.Errorf("the process that handed over answers operators %d, want 503", status)
@@ -118,20 +118,20 @@
 }
 
 // Guards against a relay that is lost to a next process which dies, lies or hangs as it takes over.
-func TestHandOverThatFails(t *testing.T) {
+func TestRelayContinuesAfterFailedHandover(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	old := startRelay(t, p, withAdmin)
 	up(t, old.Addr())
-	for i, says := range []string{"", "hello", handoverHello, handoverHello + "tak", handoverHello + "mine!\n"} {
+	for i, sent := range []string{"", "hello", handoverHello, handoverHello + "tak", handoverHello + "mine!\n"} {
 		conn, err := net.Dial("unix", filepath.Join(old.conf.State, handoverSocket))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := io.WriteString(conn, says); err != nil {
+		if _, err := io.WriteString(conn, sent); err != nil {
 			t.Fatal(err)
 		}
-		if says == handoverHello { // it replaces the journal, as it would, and dies
+		if sent == handoverHello { // it replaces the journal, as it would, and dies
 			j, err := journal.Open(old.conf.State, 3e6)
 			if err != nil {
 				t.Fatal(err)
@@ -147,16 +147,16 @@
 		c.answer <- 200
 	}
 	hand(t, old.Addr(), "m9", "payment")
-	out := wait(t, calls, "call")
+	inFlight := wait(t, calls, "call")
 	next := upgrade(t, p, old)
 	shows(t, next, "svc.in_flight=1")
-	out.answer <- 200
+	inFlight.answer <- 200
 	shows(t, next, "svc.requests.payment.served=1", "svc.in_flight=0")
 }
 
 // Guards against a process that ends between the one before it, which has calls out, and the next
 // one, which waits for their ends: both would take those calls for broken.
-func TestStopWaitsForCallsOfAllProcesses(t *testing.T) {
+func TestStopWaitsForCallsOfEveryProcess(t *testing.T) {
 	for _, c := range []struct {
 		name                      string
 		out, adopted, asked, held int
@@ -172,7 +172,7 @@
 		{name: "messages of the next process", held: 1, passed: true, idle: true},
 	} {
 		r := &Relay{out: c.out, stopped: c.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
-			handoverState: handoverState{previousProcess: &precedingProcess{calls: map[string]*call{}}, forwardedIntakes: map[int64]*intake{}}}
+			handoverState: handoverState{previousProcess: &previousProcess{calls: map[string]*call{}}, forwardedIntakes: map[int64]*intake{}}}
 		if c.passed {
 			r.nextProcess = &processLink{}
 		}
@@ -190,10 +190,10 @@
 }
 
 // Guards against hosts that are taken for broken because a process of this relay ended.
-func TestCallsOfAProcessThatEndedAreCalledOff(t *testing.T) {
+func TestCallsOfEndedProcessAreCancelled(t *testing.T) {
 	c := &call{host: &host{id: "s-1"}, began: time.Now().Add(-time.Minute)}
 	m := &message{Entry: &journal.Entry{ID: "m1"}, call: c}
-	h := &precedingProcess{calls: map[string]*call{"m1": c}}
+	h := &previousProcess{calls: map[string]*call{"m1": c}}
 	r := &Relay{handoverState: handoverState{previousProcess: h}, messageRecords: messageRecords{pending: map[string]*message{"m1": m}}}
 	r.endOrphanedCalls(h)
 	want(t, "events", len(r.events), 1)
@@ -205,61 +205,61 @@
 }
 
 // unixPair are the two ends of a connection between two processes.
-func unixPair(t *testing.T) (here, there *net.UnixConn) {
+func unixPair(t *testing.T) (local, remote *net.UnixConn) {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if there, err = net.DialUnix("unix", nil, l.Addr().(*net.UnixAddr)); err != nil {
+	if remote, err = net.DialUnix("unix", nil, l.Addr().(*net.UnixAddr)); err != nil {
 		t.Fatal(err)
 	}
-	if here, err = l.AcceptUnix(); err != nil {
+	if local, err = l.AcceptUnix(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { here.Close(); there.Close() })
-	return here, there
+	t.Cleanup(func() { local.Close(); remote.Close() })
+	return local, remote
 }
 
 // Guards against two processes that both go on as one relay: the word of the next one comes as this one stops waiting.
-func TestTheWordThatComesAsWaitingEnds(t *testing.T) {
-	here, there := unixPair(t)
-	if err := (&precedingProcess{conn: there}).confirm(); err != nil {
+func TestConfirmationAtTimeoutCounts(t *testing.T) {
+	local, remote := unixPair(t)
+	if err := (&previousProcess{conn: remote}).confirm(); err != nil {
 		t.Fatal(err)
 	}
-	here.SetDeadline(time.Now().Add(-time.Second))
-	if err := awaitAccepted(here); err != nil {
+	local.SetDeadline(time.Now().Add(-time.Second))
+	if err := awaitAccepted(local); err != nil {
 		t.Errorf("the next process has taken over, and this one finds %v", err)
 	}
-	here, there = unixPair(t)
-	here.SetDeadline(time.Now().Add(-time.Second))
-	if err := awaitAccepted(here); err == nil {
+	local, remote = unixPair(t)
+	local.SetDeadline(time.Now().Add(-time.Second))
+	if err := awaitAccepted(local); err == nil {
 		t.Error("no word came, and this process finds that it has handed over")
 	}
-	if err := (&precedingProcess{conn: there}).confirm(); err == nil {
+	if err := (&previousProcess{conn: remote}).confirm(); err == nil {
 		t.Error("this process goes on, and the next one finds that it has taken over")
 	}
 }
 
 // Guards against an upgrade that is refused because the process before it asked, and died, in the same turn of the loop: it
 // found the address taken, and did not start.
-func TestHandOverAfterOneThatDied(t *testing.T) {
+func TestHandoverAfterRequesterDied(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	old := startRelay(t, p, withAdmin)
 	up(t, old.Addr())
-	goOn := make(chan struct{})
-	old.post(func() { <-goOn }) // a turn that lasts until both have asked
-	dead, err := net.Dial("unix", filepath.Join(old.conf.State, handoverSocket))
+	release := make(chan struct{})
+	old.post(func() { <-release }) // a turn that lasts until both have asked
+	deadConn, err := net.Dial("unix", filepath.Join(old.conf.State, handoverSocket))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(dead, handoverHello); err != nil {
+	if _, err := io.WriteString(deadConn, handoverHello); err != nil {
 		t.Fatal(err)
 	}
-	dead.Close()
-	time.AfterFunc(100*time.Millisecond, func() { close(goOn) }) // both wait in the loop's inbox by then
+	deadConn.Close()
+	time.AfterFunc(100*time.Millisecond, func() { close(release) }) // both wait in the loop's inbox by then
 	next := upgrade(t, p, old)
 	hand(t, next.Addr(), "m1", "payment")
 	wait(t, calls, "call").answer <- 200
--- a/internal/relay/notices_record_test.go
+++ b/internal/relay/notices_record_test.go
@@ -13,7 +13,7 @@
 )
 
 // giveUnwritten has a message end undelivered while the journal cannot be written.
-func (g *noticeRig) giveUnwritten(id string) {
+func (g *noticeRig) endWithoutRecord(id string) {
 	done := make(chan struct{})
 	g.post(func() {
 		defer close(done)
@@ -40,17 +40,17 @@
 }
 
 // failureTimes is when errors were logged.
-type failureTimes struct {
+type errorTimes struct {
 	slog.Handler
 	mu  sync.Mutex
 	all []time.Time
 }
 
-func (f *failureTimes) Enabled(_ context.Context, level slog.Level) bool {
+func (f *errorTimes) Enabled(_ context.Context, level slog.Level) bool {
 	return level >= slog.LevelError
 }
 
-func (f *failureTimes) Handle(context.Context, slog.Record) error {
+func (f *errorTimes) Handle(context.Context, slog.Record) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.all = append(f.all, time.Now())
@@ -58,7 +58,7 @@
 }
 
 // take returns the times so far, and forgets them.
-func (f *failureTimes) take() []time.Time {
+func (f *errorTimes) drain() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	all := f.all
@@ -68,38 +68,38 @@
 
 // Guards against a notice before the record of what it says; against an end that waits long for the next attempt at its record,
 // with nothing else that wakes the loop; and against attempts that grow in number with all that comes in meanwhile.
-func TestARecordIsTriedAgainSoon(t *testing.T) {
-	for name, turns := range map[string]int{"nothing comes in": 0, "much comes in": 1000} {
+func TestFailedRecordIsRetriedSoon(t *testing.T) {
+	for name, iterations := range map[string]int{"nothing comes in": 0, "much comes in": 1000} {
 		t.Run(name, func(t *testing.T) {
-			failures := &failureTimes{Handler: slog.DiscardHandler}
+			failures := &errorTimes{Handler: slog.DiscardHandler}
 			log := slog.Default()
 			slog.SetDefault(slog.New(failures))
 			defer slog.SetDefault(log)
 			p := &memoryPlatform{}
 			inNoticeRig(t, p, func(g *noticeRig) {
-				g.giveUnwritten("m")
-				for range turns {
+				g.endWithoutRecord("m")
+				for range iterations {
 					g.post(func() {})
 					synctest.Wait()
 				}
-				failures.take()
-				const lasts, soon = 10 * time.Second, 100 * time.Millisecond
+				failures.drain()
+				const duration, maxGap = 10 * time.Second, 100 * time.Millisecond
 				last := time.Now()
-				time.Sleep(lasts)
+				time.Sleep(duration)
 				synctest.Wait()
-				attempts := failures.take()
+				attempts := failures.drain()
 				for _, at := range attempts {
-					if gap := at.Sub(last); gap > soon {
+					if gap := at.Sub(last); gap > maxGap {
 						t.Errorf("no attempt at a record for %v", gap)
 					}
 					last = at
 				}
-				if n := len(attempts); n < int(lasts/soon) || n > int(2*lasts/soon) {
-					t.Errorf("%d attempts in %v", n, lasts)
+				if n := len(attempts); n < int(duration/maxGap) || n > int(2*duration/maxGap) {
+					t.Errorf("%d attempts in %v", n, duration)
 				}
 				want(t, "POSTs before the record", p.posted(), 0)
 				g.repair()
-				g.takenBy(p, lasts, "m")
+				g.takenBy(p, duration, "m")
 			})
 		})
 	}
--- a/internal/relay/record_order_test.go
+++ b/internal/relay/record_order_test.go
@@ -12,7 +12,7 @@
 )
 
 // unserved is a relay whose loop a test runs by hand, step by step.
-func unserved(t *testing.T, p *platform, state string) *Relay {
+func newSteppedRelay(t *testing.T, p *platform, state string) *Relay {
 	t.Helper()
 	conf, err := readTestConfig(t, testConfig(t, p), state)
 	if err != nil {
@@ -27,19 +27,19 @@
 }
 
 // request is a message as a handler gives it to the loop.
-func request(t *testing.T, r *Relay, ctx context.Context, id, class string, left time.Duration) *intake {
+func newIntake(t *testing.T, r *Relay, ctx context.Context, id, class string, timeLeft time.Duration) *intake {
 	t.Helper()
-	e := &journal.Entry{ID: id, Class: class, Dest: 7, Key: "key-" + id, Body: []byte("body of " + id), Due: time.Now().Add(left).UnixMilli()}
+	e := &journal.Entry{ID: id, Class: class, Dest: 7, Key: "key-" + id, Body: []byte("body of " + id), Due: time.Now().Add(timeLeft).UnixMilli()}
 	terms, err := admit(r.set.Load(), e, r.now())
 	if err != nil {
 		t.Fatal(err)
 	}
 	e.Terms = terms
-	return &intake{entry: e, due: r.now() + left, ctx: ctx, reply: make(chan answer, 1)}
+	return &intake{entry: e, due: r.now() + timeLeft, ctx: ctx, reply: make(chan answer, 1)}
 }
 
 // status is what a client has been told; 0 for nothing.
-func status(in *intake) int {
+func replyStatus(in *intake) int {
 	select {
 	case a := <-in.reply:
 		return a.status
@@ -57,35 +57,35 @@
 
 // tooLarge is a record that the journal has no room for, while it has room for a few smaller ones. It is one, for many are
 // written in parts.
-func tooLarge() []journal.Record {
+func oversizedRecord() []journal.Record {
 	return []journal.Record{{Op: journal.OpOutcome, ID: strings.Repeat("x", 4<<20)}}
 }
 
 // Guards against the end of an earlier message that is written after the record that takes on a new one of the same id: the
 // next start would not know of the new one.
-func TestNothingIsTakenOnBeforeEarlierRecordsAreWritten(t *testing.T) {
+func TestNothingIsAcceptedBeforeEarlierRecordsAreWritten(t *testing.T) {
 	state := t.TempDir()
-	r := unserved(t, newPlatform(t, leavingHost()), state)
-	first := request(t, r, context.Background(), "m1", "payment", time.Minute)
+	r := newSteppedRelay(t, newPlatform(t, leavingHost()), state)
+	first := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.take(first)
 	r.step()
-	want(t, "status of the first", status(first), http.StatusAccepted)
+	want(t, "status of the first", replyStatus(first), http.StatusAccepted)
 	r.withdraw("m1", nil)
-	r.pendingRecords = append(append([]journal.Record(nil), r.pendingRecords...), tooLarge()...)
-	early := []*intake{request(t, r, context.Background(), "m1", "payment", time.Minute), request(t, r, context.Background(), "m2", "payment", time.Minute)}
-	for _, in := range early {
+	r.pendingRecords = append(append([]journal.Record(nil), r.pendingRecords...), oversizedRecord()...)
+	rejected := []*intake{newIntake(t, r, context.Background(), "m1", "payment", time.Minute), newIntake(t, r, context.Background(), "m2", "payment", time.Minute)}
+	for _, in := range rejected {
 		r.take(in)
 	}
 	r.step()
-	for _, in := range early {
-		want(t, "status of "+in.entry.ID+" while records wait", status(in), http.StatusServiceUnavailable)
+	for _, in := range rejected {
+		want(t, "status of "+in.entry.ID+" while records wait", replyStatus(in), http.StatusServiceUnavailable)
 	}
-	r.pendingRecords = r.pendingRecords[:len(r.pendingRecords)-len(tooLarge())]
+	r.pendingRecords = r.pendingRecords[:len(r.pendingRecords)-len(oversizedRecord())]
 	r.step()
-	late := request(t, r, context.Background(), "m1", "payment", time.Minute)
-	r.take(late)
+	retried := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+	r.take(retried)
 	r.step()
-	want(t, "status of m1 once they are written", status(late), http.StatusAccepted)
+	want(t, "status of m1 once they are written", replyStatus(retried), http.StatusAccepted)
 	r.journal.Close()
 	j, err := journal.Open(state, 3e6)
 	if err != nil {
@@ -98,7 +98,7 @@
 
 // Guards against taking on anew, after a restart, a message that has ended and whose notice is still owed: the record of that
 // notice would end the new one, too. More notices may be owed than ids are remembered.
-func TestAMessageWhoseNoticeIsOwedIsNotTakenOnAnew(t *testing.T) {
+func TestMessageWithPendingNoticeIsNotAcceptedAgain(t *testing.T) {
 	for name, forget := range map[string]bool{"remembered": false, "forgotten": true} {
 		state := t.TempDir()
 		j, err := journal.Open(state, 3e6)
@@ -110,20 +110,20 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		r := unserved(t, newPlatform(t, leavingHost()), state)
+		r := newSteppedRelay(t, newPlatform(t, leavingHost()), state)
 		if forget {
 			r.endedIDs = recentIDs{}
 		}
-		in := request(t, r, context.Background(), "m1", "payment", time.Minute)
+		in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.take(in)
 		r.step()
-		want(t, name+": status", status(in), http.StatusAccepted)
+		want(t, name+": status", replyStatus(in), http.StatusAccepted)
 		want(t, name+": messages held", len(r.pending), 0)
 		want(t, name+": notices owed", r.pendingNotices, 1)
 		r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has taken it
 		r.step()
 		want(t, name+": messages on record", r.journal.Len(), 0)
-		again := request(t, r, context.Background(), "m1", "payment", time.Minute)
+		again := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.take(again)
 		r.step()
 		want(t, name+": held, once the notice is told", len(r.pending), map[bool]int{false: 0, true: 1}[forget])
@@ -132,17 +132,17 @@
 }
 
 // Guards against recording a message a second time while it is not known whether this relay is to deliver the one on record.
-func TestAMessageThatIsOnRecordIsNotRecordedAgain(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
-	for class, said := range map[string]int{"status-update": http.StatusServiceUnavailable, "payment": http.StatusInternalServerError} {
-		first := request(t, r, context.Background(), class, class, time.Minute)
+func TestRecordedMessageIsNotRecordedAgain(t *testing.T) {
+	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
+	for class, wantStatus := range map[string]int{"status-update": http.StatusServiceUnavailable, "payment": http.StatusInternalServerError} {
+		first := newIntake(t, r, context.Background(), class, class, time.Minute)
 		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: first.entry}); err != nil {
 			t.Fatal(err)
 		}
-		in := request(t, r, context.Background(), class, class, time.Minute)
+		in := newIntake(t, r, context.Background(), class, class, time.Minute)
 		r.take(in)
 		r.step()
-		want(t, class, status(in), said)
+		want(t, class, replyStatus(in), wantStatus)
 		want(t, "messages held", len(r.pending), 0)
 	}
 }
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -17,7 +17,7 @@
 
 // Guards against an answer that does not follow from the record, as the loop ends with requests under way: one that is
 // on record is owed its end, so its client must not be told to come again; and one that is not must not be told 202.
-func TestTheRecordDecidesWhatIsSaidAtTheEnd(t *testing.T) {
+func TestAnswersAtStopFollowTheRecord(t *testing.T) {
 	calls := make(chan *seen, 10000)
 	for round := range 12 {
 		p := newPlatform(t, at("s1", fakeHost(t, "s1", calls), "taller"))
@@ -31,11 +31,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ended := make(chan struct{})
-		go func() { r.Serve(); close(ended) }()
+		loopEnded := make(chan struct{})
+		go func() { r.Serve(); close(loopEnded) }()
 		const clients = 60
-		var all sync.WaitGroup
-		var said atomic.Int32
+		var requests sync.WaitGroup
+		var answers atomic.Int32
 		start := make(chan struct{})
 		status := make([]int, clients)
 		for k := range clients {
@@ -49,7 +49,7 @@
 			if s, _, err := answered(in); s != http.StatusOK {
 				t.Fatal(s, err)
 			}
-			all.Go(func() {
+			requests.Go(func() {
 				<-start
 				fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: m%d\r\nX-Class: status-update\r\nX-Deadline-Ms: 15000\r\n"+
 					"X-Addressing: dest=7\r\nContent-Length: 2\r\n\r\nhi", k)
@@ -57,15 +57,15 @@
 				if status[k], _, err = answered(in); err != nil {
 					status[k] = -1 // the connection was ended before the request was read
 				}
-				if said.Add(1) == int32(1+5*round) {
+				if answers.Add(1) == int32(1+5*round) {
 					r.stop()
 				}
 			})
 		}
 		close(start)
-		all.Wait()
+		requests.Wait()
 		r.stop()
-		<-ended
+		<-loopEnded
 		j, err := journal.Open(state, 3e6)
 		if err != nil {
 			t.Fatal(err)
@@ -85,12 +85,12 @@
 
 // Guards against a client told to come again with a message that the next process may have taken on before it died: the one
 // after it delivers what is on record.
-func TestNoWordOfTheNextProcess(t *testing.T) {
+func TestNextProcessExitsWithoutAnswering(t *testing.T) {
 	for effect, status := range map[choice.Effect]int{choice.Safe: 503, choice.Keyed: 500, choice.Unsafe: 500} {
-		in := &intake{entry: &journal.Entry{ID: "m", Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, reply: make(chan answer, 1)}
-		r := &Relay{quit: make(chan struct{}), handoverState: handoverState{forwardedIntakes: map[int64]*intake{1: in}}}
+		request := &intake{entry: &journal.Entry{ID: "m", Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, reply: make(chan answer, 1)}
+		r := &Relay{quit: make(chan struct{}), handoverState: handoverState{forwardedIntakes: map[int64]*intake{1: request}}}
 		r.nextProcessExited()
-		want(t, "status", wait(t, in.reply, "answer").status, status)
+		want(t, "status", wait(t, request.reply, "answer").status, status)
 		want(t, "asked", len(r.forwardedIntakes), 0)
 	}
 	unknown := &intake{entry: &journal.Entry{ID: "m"}, reply: make(chan answer, 1)}
--- a/internal/relay/copies_room_test.go
+++ b/internal/relay/replica_capacity_test.go
@@ -23,21 +23,21 @@
 // copy, and were full with the next message. An end that was due waited for a holder's word all that time.
 
 // copierWith is a relay that copies to so many holders, all of them well and with as much disk as it has.
-func copierWith(t *testing.T, holders int, diskMB float64) (*Relay, *groupStream) {
+func newRelayWithReplicas(t *testing.T, replicas int, diskMB float64) (*Relay, *groupStream) {
 	t.Helper()
-	own, err := journal.Open(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
+	journal, err := journal.Open(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 1024), quit: make(chan struct{}), conf: Config{DiskMB: diskMB},
-		messageRecords: messageRecords{journal: own, pending: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
-			replication: &replication{conf: fleet.Config{Copies: holders - 1}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: &http.Client{}}}}
+		messageRecords: messageRecords{journal: journal, pending: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
+			replication: &replication{conf: fleet.Config{Copies: replicas - 1}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: &http.Client{}}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	r.dests = map[int]*waiting{7: {}}
 	r.set.Store(&standing{})
 	t.Cleanup(func() { close(r.quit) })
-	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: holders - 1}
-	for i := range holders {
+	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: replicas - 1}
+	for i := range replicas {
 		h, err := estate.OpenHolder(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
 		if err != nil {
 			t.Fatal(err)
@@ -60,7 +60,7 @@
 }
 
 // turns plays the loop's turns until something holds.
-func (r *Relay) turns(t *testing.T, what string, holds func() bool) {
+func (r *Relay) runLoopUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.After(20 * time.Second); !holds(); {
 		select {
@@ -75,9 +75,9 @@
 }
 
 // arrives has a message come in, and returns the channel of its answer.
-func arrives(r *Relay, id string, body int) chan answer {
+func submitMessage(r *Relay, id string, bodySize int) chan answer {
 	in := &intake{ctx: context.Background(), reply: make(chan answer, 1), due: r.now() + time.Hour, entry: &journal.Entry{ID: id, Class: "c", Dest: 7,
-		Due: time.Now().Add(time.Hour).UnixMilli(), Body: make([]byte, body), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}}
+		Due: time.Now().Add(time.Hour).UnixMilli(), Body: make([]byte, bodySize), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}}
 	r.take(in)
 	r.takeOn()
 	return in.reply
@@ -85,36 +85,36 @@
 
 // Guards against a relay that takes on more than its holders have room for: it is refused by all of them, with what it has to
 // tell of ends, though none has failed.
-func TestARelayTakesOnWhatItsHoldersHaveRoomFor(t *testing.T) {
-	for _, body := range []int{10, 600, 5000} {
-		t.Run(fmt.Sprint(body), func(t *testing.T) {
-			r, s := copierWith(t, 3, 3)
-			r.turns(t, "enough holders", func() bool { return s.shortSince == 0 })
+func TestRelayAcceptsWhatReplicasHaveSpaceFor(t *testing.T) {
+	for _, bodySize := range []int{10, 600, 5000} {
+		t.Run(fmt.Sprint(bodySize), func(t *testing.T) {
+			r, s := newRelayWithReplicas(t, 3, 3)
+			r.runLoopUntil(t, "enough holders", func() bool { return s.shortSince == 0 })
 			for round := range 3 {
-				var held []string
+				var accepted []string
 				for i := 0; ; i++ {
 					id := fmt.Sprintf("m%d-%d", round, i)
-					reply := arrives(r, id, body)
-					r.turns(t, "an answer", func() bool { return len(reply) > 0 })
+					reply := submitMessage(r, id, bodySize)
+					r.runLoopUntil(t, "an answer", func() bool { return len(reply) > 0 })
 					if a := <-reply; a.status != http.StatusAccepted {
 						break
 					}
-					held = append(held, id)
+					accepted = append(accepted, id)
 				}
-				if len(held) < 5 {
-					t.Fatalf("%d messages of %d bytes are taken on", len(held), body)
+				if len(accepted) < 5 {
+					t.Fatalf("%d messages of %d bytes are taken on", len(accepted), bodySize)
 				}
 				r.checkCommits()
 				want(t, "records that do not count", s.gates.Len(), 0)
 				want(t, "spans without enough holders", s.shortSince, 0)
 				// What is held ends, which its holders have room for in any case.
-				for _, id := range held {
+				for _, id := range accepted {
 					r.record(journal.Record{Op: journal.OpTry, ID: id, At: time.Now().UnixMilli(), Wait: 100})
 					r.finish(r.pending[id], servedEnd)
 				}
 				r.flush()
 				end := s.Next()
-				r.turns(t, "the ends count", func() bool { return s.Standing().Counted >= end })
+				r.runLoopUntil(t, "the ends count", func() bool { return s.Standing().Counted >= end })
 			}
 		})
 	}
@@ -122,8 +122,8 @@
 
 // Guards against an end that is due and waits for a holder's word: it comes too late, and for nothing, since by then no heir may
 // deliver the message any more. One that is not due yet does wait: an heir could deliver what its client hands in again.
-func TestADueEndWaitsForNoHolder(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
+func TestDueNoticeDoesNotWaitForReplicas(t *testing.T) {
+	r, _ := newReplicatingRelay(t, fleet.Refuse)
 	due := time.Now().Add(300 * time.Millisecond)
 	for id, at := range map[string]time.Time{"due": due, "not due": due.Add(time.Hour)} {
 		m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Due: at.UnixMilli()}}
@@ -137,7 +137,7 @@
 	r.checkCommits()
 	queued := func() int { r.notices.mu.Lock(); defer r.notices.mu.Unlock(); return len(r.notices.queue) }
 	want(t, "notices before they count or are due", queued(), 0)
-	r.turns(t, "a notice", func() bool { return queued() > 0 })
+	r.runLoopUntil(t, "a notice", func() bool { return queued() > 0 })
 	if late := time.Since(due); late < 0 || late > 250*time.Millisecond {
 		t.Errorf("it is told %v after its message's time", late)
 	}
@@ -147,8 +147,8 @@
 }
 
 // Guards against an end that is told though it is not on record: a start would deliver the message. It waits to be recorded once.
-func TestADueEndThatIsNotRecordedWaits(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
+func TestUnrecordedDueNoticeWaits(t *testing.T) {
+	r, _ := newReplicatingRelay(t, fleet.Refuse)
 	m := &message{Entry: &journal.Entry{ID: "due", Class: "c", Estate: 1, Due: time.Now().Add(-time.Second).UnixMilli()}}
 	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, 0, nil); err != nil {
 		t.Fatal(err)
--- a/internal/relay/copies_test.go
+++ b/internal/relay/replication_test.go
@@ -13,7 +13,7 @@
 )
 
 // copier is a relay that copies to holders of whom none answers.
-func copier(t *testing.T, short string) (*Relay, *groupStream) {
+func newReplicatingRelay(t *testing.T, short string) (*Relay, *groupStream) {
 	t.Helper()
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 64), quit: make(chan struct{}),
 		messageRecords: messageRecords{journal: openJournal(t), pending: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
@@ -31,10 +31,10 @@
 }
 
 // takeOn has a message be recorded, as a step does.
-func takeOn(t *testing.T, r *Relay, id string, effect choice.Effect) (*message, chan answer) {
+func bindMessage(t *testing.T, r *Relay, id string, effect choice.Effect) (*message, chan answer) {
 	t.Helper()
-	in := &intake{ctx: context.Background(), reply: make(chan answer, 1)}
-	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, unanswered: []*intake{in}}
+	request := &intake{ctx: context.Background(), reply: make(chan answer, 1)}
+	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, unanswered: []*intake{request}}
 	r.pending[id] = m
 	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, commitTimeout, func(counts bool) {
 		if counts {
@@ -45,15 +45,15 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return m, in.reply
+	return m, request.reply
 }
 
 // Guards against a promise that no holder has: a client is told nothing until its message counts, then that it is refused, or
 // where it must not run twice that nobody knows; and what was recorded of it is taken back.
-func TestNothingIsPromisedWithoutCopies(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
-	_, keyed := takeOn(t, r, "m1", choice.Keyed)
-	_, once := takeOn(t, r, "m2", choice.Unsafe)
+func TestNothingIsAcceptedWithoutCopies(t *testing.T) {
+	r, _ := newReplicatingRelay(t, fleet.Refuse)
+	_, keyed := bindMessage(t, r, "m1", choice.Keyed)
+	_, once := bindMessage(t, r, "m2", choice.Unsafe)
 	r.checkCommits()
 	if len(keyed)+len(once) > 0 {
 		t.Fatal("a client is answered before its message counts")
@@ -79,9 +79,9 @@
 }
 
 // Guards against a relay that refuses although it is to go on by its own disk, or that does so without telling.
-func TestOwnDisk(t *testing.T) {
-	r, _ := copier(t, fleet.OwnDisk)
-	_, reply := takeOn(t, r, "m1", choice.Unsafe)
+func TestOwnDiskModeAcceptsAndReportsRisk(t *testing.T) {
+	r, _ := newReplicatingRelay(t, fleet.OwnDisk)
+	_, reply := bindMessage(t, r, "m1", choice.Unsafe)
 	r.checkCommits()
 	r.began = r.began.Add(-commitTimeout)
 	r.checkCommits()
@@ -94,9 +94,9 @@
 }
 
 // Guards against a call that goes although its record does not count, or counted too late for an heir to know.
-func TestCallsWaitForTheirRecord(t *testing.T) {
-	r, s := copier(t, fleet.Refuse)
-	m, _ := takeOn(t, r, "m1", choice.Keyed)
+func TestCallsWaitForCommittedRecords(t *testing.T) {
+	r, s := newReplicatingRelay(t, fleet.Refuse)
+	m, _ := bindMessage(t, r, "m1", choice.Keyed)
 	for name, written := range map[string]time.Time{"not counted": time.Now(), "too late": time.Now().Add(-callStartTimeout)} {
 		r.events = nil
 		c := &call{host: &host{id: "h"}, members: []*message{m}, sends: []choice.Send{{ID: "m1", Host: "h", Timeout: time.Minute}}}
@@ -128,16 +128,16 @@
 }
 
 // Guards against a client that is told to hand a message in again while holders may still have it: an heir would deliver it, too.
-func TestAWithdrawalWaitsForItsCopies(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
-	m, _ := takeOn(t, r, "m1", choice.Keyed)
-	said := make(chan bool, 1)
-	want(t, "it is withdrawn", r.withdraw(m.ID, func(counts bool) { said <- counts }), true)
+func TestWithdrawalWaitsForCopies(t *testing.T) {
+	r, _ := newReplicatingRelay(t, fleet.Refuse)
+	m, _ := bindMessage(t, r, "m1", choice.Keyed)
+	results := make(chan bool, 1)
+	want(t, "it is withdrawn", r.withdraw(m.ID, func(counts bool) { results <- counts }), true)
 	r.checkCommits()
-	want(t, "words on it before it counts", len(said), 0)
+	want(t, "words on it before it counts", len(results), 0)
 	r.began = r.began.Add(-commitTimeout) // so long later
 	r.checkCommits()
-	want(t, "it counts", wait(t, said, "word"), false)
+	want(t, "it counts", wait(t, results, "word"), false)
 	r.flush()
 	want(t, "messages on record", r.journal.Len(), 0)
 	for effect, status := range map[choice.Effect]int{choice.Keyed: http.StatusServiceUnavailable, choice.Unsafe: http.StatusInternalServerError} {
@@ -148,9 +148,9 @@
 
 // Guards against a second attempt at a message of another relay's estate right after a restart: the first, of its owner before,
 // may still be out, whatever this relay's folder tells.
-func TestARestartLeavesAloneWhatAnOwnerBeforeHasOut(t *testing.T) {
+func TestRestartWaitsForAttemptsOfPreviousOwner(t *testing.T) {
 	for name, atOnce := range map[string]bool{"r": true, "another": false} {
-		r, s := copier(t, fleet.Refuse)
+		r, s := newReplicatingRelay(t, fleet.Refuse)
 		delete(r.replication.streams, s.ID)
 		r.set.Store(&standing{})
 		now := time.Now().UnixMilli()
@@ -159,11 +159,11 @@
 			t.Fatal(err)
 		}
 		r.conf.Name = "r"
-		begun, err := r.beginGroup(state.Estate{ID: 1, Name: name, Epoch: 2, Owner: "r", Writer: "w2", Main: true, Copies: 1}, nil)
+		stream, err := r.beginGroup(state.Estate{ID: 1, Name: name, Epoch: 2, Owner: "r", Writer: "w2", Main: true, Copies: 1}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(begun.Close)
+		t.Cleanup(stream.Close)
 		want(t, "messages held", len(r.pending), 1)
 		want(t, "estate of "+name+": the decisions have it at once", len(r.events) == 1, atOnce)
 	}
--- a/internal/relay/restart_states_test.go
+++ b/internal/relay/restart_states_test.go
@@ -11,9 +11,9 @@
 
 // restartCase is a message as a process left it.
 type restartCase struct {
-	name   string
-	recs   []journal.Record // after the one that takes it on
-	status map[string]string
+	name    string
+	records []journal.Record // after the one that takes it on
+	status  map[string]string
 }
 
 func restartCases(at int64) []restartCase {
@@ -35,15 +35,15 @@
 func TestEachMessageEndsOnceAcrossRestarts(t *testing.T) {
 	const margin = 10 * time.Millisecond // entries have whole milliseconds
 	p := newPlatform(t, leavingHost())
-	for when, left := range map[string]time.Duration{"before the start": -time.Second, "during it": 2 * time.Second, "after it": 5 * time.Second} {
+	for timing, timeLeft := range map[string]time.Duration{"before the start": -time.Second, "during it": 2 * time.Second, "after it": 5 * time.Second} {
 		for _, c := range restartCases(time.Now().Add(-time.Second).UnixMilli()) {
 			for class, status := range c.status {
 				for restarts := range 3 {
-					t.Run(fmt.Sprintf("%s, %s, %s, %d further", c.name, when, class, restarts), func(t *testing.T) {
-						due := time.Now().Add(left)
-						folder := folderWith(t, append([]journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7,
-							Due: due.UnixMilli()}}}, c.recs...)...)
-						r := unserved(t, p, folder)
+					t.Run(fmt.Sprintf("%s, %s, %s, %d further", c.name, timing, class, restarts), func(t *testing.T) {
+						due := time.Now().Add(timeLeft)
+						folder := folderWithRecords(t, append([]journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7,
+							Due: due.UnixMilli()}}}, c.records...)...)
+						r := newSteppedRelay(t, p, folder)
 						if restarts > 0 { // before the first step
 							r = reopened(t, p, r, folder)
 						}
@@ -51,13 +51,13 @@
 							r.step()
 							r = reopened(t, p, r, folder)
 						}
-						later(r, 3*time.Second) // the process has no core
+						advanceClock(r, 3*time.Second) // the process has no core
 						r.step()
 						ended := len(queuedNotices(r)) == 1
 						if time.Until(due) < 3*time.Second-margin && !ended {
 							t.Fatal("it has no end in the first step after its time")
 						}
-						later(r, max(0, time.Until(due)-3*time.Second))
+						advanceClock(r, max(0, time.Until(due)-3*time.Second))
 						r.woken = true
 						r.step()
 						want(t, "notices", len(queuedNotices(r)), 1)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -15,7 +15,7 @@
 )
 
 // folderWith is a folder with a journal of these records.
-func folderWith(t *testing.T, recs ...journal.Record) string {
+func folderWithRecords(t *testing.T, records ...journal.Record) string {
 	t.Helper()
 	state := t.TempDir()
 	j, err := journal.Open(state, 3e6)
@@ -23,37 +23,37 @@
 		t.Fatal(err)
 	}
 	defer j.Close()
-	if err := j.Append(recs...); err != nil {
+	if err := j.Append(records...); err != nil {
 		t.Fatal(err)
 	}
 	return state
 }
 
 // later has a relay's clock go on by so much, while its loop does nothing.
-func later(r *Relay, d time.Duration) { r.began = r.began.Add(-d) }
+func advanceClock(r *Relay, elapsed time.Duration) { r.began = r.began.Add(-elapsed) }
 
 // Guards against an end that is late by as long as the loop was held up between a message's coming and the step in which the
 // decisions hear of it: at a start, which takes up the journal before it serves, and for what clients hand in.
-func TestTimeRunsBeforeTheStep(t *testing.T) {
+func TestTimeRunsBeforeStep(t *testing.T) {
 	for class, status := range map[string]string{"payment": deferred, "status-update": deferred} {
-		r := unserved(t, newPlatform(t, leavingHost()), folderWith(t, journal.Record{Op: journal.OpTaken,
+		r := newSteppedRelay(t, newPlatform(t, leavingHost()), folderWithRecords(t, journal.Record{Op: journal.OpTaken,
 			Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}}))
-		later(r, time.Minute)
+		advanceClock(r, time.Minute)
 		r.step()
 		want(t, "messages held whose time is up", len(r.pending), 0)
 		queued := queuedNotices(r)
 		want(t, "notices", len(queued), 1)
 		want(t, "status of the notice", queued[0].Status, status)
-		in := request(t, r, context.Background(), "m2", class, time.Minute)
+		in := newIntake(t, r, context.Background(), "m2", class, time.Minute)
 		r.take(in)
-		later(r, time.Minute)
+		advanceClock(r, time.Minute)
 		r.step()
 		want(t, "answer to one whose time is up", wait(t, in.reply, "answer").status, http.StatusServiceUnavailable)
 	}
 }
 
 // Guards against a repeat after its window, by as much as a start was held up.
-func TestARestoredMessageRanAsLongAgoAsItDid(t *testing.T) {
+func TestRestoredMessageTimesIncludeDelay(t *testing.T) {
 	before := choice.Restored{Arrival: choice.Arrival{Left: 9 * time.Second}, RanAgo: time.Second, Out: &choice.Running{Ago: 2 * time.Second}}
 	e := withTimeLeft(before, 5*time.Second)
 	want(t, "left", e.Left, 5*time.Second)
@@ -63,7 +63,7 @@
 }
 
 // Guards against a message that has no end because the process before this one, which has its call out, hangs.
-func TestAnAdoptedCallEndsWithItsMessagesTime(t *testing.T) {
+func TestAdoptedCallEndsAtMessageDeadline(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
 	old := startRelay(t, p, withAdmin)
@@ -72,25 +72,25 @@
 	want(t, "status", status, http.StatusAccepted)
 	wait(t, calls, "call")
 	next := upgrade(t, p, old)
-	hangs := make(chan struct{})
-	goOn := sync.OnceFunc(func() { close(hangs) })
-	t.Cleanup(goOn) // before the one that stops it
-	old.post(func() { <-hangs })
+	released := make(chan struct{})
+	release := sync.OnceFunc(func() { close(released) })
+	t.Cleanup(release) // before the one that stops it
+	old.post(func() { <-released })
 	want(t, "notice", wait(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
-	goOn()
+	release()
 	shows(t, next, "svc.requests.payment.failed=1", "svc.in_flight=0")
 	want(t, "further calls", len(calls), 0)
 }
 
 // Guards against two ends of an adopted call: by its message's time, and by the word that comes after that.
-func TestLateWordOfAnAdoptedCallIsNoSecondEnd(t *testing.T) {
+func TestLateResultOfAdoptedCallIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Relay{began: time.Now(), inbox: make(chan func(), 1), quit: make(chan struct{}), messageRecords: messageRecords{pending: map[string]*message{}}}
 		r.set.Store(&standing{})
 		c := &call{host: &host{id: "s-1"}, began: time.Now()}
 		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Second, call: c}
 		r.pending["m1"] = m
-		h := &precedingProcess{calls: map[string]*call{"m1": c}}
+		h := &previousProcess{calls: map[string]*call{"m1": c}}
 		r.endAtDeadline(h, "m1", c)
 		(<-r.inbox)()
 		want(t, "it ends after", r.now(), time.Second+lateResultGrace)
@@ -103,9 +103,9 @@
 }
 
 // Guards against an end that is late by what a message took from the process that it came to.
-func TestAPassedMessagesTimeRunsOnItsWay(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
-	in := request(t, r, context.Background(), "m1", "payment", time.Minute)
+func TestForwardedMessageTimeRunsInTransit(t *testing.T) {
+	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
+	in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.acceptForwarded(nil, forwarded{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // a minute ago
 	if left := r.pending["m1"].due - r.now(); left > time.Minute {
 		t.Errorf("%v are left, want a minute at most", left)
@@ -114,15 +114,15 @@
 
 // Guards against a second copy of what another relay still has out: this one had taken its message up, and waited for that
 // call to end, as the next process took over.
-func TestAnUpgradeLeavesAloneWhatAnotherHasOut(t *testing.T) {
+func TestUpgradeWaitsForAttemptsOfOtherRelays(t *testing.T) {
 	for name, upgraded := range map[string]bool{"restarted": false, "upgraded": true} {
-		folder := folderWith(t,
+		folder := folderWithRecords(t,
 			journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: "status-update", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}},
 			journal.Record{Op: journal.OpTry, ID: "m1", At: time.Now().UnixMilli(), Wait: 30_000})
 		(&Relay{conf: Config{State: folder}}).keepLease(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 1})
-		r := unserved(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), folder)
+		r := newSteppedRelay(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), folder)
 		if upgraded {
-			r.previousProcess = &precedingProcess{calls: map[string]*call{}}
+			r.previousProcess = &previousProcess{calls: map[string]*call{}}
 		}
 		r.events = slices.DeleteFunc(r.events, func(e choice.Event) bool { _, is := e.(choice.Restored); return is })
 		r.pending, r.pendingRecords = map[string]*message{}, nil
--- a/internal/relay/withdraw_test.go
+++ b/internal/relay/withdraw_test.go
@@ -34,7 +34,7 @@
 
 // Guards against 503 for a message that is still on record: the next start would deliver it, and the client hand it in again.
 func TestAMessageIsWithdrawnOnlyWithItsRecord(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
 	w, answered := leaving(r, "m1", 1)
 	turn(t, r)
 	withdrawal := wait(t, r.inbox, "withdrawal")
@@ -58,13 +58,13 @@
 // does so in each round, and went by the one or the other by chance.
 func TestAWithdrawalHoldsAsTheLoopEnds(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(1))
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
+	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
 	r.inbox = make(chan func())
 	for n := range 40 {
-		in := request(t, r, context.Background(), fmt.Sprint("m", n), "payment", time.Minute)
+		in := newIntake(t, r, context.Background(), fmt.Sprint("m", n), "payment", time.Minute)
 		r.take(in)
 		r.step()
-		want(t, "status", status(in), http.StatusAccepted)
+		want(t, "status", replyStatus(in), http.StatusAccepted)
 		r.halted = make(chan struct{})
 		said := make(chan answer)
 		go func() { said <- r.afterLeaving(in) }()
@@ -80,8 +80,8 @@
 
 // Guards against either answer to a withdrawal that the loop did not come to: the message is on record, and owed its end.
 func TestAWithdrawalThatTheLoopDidNotSee(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
-	in := request(t, r, context.Background(), "m1", "payment", time.Minute)
+	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
+	in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.take(in)
 	r.step()
 	r.stop()
@@ -94,7 +94,7 @@
 // hears 202 is owed an end; whoever hears 503 has a message that is neither held nor on record.
 func TestTheSameMessageOnTwoConnections(t *testing.T) {
 	second := func(r *Relay) *intake {
-		in := request(t, r, context.Background(), "m1", "payment", time.Minute)
+		in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.take(in)
 		return in
 	}
@@ -112,7 +112,7 @@
 		t.Run(c.when, func(t *testing.T) {
 			state := t.TempDir()
 			p := newPlatform(t, leavingHost())
-			r := unserved(t, p, state)
+			r := newSteppedRelay(t, p, state)
 			var two *intake
 			at := func(f func(r *Relay) *intake) {
 				if f != nil {
@@ -135,7 +135,7 @@
 			r.step()
 			wait(t, answered, "answer")
 			want(t, "status on the first", w.Code, c.one)
-			want(t, "status on the second", status(two), c.two)
+			want(t, "status on the second", replyStatus(two), c.two)
 			want(t, "messages held", len(r.pending), 1)
 			next := reopened(t, p, r, state)
 			want(t, "messages held after a kill", len(next.pending), 1)
@@ -148,17 +148,17 @@
 	t.Helper()
 	r.endCalls(errStopping)
 	r.journal.Close()
-	return unserved(t, p, state)
+	return newSteppedRelay(t, p, state)
 }
 
 // Guards against 503 on a second connection, whose client has ended its sending, for a message that the first one was told is
 // taken on: it is delivered, and the client would hand it in once more.
 func TestASecondConnectionHearsOfWhatIsHeld(t *testing.T) {
-	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
-	first := request(t, r, context.Background(), "m1", "payment", time.Minute)
+	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
+	first := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.take(first)
 	r.step()
-	want(t, "status on the first", status(first), http.StatusAccepted)
+	want(t, "status on the first", replyStatus(first), http.StatusAccepted)
 	for _, name := range []string{"held", "ended"} {
 		ended := name == "ended"
 		if ended {
