--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -18,23 +18,25 @@
 )
 
 const (
-	backlogFolder = "backlog" // in the folder that lasts
-	// moveMost and moveBytes bound what one turn brings in, lookMost the destinations that it looks at for that.
+	backlogFolder = "backlog" // a directory in the state directory
+	// maxMovedMessages and maxMovedBytes bound what one turn of the loop loads from disk, maxCheckedDests the
+	// destinations that it checks for that.
 	maxMovedMessages, maxMovedBytes, maxCheckedDests = 128, 512 << 10, 512
-	defaultMemoryMB                                  = 192 // MB, where limits has no memory_mb
+	// defaultMemoryMB is the memory limit where the configuration has no memory_mb.
+	defaultMemoryMB = 192
 )
 
-// openStore is how the folder is opened. Tests set it.
+// openStore opens the backlog's directory. Tests replace it.
 var openStore = func(dir string, o backlog.Options) (store, error) { return backlog.Open(dir, o) }
 
-// Owing is a folder whose backlog holds messages, and a configuration that wants none.
+// PendingBacklogError is the error for a directory whose backlog has messages while the configuration has no backlog.
 type PendingBacklogError struct {
 	Path     string
 	Messages int
 }
 
 func (o *PendingBacklogError) Error() string {
-	return fmt.Sprintf("%s holds %d messages that are owed their end, and the configuration has no backlog", o.Path, o.Messages)
+	return fmt.Sprintf("%s holds %d messages that have not ended, but the configuration has no backlog", o.Path, o.Messages)
 }
 
 // Remedy says what an operator can do.
@@ -42,48 +44,49 @@
 	return `put "backlog" back into the configuration until svc.backlog.messages is 0, then take it out`
 }
 
-// openBacklog takes up what lies on disk; the journal is open. Without the key there must be nothing.
+// openBacklog opens the backlog on disk; the journal must be open. If the configuration has no backlog, it removes an
+// empty one, and returns a PendingBacklogError for one with messages.
 func (r *Relay) openBacklog() error {
 	dir := filepath.Join(r.conf.State, backlogFolder)
 	if r.conf.Backlog == nil {
 		if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 			return nil
 		}
-		s, err := openStore(dir, backlog.Options{})
+		store, err := openStore(dir, backlog.Options{})
 		if err != nil {
 			return err
 		}
-		n := s.Len()
-		if s.Close(); n > 0 {
-			return &PendingBacklogError{dir, n}
+		count := store.Len()
+		if store.Close(); count > 0 {
+			return &PendingBacklogError{dir, count}
 		}
 		return errors.Join(os.RemoveAll(dir), journal.Unfence(r.conf.State))
 	}
-	memory := r.conf.MemoryMB
-	if memory <= 0 {
-		memory = defaultMemoryMB
+	memoryMB := r.conf.MemoryMB
+	if memoryMB <= 0 {
+		memoryMB = defaultMemoryMB
 	}
-	bytes := min(int(memory*1e6/6), int(r.conf.journalBytes()/4))
-	r.overflow = newOverflow(dir, int64(r.conf.Backlog.DiskMB*1e6), state.Load{N: maxWindowMessages, Bytes: bytes})
+	windowBytes := min(int(memoryMB*1e6/6), int(r.conf.journalBytes()/4))
+	r.overflow = newOverflow(dir, int64(r.conf.Backlog.DiskMB*1e6), state.Load{N: maxWindowMessages, Bytes: windowBytes})
 	return r.openBacklogFolder()
 }
 
-// openFolder opens the backlog's folder. What the journal has as well is off it from then on.
+// openBacklogFolder opens the backlog's directory and removes the messages from it that the journal has as well.
 func (r *Relay) openBacklogFolder() error {
 	o := r.overflow
-	s, err := openStore(o.dir, backlog.Options{Disk: o.diskBytes})
+	opened, err := openStore(o.dir, backlog.Options{Disk: o.diskBytes})
 	if err != nil {
 		return err
 	}
-	o.store = s
+	o.store = opened
 	r.logBacklogDamage()
 	for e := range r.journal.All() {
-		if s.LenOf(e.Dest) == 0 {
+		if opened.LenOf(e.Dest) == 0 {
 			continue
 		}
-		h, found, err := s.Find(e.Dest, e.ID)
+		h, found, err := opened.Find(e.Dest, e.ID)
 		if err == nil && found {
-			err = s.Out(e.Dest, h.Place)
+			err = opened.Out(e.Dest, h.Place)
 		}
 		if err != nil {
 			o.close()
@@ -93,7 +96,7 @@
 	for _, m := range o.moving {
 		m.place = 0
 	}
-	slog.Info("backlog opened", "held", s.Len(), "bytes", s.Bytes())
+	slog.Info("backlog opened", "held", opened.Len(), "bytes", opened.Bytes())
 	return nil
 }
 
@@ -103,27 +106,28 @@
 	}
 }
 
-// liesOnDisk answers a client whose message waits on disk, or is about to: it sent it again after its connection broke.
+// answerStoredDuplicate answers a client that sent a message again after its connection broke, if the message is on
+// disk or is about to be. It reports whether it did.
 func (r *Relay) answerStoredDuplicate(in *intake) bool {
 	o := r.overflow
 	if o == nil || o.store == nil {
 		return false
 	}
-	e := in.entry
-	if i := slices.IndexFunc(o.queued, func(m *message) bool { return m.ID == e.ID }); i >= 0 {
-		o.resentIDs.add(e.ID)
+	entry := in.entry
+	if i := slices.IndexFunc(o.queued, func(m *message) bool { return m.ID == entry.ID }); i >= 0 {
+		o.resentIDs.add(entry.ID)
 		o.queued[i].unanswered = append(o.queued[i].unanswered, in)
 		return true
 	}
-	if o.store.LenOf(e.Dest) == 0 {
+	if o.store.LenOf(entry.Dest) == 0 {
 		return false
 	}
-	switch _, found, err := o.store.Find(e.Dest, e.ID); {
+	switch _, found, err := o.store.Find(entry.Dest, entry.ID); {
 	case err != nil:
-		slog.Error("backlog not searched", "err", err, "remedy", remedy.Of(err))
+		slog.Error("cannot search the backlog", "err", err, "remedy", remedy.Of(err))
 		in.reply <- answer{status: http.StatusServiceUnavailable, after: comeBack, text: "no room"}
 	case found:
-		o.resentIDs.add(e.ID)
+		o.resentIDs.add(entry.ID)
 		in.reply <- answer{status: http.StatusAccepted}
 	default:
 		return false
@@ -131,24 +135,25 @@
 	return true
 }
 
-// toDisk has a message wait on disk, if it must, until the next step has put it there.
+// queueForDisk queues a message to be stored by the next step, if it has to wait on disk, or refuses it if its key
+// waits for another destination. It reports whether it did either.
 func (r *Relay) queueForDisk(in *intake) bool {
-	o, e := r.overflow, in.entry
+	o, entry := r.overflow, in.entry
 	switch {
 	case o == nil:
 		return false
-	case o.keyPendingElsewhere(e.Order, e.Dest):
-		r.figures.ended(e.Class, refusedEnd)
+	case o.keyPendingElsewhere(entry.Order, entry.Dest):
+		r.figures.ended(entry.Class, refusedEnd)
 		in.reply <- answer{status: http.StatusServiceUnavailable, after: comeBack, text: "its key waits for another destination"}
-	case o.mustWait(e.Dest, r.now(), r.journal.Crowded()):
-		o.queued = append(o.queued, &message{Entry: e, due: in.due, unanswered: []*intake{in}})
+	case o.mustWait(entry.Dest, r.now(), r.journal.Crowded()):
+		o.queued = append(o.queued, &message{Entry: entry, due: in.due, unanswered: []*intake{in}})
 	default:
 		return false
 	}
 	return true
 }
 
-// putFresh puts on disk what came since the last step, and answers.
+// storeQueued stores the messages that were queued since the last step, and answers their clients.
 func (r *Relay) storeQueued() {
 	o := r.overflow
 	if o == nil || len(o.queued) == 0 {
@@ -157,7 +162,7 @@
 	queued := o.queued
 	o.queued = nil
 	err := r.storeMessages(queued)
-	if len(queued) > 1 && errors.Is(err, backlog.ErrFull) { // some may fit
+	if len(queued) > 1 && errors.Is(err, backlog.ErrFull) { // some of them may fit
 		for _, m := range queued {
 			r.answerStoreResult(m, r.storeMessages([]*message{m}))
 		}
@@ -196,33 +201,34 @@
 		retryAfter = min(full.Wait, r.set.Load().MaxRetryAfter)
 	}
 	if r.overflow.refused++; !r.stopped && r.overflow.refused%batchMost == 1 {
-		slog.Error("message not put on disk", "err", err, "remedy", remedy.Of(err), "refused", r.overflow.refused)
+		slog.Error("cannot store a message in the backlog", "err", err, "remedy", remedy.Of(err), "refused", r.overflow.refused)
 	}
 	r.refuse(m, retryAfter)
 }
 
-// withdrawStored ends a message on disk whose client left unanswered. One that came twice goes on.
-func (r *Relay) withdrawStored(e *journal.Entry) bool {
+// withdrawStored ends a message on disk whose client disconnected before it was answered, and reports whether it did.
+// A message that was sent twice continues.
+func (r *Relay) withdrawStored(entry *journal.Entry) bool {
 	o := r.overflow
-	if o == nil || o.store == nil || r.nextProcess != nil || o.resentIDs.has(e.ID) || r.journal.Entry(e.ID) != nil || o.store.LenOf(e.Dest) == 0 {
+	if o == nil || o.store == nil || r.nextProcess != nil || o.resentIDs.has(entry.ID) || r.journal.Entry(entry.ID) != nil || o.store.LenOf(entry.Dest) == 0 {
 		return false
 	}
-	h, found, err := o.store.Find(e.Dest, e.ID)
+	h, found, err := o.store.Find(entry.Dest, entry.ID)
 	if err == nil && found {
-		err = o.store.Out(e.Dest, h.Place)
+		err = o.store.Out(entry.Dest, h.Place)
 	}
 	if err != nil {
-		slog.Error("message not withdrawn", "err", err, "remedy", remedy.Of(err))
+		slog.Error("cannot withdraw a message from the backlog", "err", err, "remedy", remedy.Of(err))
 	}
 	return err == nil && found
 }
 
-// openAgain goes on with the folder after a hand-over that failed. If that cannot be, it is tried again with the next turns, and
-// nothing is taken on meanwhile.
+// reopenBacklog opens the directory again after a failed handover. If that fails, later turns of the loop retry it,
+// and nothing is accepted meanwhile.
 func (r *Relay) reopenBacklog() {
 	if o := r.overflow; o.broken() {
 		if err := r.openBacklogFolder(); err != nil {
-			r.pauseLoading("backlog not opened", err, comeBack)
+			r.pauseLoading("cannot open the backlog", err, comeBack)
 		}
 	}
 }
--- a/internal/relay/backlog_load.go
+++ b/internal/relay/backlog_load.go
@@ -13,20 +13,21 @@
 	"larchrouter/internal/steady"
 )
 
-// From the disk to the decisions.
+// Loading messages from the backlog on disk, by way of the journal, to the Chooser.
 
-// leastWait bounds how often the loop looks at what it cannot bring in yet. lastLook has room for it.
+// minLoadDelay is the least time between two checks for messages that cannot be loaded yet. It is part of what
+// lastLook allows for.
 const minLoadDelay = 5 * time.Millisecond
 
-// bring has messages come in from disk: those whose time is all but up, which the decisions end, and the oldest of each
-// destination that has room. One turn does a bounded part of it.
+// loadFromBacklog loads messages from disk: those whose deadline is close, which the Chooser ends, and the oldest
+// ones of each destination that has capacity. One turn of the loop loads a bounded part.
 func (r *Relay) loadFromBacklog() {
 	o, now := r.overflow, r.now()
 	if o == nil || r.stopped || r.nextProcess != nil {
 		return
 	}
 	o.moreWork = false
-	if r.draining.Load() { // what lies on disk stays there
+	if r.draining.Load() { // messages on disk stay there
 		return
 	}
 	defer r.scheduleLoad()
@@ -35,7 +36,7 @@
 	}
 	if o.store == nil {
 		if err := r.openBacklogFolder(); err != nil {
-			r.pauseLoading("backlog not opened", err, comeBack)
+			r.pauseLoading("cannot open the backlog", err, comeBack)
 			return
 		}
 	}
@@ -45,7 +46,7 @@
 	if r.mayLoadExpired() {
 		stored, err := o.store.Due(steady.Now().Add(r.lastLook()).UnixMilli(), budget+len(o.moving))
 		if err != nil {
-			r.pauseLoading("backlog not read", err, comeBack)
+			r.pauseLoading("cannot read the backlog", err, comeBack)
 			return
 		}
 		stored = slices.DeleteFunc(stored, func(h backlog.Held) bool {
@@ -57,7 +58,7 @@
 			return
 		}
 	}
-	if len(o.moving) > 0 { // nothing goes off the disk: only what must end comes in
+	if len(o.moving) > 0 { // removal from disk fails: load only what must end
 		return
 	}
 	for n := 0; budget > 0 && n < maxCheckedDests && len(o.checkQueue) > 0; n++ {
@@ -68,14 +69,14 @@
 		}
 		stored, err := o.store.Next(dest, min(capacity, budget), maxMovedBytes)
 		if err != nil {
-			r.pauseLoading("backlog not read", err, comeBack)
+			r.pauseLoading("cannot read the backlog", err, comeBack)
 			return
 		}
 		budget -= max(1, len(stored))
 		if !r.moveToJournal(stored) {
 			return
 		}
-		if len(stored) < capacity { // what is left of it comes when it is its turn again
+		if len(stored) < capacity { // the rest is loaded at the destination's next check
 			o.queueCheck(dest)
 		}
 	}
@@ -83,18 +84,19 @@
 	r.logBacklogDamage()
 }
 
-// mayEnd tells whether messages on disk whose time is up may come in: taking on never waits for their notices.
+// mayLoadExpired reports whether expired messages may be loaded from disk. Their notices leave half of the limit on
+// pending notices to newly accepted messages.
 func (r *Relay) mayLoadExpired() bool {
 	return r.pendingNotices < maxOwed/2 && (!r.journal.Crowded() || r.pendingNotices < 4*maxMovedMessages)
 }
 
-// cannotRead has the folder be left alone for a while.
-func (r *Relay) pauseLoading(what string, err error, pause time.Duration) {
+// pauseLoading logs a problem and stops reading the directory for a while.
+func (r *Relay) pauseLoading(problem string, err error, pause time.Duration) {
 	r.overflow.readRetryAt, r.overflow.moreWork = r.now()+pause, false
-	slog.Error(what, "err", err, "remedy", remedy.Of(err))
+	slog.Error(problem, "err", err, "remedy", remedy.Of(err))
 }
 
-// lookAgain has the loop look again in a while, and as the first message's time is up.
+// scheduleLoad schedules the next check, at the latest for the first deadline on disk.
 func (r *Relay) scheduleLoad() {
 	o := r.overflow
 	if o.store != nil && o.store.Len() == 0 && len(o.moving) == 0 {
@@ -109,7 +111,8 @@
 	o.timer.Reset(max(delay, o.readRetryAt-r.now(), minLoadDelay))
 }
 
-// move records messages as taken on from disk, then has them off it.
+// moveToJournal records messages from disk as accepted in the journal, then removes them from disk. It reports
+// whether loading may go on.
 func (r *Relay) moveToJournal(stored []backlog.Held) bool {
 	o := r.overflow
 	var records []journal.Record
@@ -122,10 +125,10 @@
 		}
 		e, err := entry.Unpack(h)
 		if err != nil { // without terms it ends as undeliverable
-			slog.Error("message on disk cannot be read", "err", err, "remedy", remedy.Of(err))
+			slog.Error("cannot decode a message on disk", "err", err, "remedy", remedy.Of(err))
 			e = &journal.Entry{ID: h.ID, Dest: h.Dest, Due: h.Due}
 		}
-		journaled := r.journal.Entry(h.ID) != nil // then the journal has the last word
+		journaled := r.journal.Entry(h.ID) != nil // then the journal decides
 		if !journaled {
 			records = append(records, journal.Record{Op: journal.OpTaken, Entry: e})
 		}
@@ -137,7 +140,7 @@
 		if wait := comeBack; errors.Is(err, journal.ErrFull) {
 			o.readRetryAt, o.moreWork = r.now()+checkAllInterval/10, false
 		} else {
-			r.pauseLoading("messages not brought in", err, wait)
+			r.pauseLoading("cannot move messages from the backlog to the journal", err, wait)
 		}
 		return false
 	}
@@ -145,8 +148,9 @@
 	return true
 }
 
-// handIn gives the decisions what the journal has and the disk has no more. One that the decisions had before could end in the
-// journal and come back from disk, so they wait; but not past their time: then they end as untried ones either way.
+// submitMoving removes messages from disk that are in the journal, and submits them to the Chooser. A message
+// submitted before its removal could end in the journal and then be loaded from disk again, so it waits for the
+// removal, but not beyond its deadline: an expired message ends without an attempt in either case.
 func (r *Relay) submitMoving() {
 	o := r.overflow
 	places, failed, now := map[int][]uint64{}, map[int]bool{}, r.now()
@@ -157,7 +161,7 @@
 	}
 	for dest, destPlaces := range places {
 		if err := o.store.Out(dest, destPlaces...); err != nil {
-			slog.Error("messages not taken off the disk", "messages", len(destPlaces), "err", err, "remedy", remedy.Of(err))
+			slog.Error("cannot remove messages from the backlog", "messages", len(destPlaces), "err", err, "remedy", remedy.Of(err))
 			failed[dest], o.removeRetryAt = true, now+checkAllInterval
 		}
 	}
--- a/internal/relay/groups.go
+++ b/internal/relay/groups.go
@@ -12,14 +12,14 @@
 	"larchrouter/internal/journal"
 )
 
-// ownBooks is the relay as estate.Owner sees it: each call is done by the loop.
+// groupRecords implements the interface by which estate.Owner uses the relay. The loop runs each call.
 type groupRecords Relay
 
-// done has the loop do something, and tells whether it did.
-func (b *groupRecords) runInLoop(f func(*Relay)) bool {
+// runInLoop has the loop run a function and reports whether it did; false means that the relay is stopping.
+func (b *groupRecords) runInLoop(action func(*Relay)) bool {
 	r := (*Relay)(b)
 	finished := make(chan struct{})
-	r.post(func() { f(r); close(finished) })
+	r.post(func() { action(r); close(finished) })
 	select {
 	case <-finished:
 		return true
@@ -28,7 +28,7 @@
 	}
 }
 
-// Known are the estates that the folder tells of.
+// Known returns the replication groups that the journal records but that no stream serves yet.
 func (b *groupRecords) Known() (known []state.Estate) {
 	b.runInLoop(func(r *Relay) {
 		for _, mark := range r.journal.Marks() {
@@ -44,7 +44,7 @@
 	return known
 }
 
-// Mark notes an estate's sets of holders.
+// Mark records a replication group's sets of replicas, and reports whether it did.
 func (b *groupRecords) Mark(group state.Estate) (ok bool) {
 	b.runInLoop(func(r *Relay) {
 		s := r.replication.streams[group.ID]
@@ -52,7 +52,7 @@
 			return
 		}
 		if err := r.markGroup(group, s.Next()); err != nil {
-			slog.Error("an estate's holders are not noted", "estate", group.ID, "err", err)
+			slog.Error("cannot record the replicas of a replication group", "estate", group.ID, "err", err)
 			return
 		}
 		s.group, ok = group, true
@@ -65,7 +65,7 @@
 		Copy: state.Copy{Epoch: group.Epoch, Writer: group.Writer, From: group.Writer, Have: group.Epoch, Next: next}}})
 }
 
-// Begin has an estate written by this process.
+// Begin makes this process the writer of a replication group. It returns nil if that fails.
 func (b *groupRecords) Begin(group state.Estate, found *estate.Found) (s *estate.Stream) {
 	b.runInLoop(func(r *Relay) {
 		if r.nextProcess != nil || r.stopped || r.replication.streams[group.ID] != nil {
@@ -74,17 +74,18 @@
 		group.Writer = r.kept.Instance
 		var err error
 		if s, err = r.beginGroup(group, found); err != nil {
-			slog.Error("an estate is not taken up", "estate", group.ID, "err", err)
+			slog.Error("cannot begin a replication group", "estate", group.ID, "err", err)
 		}
 	})
 	return s
 }
 
-// beginEstate takes up the folder's word on an estate, or what was found at holders if that is newer.
+// beginGroup resumes a replication group from this relay's journal, or from the records found at replicas if those
+// are newer.
 func (r *Relay) beginGroup(group state.Estate, found *estate.Found) (*estate.Stream, error) {
-	mark, known := r.journal.Mark(group.ID)
+	mark, marked := r.journal.Mark(group.ID)
 	next := max(mark.Next, 1)
-	useReplica := found != nil && (!known || r.journal.Damaged() || found.Newer(mark.Copy))
+	useReplica := found != nil && (!marked || r.journal.Damaged() || found.Newer(mark.Copy))
 	if useReplica {
 		next = max(next, found.Next)
 		if err := r.journal.Append(r.journal.Forget(group.ID)...); err != nil {
@@ -106,24 +107,24 @@
 	s := r.newGroupStream(group, next)
 	takenOver := group.Name != r.conf.Name || !group.Main
 	resumed := 0
-	for m := range r.journal.All() {
-		if m.Estate == group.ID {
+	for entry := range r.journal.All() {
+		if entry.Estate == group.ID {
 			resumed++
-			r.resume(m, useReplica || takenOver) // what its owner before has out is not known
+			r.resume(entry, useReplica || takenOver) // the previous owner may have calls in flight
 		}
 	}
 	if useReplica {
 		r.applyRecordedWaits(found.Records)
 	}
-	source := "its folder"
+	source := "state directory"
 	if useReplica {
 		source = found.Holder
 	}
-	slog.Info("estate taken up", "estate", group.ID, "of", group.Name, "epoch", group.Epoch, "inherited", takenOver, "from", source, "messages", resumed)
+	slog.Info("replication group begun", "estate", group.ID, "of", group.Name, "epoch", group.Epoch, "inherited", takenOver, "from", source, "messages", resumed)
 	return s.Stream, nil
 }
 
-// newStream has an estate's records go to its holders from now on.
+// newGroupStream starts sending a group's records to its replicas.
 func (r *Relay) newGroupStream(group state.Estate, next uint64) *groupStream {
 	c := r.replication
 	s := &groupStream{group: group, shortSince: max(1, r.now())}
@@ -140,7 +141,7 @@
 	return s
 }
 
-// Lost has an estate be another's.
+// Lost stops all work on a replication group that another relay now owns.
 func (b *groupRecords) Lost(id uint64) {
 	b.runInLoop(func(r *Relay) {
 		c := r.replication
@@ -179,14 +180,14 @@
 			s.gates.Drop()
 		}
 		if err := r.journal.Append(r.journal.Forget(id)...); err != nil {
-			slog.Error("what is another's stays in the folder", "estate", id, "err", err)
+			slog.Error("cannot remove a replication group of another relay from the journal", "estate", id, "err", err)
 		}
-		slog.Warn("estate is another's", "estate", id, "messages", len(ids))
+		slog.Warn("replication group is owned by another relay", "estate", id, "messages", len(ids))
 		r.figures.copied(r.replicationFigures())
 	})
 }
 
-// Empty tells whether nothing is left of an estate.
+// Empty reports whether no message and no record of a replication group is left.
 func (b *groupRecords) Empty(id uint64) (empty bool) {
 	b.runInLoop(func(r *Relay) {
 		s := r.replication.streams[id]
@@ -198,7 +199,7 @@
 	return empty
 }
 
-// adoptEstates goes on with the estates that the process before this one wrote, as the same writer: it has handed over.
+// adoptGroups continues the replication groups of the previous process after a handover, as the same writer.
 func (r *Relay) adoptGroups(writer string) {
 	c := r.replication
 	marks := r.journal.Marks()
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -16,50 +16,52 @@
 	"larchrouter/internal/journal"
 )
 
-// The hand-over to the next process of this relay, while clients come. The next process asks for it
-// at a socket in the folder that lasts. This one then hands over the clients' listener itself, so
-// that nobody in its queue is turned away, and what the journal does not hold. From the moment that
-// the next process has said that it has all, that one alone decides and writes the journal. This one
-// lets its calls and its clients' connections run out, and passes on outcomes and messages.
+// The handover to the next process of this relay (an upgrade) while clients stay connected. The next process connects
+// to a Unix socket in the state directory. This process then passes it the client listener itself, so that no
+// connection in the accept queue is refused, and the state that the journal does not hold. Once the next process has
+// confirmed that it has everything, it alone makes decisions and writes the journal. This process lets its calls and
+// client connections finish, and forwards their results and messages.
 
 const (
 	handoverSocket   = "handover"
 	handoverHello    = "larchrouter handover 1\n"
 	handoverAccepted = "taken\n"
-	// handoverIn is for one side to wait for the other. The loop waits so long at most for what the
-	// next process does in milliseconds; clients wait 400 ms.
+	// handoverTimeout bounds how long one side waits for the other. The loop blocks for at most that long on work
+	// that takes the next process milliseconds; clients wait 400 ms.
 	handoverTimeout = 2 * time.Second
-	// lateCall is how long after a hand-over a call may still get its connection: news of its
-	// host's draining no longer reach this process.
+	// lateDialLimit is how long after a handover a call may still get its connection. This process no longer receives
+	// updates that say whether the host is draining.
 	lateDialLimit = 500 * time.Millisecond
-	// askersMost bounds how many next processes may wait for a hand-over: one that has died, and the one started in its place.
+	// maxHandoverRequests bounds how many next processes may wait for a handover: one that has died, and the one
+	// started in its place.
 	maxHandoverRequests = 2
 	linkQueueLength     = 4096
 )
 
-// bequest is what the next process needs besides the journal.
+// handoverSnapshot is the state that the next process needs besides the journal.
 type handoverSnapshot struct {
 	Version      int64              `json:"version"`
 	Servers      []discovery.Server `json:"servers"`
-	Departed     []discovery.Server `json:"gone"` // no longer listed, but with calls out
+	Departed     []discovery.Server `json:"gone"` // no longer listed, but with calls in flight
 	Memory       choice.Memory      `json:"memory"`
 	RunningCalls []runningCall      `json:"calls"`
-	EndedIDs     []string           `json:"past"`             // ids that ended not long ago
-	ClientConns  int                `json:"peers"`            // connections that clients have here
-	Writer       string             `json:"writer,omitempty"` // of estates, as their holders know it
+	EndedIDs     []string           `json:"past"`             // messages that ended recently
+	ClientConns  int                `json:"peers"`            // open client connections of the sending process
+	Writer       string             `json:"writer,omitempty"` // writer name under which the replicas know the replication groups
 }
 
-// callOut is a call that runs on in the process that handed over.
+// runningCall is a call that continues in the process that handed over.
 type runningCall struct {
 	Host    string        `json:"host"`
-	Elapsed time.Duration `json:"ago"` // since it went out
+	Elapsed time.Duration `json:"ago"` // since it was sent
 	IDs     []string      `json:"ids"`
 }
 
-// passed is what the process that handed over goes on to tell.
+// forwarded is an update that the process that handed over sends to the next one: a client's message, or the result
+// of an attempt.
 type forwarded struct {
 	RequestID int64            `json:"n,omitempty"`
-	Entry     *journal.Entry   `json:"take,omitempty"` // a client's message, to be answered under N
+	Entry     *journal.Entry   `json:"take,omitempty"` // a client's message; its reply carries the same RequestID
 	TimeLeft  time.Duration    `json:"left,omitempty"`
 	Result    *forwardedResult `json:"end,omitempty"`
 }
@@ -74,29 +76,31 @@
 	StaleConn  bool           `json:"stale,omitempty"`
 }
 
-// returned is what the next process tells the one before it.
+// handoverReply is what the next process sends to the previous one: the answer to a forwarded message, or the order
+// to cancel a call.
 type handoverReply struct {
 	RequestID  int64         `json:"n,omitempty"`
 	Status     int           `json:"status,omitempty"`
 	RetryAfter time.Duration `json:"after,omitempty"`
 	Text       string        `json:"text,omitempty"`
-	CancelID   string        `json:"cancel,omitempty"` // the call with this message is called off
+	CancelID   string        `json:"cancel,omitempty"` // a message of the call to cancel
 }
 
-// succession is what a relay has of the process before it, and what it owes to the one after it.
+// handoverState is the state of a relay's handovers, from the previous process and to the next one.
 type handoverState struct {
-	previousProcess  *previousProcess  // from the process before this one; nil if there was none
-	handoverListener *net.UnixListener // where the next process asks; nil if it cannot
-	handoverRequests []*net.UnixConn   // of next processes that have asked, in this order; the first may have died since
-	deferredIntakes  []*intake         // came since then, and are taken on after the hand-over
-	nextProcess      *processLink      // it has taken over
-	forwardedIntakes map[int64]*intake // messages passed to it that it has not answered yet
+	previousProcess  *previousProcess  // nil if there was none
+	handoverListener *net.UnixListener // accepts requests of the next process; nil if it could not be opened
+	handoverRequests []*net.UnixConn   // connections of next processes, oldest first; the first one may have died since
+	deferredIntakes  []*intake         // arrived after the request; accepted once the handover is over
+	nextProcess      *processLink      // nil until it has taken over
+	forwardedIntakes map[int64]*intake // by RequestID: forwarded messages without a reply yet
 	lastForwardedID  int64
-	handedOverAt     atomic.Int64 // when it took over, steady Unix nanoseconds; 0 if it has not
+	handedOverAt     atomic.Int64 // steady Unix nanoseconds; 0 before the handover
 }
 
-// awaitTaken waits for the next process's word. If that comes just as this process stops waiting it holds all the same, or both
-// would go on as this relay: one that comes later fails on the other side.
+// awaitAccepted waits for the next process to confirm that it has taken over. A confirmation that arrives just as the
+// wait times out still counts, since otherwise both processes would continue as this relay. A later one fails on the
+// other side, because this side has closed its end for reading.
 func awaitAccepted(conn *net.UnixConn) error {
 	reply := make([]byte, len(handoverAccepted))
 	n, err := io.ReadFull(conn, reply)
@@ -104,25 +108,25 @@
 		if err := errors.Join(conn.CloseRead(), conn.SetReadDeadline(time.Now().Add(handoverTimeout))); err != nil {
 			return err
 		}
-		_, err = io.ReadFull(conn, reply[n:]) // what has come by now
+		_, err = io.ReadFull(conn, reply[n:]) // reads what has arrived by now
 	}
 	if err != nil {
 		return err
 	}
 	if string(reply) != handoverAccepted {
-		return fmt.Errorf("next process says %q", reply)
+		return fmt.Errorf("the next process replied %q", reply)
 	}
 	return nil
 }
 
-// link carries lines of JSON between the two processes. It never blocks who sends.
+// processLink carries lines of JSON between the two processes. Sending never blocks.
 type processLink struct {
 	conn         *net.UnixConn
 	decoder      *json.Decoder
 	queue        chan any
-	disconnected chan struct{} // the other side has gone
-	finishing    chan struct{} // nothing more is to be sent
-	writerDone   chan struct{} // and all has been
+	disconnected chan struct{} // closed once the other side has disconnected
+	finishing    chan struct{} // closed when nothing more will be sent
+	writerDone   chan struct{} // closed once the writer has ended
 }
 
 func newProcessLink(conn *net.UnixConn, decoder *json.Decoder) *processLink {
@@ -134,8 +138,8 @@
 		write := func(v any) bool {
 			err := encoder.Encode(v)
 			if err != nil {
-				slog.Warn("hand-over: not passed on", "err", err)
-				conn.Close() // the reader tells
+				slog.Warn("handover: update could not be sent to the other process", "err", err)
+				conn.Close() // the reader then closes disconnected
 			}
 			return err == nil
 		}
@@ -157,7 +161,7 @@
 	return l
 }
 
-// finish sends what is left, within the time that is left to a process that stops, and ends the link.
+// finish sends what is queued, for 100 ms at most because the process is about to stop, and closes the link.
 func (l *processLink) finish() {
 	l.conn.SetWriteDeadline(time.Now().Add(100 * time.Millisecond))
 	close(l.finishing)
@@ -165,7 +169,7 @@
 	l.conn.Close()
 }
 
-// send tells whether the other side may still hear of it.
+// send queues a value for the other side. It returns false if the other side has disconnected or does not read.
 func (l *processLink) send(v any) bool {
 	select {
 	case <-l.disconnected:
@@ -173,12 +177,12 @@
 	case l.queue <- v:
 		return true
 	default:
-		l.conn.Close() // it has not read for thousands of lines: both sides must see that it ended
+		l.conn.Close() // the queue of linkQueueLength lines is full: both sides must see that the link has ended
 		return false
 	}
 }
 
-// hear reads what the other side tells until it has gone.
+// readUpdates calls handle for each value received until the other side disconnects, then closes the link.
 func readUpdates[T any](l *processLink, handle func(T)) {
 	defer l.conn.Close()
 	defer close(l.disconnected)
--- a/internal/relay/handover_receive.go
+++ b/internal/relay/handover_receive.go
@@ -16,16 +16,17 @@
 	"larchrouter/internal/steady"
 )
 
-// heritage is what a process has from the one before it.
+// previousProcess is what this process received from the one that ran before it, and the connection to it.
 type previousProcess struct {
 	handoverSnapshot
 	conn     *net.UnixConn
 	decoder  *json.Decoder
 	listener *net.TCPListener
-	calls    map[string]*call // by message
+	calls    map[string]*call // in flight there, by message ID
 }
 
-// inherit asks the process that runs as this relay to hand over. It returns nil if there is none.
+// requestHandover asks the running process of this relay to hand over. It returns nil if there is none. The state
+// parameter is the relay's state directory.
 func requestHandover(state string) (*previousProcess, error) {
 	path := filepath.Join(state, handoverSocket)
 	c, err := net.DialTimeout("unix", path, handoverTimeout)
@@ -33,12 +34,12 @@
 		return nil, nil
 	}
 	if err != nil {
-		return nil, fmt.Errorf("hand-over: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	h := &previousProcess{conn: c.(*net.UnixConn), decoder: json.NewDecoder(c), calls: map[string]*call{}}
 	if err := h.receive(); err != nil {
 		h.close()
-		return nil, fmt.Errorf("hand-over: %w", err)
+		return nil, fmt.Errorf("handover: %w", err)
 	}
 	return h, nil
 }
@@ -48,31 +49,31 @@
 	if _, err := io.WriteString(h.conn, handoverHello); err != nil {
 		return err
 	}
-	first, rights := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
-	_, n, _, _, err := h.conn.ReadMsgUnix(first, rights)
+	firstByte, control := make([]byte, 1), make([]byte, syscall.CmsgSpace(4))
+	_, controlSize, _, _, err := h.conn.ReadMsgUnix(firstByte, control)
 	if err != nil {
 		return err
 	}
-	messages, err := syscall.ParseSocketControlMessage(rights[:n])
+	messages, err := syscall.ParseSocketControlMessage(control[:controlSize])
 	if err != nil || len(messages) != 1 {
-		return fmt.Errorf("no listener came: %v", err)
+		return fmt.Errorf("no listener was received: %v", err)
 	}
-	fds, err := syscall.ParseUnixRights(&messages[0])
-	if err != nil || len(fds) != 1 {
-		return fmt.Errorf("no listener came: %v", err)
+	descriptors, err := syscall.ParseUnixRights(&messages[0])
+	if err != nil || len(descriptors) != 1 {
+		return fmt.Errorf("no listener was received: %v", err)
 	}
-	file := os.NewFile(uintptr(fds[0]), "listener")
+	file := os.NewFile(uintptr(descriptors[0]), "listener")
 	defer file.Close()
-	l, err := net.FileListener(file)
+	received, err := net.FileListener(file)
 	if err != nil {
 		return err
 	}
-	tcp, ok := l.(*net.TCPListener)
+	tcpListener, ok := received.(*net.TCPListener)
 	if !ok {
-		l.Close()
-		return fmt.Errorf("%T came for a listener", l)
+		received.Close()
+		return fmt.Errorf("received a %T instead of a TCP listener", received)
 	}
-	h.listener = tcp
+	h.listener = tcpListener
 	return h.decoder.Decode(&h.handoverSnapshot)
 }
 
@@ -83,15 +84,15 @@
 	}
 }
 
-// accept tells the process before this one that it has handed over.
+// confirm tells the previous process that this one has taken over.
 func (h *previousProcess) confirm() error {
 	if _, err := io.WriteString(h.conn, handoverAccepted); err != nil {
-		return fmt.Errorf("hand-over: %w", err)
+		return fmt.Errorf("handover: %w", err)
 	}
 	return h.conn.SetDeadline(time.Time{})
 }
 
-// callOf is the call that a message is out with in the process before this one; nil for none.
+// callOf returns the call of the previous process that is in flight with a message, or nil.
 func (h *previousProcess) callOf(id string) *call {
 	if h == nil {
 		return nil
@@ -99,11 +100,11 @@
 	return h.calls[id]
 }
 
-// adopt takes up the calls that run on in the process before this one.
+// adoptCalls takes over the calls that continue in the previous process.
 func (r *Relay) adoptCalls(h *previousProcess) {
 	for i, c := range h.RunningCalls {
 		if r.hosts[c.Host] == nil {
-			continue // the journal has its messages as ones that may have run
+			continue // the journal records their messages as possibly executed
 		}
 		adopted := &call{number: i + 1, host: r.hosts[c.Host], began: time.Now().Add(-c.Elapsed)}
 		for _, id := range c.IDs {
@@ -116,7 +117,7 @@
 	r.events = append(r.events, h.Memory)
 }
 
-// attend follows the process before this one until it ends.
+// followPrevious applies the updates of the previous process until it exits.
 func (r *Relay) followPrevious(h *previousProcess) {
 	l := newProcessLink(h.conn, h.decoder)
 	for id, c := range h.calls {
@@ -138,17 +139,17 @@
 			r.endOrphanedCalls(h)
 			clients, _ := r.conf.parts(r.set.Load().Workers)
 			r.listener.allow(clients)
-			slog.Info("the process before this one has ended")
+			slog.Info("the previous process has ended")
 		})
 	}()
 }
 
-// wordIn is for the word of the process before this one on a call whose message's time is up. The end of the message is owed
-// 300 ms after that time.
+// lateResultGrace is how long this process waits, after a message's deadline, for the previous process to report the
+// result of its call. The message's end must be reported within 300 ms of the deadline.
 const lateResultGrace = 100 * time.Millisecond
 
-// endInTime ends an attempt of the process before this one once its message's time is up: that process may get no core, or
-// hang, and the end is owed by this one.
+// endAtDeadline ends an attempt of the previous process once the message's deadline has passed. That process may get
+// no CPU time or hang, and this one is responsible for the message's end.
 func (r *Relay) endAtDeadline(h *previousProcess, id string, c *call) {
 	m := r.pending[id]
 	if m == nil {
@@ -161,15 +162,15 @@
 	})
 }
 
-// orphaned ends the calls that were still out as the process before this one ended. They may have
-// run, but were broken off on this side: that is not held against their hosts as a reset would be.
+// endOrphanedCalls ends the calls that were still in flight when the previous process exited. They may have run, but
+// were cut off on this side, so their hosts' health does not suffer as it would from a reset.
 func (r *Relay) endOrphanedCalls(h *previousProcess) {
 	for id, c := range h.calls {
 		r.endedByPrevious(h, forwardedResult{ID: id, Outcome: choice.Cancelled, Elapsed: time.Since(c.began)})
 	}
 }
 
-// endedBefore takes in how an attempt ended that the process before this one had out.
+// endedByPrevious applies the result of an attempt that ran in the previous process.
 func (r *Relay) endedByPrevious(h *previousProcess, result forwardedResult) {
 	c := h.calls[result.ID]
 	delete(h.calls, result.ID)
@@ -178,9 +179,10 @@
 	}
 }
 
-// takePassed takes on a message that came on a connection of the process before this one.
+// acceptForwarded accepts a message that arrived on a connection of the previous process.
 func (r *Relay) acceptForwarded(l *processLink, update forwarded) {
-	// On its way it may have waited for either process: its time runs by the clock that both read.
+	// The message may have waited for either process on its way, so its deadline is measured by the clock that both
+	// share.
 	timeLeft := min(update.TimeLeft, steady.Until(update.Entry.Due))
 	in := &intake{entry: update.Entry, due: r.now() + timeLeft, ctx: r.calls, reply: make(chan answer, 1)}
 	sendReply := func(a answer) {
--- a/internal/relay/handover_send.go
+++ b/internal/relay/handover_send.go
@@ -18,17 +18,17 @@
 	"larchrouter/internal/steady"
 )
 
-// awaitHeir listens for the next process of this relay. Without it the relay runs all the same, but
-// cannot be followed by another under load.
+// listenForNextProcess opens the socket on which the next process of this relay asks for a handover. If that fails,
+// the relay still runs, but cannot be upgraded under load.
 func (r *Relay) listenForNextProcess() {
 	path := filepath.Join(r.conf.State, handoverSocket)
-	os.Remove(path) // of a process that is gone, or has handed over
+	os.Remove(path) // left by a process that has ended or handed over
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
-		slog.Error("no hand-over to a next process", "err", err)
+		slog.Error("cannot listen for the next process; no upgrade under load is possible", "err", err)
 		return
 	}
-	l.SetUnlinkOnClose(false) // by then the name is that of the next process
+	l.SetUnlinkOnClose(false) // by then the path belongs to the next process
 	r.handoverListener = l
 	go func() {
 		for requests := listen.Lasting(l); ; {
@@ -45,13 +45,13 @@
 			}
 			r.post(func() {
 				if r.nextProcess != nil || len(r.handoverRequests) >= maxHandoverRequests {
-					conn.Close() // there is a next process already
+					conn.Close() // a next process has taken over already, or enough are waiting
 					return
 				}
 				r.handoverRequests = append(r.handoverRequests, conn)
 			})
 			select {
-			case <-r.quit: // nobody will hand over any more
+			case <-r.quit: // the loop has ended, so no handover will take place
 				conn.Close()
 			default:
 			}
@@ -59,7 +59,7 @@
 	}()
 }
 
-// handOverToFirst hands over to the process that asked first. Any other goes without if that succeeds.
+// handOverToFirst hands over to the process that asked first. If that succeeds, all other requests are closed.
 func (r *Relay) handOverToFirst() {
 	conn := r.handoverRequests[0]
 	r.handoverRequests = r.handoverRequests[1:]
@@ -73,16 +73,16 @@
 	r.acceptDeferred()
 }
 
-// handOver gives all that this process holds to the next one. It runs in the loop, right after a
-// step: nothing is undecided then. If it fails this process goes on as if nothing had been.
+// handOver transfers everything that this process has to the next one. It runs in the loop, right after a step, when
+// no event awaits a decision. If it fails, this process continues as before.
 func (r *Relay) handOver(conn *net.UnixConn) {
 	l, err := r.transferState(conn)
 	if err != nil {
-		slog.Error("not handed over", "err", err)
+		slog.Error("handover failed; this process continues", "err", err)
 		conn.Close()
 		if err := r.journal.Compact(); err != nil { // the next process may have replaced the file
 			r.journal.Break(err)
-			slog.Error("journal lost in a hand-over", "err", err)
+			slog.Error("journal lost in a failed handover", "err", err)
 		}
 		r.reopenBacklog()
 		return
@@ -90,7 +90,7 @@
 	slog.Info("handed over", "held", len(r.pending), "calls", r.out)
 	r.nextProcess, r.forwardedIntakes = l, map[int64]*intake{}
 	r.overflow = nil
-	r.figures.hold(0, 0, 0) // they are the next process's
+	r.figures.hold(0, 0, 0) // the next process reports them now
 	r.figures.waiting(nil)
 	r.handedOverAt.Store(steady.Now().UnixNano())
 	r.pendingRecords, r.unrecordedNotices = nil, nil
@@ -98,18 +98,18 @@
 	r.handoverListener.Close()
 	r.closeReplication()
 	r.endPlatform()
-	r.tcp.Close()                            // the next process has the socket, and all in its queue
-	r.hostSide.Load().CloseIdleConnections() // descriptors count for both processes together
+	r.tcp.Close()                            // the next process has the socket with its accept queue
+	r.hostSide.Load().CloseIdleConnections() // both processes share one limit on descriptors
 	go func() {
 		readUpdates(l, func(v handoverReply) { r.post(func() { r.handleHandoverReply(v) }) })
 		r.post(r.nextProcessExited)
 	}()
 }
 
-// bequeath hands everything over and waits for the word that it has arrived.
+// transferState sends the listener and the snapshot to the next process and waits for its confirmation.
 func (r *Relay) transferState(conn *net.UnixConn) (*processLink, error) {
 	if r.flush(); r.stopped || len(r.pendingRecords) > 0 {
-		return nil, errors.New("this process stops, or cannot write its journal")
+		return nil, errors.New("this process is stopping, or cannot write its journal")
 	}
 	r.overflow.close()
 	file, err := r.tcp.File()
@@ -164,7 +164,7 @@
 	return snapshot
 }
 
-// pass hands a client's message to the next process.
+// forward sends a client's message to the next process.
 func (r *Relay) forward(in *intake) {
 	r.lastForwardedID++
 	r.forwardedIntakes[r.lastForwardedID] = in
@@ -173,7 +173,7 @@
 	}
 }
 
-// answered takes in what the next process tells.
+// handleHandoverReply applies a reply of the next process: it cancels a call, or answers a client.
 func (r *Relay) handleHandoverReply(reply handoverReply) {
 	if m := r.pending[reply.CancelID]; m != nil && m.call != nil {
 		m.call.cancel(errCalled)
@@ -184,15 +184,16 @@
 	}
 }
 
-// heirGone ends this process: the journal is no longer its own.
+// nextProcessExited stops this process, because the journal no longer belongs to it.
 func (r *Relay) nextProcessExited() {
-	slog.Error("the next process has gone")
+	slog.Error("the next process has exited; stopping")
 	r.answerUnconfirmed()
 	r.stop()
 }
 
-// unsure answers the clients whose messages the next process got and gave no word of: it may have taken them on, and what
-// is on record is delivered by whoever runs next. Only where a second delivery does no harm are they told to come again.
+// answerUnconfirmed answers the clients whose messages were forwarded to the next process without a reply. The next
+// process may have accepted them, and whichever process runs next delivers what is on record. Clients are told to
+// retry only where a second delivery does no harm.
 func (r *Relay) answerUnconfirmed() {
 	for requestID, in := range r.forwardedIntakes {
 		reply := handoverReply{RequestID: requestID, Status: http.StatusInternalServerError, Text: "it is not known whether it will be delivered"}
@@ -203,8 +204,8 @@
 	}
 }
 
-// lastWord answers, as the loop ends, the clients whose answer hangs on another process. What does not count yet is taken
-// out of the record before its client hears so.
+// answerAtExit answers, as the loop ends, the clients whose answer depends on another process. A message whose record
+// is not committed is removed from the journal before its client is answered.
 func (r *Relay) answerAtExit() {
 	r.answerUnconfirmed()
 	if r.replication == nil || r.nextProcess != nil {
@@ -217,13 +218,13 @@
 	}
 }
 
-// late tells whether a call that has only now got its connection must not go any more.
+// dialedTooLate reports whether a call got its connection so long after the handover that it must not be sent.
 func (r *Relay) dialedTooLate() bool {
 	at := r.handedOverAt.Load()
 	return at > 0 && steady.Now().Sub(time.Unix(0, at)) > lateDialLimit
 }
 
-// endCopies leaves estates, copies and the fleet address to the next process.
+// closeReplication leaves replication groups, copies and the fleet address to the next process.
 func (r *Relay) closeReplication() {
 	c := r.replication
 	if c == nil {
@@ -238,7 +239,7 @@
 	}
 }
 
-// takeDeferred takes on what came while the next process asked.
+// acceptDeferred processes the messages that arrived after a next process had asked for the handover.
 func (r *Relay) acceptDeferred() {
 	deferred := r.deferredIntakes
 	r.deferredIntakes = nil
--- a/internal/relay/overflow.go
+++ b/internal/relay/overflow.go
@@ -10,18 +10,22 @@
 	"larchrouter/internal/journal"
 )
 
-// What the decisions have no room for lies on disk. docs/backlog.md has the design; backlog.go carries it out.
+// The messages beyond the Chooser's window, which wait on disk. docs/backlog.md describes the design; backlog.go and
+// backlog_load.go use what is declared here.
 
 const (
-	maxWindowMessages = 4096 // messages; with what one turn moves it stays below what can be owed
-	messageOverhead   = 1024 // bytes that a message takes beside its body, in memory and in the journal
-	// sweepEach is how often all destinations are looked at: room grows for each as others end.
+	// maxWindowMessages, with the messages that one turn moves, stays below the limit on pending notices.
+	maxWindowMessages = 4096
+	// messageOverhead is how many bytes a message takes beside its body, in memory and in the journal.
+	messageOverhead = 1024
+	// checkAllInterval is how often all destinations are checked: capacity grows for each one as messages of others
+	// end.
 	checkAllInterval = 250 * time.Millisecond
-	// lively is for how long a destination counts as served that took a message.
-	recentlyServed = 10 * time.Second
+	// recentlyServedPeriod is how long a destination counts as served after a delivery.
+	recentlyServedPeriod = 10 * time.Second
 )
 
-// store is what lies on disk; package backlog has it.
+// store is the backlog on disk, which package backlog implements.
 type store interface {
 	Put(ms ...backlog.Message) error
 	Next(dest, n, bytes int) ([]backlog.Held, error)
@@ -38,32 +42,33 @@
 	Close() error
 }
 
-// overflow is what waits outside of the window of the decisions. It belongs to the loop; nil in a relay without a backlog.
+// overflow is what waits outside of the Chooser's window. It belongs to the loop, and is nil in a relay without a
+// backlog.
 type overflow struct {
-	store         store  // nil while the folder cannot be opened: then nothing is taken on
-	dir           string // that lasts
-	diskBytes     int64  // bytes
+	store         store  // nil while the directory cannot be opened; nothing is accepted then
+	dir           string // of the store, in the state directory
+	diskBytes     int64  // limit for the store
 	window        state.Window
-	queued        []*message       // to be put with the next step
-	moving        []*movingMessage // in the journal, and on disk still
-	resentIDs     recentIDs        // ids that came on a second connection
-	checkQueue    []int            // destinations that may have room
+	queued        []*message       // to be stored by the next step
+	moving        []*movingMessage // in the journal, but still on disk
+	resentIDs     recentIDs        // messages sent on a second connection
+	checkQueue    []int            // destinations that may have capacity
 	checkQueued   map[int]bool
-	lastServed    map[int]time.Duration // when a destination last took a message
+	lastServed    map[int]time.Duration // when a message to a destination was last delivered
 	lastCheckAll  time.Duration
-	readRetryAt   time.Duration // until then nothing is read: it failed
-	removeRetryAt time.Duration // until then nothing is taken off: it failed
+	readRetryAt   time.Duration // after a failed read, the time of the next one
+	removeRetryAt time.Duration // after a failed removal, the time of the next one
 	timer         *time.Timer
 	moreWork      bool // there is more to do than one turn did
-	fenced        bool // older versions do not start on the folder
-	refused       int  // for want of room, or as the folder failed
+	fenced        bool // older versions refuse to start on the state directory
+	refused       int  // messages refused because the store was full or failed
 }
 
-// moved is a message between disk and decisions.
+// movingMessage is a message on its way from disk to the Chooser.
 type movingMessage struct {
 	entry     *journal.Entry
-	place     uint64 // on disk; 0 if it is off
-	submitted bool   // it has been handed in
+	place     uint64 // on disk; 0 once it is removed
+	submitted bool   // to the Chooser
 }
 
 func newOverflow(dir string, diskBytes int64, windowTotal state.Load) *overflow {
@@ -71,7 +76,7 @@
 		timer: time.NewTimer(0)}
 }
 
-// len is how many messages are on disk alone, or about to be.
+// len returns how many messages are only on disk, or are about to be stored.
 func (o *overflow) len() int {
 	if o == nil || o.store == nil {
 		return 0
@@ -85,10 +90,10 @@
 	return n
 }
 
-// broken tells whether it is not known what lies on disk.
+// broken reports whether the store could not be opened, so that its content is unknown.
 func (o *overflow) broken() bool { return o != nil && o.store == nil }
 
-// shut gives the folder up.
+// close closes the store.
 func (o *overflow) close() {
 	if o != nil && o.store != nil {
 		o.store.Close()
@@ -96,7 +101,7 @@
 	}
 }
 
-// tick has the loop look again.
+// tick returns the channel of the timer for the next check; nil without a backlog.
 func (o *overflow) tick() <-chan time.Time {
 	if o == nil {
 		return nil
@@ -104,10 +109,10 @@
 	return o.timer.C
 }
 
-// unfinished tells whether there is more to do at once.
+// hasMoreWork reports whether another turn should load more at once.
 func (o *overflow) hasMoreWork() bool { return o != nil && o.moreWork }
 
-// enter counts what the decisions get.
+// enter counts a message into the window.
 func (o *overflow) enter(m *message) {
 	if o != nil && m.cost == 0 {
 		m.cost, m.resent = messageOverhead+len(m.Body)*4/3, m.resent || o.resentIDs.has(m.ID)
@@ -115,7 +120,7 @@
 	}
 }
 
-// leave counts what has ended.
+// leave counts a message that has ended out of the window, and queues a check of its destination.
 func (o *overflow) leave(m *message, now time.Duration) {
 	if o == nil || m.cost == 0 {
 		return
@@ -127,15 +132,16 @@
 	o.queueCheck(m.Dest)
 }
 
-// room is how many messages of a destination may come in. Once the journal is crowded those that nobody takes stay out.
+// capacity returns how many messages of a destination may be loaded. While the journal is crowded, destinations that
+// were not recently served load none.
 func (o *overflow) capacity(dest int, now time.Duration, crowded bool) int {
-	if at, ok := o.lastServed[dest]; crowded && !(ok && now-at < recentlyServed) {
+	if at, ok := o.lastServed[dest]; crowded && !(ok && now-at < recentlyServedPeriod) {
 		return 0
 	}
 	return o.window.Room(dest, now)
 }
 
-// lookAt has a destination be looked at that may have room.
+// queueCheck queues a destination that has messages on disk to be checked for capacity.
 func (o *overflow) queueCheck(dest int) {
 	if !o.checkQueued[dest] && o.store != nil && o.store.LenOf(dest) > 0 {
 		o.checkQueued[dest] = true
@@ -143,7 +149,7 @@
 	}
 }
 
-// next is a destination to be looked at.
+// nextCheck removes the first destination from the check queue and returns it.
 func (o *overflow) nextCheck() int {
 	dest := o.checkQueue[0]
 	o.checkQueue = o.checkQueue[1:]
@@ -151,7 +157,7 @@
 	return dest
 }
 
-// sweep looks at all destinations now and then.
+// checkAll queues checks of all destinations, every checkAllInterval.
 func (o *overflow) checkAll(now time.Duration) {
 	if now-o.lastCheckAll < checkAllInterval {
 		return
@@ -161,19 +167,19 @@
 		o.queueCheck(dest)
 	}
 	for dest, at := range o.lastServed {
-		if now-at >= recentlyServed {
+		if now-at >= recentlyServedPeriod {
 			delete(o.lastServed, dest)
 		}
 	}
 }
 
-// waits tells whether a message has to wait on disk: others of its destination do, or there is no room.
+// mustWait reports whether a message has to wait on disk: others of its destination do, or it has no capacity.
 func (o *overflow) mustWait(dest int, now time.Duration, crowded bool) bool {
 	return o.store.LenOf(dest) > 0 || o.capacity(dest, now, crowded) == 0 ||
 		slices.ContainsFunc(o.queued, func(m *message) bool { return m.Dest == dest })
 }
 
-// keyElsewhere tells whether messages of a key wait here for another destination than this one.
+// keyPendingElsewhere reports whether messages of an order key wait here for a destination other than dest.
 func (o *overflow) keyPendingElsewhere(order string, dest int) bool {
 	if order == "" {
 		return false
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -12,21 +12,22 @@
 	"larchrouter/internal/steady"
 )
 
-// What the relay holds for others, and its record of that.
+// The messages that the relay is responsible for, and their records in the journal.
 
-// errUnwritten says that earlier records still wait to be written.
+// errRecordsPending is the error for a record that cannot be written because earlier ones still wait to be written.
 var errRecordsPending = errors.New("journal: earlier records are not written yet")
 
-// message is one that this relay owes its end.
+// message is an accepted message, or one about to be, whose end this relay must report.
 type message struct {
 	*journal.Entry
 	due         time.Duration
-	call        *call     // out now
-	unanswered  []*intake // its client still waits for an answer; more than one if it sent it twice
+	call        *call     // in flight; nil for none
+	unanswered  []*intake // requests of its client that still wait for an answer; more than one if the client sent it again
 	resent      bool      // its client sent it on a second connection
-	transferred bool      // it has become another relay's
+	transferred bool      // another relay has become responsible for it
 	ended       bool
-	// cost is what it takes of the window, in bytes, while it does; served says that it ended by a delivery.
+	// cost is the part of the backlog window that it uses, in bytes; 0 while it uses none. served is set if it ended
+	// by a delivery.
 	cost   int
 	served bool
 }
@@ -38,32 +39,34 @@
 	m.unanswered = nil
 }
 
-// books is what a relay has taken on and what it has on record of that.
+// messageRecords is the messages that a relay has accepted and what it has recorded of them.
 type messageRecords struct {
 	journal           *journal.Journal
 	pending           map[string]*message
 	endedIDs          recentIDs
 	pendingRecords    []journal.Record
-	unrecordedNotices []notice // go out once they are recorded
-	pendingNotices    int      // notices
+	unrecordedNotices []notice // sent once they are recorded
+	pendingNotices    int      // number of notices that the platform has not accepted yet
 	notices           *noticeSender
-	flushScheduled    bool         // what could not be written is about to be tried again
-	replication       *replication // nil in a relay that copies nothing
-	// overflow is what the decisions have no room for; nil in a relay that keeps no backlog.
+	flushScheduled    bool         // an attempt to write pendingRecords is scheduled
+	replication       *replication // nil in a relay that replicates nothing
+	// overflow has the messages beyond the Chooser's window; nil in a relay without a backlog.
 	overflow *overflow
 }
 
-// restore takes up what the journal holds. What is in an estate waits until that is known to be this relay's still.
+// restore resumes the messages in the journal. Those of a replication group wait until it is known that this relay
+// still owns the group.
 func (r *Relay) restore() {
 	wallTime := steady.UnixMilli()
 	for e := range r.journal.All() {
 		if r.replication == nil || e.Estate == 0 || r.replication.streams[e.Estate] != nil {
-			// In an upgrade all calls of the process before are known: any other that is out is another relay's.
+			// After an upgrade all calls of the previous process are known, so any other call in flight is another
+			// relay's.
 			r.resume(e, r.previousProcess != nil && r.previousProcess.callOf(e.ID) == nil)
 		}
 	}
 	for id, s := range r.journal.Unwell() {
-		if r.previousProcess != nil { // the decisions remember more
+		if r.previousProcess != nil { // the Chooser's memory, which was handed over, has more
 			break
 		}
 		r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
@@ -74,8 +77,9 @@
 	slog.Info("journal replayed", "held", len(r.pending), "owed", r.pendingNotices)
 }
 
-// takeUpNow has a message go on where the process before left it. Last says that it may not be tried any more.
-func (r *Relay) resumeNow(entry *journal.Entry, lastAttemptMade bool) {
+// resumeNow continues with a message where the previous process left it. With noMoreAttempts, no further attempt is
+// made.
+func (r *Relay) resumeNow(entry *journal.Entry, noMoreAttempts bool) {
 	wallTime := steady.UnixMilli()
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	id := entry.ID
@@ -85,11 +89,11 @@
 		return
 	}
 	if entry.Out && r.previousProcess.callOf(id) == nil {
-		// The process died before the outcome was recorded: it may have run.
+		// The process died before the outcome was recorded: the message may have run.
 		r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: true})
 	}
 	class := r.set.Load().class(entry.Class, 0)
-	if class < 0 && entry.Terms == nil { // taken on by a version that did not record them
+	if class < 0 && entry.Terms == nil { // accepted by a version that did not record the terms
 		r.endWithNotice(&message{Entry: entry}, notice{ID: entry.ID, Status: undeliverable})
 		return
 	}
@@ -108,7 +112,7 @@
 	} else if entry.Out && !entry.Ran {
 		restored.Ran, restored.RanAgo, restored.RanZone = true, ms(wallTime-entry.OutAt), entry.OutTo
 	}
-	if lastAttemptMade {
+	if noMoreAttempts {
 		restored.Attempts = math.MaxInt32
 	}
 	r.events = append(r.events, restored)
@@ -116,13 +120,13 @@
 
 func (r *Relay) record(rec journal.Record) { r.pendingRecords = append(r.pendingRecords, rec) }
 
-// owe has a notice told once what it says is recorded.
+// queueNotice has a notice sent once its record is written.
 func (r *Relay) queueNotice(n notice) {
 	r.pendingNotices++
 	r.unrecordedNotices = append(r.unrecordedNotices, n)
 }
 
-// give ends a message undelivered.
+// endWithNotice ends a message undelivered and reports that to the platform.
 func (r *Relay) endWithNotice(m *message, n notice) {
 	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: n.Status, Again: n.Again})
 	n.class, n.due = m.Class, r.now()+steady.Until(m.Due)
@@ -130,26 +134,26 @@
 	r.forget(m)
 }
 
-// release has a message be held no longer.
+// release removes a message from the pending ones.
 func (r *Relay) release(m *message) {
 	m.ended = true
 	delete(r.pending, m.ID)
 	r.overflow.leave(m, r.now())
 }
 
-// drop forgets a message that has ended, but for its id.
+// forget removes a message that has ended, and remembers only its ID.
 func (r *Relay) forget(m *message) {
 	r.release(m)
 	r.endedIDs.add(m.ID)
 }
 
-// all has the ids, the oldest first.
+// all returns the IDs, oldest first.
 func (s *recentIDs) all() []string {
 	return slices.DeleteFunc(slices.Concat(s.ring[min(s.next, len(s.ring)):], s.ring[:s.next]),
 		func(id string) bool { return id == "" })
 }
 
-// recent is a bounded memory of ids.
+// recentIDs remembers the last 4096 IDs added.
 type recentIDs struct {
 	ids  map[string]bool
 	ring []string
--- a/internal/relay/replica_capacity.go
+++ b/internal/relay/replica_capacity.go
@@ -9,19 +9,20 @@
 	"larchrouter/internal/journal"
 )
 
-// copyBudget is what a copy may take of a holder's disk, in bytes. Holders are taken to have as much disk as this relay: one that
-// has less refuses what does not fit, and is replaced.
+// copyBudget is the most that a copy may use of a replica's disk, in bytes. Replicas are assumed to have as much disk
+// as this relay. One that has less refuses what does not fit, and is replaced.
 func (c *Config) copyBudget() int64 {
 	return estate.CopyBudget(int64(c.DiskMB * replicaDiskShare * 1e6))
 }
 
-// holdersHaveRoom tells whether a new message fits into the copies of what is held, and counts it if so.
-func (r *Relay) replicasHaveSpace(e *journal.Entry) bool {
+// replicasHaveSpace reports whether a new message fits into the copies beside the pending ones, and reserves its
+// space if so.
+func (r *Relay) replicasHaveSpace(entry *journal.Entry) bool {
 	c := r.replication
 	if c == nil || c.conf.Short == fleet.OwnDisk {
 		return true
 	}
-	size := journal.CopySize(e)
+	size := journal.CopySize(entry)
 	if r.journal.CopyHeld(c.main)+c.unrecordedBytes+size > journal.CopyMost(r.conf.copyBudget()) {
 		return false
 	}
@@ -29,7 +30,7 @@
 	return true
 }
 
-// standing is how copies stand, for the figures.
+// replicationFigures returns the state of replication for the metrics.
 func (r *Relay) replicationFigures() copiesFigures {
 	figures := copiesFigures{on: true}
 	for _, s := range r.replication.streams {
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -13,46 +13,53 @@
 	"larchrouter/internal/journal"
 )
 
-// What the relay holds for others is copied to further relays, and what binds it counts only once it is there: the relay's
-// part of package estate. docs/estates.md has the design.
+// The relay's part of replication: the records of a replication group are copied to its replicas, and a record on
+// which an answer or a call depends is committed only once enough replicas have it. docs/estates.md describes the
+// design.
 
 const (
-	// countIn is for a message's record to count: its client waits 400 ms for the answer.
+	// commitTimeout bounds how long a message's record may take to be committed. Its client waits 400 ms for the
+	// answer.
 	commitTimeout = 300 * time.Millisecond
-	// freshIn is for a call to go out, from when its record was written. An heir waits as long before it tries again.
+	// callStartTimeout is how long after its record was written a call may still be sent. A successor waits that
+	// long, too, before it tries the message again.
 	callStartTimeout = 500 * time.Millisecond
-	// copiesPart is the part of the folder's disk that is for copies of other relays' records.
+	// replicaDiskShare is the fraction of the state directory's disk budget that is for copies of other relays'
+	// records.
 	replicaDiskShare = 0.5
-	// bindIn is for the fleet address to become free: in an upgrade the process before this one has it for a moment.
+	// fleetListenTimeout bounds the wait for the fleet address to become free. During an upgrade the previous process
+	// still has it for a moment.
 	fleetListenTimeout = 5 * time.Second
 )
 
-// copying is the part of the books that is copied. It belongs to the loop; nil in a relay that copies nothing.
+// replication is the replicated part of messageRecords. It belongs to the loop, except for the fields of atomic
+// types, and is nil in a relay that replicates nothing.
 type replication struct {
-	conf            fleet.Config
-	owner           *estate.Owner
-	client          *http.Client
-	main            uint64 // estate that takes on new messages; 0 for none yet
-	streams         map[uint64]*groupStream
-	checkPosted     atomic.Bool // the loop is to look at what counts
-	checkScheduled  bool        // and will do so in a while
-	unrecordedBytes int64       // bytes of a copy that messages take which are not on record yet
-	// uncounted are notices that wait for their records to count.
+	conf           fleet.Config
+	owner          *estate.Owner
+	client         *http.Client
+	main           uint64 // ID of the group that accepts new messages; 0 for none yet
+	streams        map[uint64]*groupStream
+	checkPosted    atomic.Bool // a commit check is in the loop's inbox
+	checkScheduled bool        // a commit check is scheduled by a timer
+	// unrecordedBytes is how many bytes of a copy the messages need that are accepted but not recorded yet.
+	unrecordedBytes int64
+	// uncommitted has the notices whose records are not committed yet.
 	uncommitted   []*uncountedNotices
-	adoptedWriter string // writer that the process before this one was, in an upgrade
+	adoptedWriter string // after an upgrade: the writer name of the previous process
 	replica       atomic.Pointer[estate.Holder]
-	ready         chan struct{} // closed once new messages can be copied
+	ready         chan struct{} // closed once new messages can be replicated
 }
 
-// stream is one estate that this relay writes.
+// groupStream is a replication group that this relay writes.
 type groupStream struct {
 	*estate.Stream
 	group      state.Estate
 	gates      estate.Gates
-	shortSince time.Duration // since when too few holders have a copy; 0 while they do
+	shortSince time.Duration // when too few replicas began to have a copy; 0 while enough do
 }
 
-// newCopying is nil where the configuration asks for no copies.
+// newReplication returns nil if the configuration asks for no copies.
 func newReplication(conf *fleet.Config) *replication {
 	if conf == nil || conf.Copies == 0 {
 		return nil
@@ -60,7 +67,7 @@
 	return &replication{conf: *conf, streams: map[uint64]*groupStream{}, ready: make(chan struct{})}
 }
 
-// estateOf is the estate that a record belongs to.
+// groupOf returns the ID of the replication group that a record belongs to; 0 for none.
 func (r *Relay) groupOf(rec journal.Record) uint64 {
 	switch rec.Op {
 	case journal.OpTaken:
@@ -74,8 +81,10 @@
 	return 0
 }
 
-// bind puts records on disk, and has something done once they count: at once where nothing is copied. On an error nothing
-// was recorded. Records that need not count before anything else go without it.
+// bind writes records to disk and calls then(true) once they are committed, which is at once where nothing is
+// replicated. It calls then(false) if they are not committed within the timeout (0 for no limit), or if their group
+// becomes another relay's. then may be nil if nothing depends on the records. On an error nothing was recorded and
+// then is not called.
 func (r *Relay) bind(records []journal.Record, timeout time.Duration, then func(committed bool)) error {
 	c := r.replication
 	if c == nil {
@@ -93,14 +102,14 @@
 			byStream[s] = append(byStream[s], rec)
 		}
 	}
-	all := records[:len(records):len(records)]
+	entries := records[:len(records):len(records)]
 	for s, streamRecords := range byStream {
-		all = append(all, journal.Record{Op: journal.OpCount, Estate: s.ID, Next: s.Next() + uint64(len(streamRecords))})
+		entries = append(entries, journal.Record{Op: journal.OpCount, Estate: s.ID, Next: s.Next() + uint64(len(streamRecords))})
 	}
-	if err := r.journal.Append(all...); err != nil {
+	if err := r.journal.Append(entries...); err != nil {
 		return err
 	}
-	left, failed := len(byStream), false
+	remaining, failed := len(byStream), false
 	for s, streamRecords := range byStream {
 		next := s.Append(then != nil, streamRecords...)
 		if then == nil {
@@ -108,19 +117,19 @@
 		}
 		s.gates.Add(next, r.now(), timeout, func(committed bool) {
 			failed = failed || !committed
-			if left--; left == 0 {
+			if remaining--; remaining == 0 {
 				then(!failed)
 			}
 		})
 		r.scheduleCommitCheck()
 	}
-	if left == 0 && then != nil {
+	if remaining == 0 && then != nil {
 		then(true)
 	}
 	return nil
 }
 
-// lookSoon has the loop look at gates that may have to be given up.
+// scheduleCommitCheck schedules a check for records that were not committed in time.
 func (r *Relay) scheduleCommitCheck() {
 	if c := r.replication; !c.checkScheduled {
 		c.checkScheduled = true
@@ -128,14 +137,14 @@
 	}
 }
 
-// news has the loop look at what counts. It is called by whoever hears from holders.
+// postCommitCheck has the loop check which records are committed. Any goroutine that receives from replicas calls it.
 func (r *Relay) postCommitCheck() {
 	if r.replication.checkPosted.CompareAndSwap(false, true) {
 		r.post(func() { r.replication.checkPosted.Store(false); r.checkCommits() })
 	}
 }
 
-// counted does what waited for records that count by now, and gives up what waited too long.
+// checkCommits runs what waited for records that are committed by now, and gives up what waited too long.
 func (r *Relay) checkCommits() {
 	checkAgain := false
 	for _, s := range r.replication.streams {
@@ -143,7 +152,7 @@
 		switch {
 		case !standing.Short:
 			if s.shortSince > 0 {
-				slog.Info("enough holders take copies", "estate", s.ID, "epoch", standing.Epoch, "after", now-s.shortSince)
+				slog.Info("enough replicas accept copies", "estate", s.ID, "epoch", standing.Epoch, "after", now-s.shortSince)
 			}
 			s.shortSince = 0
 			if s.ID == r.replication.main {
@@ -151,7 +160,7 @@
 			}
 		case s.shortSince == 0:
 			s.shortSince = now
-			slog.Warn("too few holders take copies", "estate", s.ID, "epoch", standing.Epoch, "holders", standing.States)
+			slog.Warn("too few replicas accept copies", "estate", s.ID, "epoch", standing.Epoch, "holders", standing.States)
 		}
 		risk := r.replication.conf.Short == fleet.OwnDisk && s.shortSince > 0 && now-s.shortSince >= commitTimeout/2
 		s.gates.Pass(standing.Counted, risk, now)
@@ -164,7 +173,8 @@
 	r.figures.copied(r.replicationFigures())
 }
 
-// takes tells whether a new message can be copied, or goes on the own disk as configured.
+// accepts reports whether a new message can be replicated, or is accepted on the own disk alone because the
+// configuration says so.
 func (c *replication) accepts(now time.Duration) bool {
 	if c == nil || c.conf.Short == fleet.OwnDisk {
 		return true
@@ -173,7 +183,8 @@
 	return s != nil && (s.shortSince == 0 || now-s.shortSince < commitTimeout)
 }
 
-// writer is the name by which holders know who writes; that of the process before, where it goes on as that.
+// writer returns the name by which replicas know the writing process. It is that of the previous process if this one
+// continues as the same writer.
 func (c *replication) writer(instance string) string {
 	for _, s := range c.streams {
 		return s.group.Writer
@@ -181,7 +192,7 @@
 	return instance
 }
 
-// waiting tells whether a client waits for its message to count.
+// hasUncommitted reports whether a client waits for its message to be committed.
 func (c *replication) hasUncommitted() bool {
 	if c == nil {
 		return false
@@ -194,8 +205,9 @@
 	return false
 }
 
-// uncounted ends a message whose record did not count in time. A holder that cannot be reached may have it all the same,
-// and an heir deliver it: where that must not happen twice its client is not told that it may come again.
+// endUncommitted ends a message whose record was not committed in time. A replica that cannot be reached may have the
+// record all the same, and a successor may deliver the message. Where a second delivery would do harm, the client is
+// therefore not told to retry.
 func (r *Relay) endUncommitted(m *message) {
 	if m.ended {
 		return
@@ -206,7 +218,7 @@
 	r.answerUncommitted(m)
 }
 
-// answerUncounted answers the client of a message that does not count and has ended here.
+// answerUncommitted answers the client of a message that has ended here without being committed.
 func (r *Relay) answerUncommitted(m *message) {
 	a, ending := withdrawnHere(m.Entry), refusedEnd
 	if a.status == http.StatusInternalServerError {
--- a/internal/relay/replication_run.go
+++ b/internal/relay/replication_run.go
@@ -14,8 +14,8 @@
 	"larchrouter/internal/remedy"
 )
 
-// carry takes copies of others, and keeps up with this relay's own, until the context ends. Without a holder's address it only
-// keeps up the session.
+// runReplication serves a replica for other relays, and keeps this relay's own replication groups up to date, until
+// the context ends. Without a fleet address it only keeps up the session with the keepers.
 func (r *Relay) runReplication(ctx context.Context, session *fleet.Session) {
 	fleetConfig := r.conf.Fleet
 	if fleetConfig.Listen == "" {
@@ -27,14 +27,14 @@
 	select {
 	case err := <-signed:
 		if err != nil {
-			slog.Error("the folder does not name this process", "err", err, "remedy", remedy.Of(err))
+			slog.Error("cannot record this process in the state directory", "err", err, "remedy", remedy.Of(err))
 		}
 	case <-r.quit:
 		return
 	}
 	replica, listener, err := r.openReplica(ctx)
 	if err != nil {
-		slog.Error("no copies are taken", "err", err, "remedy", "free the fleet address or the folder, and restart the relay")
+		slog.Error("no replica is served for other relays", "err", err, "remedy", "free the fleet address or the folder, and restart the relay")
 		session.Run(ctx)
 		return
 	}
@@ -53,7 +53,7 @@
 	session.Run(ctx)
 }
 
-// openHolder opens the folder of copies and the fleet address, once the process before this one has left them.
+// openReplica opens the directory of copies and the fleet address, once the previous process has closed them.
 func (r *Relay) openReplica(ctx context.Context) (replica *estate.Holder, listener net.Listener, err error) {
 	for deadline := time.Now().Add(fleetListenTimeout); ; {
 		if listener, err = net.Listen("tcp", r.conf.Fleet.Listen); err == nil {
@@ -71,10 +71,10 @@
 	return replica, listener, nil
 }
 
-// sweepEvery is how often copies are looked for that are on record no more.
+// replicaSweepInterval is how often the replica looks for copies that are no longer on record with the keepers.
 const replicaSweepInterval = 10 * time.Second
 
-// sweep drops copies that the keepers' log has no use for any more.
+// sweepReplica drops copies that the keepers no longer list.
 func (r *Relay) sweepReplica(ctx context.Context, client *api.Client, replica *estate.Holder) {
 	for tick := time.NewTicker(replicaSweepInterval); ; {
 		select {
@@ -94,7 +94,7 @@
 	}
 }
 
-// begin notes that new messages can be copied.
+// markReady records that new messages can be replicated.
 func (c *replication) markReady() {
 	select {
 	case <-c.ready:
@@ -103,11 +103,12 @@
 	}
 }
 
-// readyIn is how long a relay that starts waits for holders before it says that clients may come.
+// replicationReadyTimeout bounds how long a starting relay waits for replicas before it reports that clients may
+// connect.
 const replicationReadyTimeout = 5 * time.Second
 
-// whenReady says that clients may come, once what they hand in can be copied; not much later in any case, for what others
-// hold for them is wanted, too.
+// reportReady sets ready once new messages can be replicated. It waits no longer than replicationReadyTimeout,
+// because the messages that other relays already store for clients are needed as well.
 func (r *Relay) reportReady() {
 	if r.replication == nil {
 		r.ready.Store(true)
@@ -124,7 +125,7 @@
 	}()
 }
 
-// newOwner is what keeps up with the keepers and holders for a relay that copies.
+// newGroupOwner creates the owner that keeps a replicating relay up to date with the keepers and replicas.
 func (r *Relay) newGroupOwner() {
 	c := r.replication
 	transport := &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: dialer(r.conf.Source, time.Second).DialContext,
--- a/internal/relay/resume.go
+++ b/internal/relay/resume.go
@@ -8,8 +8,9 @@
 	"larchrouter/internal/steady"
 )
 
-// takeUp has a message of an estate go on. One that another process may have out is left alone until that has ended for
-// certain: its time-out, the time in which the call may have gone out, and what clocks differ by.
+// resume continues with a message on record. If another process may have an attempt in flight, the message waits
+// until that has certainly ended: for the attempt's timeout, the time within which its call may still have been sent,
+// and 1 % for the difference between clocks.
 func (r *Relay) resume(entry *journal.Entry, mayRunElsewhere bool) {
 	delay := time.Duration(0)
 	if mayRunElsewhere && entry.Out && entry.Status == "" {
@@ -23,21 +24,21 @@
 	timeLeft := time.Duration(entry.Due-steady.UnixMilli()) * time.Millisecond
 	m := &message{Entry: entry, due: r.now() + timeLeft}
 	r.pending[entry.ID] = m
-	// Its time may be up before that: then it ends by its class, without another try.
+	// Its deadline may pass before that. Then it ends as its class says, without another attempt.
 	timeLeft -= r.endMargin(lifetimeOf(entry, timeLeft))
-	lastAttemptMade := delay >= timeLeft
+	noMoreAttempts := delay >= timeLeft
 	time.AfterFunc(min(delay, max(0, timeLeft)), func() {
 		r.post(func() {
 			if r.pending[entry.ID] == m && !r.stopped && r.nextProcess == nil {
 				delete(r.pending, entry.ID)
-				r.resumeNow(entry, lastAttemptMade)
+				r.resumeNow(entry, noMoreAttempts)
 			}
 		})
 	})
 }
 
-// timeFrom has messages come to the decisions with the time that is left to them at a step. It may be long after they came to
-// the loop: a start takes up what the journal holds before it serves, and a process may get no core meanwhile.
+// updateTimeLeft sets the time left of the messages in events to what it is at this step. A message may have reached
+// the loop long before: a start resumes the journal before it serves, and a process may get no CPU time meanwhile.
 func (r *Relay) updateTimeLeft(now time.Duration, events []choice.Event) {
 	for i, event := range events {
 		switch e := event.(type) {
@@ -54,7 +55,7 @@
 	}
 }
 
-// restoredAt is what is known of a message that was taken up, once only so much time is left to it.
+// withTimeLeft returns a restored message as it is once only timeLeft is left to it.
 func withTimeLeft(restored choice.Restored, timeLeft time.Duration) choice.Restored {
 	elapsed := restored.Left - timeLeft
 	restored.Left, restored.RanAgo = timeLeft, restored.RanAgo+elapsed
@@ -66,7 +67,7 @@
 	return restored
 }
 
-// lifetimeOf is the whole time of a message on record; what is left of it if its terms were not recorded.
+// lifetimeOf returns the full lifetime of a message on record, or what is left of it if its terms were not recorded.
 func lifetimeOf(entry *journal.Entry, timeLeft time.Duration) time.Duration {
 	if entry.Terms != nil {
 		return entry.Terms.Class.Deadline
@@ -74,7 +75,7 @@
 	return timeLeft
 }
 
-// toldWaits has the decisions hear of waits that the process before told of.
+// applyRecordedWaits passes the Chooser the waits that hosts asked of the previous process.
 func (r *Relay) applyRecordedWaits(records []journal.Record) {
 	for _, record := range records {
 		if record.Op != journal.OpWait {
