--- a/internal/relay/acceptance_test.go
+++ b/internal/relay/acceptance_test.go
@@ -17,8 +17,9 @@
 	"larchrouter/internal/journal"
 )
 
-// Guards against a kill right behind the answer that takes a message on: its record has to be in the file before the answer
-// leaves the loop. The answer has nobody who takes it here, so the loop stands right there while the file is read.
+// Guards against losing a message when the process is killed right after it answered 202: the record has to be in the
+// file before the answer leaves the loop. Nobody receives the answer here, so the loop blocks right there while the
+// file is read.
 func TestRecordIsWrittenBeforeAnswer(t *testing.T) {
 	state := t.TempDir()
 	conf, err := readTestConfig(t, testConfig(t, newPlatform(t, at("s1", "127.0.0.1:1", "taller"))), state)
@@ -36,7 +37,7 @@
 		due: r.now() + time.Minute, ctx: context.Background(), reply: make(chan answer)}
 	stepped := make(chan bool)
 	go func() { r.take(in); r.step(); close(stepped) }()
-	// The answer may be on its way only once the file has the record; before that there is nothing to wait for but the record.
+	// The answer is received only once the file has the record; until then the test waits for nothing but the record.
 	answered := make(chan answer, 1)
 	recorded := func() bool {
 		data, err := os.ReadFile(filepath.Join(state, "journal"))
@@ -56,7 +57,7 @@
 	}
 	for end := time.Now().Add(time.Second); !recorded(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the answer waits to go, and the message is not on record")
+			t.Fatal("the answer is ready, but the message is not on record")
 		}
 	}
 	go func() { answered <- <-in.reply }()
@@ -64,7 +65,8 @@
 	wait(t, stepped, "end of the step")
 }
 
-// Guards against taking a message on only once it is delivered: its endpoint answers only after the client has its answer.
+// Guards against accepting a message only once it is delivered: its endpoint answers only after the client has its
+// answer.
 func TestAcceptedBeforeDelivery(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
@@ -78,13 +80,13 @@
 	case code := <-status:
 		want(t, "status", code, http.StatusAccepted)
 	case <-time.After(2 * time.Second):
-		t.Error("no answer while the call is out")
+		t.Error("no answer while the call is in flight")
 	}
 	c.answer <- http.StatusOK
 }
 
-// Guards against a client that is misread because it writes slowly, in pieces, many requests at once or in another of the
-// forms that HTTP allows: each gets its answer, and each body reaches the endpoint as it was.
+// Guards against misreading a client that writes slowly, in fragments, several requests at once or in another of the
+// forms that HTTP allows: each request gets its answer, and each body reaches the endpoint unchanged.
 func TestFragmentedPipelinedAndUnusualRequests(t *testing.T) {
 	calls := make(chan *seen, 100)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
@@ -138,8 +140,9 @@
 	want(t, "body of empty", received["empty"], "")
 }
 
-// Guards against a restarted relay that turns away all that it gets: what it found untried waits for an endpoint that never
-// answers and takes three quarters of the room, and what is handed in for another one is still taken on and sent.
+// Guards against a restarted relay that refuses all messages: the untried ones that it found wait for an endpoint
+// that never answers and take three quarters of the capacity, and messages for another endpoint are still accepted
+// and sent.
 func TestNearlyFullRelayServesAfterRestart(t *testing.T) {
 	const capacity = 40
 	calls := make(chan *seen, 1000)
@@ -179,7 +182,7 @@
 		c := wait(t, calls, "call")
 		want(t, "id of the call", c.id, id)
 		c.answer <- http.StatusOK
-		for ended := make(chan bool, 1); ; time.Sleep(time.Millisecond) { // the room is free again
+		for ended := make(chan bool, 1); ; time.Sleep(time.Millisecond) { // until the capacity is free again
 			r.post(func() { ended <- r.pending[id] == nil })
 			if <-ended {
 				break
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -89,7 +89,7 @@
 			err = opened.Out(e.Dest, h.Place)
 		}
 		if err != nil {
-			o.close()
+			o.closeStore()
 			return err
 		}
 	}
--- a/internal/relay/backlog_config_test.go
+++ b/internal/relay/backlog_config_test.go
@@ -11,10 +11,11 @@
 	"larchrouter/internal/remedy"
 )
 
-// Guards against settings that make no sense together, that are half taken up, or that have what is owed be passed over.
+// Guards against settings that contradict each other, that are applied in part, or that make a start ignore messages
+// in the backlog.
 func TestBacklogConfiguration(t *testing.T) {
-	ps := newRecordingEndpoint(t)
-	p := newPlatform(t, ps.server(7, false))
+	endpoint := newRecordingEndpoint(t)
+	p := newPlatform(t, endpoint.server(7, false))
 	complete := changed(t, testConfig(t, p), `"disk_mb":3}`, `"disk_mb":12},"backlog":{"disk_mb":8}`)
 	for name, data := range map[string][]byte{
 		"none":           changed(t, complete, `"backlog":{"disk_mb":8}`, `"backlog":{}`),
@@ -33,10 +34,10 @@
 	}
 	conf.Fleet = &fleet.Config{Keepers: []string{"127.0.0.1:1"}, Listen: "127.0.0.1:0"}
 	if err := conf.checkBacklog(); err == nil {
-		t.Error("copies of others and a backlog leave no room for the journal")
+		t.Error("copies of others and a backlog together leave no space for the journal, but are accepted")
 	}
 
-	r, stop := startBacklogRelay(t, p, backlogOptions{state: conf.State})
+	r, stop := startBacklogRelay(t, p, backlogOptions{stateDir: conf.State})
 	r.conf.whole = complete
 	for name, next := range map[string][]byte{
 		"less":  changed(t, complete, `"backlog":{"disk_mb":8}`, `"backlog":{"disk_mb":4}`),
@@ -47,48 +48,48 @@
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	want(t, "attempts after files that are not taken up", r.set.Load().MaxAttempts, 6)
+	want(t, "attempts after configurations that are rejected", r.set.Load().MaxAttempts, 6)
 	if err := reload(t, r, changed(t, complete, `"max-attempts":6`, `"max-attempts":5`)); err != nil {
 		t.Error(err)
 	}
 	submitAccepted(t, r, numberedMessages(20, 7, "m", testMessage{})...)
 	stop()
 
-	without := backlogOptions{state: conf.State, change: func(c *Config) { c.Backlog = nil }}
+	without := backlogOptions{stateDir: conf.State, changeConfig: func(c *Config) { c.Backlog = nil }}
 	_, err = newBacklogRelay(t, p, without)
 	if owing := (*PendingBacklogError)(nil); !errors.As(err, &owing) || owing.Messages == 0 || owing.Remedy() == "" {
-		t.Fatalf("a start without the key: %v", err)
+		t.Fatalf("a start without a backlog configuration: %v", err)
 	}
-	p = newPlatform(t, ps.server(7, true))
-	r, stop = startBacklogRelay(t, p, backlogOptions{state: conf.State})
-	ps.awaitMessages(t, 20)
+	p = newPlatform(t, endpoint.server(7, true))
+	r, stop = startBacklogRelay(t, p, backlogOptions{stateDir: conf.State})
+	endpoint.awaitMessages(t, 20)
 	shows(t, r, "svc.in_flight=0")
 	stop()
 	r, stop = startBacklogRelay(t, p, without)
 	for _, name := range []string{backlogFolder, "journal.tmp"} {
 		if _, err := os.Stat(filepath.Join(conf.State, name)); !os.IsNotExist(err) {
-			t.Errorf("%s is there still: %v", name, err)
+			t.Errorf("%s still exists: %v", name, err)
 		}
 	}
 	if text := metricsText(t, r); strings.Contains(text, "backlog") || r.overflow != nil {
-		t.Error("a relay without the key tells of a backlog")
+		t.Error("a relay without a backlog configuration reports a backlog")
 	}
 	stop()
-	if files, err := os.ReadDir(conf.State); err != nil || len(files) > 4 { // the journal, where the next process asks, the steady clock and the list's lease
-		t.Errorf("a relay without the key made %v, %v", files, err)
+	if files, err := os.ReadDir(conf.State); err != nil || len(files) > 4 { // the journal, the handover socket, the steady clock and the list's lease
+		t.Errorf("a relay without a backlog configuration created %v, %v", files, err)
 	}
 }
 
-// Guards against an older version that starts on a folder with a backlog and passes over it: it cannot remove what stands
-// where its journal's temporary file was.
+// Guards against an older version that starts on a state directory with a backlog and ignores it: it fails because it
+// cannot remove the fence that stands in place of its journal's temporary file.
 func TestOlderVersionsAreFencedOut(t *testing.T) {
-	ps := newRecordingEndpoint(t)
-	k := backlogOptions{state: t.TempDir()}
-	r, _ := startBacklogRelay(t, newPlatform(t, ps.server(7, false)), k)
-	old := filepath.Join(k.state, "journal.tmp")
+	endpoint := newRecordingEndpoint(t)
+	options := backlogOptions{stateDir: t.TempDir()}
+	r, _ := startBacklogRelay(t, newPlatform(t, endpoint.server(7, false)), options)
+	old := filepath.Join(options.stateDir, "journal.tmp")
 	submitAccepted(t, r, numberedMessages(2, 7, "few", testMessage{})...)
 	if _, err := os.Stat(old); !os.IsNotExist(err) {
-		t.Error("a folder without messages on disk keeps older versions out")
+		t.Error("older versions are fenced out of a directory without messages on disk")
 	}
 	submitAccepted(t, r, numberedMessages(20, 7, "m", testMessage{})...)
 	if err := os.Remove(old); err == nil || os.IsNotExist(err) {
--- a/internal/relay/backlog_faults_test.go
+++ b/internal/relay/backlog_faults_test.go
@@ -13,12 +13,12 @@
 	"larchrouter/internal/backlog"
 )
 
-// faulty is a store of which some calls fail. The loop alone calls it and sets what fails.
+// faultyStore is a store in which chosen calls fail. Only the loop calls it and sets what fails.
 type faultyStore struct {
 	store
 	putErr, outErr, nextErr, findErr error
-	doubt                            bool
-	beforeOut                        func() // Out
+	markDoubtful                     bool
+	beforeOut                        func() // runs before each Out
 }
 
 func (f *faultyStore) Put(ms ...backlog.Message) error {
@@ -41,7 +41,7 @@
 func (f *faultyStore) Next(dest, n, bytes int) ([]backlog.Held, error) {
 	hs, err := f.store.Next(dest, n, bytes)
 	for i := range hs {
-		hs[i].Doubt = hs[i].Doubt || f.doubt
+		hs[i].Doubt = hs[i].Doubt || f.markDoubtful
 	}
 	return hs, errors.Join(err, f.nextErr)
 }
@@ -51,146 +51,147 @@
 	return h, there, errors.Join(err, f.findErr)
 }
 
-// startFaulty starts a relay whose destination 7 is down, with 30 messages of which most are on disk.
-func startFaultyRelay(t *testing.T, class string) (r *Relay, f *faultyStore, ps *recordingEndpoint, p *platform, ids []string) {
+// startFaultyRelay starts a relay whose destination 7 is unavailable, with 30 messages of which most are on disk.
+func startFaultyRelay(t *testing.T, class string) (r *Relay, faulty *faultyStore, endpoint *recordingEndpoint, p *platform, ids []string) {
 	t.Helper()
-	ps, f = newRecordingEndpoint(t), &faultyStore{}
-	p = newPlatform(t, ps.server(7, false), ps.server(8, true))
-	r, _ = startBacklogRelay(t, p, backlogOptions{wrap: func(s store) store { f.store = s; return f }})
-	return r, f, ps, p, submitAccepted(t, r, numberedMessages(30, 7, "m", testMessage{class: class})...)
+	endpoint, faulty = newRecordingEndpoint(t), &faultyStore{}
+	p = newPlatform(t, endpoint.server(7, false), endpoint.server(8, true))
+	r, _ = startBacklogRelay(t, p, backlogOptions{wrapStore: func(s store) store { faulty.store = s; return faulty }})
+	return r, faulty, endpoint, p, submitAccepted(t, r, numberedMessages(30, 7, "m", testMessage{class: class})...)
 }
 
-var errDisk = errors.New("disk gone")
+var errDisk = errors.New("disk failure")
 
-// Guards against a promise for what could not be put on disk, and against a relay that does not go on once it can.
+// Guards against accepting messages that could not be stored on disk, and against a relay that does not recover once
+// they can.
 func TestNothingIsAcceptedWithoutDiskSpace(t *testing.T) {
-	r, f, ps, p, ids := startFaultyRelay(t, "payment")
+	r, faulty, endpoint, p, ids := startFaultyRelay(t, "payment")
 	for n, err := range []error{errDisk, &backlog.Full{Need: 1, Wait: 300 * time.Millisecond}} {
-		runInLoop(t, r, func() { f.putErr = err })
+		runInLoop(t, r, func() { faulty.putErr = err })
 		for _, a := range submit(t, r, numberedMessages(3, 7, "refused", testMessage{})...) {
 			if a.status != 503 || a.after <= 0 || err != errDisk && a.after != 300*time.Millisecond {
-				t.Fatalf("%v: %d with %v to wait", err, a.status, a.after)
+				t.Fatalf("%v: answered %d with a wait of %v", err, a.status, a.after)
 			}
 		}
-		ps.awaitMessages(t, n+len(submitAccepted(t, r, testMessage{id: fmt.Sprint("up", n), dest: 8})))
+		endpoint.awaitMessages(t, n+len(submitAccepted(t, r, testMessage{id: fmt.Sprint("up", n), dest: 8})))
 	}
 	shows(t, r, "svc.in_flight=30", "svc.backlog.refused=6")
-	runInLoop(t, r, func() { f.putErr = nil })
+	runInLoop(t, r, func() { faulty.putErr = nil })
 	ids = append(ids, submitAccepted(t, r, numberedMessages(3, 7, "refused", testMessage{})...)...)
-	ps.mu.Lock()
-	ps.received = nil
-	ps.mu.Unlock()
-	p.publish(2, true, ps.server(7, true), ps.server(8, true))
-	ps.expectOnce(t, ids...)
+	endpoint.mu.Lock()
+	endpoint.received = nil
+	endpoint.mu.Unlock()
+	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
+	endpoint.expectOnce(t, ids...)
 }
 
-// Guards against a store that is full for one large message and turns all of a turn away with it.
+// Guards against a store that is too full for one large message and therefore refuses all messages of the same turn.
 func TestMessagesThatFitAreAccepted(t *testing.T) {
-	ps := newRecordingEndpoint(t)
-	r, _ := startBacklogRelay(t, newPlatform(t, ps.server(7, false)), backlogOptions{change: func(c *Config) { c.Backlog.DiskMB = 0.2 }})
+	endpoint := newRecordingEndpoint(t)
+	r, _ := startBacklogRelay(t, newPlatform(t, endpoint.server(7, false)), backlogOptions{changeConfig: func(c *Config) { c.Backlog.DiskMB = 0.2 }})
 	submitAccepted(t, r, numberedMessages(9, 7, "first", testMessage{})...)
-	var all []testMessage
+	var messages []testMessage
 	for i := range 12 {
-		all = append(all, testMessage{id: fmt.Sprint("m", i), dest: 7, body: strings.Repeat("x", 1+i%2*60000)})
+		messages = append(messages, testMessage{id: fmt.Sprint("m", i), dest: 7, body: strings.Repeat("x", 1+i%2*60000)})
 	}
 	statuses := map[int]int{}
-	for i, a := range submit(t, r, all...) {
+	for i, a := range submit(t, r, messages...) {
 		if statuses[a.status]++; i%2 == 0 && a.status != 202 {
-			t.Errorf("a short one is answered %d %s", a.status, a.text)
+			t.Errorf("a short message is answered %d %s", a.status, a.text)
 		}
 	}
 	if statuses[503] == 0 || statuses[202]+statuses[503] != 12 {
-		t.Errorf("answers %v, want some 503 for long ones", statuses)
+		t.Errorf("answers %v, want some 503 for long messages", statuses)
 	}
 }
 
-// Guards against messages that the decisions get while the disk may bring them back, and against ones that therefore miss
-// their time.
+// Guards against messages that are submitted to the Chooser while the disk may load them again, and against messages
+// that miss their deadline because of that.
 func TestMessagesLeaveDiskBeforeSubmission(t *testing.T) {
-	r, f, ps, p, ids := startFaultyRelay(t, "payment")
-	held, _ := pendingAndStored(t, r)
-	runInLoop(t, r, func() { f.outErr = errDisk })
+	r, faulty, endpoint, p, ids := startFaultyRelay(t, "payment")
+	pending, _ := pendingAndStored(t, r)
+	runInLoop(t, r, func() { faulty.outErr = errDisk })
 	late := submitAccepted(t, r, numberedMessages(5, 7, "late", testMessage{timeLeft: time.Second})...)
-	p.publish(2, true, ps.server(7, true), ps.server(8, true))
+	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
 	ends := p.collectNotices(t, len(late))
 	for _, id := range late {
-		want(t, "end of one whose time was up", ends[id], deferred)
+		want(t, "end of an expired message", ends[id], deferred)
 	}
-	ps.expectOnce(t, ids[:held]...) // the window's alone
-	shows(t, r, fmt.Sprintf("svc.in_flight=%d", len(ids)-held))
-	runInLoop(t, r, func() { f.outErr = nil })
-	ps.expectOnce(t, ids...)
+	endpoint.expectOnce(t, ids[:pending]...) // only those in the window
+	shows(t, r, fmt.Sprintf("svc.in_flight=%d", len(ids)-pending))
+	runInLoop(t, r, func() { faulty.outErr = nil })
+	endpoint.expectOnce(t, ids...)
 	shows(t, r, "svc.in_flight=0", "svc.backlog.messages=0")
 	want(t, "further notices", len(p.notices), 0)
 }
 
-// Guards against a second delivery after a kill between the journal's record and Out: both have the message then. And
-// against one after a kill at any Out, as of a message that was withdrawn.
+// Guards against a second delivery after a kill between writing the journal's record and Out, when both have the
+// message, and against one after a kill at any Out, such as that of a withdrawn message.
 func TestKillBetweenJournalAndRemoval(t *testing.T) {
-	ps := newRecordingEndpoint(t)
-	p := newPlatform(t, ps.server(7, false), ps.server(8, true))
-	f, k := &faultyStore{}, backlogOptions{state: t.TempDir()}
-	k.wrap = func(s store) store { f.store = s; return f }
-	r, stop := startBacklogRelay(t, p, k)
+	endpoint := newRecordingEndpoint(t)
+	p := newPlatform(t, endpoint.server(7, false), endpoint.server(8, true))
+	faulty, options := &faultyStore{}, backlogOptions{stateDir: t.TempDir()}
+	options.wrapStore = func(s store) store { faulty.store = s; return faulty }
+	r, stop := startBacklogRelay(t, p, options)
 	ids := submitAccepted(t, r, numberedMessages(40, 7, "m", testMessage{class: "payment"})...)
-	idsByDir := map[string]map[string]bool{} // ids that are in the journal, on disk or in both, by folder
-	both := 0
+	idsByDir := map[string]map[string]bool{} // by state directory: IDs that are in the journal, on disk or in both
+	inBoth := 0
 	runInLoop(t, r, func() {
-		f.beforeOut = func() {
+		faulty.beforeOut = func() {
 			if len(idsByDir) == 3 {
 				return
 			}
 			dir, ids := filepath.Join(t.TempDir(), "state"), map[string]bool{}
-			copyFiles(t, dir, k.state)
+			copyFiles(t, dir, options.stateDir)
 			for e := range r.journal.All() {
 				ids[e.ID] = true
 			}
-			hs, err := f.store.Next(7, 1000, 1<<20)
+			hs, err := faulty.store.Next(7, 1000, 1<<20)
 			if err != nil {
 				t.Error(err)
 			}
 			for _, h := range hs {
 				if ids[h.ID] {
-					both++
+					inBoth++
 				}
 				ids[h.ID] = true
 			}
 			idsByDir[dir] = ids
 		}
 	})
-	p.publish(2, true, ps.server(7, true), ps.server(8, true))
-	ps.expectOnce(t, ids...)
+	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
+	endpoint.expectOnce(t, ids...)
 	stop()
-	if len(idsByDir) != 3 || both == 0 {
-		t.Fatalf("%d folders as a kill would leave them, with %d messages in both, want 3 and some", len(idsByDir), both)
+	if len(idsByDir) != 3 || inBoth == 0 {
+		t.Fatalf("%d directories as a kill would leave them, with %d messages in both, want 3 and some", len(idsByDir), inBoth)
 	}
 	for dir, ids := range idsByDir {
-		ps := newRecordingEndpoint(t)
-		p := newPlatform(t, ps.server(7, true))
-		r, stop := startBacklogRelay(t, p, backlogOptions{state: dir})
-		submitAccepted(t, r, testMessage{id: "last", dest: 7, timeLeft: 20 * time.Second}) // it goes behind all of them
+		endpoint := newRecordingEndpoint(t)
+		p := newPlatform(t, endpoint.server(7, true))
+		r, stop := startBacklogRelay(t, p, backlogOptions{stateDir: dir})
+		submitAccepted(t, r, testMessage{id: "last", dest: 7, timeLeft: 20 * time.Second}) // ordered behind all of them
 		ids["last"] = true
 		for len(ids) > 0 {
 			var id string
 			select {
-			case id = <-ps.ids:
-			case n := <-p.notices: // of payments that were out as the copy was made
+			case id = <-endpoint.ids:
+			case n := <-p.notices: // of payments that were in flight as the copy was made
 				id = n.ID
 			case <-time.After(30 * time.Second):
-				t.Fatalf("%d have neither come nor ended", len(ids))
+				t.Fatalf("%d messages have neither arrived nor ended", len(ids))
 			}
 			if !ids[id] {
-				t.Fatalf("%s came or ended twice", id)
+				t.Fatalf("%s arrived or ended twice", id)
 			}
 			delete(ids, id)
 		}
 		shows(t, r, "svc.in_flight=0")
 		stop()
-		want(t, "further messages", len(ps.ids)+len(p.notices), 0)
+		want(t, "further messages", len(endpoint.ids)+len(p.notices), 0)
 	}
 }
 
-// copyFiles copies the files of a folder, as a kill would leave them.
+// copyFiles copies the files of a directory as a kill would leave them.
 func copyFiles(t *testing.T, to, from string) {
 	t.Helper()
 	err := filepath.WalkDir(from, func(path string, d fs.DirEntry, err error) error {
@@ -218,7 +219,7 @@
 	}
 }
 
-// inLoop runs something in the loop.
+// runInLoop runs a function in the loop and waits for it.
 func runInLoop(t testing.TB, r *Relay, f func()) {
 	t.Helper()
 	done := make(chan struct{})
@@ -226,11 +227,11 @@
 	select {
 	case <-done:
 	case <-time.After(30 * time.Second):
-		t.Fatal("the loop hangs")
+		t.Fatal("the loop does not respond")
 	}
 }
 
-// counts are what the decisions have and what the disk has.
+// pendingAndStored returns how many messages are pending, which the Chooser has, and how many are on disk.
 func pendingAndStored(t testing.TB, r *Relay) (pending, stored int) {
 	t.Helper()
 	runInLoop(t, r, func() { pending, stored = len(r.pending), r.overflow.len() })
--- a/internal/relay/backlog_rig_test.go
+++ b/internal/relay/backlog_rig_test.go
@@ -16,16 +16,18 @@
 	"larchrouter/internal/journal"
 )
 
-// partners stand behind all endpoints of a test. They note each message that they get, in the order in which it came.
+// recordingEndpoint stands behind all endpoints of a test and records each message that it receives, in order of
+// arrival.
 type recordingEndpoint struct {
-	addr        string
-	mu          sync.Mutex
-	received    []string // ids
-	bodies      map[string]string
-	inFlight    map[string]int // calls out, by order key: what stands in an id before the dot
-	maxInFlight int            // of them at once
+	addr     string
+	mu       sync.Mutex
+	received []string // message IDs
+	bodies   map[string]string
+	// inFlight has the number of calls in flight by order key, which is the part of a message's ID before the dot.
+	inFlight    map[string]int
+	maxInFlight int // of one key at once
 	arrived     chan struct{}
-	ids         chan string // ids as well, for who reads them one by one
+	ids         chan string // message IDs, for tests that read them one by one
 }
 
 func newRecordingEndpoint(t *testing.T) *recordingEndpoint {
@@ -54,7 +56,7 @@
 	return p
 }
 
-// await waits until so many messages came, and returns their ids.
+// awaitMessages waits until n messages have arrived, and returns their IDs.
 func (p *recordingEndpoint) awaitMessages(t *testing.T, n int) []string {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); ; {
@@ -65,7 +67,7 @@
 			return received
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d messages came, want %d", len(received), n)
+			t.Fatalf("%d messages arrived, want %d", len(received), n)
 		}
 		select {
 		case <-p.arrived:
@@ -74,7 +76,7 @@
 	}
 }
 
-// once fails if a message came twice, or another than these.
+// expectOnce fails if a message arrived twice, or if one arrived that is not in ids.
 func (p *recordingEndpoint) expectOnce(t *testing.T, ids ...string) {
 	t.Helper()
 	received := p.awaitMessages(t, len(ids))
@@ -84,16 +86,16 @@
 	}
 	for _, id := range received {
 		if !wanted[id] {
-			t.Fatalf("%s came twice, or was not to come; %d came", id, len(received))
+			t.Fatalf("%s arrived twice or unexpectedly; %d arrived", id, len(received))
 		}
 		delete(wanted, id)
 		if p.bodies[id] != "body of "+id {
-			t.Fatalf("%s came with %q", id, p.bodies[id])
+			t.Fatalf("%s arrived with body %q", id, p.bodies[id])
 		}
 	}
 }
 
-// cell is an endpoint of a destination, ready or not.
+// server returns the endpoint of a destination, ready or not.
 func (p *recordingEndpoint) server(dest int, ready bool) discovery.Server {
 	s := at(fmt.Sprint("s-", dest), p.addr, "taller")
 	if s.Cell = dest; !ready {
@@ -102,12 +104,12 @@
 	return s
 }
 
-// keeping says how a relay with a backlog is started: by default with a window of 8 messages.
+// backlogOptions says how a relay with a backlog is started. The default is a window of 8 messages.
 type backlogOptions struct {
-	state  string
-	window state.Load
-	wrap   func(store) store
-	change func(*Config)
+	stateDir     string
+	window       state.Load
+	wrapStore    func(store) store
+	changeConfig func(*Config)
 }
 
 func enableBacklog(conf *Config) {
@@ -116,19 +118,19 @@
 	withAdmin(conf)
 }
 
-// newKeeping makes a relay with a backlog; serving starts it.
+// newBacklogRelay creates a relay with a backlog; serveUntilStopped starts it.
 func newBacklogRelay(t testing.TB, p *platform, options backlogOptions) (*Relay, error) {
 	t.Helper()
-	if options.state == "" {
-		options.state = t.TempDir()
+	if options.stateDir == "" {
+		options.stateDir = t.TempDir()
 	}
-	conf, err := readTestConfig(t, testConfig(t, p), options.state)
+	conf, err := readTestConfig(t, testConfig(t, p), options.stateDir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	enableBacklog(&conf)
-	if options.change != nil {
-		options.change(&conf)
+	if options.changeConfig != nil {
+		options.changeConfig(&conf)
 	}
 	r, err := New(conf)
 	if err == nil && r.overflow != nil {
@@ -136,14 +138,14 @@
 		if options.window.N == 0 {
 			r.overflow.window.Total = state.Load{N: 8, Bytes: 1 << 20}
 		}
-		if options.wrap != nil {
-			r.overflow.store = options.wrap(r.overflow.store)
+		if options.wrapStore != nil {
+			r.overflow.store = options.wrapStore(r.overflow.store)
 		}
 	}
 	return r, err
 }
 
-// serving runs a relay; stop ends it as it is, as a kill does but for open files.
+// serveUntilStopped runs a relay; stop ends it abruptly, as a kill does except for open files.
 func serveUntilStopped(t testing.TB, r *Relay) (stop func()) {
 	done := make(chan struct{})
 	go func() { r.Serve(); close(done) }()
@@ -161,7 +163,7 @@
 	return r, serveUntilStopped(t, r)
 }
 
-// given is what a test hands in.
+// testMessage is a message that a test submits.
 type testMessage struct {
 	id, class, order string
 	dest             int
@@ -169,7 +171,7 @@
 	body             string
 }
 
-// give hands messages in, as many handlers at once would, and returns their answers.
+// submit submits messages as concurrent handlers would, and returns their answers.
 func submit(t testing.TB, r *Relay, messages ...testMessage) []answer {
 	t.Helper()
 	replies := make([]chan answer, len(messages))
@@ -204,7 +206,7 @@
 	return answers
 }
 
-// promised hands messages in and wants all of them taken on.
+// submitAccepted submits messages and fails unless all are accepted.
 func submitAccepted(t testing.TB, r *Relay, messages ...testMessage) (ids []string) {
 	t.Helper()
 	for i, a := range submit(t, r, messages...) {
@@ -224,7 +226,7 @@
 	return messages
 }
 
-// ends collects notices until there are so many, and wants them to be of different messages.
+// collectNotices returns the statuses of n notices by message ID, and fails if two are of the same message.
 func (p *platform) collectNotices(t *testing.T, n int) map[string]string {
 	t.Helper()
 	ends := map[string]string{}
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -12,43 +12,43 @@
 	"larchrouter/internal/discovery"
 )
 
-// Guards against one destination that is down for long and fills the room of others, and against what waited for it being
-// lost, doubled or mixed up as it is back.
+// Guards against one destination that is unavailable for long and takes the capacity of others, and against loss,
+// duplication or corruption of its waiting messages once it is back.
 func TestUnavailableDestinationDoesNotBlockOthers(t *testing.T) {
-	ps := newRecordingEndpoint(t)
-	p := newPlatform(t, ps.server(7, false), ps.server(8, true))
+	endpoint := newRecordingEndpoint(t)
+	p := newPlatform(t, endpoint.server(7, false), endpoint.server(8, true))
 	r, _ := startBacklogRelay(t, p, backlogOptions{})
 	ids := submitAccepted(t, r, numberedMessages(300, 7, "down", testMessage{})...)
-	held, disk := pendingAndStored(t, r)
-	if held > 8 || held+disk != 300 {
-		t.Fatalf("the decisions have %d, the disk %d, of 300 and a window of 8", held, disk)
+	pending, stored := pendingAndStored(t, r)
+	if pending > 8 || pending+stored != 300 {
+		t.Fatalf("%d pending and %d on disk, of 300 with a window of 8", pending, stored)
 	}
-	shows(t, r, "svc.in_flight=300", fmt.Sprintf("svc.backlog.messages=%d", disk))
+	shows(t, r, "svc.in_flight=300", fmt.Sprintf("svc.backlog.messages=%d", stored))
 	for n := range 5 {
 		ids := submitAccepted(t, r, numberedMessages(40, 8, fmt.Sprint("up", n), testMessage{})...)
-		ps.awaitMessages(t, (n+1)*len(ids))
+		endpoint.awaitMessages(t, (n+1)*len(ids))
 	}
-	if _, now := pendingAndStored(t, r); now < disk {
-		t.Errorf("%d came in for a destination that takes nothing", disk-now)
+	if _, now := pendingAndStored(t, r); now < stored {
+		t.Errorf("%d were loaded for an unavailable destination", stored-now)
 	}
-	ps.mu.Lock()
-	ps.received = nil
-	ps.mu.Unlock()
-	p.publish(2, true, ps.server(7, true), ps.server(8, true))
-	ps.expectOnce(t, ids...)
+	endpoint.mu.Lock()
+	endpoint.received = nil
+	endpoint.mu.Unlock()
+	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
+	endpoint.expectOnce(t, ids...)
 	shows(t, r, "svc.in_flight=0", "svc.backlog.messages=0")
 }
 
-// Guards against thousands of destinations that are down, each with a little, and that together keep out one that is well; and
-// against a return of all at once in which something is lost or doubled.
+// Guards against many unavailable destinations with a few messages each that together block an available one, and
+// against loss or duplication when all of them return at once.
 func TestThousandUnavailableDestinationsRecover(t *testing.T) {
 	const dests = 1000
-	ps := newRecordingEndpoint(t)
-	all := []discovery.Server{ps.server(9000, true)}
+	endpoint := newRecordingEndpoint(t)
+	servers := []discovery.Server{endpoint.server(9000, true)}
 	for d := range dests {
-		all = append(all, ps.server(d, false))
+		servers = append(servers, endpoint.server(d, false))
 	}
-	p := newPlatform(t, all...)
+	p := newPlatform(t, servers...)
 	r, _ := startBacklogRelay(t, p, backlogOptions{window: state.Load{N: 64, Bytes: 1 << 20}})
 	var messages []testMessage
 	for n := range 3 {
@@ -57,35 +57,35 @@
 		}
 	}
 	ids := submitAccepted(t, r, messages...)
-	held, disk := pendingAndStored(t, r)
-	if held > dests+64 || held+disk != len(ids) {
-		t.Fatalf("the decisions have %d, the disk %d, of %d", held, disk, len(ids))
+	pending, stored := pendingAndStored(t, r)
+	if pending > dests+64 || pending+stored != len(ids) {
+		t.Fatalf("%d pending and %d on disk, of %d", pending, stored, len(ids))
 	}
 	up := submitAccepted(t, r, numberedMessages(200, 9000, "up", testMessage{})...)
-	ps.expectOnce(t, up...)
-	ps.mu.Lock()
-	ps.received = nil
-	ps.mu.Unlock()
-	for i := range all {
-		all[i].State = "active"
+	endpoint.expectOnce(t, up...)
+	endpoint.mu.Lock()
+	endpoint.received = nil
+	endpoint.mu.Unlock()
+	for i := range servers {
+		servers[i].State = "active"
 	}
-	p.publish(2, true, all...)
-	ps.expectOnce(t, ids...)
+	p.publish(2, true, servers...)
+	endpoint.expectOnce(t, ids...)
 }
 
-// Guards against messages on disk whose time runs out unanswered, or is answered twice; and against thousands that do so at
-// once and stop what can still be served.
+// Guards against messages on disk that expire without a notice or with two, and against thousands that expire
+// together and block what can still be delivered.
 func TestManyMessagesExpireTogether(t *testing.T) {
-	ps := newRecordingEndpoint(t)
-	p := newPlatform(t, ps.server(7, false), ps.server(8, true))
+	endpoint := newRecordingEndpoint(t)
+	p := newPlatform(t, endpoint.server(7, false), endpoint.server(8, true))
 	p.notices = make(chan notice, 10000)
 	r, _ := startBacklogRelay(t, p, backlogOptions{})
-	stay := submitAccepted(t, r, numberedMessages(10, 7, "stay", testMessage{})...) // so that nothing comes in for want of room
+	staying := submitAccepted(t, r, numberedMessages(10, 7, "stay", testMessage{})...) // so that nothing is loaded because capacity is free
 	ids := submitAccepted(t, r, numberedMessages(4000, 7, "late", testMessage{timeLeft: 3 * time.Second})...)
-	up := submitAccepted(t, r, numberedMessages(50, 8, "up", testMessage{})...)
+	served := submitAccepted(t, r, numberedMessages(50, 8, "up", testMessage{})...)
 	ends := p.collectNotices(t, 1)
-	up = append(up, submitAccepted(t, r, numberedMessages(50, 8, "more", testMessage{})...)...)
-	ps.expectOnce(t, up...)
+	served = append(served, submitAccepted(t, r, numberedMessages(50, 8, "more", testMessage{})...)...)
+	endpoint.expectOnce(t, served...)
 	for id, status := range p.collectNotices(t, len(ids)-1) {
 		ends[id] = status
 	}
@@ -94,66 +94,66 @@
 			t.Fatalf("%s ended as %q", id, ends[id])
 		}
 	}
-	shows(t, r, fmt.Sprintf("svc.in_flight=%d", len(stay)))
+	shows(t, r, fmt.Sprintf("svc.in_flight=%d", len(staying)))
 	want(t, "further notices", len(p.notices), 0)
 }
 
-// Guards against a message that is put a second time, or lost, as its client comes again; and against one whose client left
-// unanswered that stays.
+// Guards against a message that is stored a second time or lost when its client sends it again, and against one that
+// stays although its client disconnected unanswered.
 func TestDuplicatesAndWithdrawalsOnDisk(t *testing.T) {
-	r, f, ps, p, ids := startFaultyRelay(t, "status-update")
+	r, faulty, endpoint, p, ids := startFaultyRelay(t, "status-update")
 	last := ids[len(ids)-1]
 	submitAccepted(t, r, testMessage{id: last, dest: 7}, testMessage{id: last, dest: 7})
-	submitAccepted(t, r, testMessage{id: "twice", dest: 7}, testMessage{id: "twice", dest: 7}) // of one turn, as likely as not
+	submitAccepted(t, r, testMessage{id: "twice", dest: 7}, testMessage{id: "twice", dest: 7}) // most likely in one turn of the loop
 	ids = append(ids, "twice")
 	shows(t, r, "svc.in_flight=31")
-	leave := func(id string) int {
+	submitAndLeave := func(id string) int {
 		req := httptest.NewRequest("POST", "/api", strings.NewReader("body of "+id))
 		for k, v := range map[string]string{"X-Request-Id": id, "X-Class": "status-update", "X-Deadline-Ms": "60000", "X-Addressing": "dest=7"} {
 			req.Header.Set(k, v)
 		}
-		gone := &leaver{Context: t.Context()}
-		gone.there.Store(1)
+		clientContext := &leaver{Context: t.Context()}
+		clientContext.there.Store(1)
 		w, done := httptest.NewRecorder(), make(chan bool)
-		go func() { r.serveAPI(w, req.WithContext(gone)); close(done) }()
+		go func() { r.serveAPI(w, req.WithContext(clientContext)); close(done) }()
 		wait(t, done, "answer")
 		return w.Code
 	}
-	want(t, "a client that leaves", leave("left"), 503)
+	want(t, "a client that leaves", submitAndLeave("left"), 503)
 	shows(t, r, "svc.in_flight=31")
-	leave(last) // it came twice before: it goes on
+	submitAndLeave(last) // sent twice before, so it is not withdrawn
 	shows(t, r, "svc.in_flight=31")
-	runInLoop(t, r, func() { f.outErr = errDisk })
-	want(t, "a client that leaves what cannot be taken out", leave("stays"), 202)
-	runInLoop(t, r, func() { f.outErr, f.findErr = nil, errDisk })
-	want(t, "while nothing can be found", submit(t, r, testMessage{id: last, dest: 7})[0].status, 503)
-	runInLoop(t, r, func() { f.findErr = nil })
-	p.publish(2, true, ps.server(7, true), ps.server(8, true))
-	ps.expectOnce(t, append(ids, "stays")...)
-	submitAccepted(t, r, testMessage{id: last, dest: 7}) // over by now
+	runInLoop(t, r, func() { faulty.outErr = errDisk })
+	want(t, "a client that leaves a message that cannot be removed", submitAndLeave("stays"), 202)
+	runInLoop(t, r, func() { faulty.outErr, faulty.findErr = nil, errDisk })
+	want(t, "status while the store cannot be searched", submit(t, r, testMessage{id: last, dest: 7})[0].status, 503)
+	runInLoop(t, r, func() { faulty.findErr = nil })
+	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
+	endpoint.expectOnce(t, append(ids, "stays")...)
+	submitAccepted(t, r, testMessage{id: last, dest: 7}) // has ended by now
 	shows(t, r, "svc.in_flight=0")
-	want(t, "messages that came", len(ps.awaitMessages(t, 32)), 32)
+	want(t, "messages that arrived", len(endpoint.awaitMessages(t, 32)), 32)
 }
 
-// Guards against a message in doubt that is sent as if it were new where a second time does harm; and against one that cannot
-// be read and has no end.
+// Guards against a message that may have run already but is sent as if it were new where a second run does harm, and
+// against one that cannot be decoded and never ends.
 func TestDoubtfulAndUnreadableStoredMessages(t *testing.T) {
 	for class, status := range map[string]string{"payment": undeliverable, "job-order": undeliverable, "status-update": ""} {
-		r, f, ps, p, ids := startFaultyRelay(t, class)
-		held, _ := pendingAndStored(t, r)
-		runInLoop(t, r, func() { f.doubt = true })
+		r, faulty, endpoint, p, ids := startFaultyRelay(t, class)
+		pending, _ := pendingAndStored(t, r)
+		runInLoop(t, r, func() { faulty.markDoubtful = true })
 		if status == "" {
 			runInLoop(t, r, func() {
-				f.store.Put(backlog.Message{ID: "strange", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(), Data: []byte{99}})
+				faulty.store.Put(backlog.Message{ID: "strange", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(), Data: []byte{99}})
 			})
 		}
-		p.publish(2, true, ps.server(7, true), ps.server(8, true))
+		p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
 		if status == "" {
-			ps.expectOnce(t, ids...)
-			want(t, "end of one that cannot be read", p.collectNotices(t, 1)["strange"], undeliverable)
+			endpoint.expectOnce(t, ids...)
+			want(t, "end of a message that cannot be decoded", p.collectNotices(t, 1)["strange"], undeliverable)
 		} else {
-			ps.expectOnce(t, ids[:held]...)
-			for id, got := range p.collectNotices(t, len(ids)-held) {
+			endpoint.expectOnce(t, ids[:pending]...)
+			for id, got := range p.collectNotices(t, len(ids)-pending) {
 				want(t, class+" "+id+" ends", got, status)
 			}
 		}
@@ -161,23 +161,23 @@
 	}
 }
 
-// Guards against a message that never goes for its size: it is larger than all of the window.
+// Guards against a message that is never sent because it is larger than the whole window.
 func TestMessageLargerThanWindow(t *testing.T) {
-	ps := newRecordingEndpoint(t)
-	p := newPlatform(t, ps.server(7, false))
+	endpoint := newRecordingEndpoint(t)
+	p := newPlatform(t, endpoint.server(7, false))
 	r, _ := startBacklogRelay(t, p, backlogOptions{window: state.Load{N: 4, Bytes: 8 << 10}})
-	var all []testMessage
+	var messages []testMessage
 	for i := range 6 {
 		id := fmt.Sprint("m.", i)
-		all = append(all, testMessage{id: id, dest: 7, body: strings.Repeat("x", 60<<10)})
+		messages = append(messages, testMessage{id: id, dest: 7, body: strings.Repeat("x", 60<<10)})
 	}
-	submitAccepted(t, r, all...)
-	held, _ := pendingAndStored(t, r)
-	want(t, "held by the decisions", held, 1)
-	p.publish(2, true, ps.server(7, true))
-	ps.awaitMessages(t, 6)
+	submitAccepted(t, r, messages...)
+	pending, _ := pendingAndStored(t, r)
+	want(t, "pending messages", pending, 1)
+	p.publish(2, true, endpoint.server(7, true))
+	endpoint.awaitMessages(t, 6)
 	shows(t, r, "svc.in_flight=0")
-	for id, body := range ps.bodies {
+	for id, body := range endpoint.bodies {
 		want(t, "length of "+id, len(body), 60<<10)
 	}
 }
--- a/internal/relay/contended_rig_test.go
+++ b/internal/relay/contended_rig_test.go
@@ -21,16 +21,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Stand-ins for a fleet of real processes that shares few cores: what clients were promised, a platform and endpoints that
-// now and then say nothing, and relays that are restarted.
+// Stand-ins for a fleet of real processes that shares few cores: the record of accepted messages, a platform and
+// endpoints that sometimes do not answer, and relays that are restarted.
 
-// promise is one message that a relay answered with 202.
+// acceptedMessage is a message that a relay answered with 202.
 type acceptedMessage struct {
 	relay int
 	due   time.Time
 }
 
-// outcomes are what clients were promised, and when each message was delivered or its end told.
+// outcomes records the accepted messages, and when each was delivered or its notice arrived.
 type outcomes struct {
 	mu       sync.Mutex
 	accepted map[string]acceptedMessage
@@ -41,10 +41,10 @@
 	return &outcomes{accepted: map[string]acceptedMessage{}, ended: map[string]time.Time{}}
 }
 
-func (o *outcomes) accept(id string, p acceptedMessage) {
+func (o *outcomes) accept(id string, message acceptedMessage) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.accepted[id] = p
+	o.accepted[id] = message
 }
 
 func (o *outcomes) end(id string) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// endpoint answers a part of its calls, and never the others.
+// startPartialEndpoint starts an endpoint that answers only a fraction of its calls, and returns its address.
 func startPartialEndpoint(t *testing.T, outcomes *outcomes, answerRate float64) string {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
@@ -69,8 +69,8 @@
 	return s.Listener.Addr().String()
 }
 
-// noticeTaker is a platform whose connections fall silent after some POSTs of notices each: what is sent on them from then
-// on is read by nobody.
+// stallingPlatform is a platform whose connections stall after noticesPerConn POSTs of notices: what is sent on them
+// from then on is not read.
 type stallingPlatform struct {
 	*platform
 	outcomes *outcomes
@@ -102,16 +102,16 @@
 		return
 	}
 	for lines := json.NewDecoder(req.Body); ; {
-		var told notice
-		if lines.Decode(&told) != nil {
+		var received notice
+		if lines.Decode(&received) != nil {
 			break
 		}
-		n.outcomes.end(told.ID)
+		n.outcomes.end(received.ID)
 	}
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// startOnCores starts a command whose threads may use only some cores.
+// startOnCores starts a command whose threads may use only the given cores.
 func startOnCores(t *testing.T, cmd *exec.Cmd, cores unix.CPUSet) {
 	t.Helper()
 	runtime.LockOSThread()
@@ -129,45 +129,45 @@
 	}
 }
 
-// outage is from when a relay was told to end, or killed, until it was ready again.
-type outage struct{ from, to time.Time }
+// outage is the time from when a relay was stopped or killed until it was ready again.
+type outage struct{ startedAt, readyAt time.Time }
 
-// restarted is a relay, process after process.
+// restartedRelay is a relay that runs as one process after another.
 type restartedRelay struct {
-	number        int
-	config, state string
-	addr          string
-	cores         unix.CPUSet
+	number               int
+	configPath, stateDir string
+	addr                 string
+	cores                unix.CPUSet
 
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	outages []outage
 }
 
-// newRestarted has a relay listen at a fixed address, so that clients find it again.
+// newRestartedRelay creates a relay with a fixed address, so that clients find it again after a restart.
 func newRestartedRelay(t *testing.T, number int, config string, cores unix.CPUSet) *restartedRelay {
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer free.Close()
-	r := &restartedRelay{number: number, config: filepath.Join(t.TempDir(), "config.json"), state: t.TempDir(),
-		addr: free.Addr().String(), cores: cores}
-	text := strings.Replace(config, "127.0.0.1:0", r.addr, 1)
-	if err := os.WriteFile(r.config, []byte(text), 0o600); err != nil {
+	defer listener.Close()
+	r := &restartedRelay{number: number, configPath: filepath.Join(t.TempDir(), "config.json"), stateDir: t.TempDir(),
+		addr: listener.Addr().String(), cores: cores}
+	configText := strings.Replace(config, "127.0.0.1:0", r.addr, 1)
+	if err := os.WriteFile(r.configPath, []byte(configText), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return r
 }
 
-// start starts a process, and waits until it is ready.
+// start starts a process and waits until it is ready.
 func (r *restartedRelay) start(t *testing.T) {
 	path, err := program()
 	if err != nil {
 		t.Fatal(err)
 	}
 	cmd := exec.Command(path)
-	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+r.config, "BALANCER_STATE="+r.state)
+	cmd.Env = append(os.Environ(), "BALANCER_CONFIG="+r.configPath, "BALANCER_STATE="+r.stateDir)
 	startOnCores(t, cmd, r.cores)
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
 	r.mu.Lock()
@@ -181,12 +181,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatal("a relay is not ready: ", err)
+			t.Fatal("a relay did not become ready: ", err)
 		}
 	}
 }
 
-// restart ends the process by a signal, and starts the next one.
+// restart ends the process by a signal and starts the next one.
 func (r *restartedRelay) restart(t *testing.T, signal syscall.Signal) {
 	from := time.Now()
 	r.cmd.Process.Signal(signal)
@@ -199,7 +199,7 @@
 	r.outages = append(r.outages, outage{from, time.Now()})
 }
 
-// upgrade starts the next process beside the one that runs, and then ends that.
+// upgrade starts the next process beside the running one, and then stops that.
 func (r *restartedRelay) upgrade(t *testing.T) {
 	from, old := time.Now(), r.cmd
 	r.start(t)
@@ -210,14 +210,15 @@
 	r.outages = append(r.outages, outage{from, time.Now()})
 }
 
-// limit is by when a message has to have ended: no notice is overdue from a restart until some time after the relay is ready.
-func (r *restartedRelay) endDeadline(p acceptedMessage) time.Time {
+// endDeadline returns when a message must have ended. No notice is overdue from a restart until some time after the
+// relay is ready again.
+func (r *restartedRelay) endDeadline(message acceptedMessage) time.Time {
 	const grace = 1500 * time.Millisecond
-	limit := p.due.Add(endLimit)
+	limit := message.due.Add(endLimit)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, o := range r.outages {
-		if ready := o.to.Add(grace); limit.After(o.from) && limit.Before(ready) {
+		if ready := o.readyAt.Add(grace); limit.After(o.startedAt) && limit.Before(ready) {
 			limit = ready
 		}
 	}
--- a/internal/relay/contended_test.go
+++ b/internal/relay/contended_test.go
@@ -17,9 +17,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Guards the rule on lost messages with real processes: ten relays of four threads each on two cores, a platform whose
-// connections fall silent, endpoints that do not answer, restarts of every kind, and clients that keep their connections,
-// pipeline, half close and come again. Every message that was answered with 202 is delivered or ended by a notice in time.
+// Guards against lost messages with real processes: ten relays of four threads each on two cores, a platform whose
+// connections stall, endpoints that do not answer, restarts of every kind, and clients that reuse connections,
+// pipeline requests, half-close and reconnect. Every message that was answered with 202 is delivered or ended by a
+// notice in time.
 func TestNoMessageIsLostWithMoreRelaysThanCores(t *testing.T) {
 	for range 5 {
 		valid := false
@@ -31,8 +32,8 @@
 	t.Fatal("this machine's timers were late in each round")
 }
 
-// standInSlack is how late this process's own timers may be, and with them its clients, endpoints and platform: less than
-// the relays have to spare.
+// maxTimerLateness is how late this process's own timers may be, and with them its clients, endpoints and platform.
+// It is less than the time that the relays have to spare.
 const maxTimerLateness = 100 * time.Millisecond
 
 func runContendedFleet(t *testing.T) (valid bool) {
@@ -51,13 +52,13 @@
 		fleet[i] = newRestartedRelay(t, i, config, cores)
 		fleet[i].start(t)
 	}
-	var late atomic.Int64
+	var maxLateness atomic.Int64
 	stop := make(chan struct{})
 	var running sync.WaitGroup
-	running.Go(func() { watchTimers(stop, &late) })
+	running.Go(func() { watchTimers(stop, &maxLateness) })
 	for _, r := range fleet {
 		for k := range clients {
-			c := &contendedClient{relay: r, number: k, outcomes: outcomes, rng: rand.New(rand.NewPCG(uint64(r.number), uint64(k)))}
+			c := &contendedClient{relay: r, number: k, outcomes: outcomes, random: rand.New(rand.NewPCG(uint64(r.number), uint64(k)))}
 			running.Go(func() { c.run(stop) })
 		}
 	}
@@ -72,27 +73,27 @@
 			r.upgrade(t)
 		}
 	}
-	time.Sleep(2 * time.Second) // what a restart has left is told
+	time.Sleep(2 * time.Second) // the notices that a restart has delayed are sent
 	close(stop)
 	running.Wait()
 	time.Sleep(maxLifetime + 2*time.Second)
-	if time.Duration(late.Load()) > maxTimerLateness {
-		t.Logf("this machine's timers were late by %v", time.Duration(late.Load()))
+	if time.Duration(maxLateness.Load()) > maxTimerLateness {
+		t.Logf("this machine's timers were late by %v", time.Duration(maxLateness.Load()))
 		return false
 	}
 	outcomes.check(t, fleet)
 	return true
 }
 
-// watchTimers notes by how much this process's own timers are late at most.
-func watchTimers(stop chan struct{}, late *atomic.Int64) {
+// watchTimers records the maximum lateness of this process's own timers.
+func watchTimers(stop chan struct{}, maxLateness *atomic.Int64) {
 	const interval = 5 * time.Millisecond
 	for begin := time.Now(); ; begin = time.Now() {
 		select {
 		case <-stop:
 			return
 		case <-time.After(interval):
-			late.Store(max(late.Load(), int64(time.Since(begin)-interval)))
+			maxLateness.Store(max(maxLateness.Load(), int64(time.Since(begin)-interval)))
 		}
 	}
 }
@@ -107,11 +108,11 @@
 			continue
 		}
 		if lost++; lost <= 10 {
-			t.Errorf("%s was told 202: ended %v, %v after its time", id, ok, at.Sub(p.due))
+			t.Errorf("%s was answered 202: ended %v, %v after its deadline", id, ok, at.Sub(p.due))
 		}
 	}
 	if len(o.accepted) < 1000 {
-		t.Errorf("only %d messages were taken on", len(o.accepted))
+		t.Errorf("only %d messages were accepted", len(o.accepted))
 	}
 	t.Logf("%d of %d messages lost", lost, len(o.accepted))
 }
@@ -121,15 +122,15 @@
 	maxLifetime = 1500 * time.Millisecond
 )
 
-// contendedClient hands in messages one after the other, in each of the ways that clients have.
+// contendedClient submits messages one after the other, in each of the ways that clients use.
 type contendedClient struct {
 	relay    *restartedRelay
 	number   int
 	outcomes *outcomes
-	rng      *rand.Rand
+	random   *rand.Rand
 	sent     int
 	conn     *net.TCPConn
-	in       *bufio.Reader
+	reader   *bufio.Reader
 }
 
 func (c *contendedClient) run(stop chan struct{}) {
@@ -138,15 +139,15 @@
 		select {
 		case <-stop:
 			return
-		case <-time.After(time.Duration(c.rng.IntN(100)) * time.Millisecond):
+		case <-time.After(time.Duration(c.random.IntN(100)) * time.Millisecond):
 		}
 		if c.conn == nil && c.connect() != nil {
 			continue
 		}
 		var err error
-		switch c.rng.IntN(10) {
+		switch c.random.IntN(10) {
 		case 0:
-			err = c.submit(2, false) // one request behind the other
+			err = c.submit(2, false) // two pipelined requests
 		case 1:
 			err = errors.Join(c.submit(1, true), errDisconnected)
 		default:
@@ -158,7 +159,7 @@
 	}
 }
 
-var errDisconnected = errors.New("the client has left")
+var errDisconnected = errors.New("the client has disconnected")
 
 func (c *contendedClient) connect() error {
 	conn, err := net.DialTimeout("tcp", c.relay.addr, answerPatience)
@@ -166,7 +167,7 @@
 		return err
 	}
 	c.conn = conn.(*net.TCPConn)
-	c.in = bufio.NewReader(conn)
+	c.reader = bufio.NewReader(conn)
 	return nil
 }
 
@@ -177,7 +178,7 @@
 	}
 }
 
-// hand writes some requests at once, and reads their answers.
+// submit writes a number of requests at once and reads their answers.
 func (c *contendedClient) submit(requests int, halfClose bool) error {
 	var text strings.Builder
 	var ids []string
@@ -185,10 +186,10 @@
 	for range requests {
 		c.sent++
 		ids = append(ids, fmt.Sprintf("%d-%d-%d", c.relay.number, c.number, c.sent))
-		timeLeft = append(timeLeft, minLifetime+time.Duration(c.rng.Int64N(int64(maxLifetime-minLifetime))))
+		timeLeft = append(timeLeft, minLifetime+time.Duration(c.random.Int64N(int64(maxLifetime-minLifetime))))
 		fmt.Fprintf(&text, "POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Deadline-Ms: %d\r\n"+
-			"X-Addressing: dest=%d\r\nContent-Length: 2\r\n\r\nhi", ids[len(ids)-1], []string{"payment", "status-update"}[c.rng.IntN(2)],
-			timeLeft[len(timeLeft)-1].Milliseconds(), 7+c.rng.IntN(2))
+			"X-Addressing: dest=%d\r\nContent-Length: 2\r\n\r\nhi", ids[len(ids)-1], []string{"payment", "status-update"}[c.random.IntN(2)],
+			timeLeft[len(timeLeft)-1].Milliseconds(), 7+c.random.IntN(2))
 	}
 	if _, err := c.conn.Write([]byte(text.String())); err != nil {
 		return err
@@ -199,7 +200,7 @@
 	}
 	c.conn.SetReadDeadline(sent.Add(answerPatience))
 	for i, id := range ids {
-		status, closes, err := answered(c.in)
+		status, closes, err := answered(c.reader)
 		if err != nil {
 			return err
 		}
--- a/internal/relay/full_journal_test.go
+++ b/internal/relay/full_journal_test.go
@@ -12,8 +12,8 @@
 	"larchrouter/internal/journal"
 )
 
-// Guards against ends that are never told because the journal has no room for the records of all of them at once: as many
-// messages as the disk takes, tried or not, end in one turn of the loop.
+// Guards against notices that are never sent because the journal has no space for the records of all of them at once:
+// as many messages as the disk holds, tried or not, end in one turn of the loop.
 func TestAllMessagesOfFullJournalEnd(t *testing.T) {
 	for name, bodySize := range map[string]int{"small messages": 1, "large messages": 4000} {
 		t.Run(name, func(t *testing.T) {
@@ -35,16 +35,16 @@
 				}
 			}
 			if r.now() > due-time.Second {
-				t.Fatalf("taking on %d messages took too long", accepted)
+				t.Fatalf("accepting %d messages took too long", accepted)
 			}
 			for n := range accepted {
 				select {
 				case <-p.notices:
 				case <-time.After(time.Until(r.began.Add(due + 5*time.Second))):
-					t.Fatalf("%d of %d ends were told", n, accepted)
+					t.Fatalf("only %d of %d notices were sent", n, accepted)
 				}
 			}
-			t.Logf("%d ends, the last one told %v after its time", accepted, r.now()-due)
+			t.Logf("%d notices, the last one %v after its message's deadline", accepted, r.now()-due)
 		})
 	}
 }
--- a/internal/relay/handover_send.go
+++ b/internal/relay/handover_send.go
@@ -111,7 +111,7 @@
 	if r.flush(); r.stopped || len(r.pendingRecords) > 0 {
 		return nil, errors.New("this process is stopping, or cannot write its journal")
 	}
-	r.overflow.close()
+	r.overflow.closeStore()
 	file, err := r.tcp.File()
 	if err != nil {
 		return nil, fmt.Errorf("listener: %w", err)
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/journal"
 )
 
-// upgrade starts the next process of a relay beside it.
+// upgrade starts the next process of a relay beside the running one and waits until it is ready.
 func upgrade(t *testing.T, p *platform, old *Relay) *Relay {
 	t.Helper()
 	next := startRelay(t, p, func(conf *Config) {
@@ -26,14 +26,14 @@
 			return next
 		}
 		if time.Since(begin) > 30*time.Second {
-			t.Fatal("the next process does not say that it is ready")
+			t.Fatal("the next process does not become ready")
 		}
 	}
 }
 
-// Guards against all that a new version under load may not do: turn clients back, on new and on old
-// connections; send what is out a second time; forget a wait, or what operators took out; count
-// what the process before it did, or miss what ends after it took over.
+// Guards against an upgrade under load that refuses clients on new or old connections, sends a message a second time,
+// forgets a host's wait or an endpoint that operators disabled, counts what the previous process did, or misses what
+// ends after the handover.
 func TestHandoverKeepsMessagesCallsAndWaits(t *testing.T) {
 	calls := make(chan *seen, 10)
 	otherServer := at("s-3", fakeHost(t, "c", calls), "taller")
@@ -65,7 +65,7 @@
 	hand(t, old.Addr(), "m2", "payment", "X-Addressing", "dest=8")
 	waitCall := wait(t, calls, "call")
 	waitToldAt := time.Now()
-	waitCall.answer <- 429 // and to wait 0.3 s
+	waitCall.answer <- 429 // with a wait of 0.3 s
 	shows(t, old, "svc.attempts=2", "svc.in_flight=2")
 
 	next := upgrade(t, p, old)
@@ -73,7 +73,7 @@
 	maxConns := next.listener.most
 	next.listener.mu.Unlock()
 	if n := old.listener.count(); n == 0 || maxConns+n > next.conf.Sockets/2 {
-		t.Errorf("clients hold %d sockets here and may hold %d there, of %d", n, maxConns, next.conf.Sockets)
+		t.Errorf("clients have %d sockets at the old process and may have %d at the next one, of %d", n, maxConns, next.conf.Sockets)
 	}
 	shows(t, next, "svc.attempts=0", "svc.in_flight=2", "svc.endpoints_known=3", "svc.endpoints_excluded=1",
 		"svc.requests.payment.served=0")
@@ -88,7 +88,7 @@
 			t.Fatalf("call %d has %s, at %s", n, c.id, c.host)
 		}
 		if c.id == "m2" && c.at.Sub(waitToldAt) < 300*time.Millisecond {
-			t.Errorf("m2 went %v after a wait of 0.3 s was told", c.at.Sub(waitToldAt))
+			t.Errorf("m2 was sent %v after a wait of 0.3 s was advised", c.at.Sub(waitToldAt))
 		}
 		c.answer <- 200
 	}
@@ -96,7 +96,7 @@
 	shows(t, next, "svc.requests.payment.served=3", "svc.attempts=2", "svc.in_flight=0")
 	afterNext := upgrade(t, p, next)
 	status, _ := hand(t, afterNext.Addr(), "m3", "payment")
-	want(t, "m3 once more, two processes on", status, 202)
+	want(t, "m3 sent again, two processes later", status, 202)
 	shows(t, afterNext, "svc.requests.payment.served=0", "svc.in_flight=0")
 	next.stop()
 	next = afterNext
@@ -106,7 +106,7 @@
 	}
 	want(t, "further calls", len(calls), 0)
 
-	// What is out when the old process ends may have run: a payment is not sent again.
+	// What is in flight when the old process ends may have run, so a payment is not sent again.
 	third := upgrade(t, p, next)
 	hand(t, third.Addr(), "m6", "payment")
 	wait(t, calls, "call")
@@ -117,7 +117,7 @@
 	want(t, "further calls", len(calls), 0)
 }
 
-// Guards against a relay that is lost to a next process which dies, lies or hangs as it takes over.
+// Guards against a relay that fails because the next process dies, sends garbage or hangs during the handover.
 func TestRelayContinuesAfterFailedHandover(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -131,7 +131,7 @@
 		if _, err := io.WriteString(conn, sent); err != nil {
 			t.Fatal(err)
 		}
-		if sent == handoverHello { // it replaces the journal, as it would, and dies
+		if sent == handoverHello { // opens the journal, as a next process does, and dies
 			j, err := journal.Open(old.conf.State, 3e6)
 			if err != nil {
 				t.Fatal(err)
@@ -154,10 +154,10 @@
 	shows(t, next, "svc.requests.payment.served=1", "svc.in_flight=0")
 }
 
-// Guards against a process that ends between the one before it, which has calls out, and the next
-// one, which waits for their ends: both would take those calls for broken.
+// Guards against a process that exits while the previous one still has calls in flight and the next one waits for
+// their results: both would count those calls as broken.
 func TestStopWaitsForCallsOfEveryProcess(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name                      string
 		out, adopted, asked, held int
 		passed, stopped, idle     bool
@@ -165,46 +165,46 @@
 		{name: "nothing", idle: true},
 		{name: "a call", out: 1, held: 1, stopped: true},
 		{name: "a message", held: 1},
-		{name: "a message, past sending", held: 1, stopped: true, idle: true},
-		{name: "a call of the process before", adopted: 1, held: 1, stopped: true},
+		{name: "a message, after the last send", held: 1, stopped: true, idle: true},
+		{name: "a call of the previous process", adopted: 1, held: 1, stopped: true},
 		{name: "the same, handed over", adopted: 1, held: 1, passed: true, stopped: true},
-		{name: "an answer to pass back", asked: 1, held: 1, passed: true, stopped: true},
+		{name: "an answer to forward", asked: 1, held: 1, passed: true, stopped: true},
 		{name: "messages of the next process", held: 1, passed: true, idle: true},
 	} {
-		r := &Relay{out: c.out, stopped: c.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
+		r := &Relay{out: test.out, stopped: test.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
 			handoverState: handoverState{previousProcess: &previousProcess{calls: map[string]*call{}}, forwardedIntakes: map[int64]*intake{}}}
-		if c.passed {
+		if test.passed {
 			r.nextProcess = &processLink{}
 		}
-		for i := range c.adopted {
+		for i := range test.adopted {
 			r.previousProcess.calls[fmt.Sprint("m", i)] = &call{}
 		}
-		for i := range c.asked {
+		for i := range test.asked {
 			r.forwardedIntakes[int64(i)] = &intake{}
 		}
-		for i := range c.held {
+		for i := range test.held {
 			r.pending[fmt.Sprint("m", i)] = &message{}
 		}
-		want(t, c.name, r.idle(), c.idle)
+		want(t, test.name, r.idle(), test.idle)
 	}
 }
 
-// Guards against hosts that are taken for broken because a process of this relay ended.
+// Guards against hosts that are counted as failed because a process of this relay ended.
 func TestCallsOfEndedProcessAreCancelled(t *testing.T) {
 	c := &call{host: &host{id: "s-1"}, began: time.Now().Add(-time.Minute)}
 	m := &message{Entry: &journal.Entry{ID: "m1"}, call: c}
-	h := &previousProcess{calls: map[string]*call{"m1": c}}
-	r := &Relay{handoverState: handoverState{previousProcess: h}, messageRecords: messageRecords{pending: map[string]*message{"m1": m}}}
-	r.endOrphanedCalls(h)
+	previous := &previousProcess{calls: map[string]*call{"m1": c}}
+	r := &Relay{handoverState: handoverState{previousProcess: previous}, messageRecords: messageRecords{pending: map[string]*message{"m1": m}}}
+	r.endOrphanedCalls(previous)
 	want(t, "events", len(r.events), 1)
 	e := r.events[0].(choice.Result)
 	want(t, "outcome", e.Outcome, choice.Cancelled)
 	want(t, "took", e.Took >= time.Minute, true)
 	want(t, "it may have run", r.pendingRecords[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
-	want(t, "calls left", len(h.calls), 0)
+	want(t, "calls left", len(previous.calls), 0)
 }
 
-// unixPair are the two ends of a connection between two processes.
+// unixPair returns the two ends of a connection between two processes.
 func unixPair(t *testing.T) (local, remote *net.UnixConn) {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
@@ -222,7 +222,8 @@
 	return local, remote
 }
 
-// Guards against two processes that both go on as one relay: the word of the next one comes as this one stops waiting.
+// Guards against two processes that both continue as one relay because the confirmation arrives as the wait for it
+// times out.
 func TestConfirmationAtTimeoutCounts(t *testing.T) {
 	local, remote := unixPair(t)
 	if err := (&previousProcess{conn: remote}).confirm(); err != nil {
@@ -230,20 +231,20 @@
 	}
 	local.SetDeadline(time.Now().Add(-time.Second))
 	if err := awaitAccepted(local); err != nil {
-		t.Errorf("the next process has taken over, and this one finds %v", err)
+		t.Errorf("the next process has taken over, but this one reports %v", err)
 	}
 	local, remote = unixPair(t)
 	local.SetDeadline(time.Now().Add(-time.Second))
 	if err := awaitAccepted(local); err == nil {
-		t.Error("no word came, and this process finds that it has handed over")
+		t.Error("no confirmation arrived, but this process reports a completed handover")
 	}
 	if err := (&previousProcess{conn: remote}).confirm(); err == nil {
-		t.Error("this process goes on, and the next one finds that it has taken over")
+		t.Error("this process continues, but the next one reports that it has taken over")
 	}
 }
 
-// Guards against an upgrade that is refused because the process before it asked, and died, in the same turn of the loop: it
-// found the address taken, and did not start.
+// Guards against an upgrade that fails because an earlier next process had asked for a handover and died within the
+// same turn of the loop: the new process found the address in use and did not start.
 func TestHandoverAfterRequesterDied(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -259,7 +260,7 @@
 		t.Fatal(err)
 	}
 	deadConn.Close()
-	time.AfterFunc(100*time.Millisecond, func() { close(release) }) // both wait in the loop's inbox by then
+	time.AfterFunc(100*time.Millisecond, func() { close(release) }) // both requests are in the loop's inbox by then
 	next := upgrade(t, p, old)
 	hand(t, next.Addr(), "m1", "payment")
 	wait(t, calls, "call").answer <- 200
--- a/internal/relay/notices_record_test.go
+++ b/internal/relay/notices_record_test.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/journal"
 )
 
-// giveUnwritten has a message end undelivered while the journal cannot be written.
+// endWithoutRecord ends a message undelivered while the journal cannot be written.
 func (g *noticeRig) endWithoutRecord(id string) {
 	done := make(chan struct{})
 	g.post(func() {
@@ -30,7 +30,7 @@
 	synctest.Wait()
 }
 
-// repair lets the journal be written again.
+// repair makes the journal writable again.
 func (g *noticeRig) repair() {
 	g.post(func() {
 		if err := g.journal.Compact(); err != nil {
@@ -39,11 +39,11 @@
 	})
 }
 
-// failureTimes is when errors were logged.
+// errorTimes is a log handler that records when errors were logged.
 type errorTimes struct {
 	slog.Handler
-	mu  sync.Mutex
-	all []time.Time
+	mu    sync.Mutex
+	times []time.Time
 }
 
 func (f *errorTimes) Enabled(_ context.Context, level slog.Level) bool {
@@ -53,21 +53,22 @@
 func (f *errorTimes) Handle(context.Context, slog.Record) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.all = append(f.all, time.Now())
+	f.times = append(f.times, time.Now())
 	return nil
 }
 
-// take returns the times so far, and forgets them.
+// drain returns the times so far and forgets them.
 func (f *errorTimes) drain() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	all := f.all
-	f.all = nil
-	return all
+	times := f.times
+	f.times = nil
+	return times
 }
 
-// Guards against a notice before the record of what it says; against an end that waits long for the next attempt at its record,
-// with nothing else that wakes the loop; and against attempts that grow in number with all that comes in meanwhile.
+// Guards against a notice that is sent before its record is written, against an end that waits long for the next
+// attempt at its record because nothing else wakes the loop, and against a number of attempts that grows with the
+// events that arrive meanwhile.
 func TestFailedRecordIsRetriedSoon(t *testing.T) {
 	for name, iterations := range map[string]int{"nothing comes in": 0, "much comes in": 1000} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/relay/overflow.go
+++ b/internal/relay/overflow.go
@@ -94,7 +94,7 @@
 func (o *overflow) broken() bool { return o != nil && o.store == nil }
 
 // close closes the store.
-func (o *overflow) close() {
+func (o *overflow) closeStore() {
 	if o != nil && o.store != nil {
 		o.store.Close()
 		o.store, o.moreWork = nil, false
--- a/internal/relay/record_order_test.go
+++ b/internal/relay/record_order_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/journal"
 )
 
-// unserved is a relay whose loop a test runs by hand, step by step.
+// newSteppedRelay returns a relay that is not served: the test calls its steps itself.
 func newSteppedRelay(t *testing.T, p *platform, state string) *Relay {
 	t.Helper()
 	conf, err := readTestConfig(t, testConfig(t, p), state)
@@ -26,7 +26,7 @@
 	return r
 }
 
-// request is a message as a handler gives it to the loop.
+// newIntake returns a message as a handler submits it to the loop.
 func newIntake(t *testing.T, r *Relay, ctx context.Context, id, class string, timeLeft time.Duration) *intake {
 	t.Helper()
 	e := &journal.Entry{ID: id, Class: class, Dest: 7, Key: "key-" + id, Body: []byte("body of " + id), Due: time.Now().Add(timeLeft).UnixMilli()}
@@ -38,7 +38,7 @@
 	return &intake{entry: e, due: r.now() + timeLeft, ctx: ctx, reply: make(chan answer, 1)}
 }
 
-// status is what a client has been told; 0 for nothing.
+// replyStatus returns the status that a client was answered; 0 for none yet.
 func replyStatus(in *intake) int {
 	select {
 	case a := <-in.reply:
@@ -48,20 +48,20 @@
 	}
 }
 
-// leavingHost is an endpoint that takes nothing new, so that messages wait.
+// leavingHost returns an endpoint that accepts nothing new, so that messages wait.
 func leavingHost() discovery.Server {
 	s := at("s-1", "127.0.0.1:1", "taller")
 	s.State = "leaving"
 	return s
 }
 
-// tooLarge is a record that the journal has no room for, while it has room for a few smaller ones. It is one, for many are
-// written in parts.
+// oversizedRecord returns a record too large for the journal, which still has space for a few smaller ones. It is a
+// single one, since several would be written in parts.
 func oversizedRecord() []journal.Record {
 	return []journal.Record{{Op: journal.OpOutcome, ID: strings.Repeat("x", 4<<20)}}
 }
 
-// Guards against the end of an earlier message that is written after the record that takes on a new one of the same id: the
+// Guards against writing the end of an earlier message after the record that accepts a new one of the same ID: the
 // next start would not know of the new one.
 func TestNothingIsAcceptedBeforeEarlierRecordsAreWritten(t *testing.T) {
 	state := t.TempDir()
@@ -78,7 +78,7 @@
 	}
 	r.step()
 	for _, in := range rejected {
-		want(t, "status of "+in.entry.ID+" while records wait", replyStatus(in), http.StatusServiceUnavailable)
+		want(t, "status of "+in.entry.ID+" while records are pending", replyStatus(in), http.StatusServiceUnavailable)
 	}
 	r.pendingRecords = r.pendingRecords[:len(r.pendingRecords)-len(oversizedRecord())]
 	r.step()
@@ -96,8 +96,8 @@
 	want(t, "messages on record", j.Len(), 1)
 }
 
-// Guards against taking on anew, after a restart, a message that has ended and whose notice is still owed: the record of that
-// notice would end the new one, too. More notices may be owed than ids are remembered.
+// Guards against accepting a message anew, after a restart, that has ended and whose notice is still pending: the
+// record of that notice's end would end the new message, too. More notices may be pending than IDs are remembered.
 func TestMessageWithPendingNoticeIsNotAcceptedAgain(t *testing.T) {
 	for name, forget := range map[string]bool{"remembered": false, "forgotten": true} {
 		state := t.TempDir()
@@ -118,20 +118,21 @@
 		r.take(in)
 		r.step()
 		want(t, name+": status", replyStatus(in), http.StatusAccepted)
-		want(t, name+": messages held", len(r.pending), 0)
-		want(t, name+": notices owed", r.pendingNotices, 1)
-		r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has taken it
+		want(t, name+": messages pending", len(r.pending), 0)
+		want(t, name+": pending notices", r.pendingNotices, 1)
+		r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has accepted the notice
 		r.step()
 		want(t, name+": messages on record", r.journal.Len(), 0)
 		again := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.take(again)
 		r.step()
-		want(t, name+": held, once the notice is told", len(r.pending), map[bool]int{false: 0, true: 1}[forget])
-		want(t, name+": on record, once the notice is told", r.journal.Len(), len(r.pending))
+		want(t, name+": pending messages once the notice is sent", len(r.pending), map[bool]int{false: 0, true: 1}[forget])
+		want(t, name+": messages on record once the notice is sent", r.journal.Len(), len(r.pending))
 	}
 }
 
-// Guards against recording a message a second time while it is not known whether this relay is to deliver the one on record.
+// Guards against recording a message a second time while it is unknown whether this relay is to deliver the one on
+// record.
 func TestRecordedMessageIsNotRecordedAgain(t *testing.T) {
 	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
 	for class, wantStatus := range map[string]int{"status-update": http.StatusServiceUnavailable, "payment": http.StatusInternalServerError} {
@@ -143,6 +144,6 @@
 		r.take(in)
 		r.step()
 		want(t, class, replyStatus(in), wantStatus)
-		want(t, "messages held", len(r.pending), 0)
+		want(t, "messages pending", len(r.pending), 0)
 	}
 }
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -15,8 +15,8 @@
 	"larchrouter/internal/journal"
 )
 
-// Guards against an answer that does not follow from the record, as the loop ends with requests under way: one that is
-// on record is owed its end, so its client must not be told to come again; and one that is not must not be told 202.
+// Guards against answers that do not match the journal when the loop ends with requests in progress. A message on
+// record will be ended, so its client must not be told to retry; one that is not on record must not be answered 202.
 func TestAnswersAtStopFollowTheRecord(t *testing.T) {
 	calls := make(chan *seen, 10000)
 	for round := range 12 {
@@ -55,7 +55,7 @@
 					"X-Addressing: dest=7\r\nContent-Length: 2\r\n\r\nhi", k)
 				var err error
 				if status[k], _, err = answered(in); err != nil {
-					status[k] = -1 // the connection was ended before the request was read
+					status[k] = -1 // the connection was closed before the request was read
 				}
 				if answers.Add(1) == int32(1+5*round) {
 					r.stop()
@@ -75,7 +75,7 @@
 			recorded := j.Entry(fmt.Sprint("m", k)) != nil
 			counts[fmt.Sprint(status[k], recorded)]++
 			if recorded != (status[k] == http.StatusAccepted) {
-				t.Errorf("round %d: m%d is on record: %v, and its client was told %d", round, k, recorded, status[k])
+				t.Errorf("round %d: m%d is on record: %v, but its client was answered %d", round, k, recorded, status[k])
 			}
 		}
 		j.Close()
@@ -83,8 +83,8 @@
 	}
 }
 
-// Guards against a client told to come again with a message that the next process may have taken on before it died: the one
-// after it delivers what is on record.
+// Guards against a client that is told to retry a message which the next process may have accepted before it died:
+// the process after that delivers what is on record.
 func TestNextProcessExitsWithoutAnswering(t *testing.T) {
 	for effect, status := range map[choice.Effect]int{choice.Safe: 503, choice.Keyed: 500, choice.Unsafe: 500} {
 		request := &intake{entry: &journal.Entry{ID: "m", Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, reply: make(chan answer, 1)}
@@ -96,14 +96,15 @@
 	unknown := &intake{entry: &journal.Entry{ID: "m"}, reply: make(chan answer, 1)}
 	r := &Relay{handoverState: handoverState{forwardedIntakes: map[int64]*intake{1: unknown}}}
 	r.answerAtExit()
-	want(t, "status of one whose class is not known here", wait(t, unknown.reply, "answer").status, 500)
+	want(t, "status of a message of unknown class", wait(t, unknown.reply, "answer").status, 500)
 }
 
-// BenchmarkStartWithAFullJournal is a start up to the decisions' first look, with as many messages as the disk holds.
+// BenchmarkStartWithAFullJournal measures a start up to the first step of the Chooser, with as many messages as the
+// disk holds.
 func BenchmarkStartWithAFullJournal(b *testing.B) {
 	p := newPlatform(b, at("s1", "127.0.0.1:1", "taller"))
 	terms := &choice.Terms{Class: choice.Class{Name: "status-update", Aim: time.Second, Deadline: time.Hour, Worth: 1}, Attempts: 6}
-	held := 0
+	messages := 0
 	for b.Loop() {
 		b.StopTimer()
 		state := b.TempDir()
@@ -115,8 +116,8 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for held = 0; ; held++ {
-			e := &journal.Entry{ID: fmt.Sprintf("%016x", held), Class: "status-update", Dest: 7, Due: time.Now().Add(time.Hour).UnixMilli(),
+		for messages = 0; ; messages++ {
+			e := &journal.Entry{ID: fmt.Sprintf("%016x", messages), Class: "status-update", Dest: 7, Due: time.Now().Add(time.Hour).UnixMilli(),
 				Body: make([]byte, 200), Terms: terms}
 			if j.Append(journal.Record{Op: journal.OpTaken, Entry: e}) != nil {
 				break
@@ -134,5 +135,5 @@
 		r.journal.Close()
 		b.StartTimer()
 	}
-	b.ReportMetric(float64(held), "messages")
+	b.ReportMetric(float64(messages), "messages")
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -143,7 +143,7 @@
 	waiting := r.overflow
 	defer func() {
 		if err != nil {
-			waiting.close()
+			waiting.closeStore()
 		}
 	}()
 	if conf.Fleet != nil {
--- a/internal/relay/replica_capacity_test.go
+++ b/internal/relay/replica_capacity_test.go
@@ -16,13 +16,16 @@
 	"larchrouter/internal/journal"
 )
 
-// The story of these tests: a relay that kept its machine told six ends 0.2 to 1.5 s too late while it was short of holders for
-// 4 and 6 s. Its holders were well. Their log said "refuses (507): journal: disk budget used up": a copy has a sixteenth of a
-// relay's disk, of which 128 KiB were kept free, so it was full with 19 messages of 600 bytes, while its owner took on over a
-// thousand. A full copy takes no ends either, for they come behind what it has no room for. After 2 s other holders took the whole
-// copy, and were full with the next message. An end that was due waited for a holder's word all that time.
+// These tests guard against notices that are sent late because copies are full while their replicas are well. On a
+// relay that kept its machine, six notices were 0.2 to 1.5 s too late while it was short of replicas for 4 and 6 s.
+// The replicas logged "refuses (507): journal: disk budget used up": a copy had a sixteenth of a relay's disk, of
+// which 128 KiB were kept free, so it was full with 19 messages of 600 bytes, while the owner accepted over a
+// thousand. A full copy accepts no ends either, since they follow the records that it has no space for. After 2 s
+// other replicas got the whole copy, and were full with the next message. A notice that was due waited for a
+// replica's acknowledgement all that time.
 
-// copierWith is a relay that copies to so many holders, all of them well and with as much disk as it has.
+// newRelayWithReplicas returns a relay that copies to a number of replicas, all of them well and with as much disk as
+// it has itself.
 func newRelayWithReplicas(t *testing.T, replicas int, diskMB float64) (*Relay, *groupStream) {
 	t.Helper()
 	journal, err := journal.Open(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
@@ -59,7 +62,7 @@
 	return r, s
 }
 
-// turns plays the loop's turns until something holds.
+// runLoopUntil runs turns of the loop until a condition holds.
 func (r *Relay) runLoopUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for deadline := time.After(20 * time.Second); !holds(); {
@@ -69,12 +72,12 @@
 			r.flush()
 			r.takeOn()
 		case <-deadline:
-			t.Fatalf("it does not come about: %s", what)
+			t.Fatalf("timeout while waiting for: %s", what)
 		}
 	}
 }
 
-// arrives has a message come in, and returns the channel of its answer.
+// submitMessage submits a message and returns the channel of its answer.
 func submitMessage(r *Relay, id string, bodySize int) chan answer {
 	in := &intake{ctx: context.Background(), reply: make(chan answer, 1), due: r.now() + time.Hour, entry: &journal.Entry{ID: id, Class: "c", Dest: 7,
 		Due: time.Now().Add(time.Hour).UnixMilli(), Body: make([]byte, bodySize), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}}
@@ -83,13 +86,13 @@
 	return in.reply
 }
 
-// Guards against a relay that takes on more than its holders have room for: it is refused by all of them, with what it has to
-// tell of ends, though none has failed.
+// Guards against a relay that accepts more than its replicas have space for. All of them would refuse it, together
+// with the ends that it has to record, though none has failed.
 func TestRelayAcceptsWhatReplicasHaveSpaceFor(t *testing.T) {
 	for _, bodySize := range []int{10, 600, 5000} {
 		t.Run(fmt.Sprint(bodySize), func(t *testing.T) {
 			r, s := newRelayWithReplicas(t, 3, 3)
-			r.runLoopUntil(t, "enough holders", func() bool { return s.shortSince == 0 })
+			r.runLoopUntil(t, "enough replicas", func() bool { return s.shortSince == 0 })
 			for round := range 3 {
 				var accepted []string
 				for i := 0; ; i++ {
@@ -102,26 +105,27 @@
 					accepted = append(accepted, id)
 				}
 				if len(accepted) < 5 {
-					t.Fatalf("%d messages of %d bytes are taken on", len(accepted), bodySize)
+					t.Fatalf("only %d messages of %d bytes are accepted", len(accepted), bodySize)
 				}
 				r.checkCommits()
-				want(t, "records that do not count", s.gates.Len(), 0)
-				want(t, "spans without enough holders", s.shortSince, 0)
-				// What is held ends, which its holders have room for in any case.
+				want(t, "uncommitted records", s.gates.Len(), 0)
+				want(t, "time without enough replicas", s.shortSince, 0)
+				// All accepted messages end; the replicas have space for that in any case.
 				for _, id := range accepted {
 					r.record(journal.Record{Op: journal.OpTry, ID: id, At: time.Now().UnixMilli(), Wait: 100})
 					r.finish(r.pending[id], servedEnd)
 				}
 				r.flush()
 				end := s.Next()
-				r.runLoopUntil(t, "the ends count", func() bool { return s.Standing().Counted >= end })
+				r.runLoopUntil(t, "the ends are committed", func() bool { return s.Standing().Counted >= end })
 			}
 		})
 	}
 }
 
-// Guards against an end that is due and waits for a holder's word: it comes too late, and for nothing, since by then no heir may
-// deliver the message any more. One that is not due yet does wait: an heir could deliver what its client hands in again.
+// Guards against a due notice that waits for a replica's acknowledgement. It would be late for no benefit, since a
+// successor may no longer deliver the message by then. A notice that is not due yet does wait: a successor could
+// deliver a message that its client sends again.
 func TestDueNoticeDoesNotWaitForReplicas(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.Refuse)
 	due := time.Now().Add(300 * time.Millisecond)
@@ -136,17 +140,18 @@
 	r.flush()
 	r.checkCommits()
 	queued := func() int { r.notices.mu.Lock(); defer r.notices.mu.Unlock(); return len(r.notices.queue) }
-	want(t, "notices before they count or are due", queued(), 0)
+	want(t, "notices before they are committed or due", queued(), 0)
 	r.runLoopUntil(t, "a notice", func() bool { return queued() > 0 })
 	if late := time.Since(due); late < 0 || late > 250*time.Millisecond {
-		t.Errorf("it is told %v after its message's time", late)
+		t.Errorf("it is sent %v after its message's deadline", late)
 	}
 	want(t, "notices", queued(), 1)
-	want(t, "the one that is due", r.notices.queue[0].ID, "due")
-	want(t, "notices owed", r.pendingNotices, 2)
+	want(t, "ID of the notice that is due", r.notices.queue[0].ID, "due")
+	want(t, "pending notices", r.pendingNotices, 2)
 }
 
-// Guards against an end that is told though it is not on record: a start would deliver the message. It waits to be recorded once.
+// Guards against a notice that is sent before it is on record: the next start would deliver the message. The notice
+// waits until it is recorded, and is sent once.
 func TestUnrecordedDueNoticeWaits(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.Refuse)
 	m := &message{Entry: &journal.Entry{ID: "due", Class: "c", Estate: 1, Due: time.Now().Add(-time.Second).UnixMilli()}}
@@ -160,12 +165,12 @@
 		r.flush()
 		r.checkCommits()
 	}
-	want(t, "notices told before they are on record", len(r.notices.queue), 0)
-	if err := r.journal.Compact(); err != nil { // it can be written again
+	want(t, "notices sent before they are on record", len(r.notices.queue), 0)
+	if err := r.journal.Compact(); err != nil { // makes the journal writable again
 		t.Fatal(err)
 	}
 	r.flush()
 	r.checkCommits()
-	want(t, "notices told", len(r.notices.queue), 1)
-	want(t, "notices owed", r.pendingNotices, 1)
+	want(t, "notices sent", len(r.notices.queue), 1)
+	want(t, "pending notices", r.pendingNotices, 1)
 }
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/journal"
 )
 
-// copier is a relay that copies to holders of whom none answers.
+// newReplicatingRelay returns a relay whose only replica never answers.
 func newReplicatingRelay(t *testing.T, short string) (*Relay, *groupStream) {
 	t.Helper()
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 64), quit: make(chan struct{}),
@@ -30,14 +30,14 @@
 	return r, s
 }
 
-// takeOn has a message be recorded, as a step does.
+// bindMessage records a message as a step of the loop does.
 func bindMessage(t *testing.T, r *Relay, id string, effect choice.Effect) (*message, chan answer) {
 	t.Helper()
 	request := &intake{ctx: context.Background(), reply: make(chan answer, 1)}
 	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, unanswered: []*intake{request}}
 	r.pending[id] = m
-	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, commitTimeout, func(counts bool) {
-		if counts {
+	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, commitTimeout, func(committed bool) {
+		if committed {
 			m.answer(answer{status: http.StatusAccepted})
 		} else {
 			r.endUncommitted(m)
@@ -48,37 +48,39 @@
 	return m, request.reply
 }
 
-// Guards against a promise that no holder has: a client is told nothing until its message counts, then that it is refused, or
-// where it must not run twice that nobody knows; and what was recorded of it is taken back.
+// Guards against a message that is accepted although no replica has it. Its client gets no answer until the record is
+// committed or has timed out. It is then told to retry, or, where the message must not run twice, that its fate is
+// unknown, and the record is removed.
 func TestNothingIsAcceptedWithoutCopies(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.Refuse)
 	_, keyed := bindMessage(t, r, "m1", choice.Keyed)
 	_, once := bindMessage(t, r, "m2", choice.Unsafe)
 	r.checkCommits()
 	if len(keyed)+len(once) > 0 {
-		t.Fatal("a client is answered before its message counts")
+		t.Fatal("a client is answered before its message is committed")
 	}
-	r.began = r.began.Add(-commitTimeout) // so long later
+	r.began = r.began.Add(-commitTimeout) // commitTimeout has passed
 	r.checkCommits()
 	if a := <-keyed; a.status != http.StatusServiceUnavailable || a.after <= 0 {
-		t.Errorf("one that may come again: %+v", a)
+		t.Errorf("answer to a message that may be retried: %+v", a)
 	}
 	if a := <-once; a.status != http.StatusInternalServerError {
-		t.Errorf("one that must not run twice: %+v", a)
+		t.Errorf("answer to a message that must not run twice: %+v", a)
 	}
 	r.flush()
 	if len(r.pending) > 0 || r.journal.Len() > 0 {
-		t.Errorf("%d held, %d on record", len(r.pending), r.journal.Len())
+		t.Errorf("%d pending, %d on record", len(r.pending), r.journal.Len())
 	}
 	if r.replication.accepts(r.now()) {
-		t.Error("it takes on more")
+		t.Error("it accepts more")
 	}
 	if n := r.replicationFigures(); n.short != 1 || n.atRisk != 0 {
-		t.Errorf("it tells %+v", n)
+		t.Errorf("figures are %+v", n)
 	}
 }
 
-// Guards against a relay that refuses although it is to go on by its own disk, or that does so without telling.
+// Guards against a relay that refuses messages although it is configured to rely on its own disk, or that relies on
+// it without reporting the risk.
 func TestOwnDiskModeAcceptsAndReportsRisk(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.OwnDisk)
 	_, reply := bindMessage(t, r, "m1", choice.Unsafe)
@@ -89,15 +91,16 @@
 		t.Errorf("answered %+v", a)
 	}
 	if n := r.replicationFigures(); n.short != 1 || n.atRisk != 1 {
-		t.Errorf("it tells %+v, want one at risk", n)
+		t.Errorf("figures are %+v, want one message at risk", n)
 	}
 }
 
-// Guards against a call that goes although its record does not count, or counted too late for an heir to know.
+// Guards against a call that is sent although its record is not committed, or was committed too late for a successor
+// to know of it.
 func TestCallsWaitForCommittedRecords(t *testing.T) {
 	r, s := newReplicatingRelay(t, fleet.Refuse)
 	m, _ := bindMessage(t, r, "m1", choice.Keyed)
-	for name, written := range map[string]time.Time{"not counted": time.Now(), "too late": time.Now().Add(-callStartTimeout)} {
+	for name, written := range map[string]time.Time{"not committed": time.Now(), "too late": time.Now().Add(-callStartTimeout)} {
 		r.events = nil
 		c := &call{host: &host{id: "h"}, members: []*message{m}, sends: []choice.Send{{ID: "m1", Host: "h", Timeout: time.Minute}}}
 		r.startCounted(c, written, name == "too late")
@@ -105,7 +108,7 @@
 			t.Errorf("%s: %+v", name, r.events)
 		}
 	}
-	// What is another's is neither answered as taken on nor sent, told or ended here.
+	// A message of another relay's group is neither answered as accepted nor sent or ended here.
 	go func() {
 		for {
 			select {
@@ -121,33 +124,34 @@
 	r.post(func() {
 		defer close(over)
 		if !m.ended || !m.transferred || len(r.pending) > 0 || r.journal.Len() > 0 || r.replication.main != 0 || r.replication.accepts(r.now()) {
-			t.Errorf("after it became another's: %+v, %d held, %d on record, main %d", m, len(r.pending), r.journal.Len(), r.replication.main)
+			t.Errorf("after the group became another relay's: %+v, %d pending, %d on record, main %d", m, len(r.pending), r.journal.Len(), r.replication.main)
 		}
 	})
 	<-over
 }
 
-// Guards against a client that is told to hand a message in again while holders may still have it: an heir would deliver it, too.
+// Guards against a client that is told to retry while replicas may still have its message: a successor would deliver
+// it as well.
 func TestWithdrawalWaitsForCopies(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.Refuse)
 	m, _ := bindMessage(t, r, "m1", choice.Keyed)
 	results := make(chan bool, 1)
-	want(t, "it is withdrawn", r.withdraw(m.ID, func(counts bool) { results <- counts }), true)
+	want(t, "it is withdrawn", r.withdraw(m.ID, func(committed bool) { results <- committed }), true)
 	r.checkCommits()
-	want(t, "words on it before it counts", len(results), 0)
-	r.began = r.began.Add(-commitTimeout) // so long later
+	want(t, "results before the timeout", len(results), 0)
+	r.began = r.began.Add(-commitTimeout) // commitTimeout has passed
 	r.checkCommits()
-	want(t, "it counts", wait(t, results, "word"), false)
+	want(t, "it is committed", wait(t, results, "word"), false)
 	r.flush()
 	want(t, "messages on record", r.journal.Len(), 0)
 	for effect, status := range map[choice.Effect]int{choice.Keyed: http.StatusServiceUnavailable, choice.Unsafe: http.StatusInternalServerError} {
 		e := &journal.Entry{Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}
-		want(t, "status where it does not count", withdrawnHere(e).status, status)
+		want(t, "status of an uncommitted withdrawal", withdrawnHere(e).status, status)
 	}
 }
 
-// Guards against a second attempt at a message of another relay's estate right after a restart: the first, of its owner before,
-// may still be out, whatever this relay's folder tells.
+// Guards against a second attempt at a message of another relay's group right after a restart. The first attempt, of
+// the group's previous owner, may still be in flight, whatever this relay's journal says.
 func TestRestartWaitsForAttemptsOfPreviousOwner(t *testing.T) {
 	for name, atOnce := range map[string]bool{"r": true, "another": false} {
 		r, s := newReplicatingRelay(t, fleet.Refuse)
@@ -164,7 +168,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(stream.Close)
-		want(t, "messages held", len(r.pending), 1)
-		want(t, "estate of "+name+": the decisions have it at once", len(r.events) == 1, atOnce)
+		want(t, "messages pending", len(r.pending), 1)
+		want(t, "group of "+name+": the Chooser has the message at once", len(r.events) == 1, atOnce)
 	}
 }
--- a/internal/relay/restart_states_test.go
+++ b/internal/relay/restart_states_test.go
@@ -9,10 +9,10 @@
 	"larchrouter/internal/journal"
 )
 
-// restartCase is a message as a process left it.
+// restartCase is a message in the state in which a process left it.
 type restartCase struct {
 	name    string
-	records []journal.Record // after the one that takes it on
+	records []journal.Record // after the record that accepts it
 	status  map[string]string
 }
 
@@ -25,13 +25,14 @@
 		{"out", []journal.Record{try}, ran},
 		{"refused", []journal.Record{try, {Op: journal.OpOutcome, ID: "m1"}}, never},
 		{"unanswered", []journal.Record{try, {Op: journal.OpOutcome, ID: "m1", Ran: true}}, ran},
-		{"its notice owed", []journal.Record{try, {Op: journal.OpNotice, ID: "m1", Status: "as told"}},
+		{"its notice pending", []journal.Record{try, {Op: journal.OpNotice, ID: "m1", Status: "as told"}},
 			map[string]string{"status-update": "as told", "job-order": "as told", "payment": "as told"}},
 	}
 }
 
-// Guards against a message that a restart loses, ends twice or ends late: whatever state it was in, whether its time was up
-// before the start, during it or just after, and if the next restart comes before the first step, or before its notice is told.
+// Guards against a message that a restart loses, ends twice or ends late: in whatever state it was, whether its
+// deadline passes before, during or just after the start, and if the next restart comes before the first step or
+// before its notice is sent.
 func TestEachMessageEndsOnceAcrossRestarts(t *testing.T) {
 	const margin = 10 * time.Millisecond // entries have whole milliseconds
 	p := newPlatform(t, leavingHost())
@@ -47,29 +48,29 @@
 						if restarts > 0 { // before the first step
 							r = reopened(t, p, r, folder)
 						}
-						if restarts > 1 { // after it, with whatever it owes
+						if restarts > 1 { // after the first step, with whatever notices are pending
 							r.step()
 							r = reopened(t, p, r, folder)
 						}
-						advanceClock(r, 3*time.Second) // the process has no core
+						advanceClock(r, 3*time.Second) // the process gets no CPU time
 						r.step()
 						ended := len(queuedNotices(r)) == 1
 						if time.Until(due) < 3*time.Second-margin && !ended {
-							t.Fatal("it has no end in the first step after its time")
+							t.Fatal("it does not end in the first step after its deadline")
 						}
 						advanceClock(r, max(0, time.Until(due)-3*time.Second))
 						r.woken = true
 						r.step()
 						want(t, "notices", len(queuedNotices(r)), 1)
 						want(t, "status", queuedNotices(r)[0].Status, status)
-						want(t, "messages held", len(r.pending), 0)
+						want(t, "messages pending", len(r.pending), 0)
 						want(t, "messages on record", r.journal.Len(), 1)
-						r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has taken it
+						r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has accepted the notice
 						r.step()
 						r = reopened(t, p, r, folder)
 						r.step()
-						want(t, "messages on record, at last", r.journal.Len(), 0)
-						want(t, "notices, at last", len(queuedNotices(r)), 0)
+						want(t, "messages on record at the end", r.journal.Len(), 0)
+						want(t, "notices at the end", len(queuedNotices(r)), 0)
 					})
 				}
 			}
@@ -77,7 +78,7 @@
 	}
 }
 
-// queuedNotices are the notices that wait for the sender, which does not run.
+// queuedNotices returns the notices that wait for the sender, which does not run.
 func queuedNotices(r *Relay) []notice {
 	r.notices.mu.Lock()
 	defer r.notices.mu.Unlock()
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/journal"
 )
 
-// folderWith is a folder with a journal of these records.
+// folderWithRecords returns a state directory whose journal has these records.
 func folderWithRecords(t *testing.T, records ...journal.Record) string {
 	t.Helper()
 	state := t.TempDir()
@@ -29,18 +29,18 @@
 	return state
 }
 
-// later has a relay's clock go on by so much, while its loop does nothing.
+// advanceClock advances a relay's clock while its loop does nothing.
 func advanceClock(r *Relay, elapsed time.Duration) { r.began = r.began.Add(-elapsed) }
 
-// Guards against an end that is late by as long as the loop was held up between a message's coming and the step in which the
-// decisions hear of it: at a start, which takes up the journal before it serves, and for what clients hand in.
+// Guards against ends that are late because the loop was delayed between a message's arrival and the step that
+// submits it to the Chooser: at a start, which resumes the journal before it serves, and for new messages.
 func TestTimeRunsBeforeStep(t *testing.T) {
 	for class, status := range map[string]string{"payment": deferred, "status-update": deferred} {
 		r := newSteppedRelay(t, newPlatform(t, leavingHost()), folderWithRecords(t, journal.Record{Op: journal.OpTaken,
 			Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}}))
 		advanceClock(r, time.Minute)
 		r.step()
-		want(t, "messages held whose time is up", len(r.pending), 0)
+		want(t, "pending messages after their deadline", len(r.pending), 0)
 		queued := queuedNotices(r)
 		want(t, "notices", len(queued), 1)
 		want(t, "status of the notice", queued[0].Status, status)
@@ -48,21 +48,21 @@
 		r.take(in)
 		advanceClock(r, time.Minute)
 		r.step()
-		want(t, "answer to one whose time is up", wait(t, in.reply, "answer").status, http.StatusServiceUnavailable)
+		want(t, "answer to a message after its deadline", wait(t, in.reply, "answer").status, http.StatusServiceUnavailable)
 	}
 }
 
-// Guards against a repeat after its window, by as much as a start was held up.
+// Guards against a repeat after its window has passed, by as much as a start was delayed.
 func TestRestoredMessageTimesIncludeDelay(t *testing.T) {
 	before := choice.Restored{Arrival: choice.Arrival{Left: 9 * time.Second}, RanAgo: time.Second, Out: &choice.Running{Ago: 2 * time.Second}}
 	e := withTimeLeft(before, 5*time.Second)
 	want(t, "left", e.Left, 5*time.Second)
 	want(t, "since it ran", e.RanAgo, 5*time.Second)
-	want(t, "since it went out", e.Out.Ago, 6*time.Second)
-	want(t, "the same, before", before.Out.Ago, 2*time.Second)
+	want(t, "since it was sent", e.Out.Ago, 6*time.Second)
+	want(t, "time since it was sent, in the original", before.Out.Ago, 2*time.Second)
 }
 
-// Guards against a message that has no end because the process before this one, which has its call out, hangs.
+// Guards against a message that never ends because the previous process, which has its call in flight, hangs.
 func TestAdoptedCallEndsAtMessageDeadline(t *testing.T) {
 	calls := make(chan *seen, 10)
 	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
@@ -74,7 +74,7 @@
 	next := upgrade(t, p, old)
 	released := make(chan struct{})
 	release := sync.OnceFunc(func() { close(released) })
-	t.Cleanup(release) // before the one that stops it
+	t.Cleanup(release) // runs before the cleanup that stops the relay
 	old.post(func() { <-released })
 	want(t, "notice", wait(t, p.notices, "notice"), notice{ID: "m1", Status: undeliverable})
 	release()
@@ -82,7 +82,7 @@
 	want(t, "further calls", len(calls), 0)
 }
 
-// Guards against two ends of an adopted call: by its message's time, and by the word that comes after that.
+// Guards against an adopted call that ends twice: at its message's deadline, and when its result arrives after that.
 func TestLateResultOfAdoptedCallIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &Relay{began: time.Now(), inbox: make(chan func(), 1), quit: make(chan struct{}), messageRecords: messageRecords{pending: map[string]*message{}}}
@@ -90,30 +90,30 @@
 		c := &call{host: &host{id: "s-1"}, began: time.Now()}
 		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Second, call: c}
 		r.pending["m1"] = m
-		h := &previousProcess{calls: map[string]*call{"m1": c}}
-		r.endAtDeadline(h, "m1", c)
+		previous := &previousProcess{calls: map[string]*call{"m1": c}}
+		r.endAtDeadline(previous, "m1", c)
 		(<-r.inbox)()
-		want(t, "it ends after", r.now(), time.Second+lateResultGrace)
+		want(t, "time of its end", r.now(), time.Second+lateResultGrace)
 		want(t, "outcome", r.events[0].(choice.Result).Outcome, choice.Timeout)
-		r.endedByPrevious(h, forwardedResult{ID: "m1", Outcome: choice.Served})
+		r.endedByPrevious(previous, forwardedResult{ID: "m1", Outcome: choice.Served})
 		want(t, "ends", len(r.events), 1)
 		want(t, "it may have run", r.pendingRecords[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
 		want(t, "records", len(r.pendingRecords), 1)
 	})
 }
 
-// Guards against an end that is late by what a message took from the process that it came to.
+// Guards against an end that is late by the time that a message took on its way from the previous process.
 func TestForwardedMessageTimeRunsInTransit(t *testing.T) {
 	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
 	in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
-	r.acceptForwarded(nil, forwarded{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // a minute ago
+	r.acceptForwarded(nil, forwarded{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // received a minute ago
 	if left := r.pending["m1"].due - r.now(); left > time.Minute {
-		t.Errorf("%v are left, want a minute at most", left)
+		t.Errorf("%v left, want a minute at most", left)
 	}
 }
 
-// Guards against a second copy of what another relay still has out: this one had taken its message up, and waited for that
-// call to end, as the next process took over.
+// Guards against a second attempt while another relay's is still in flight. This relay had taken over the message and
+// was waiting for that attempt to end when the next process took over.
 func TestUpgradeWaitsForAttemptsOfOtherRelays(t *testing.T) {
 	for name, upgraded := range map[string]bool{"restarted": false, "upgraded": true} {
 		folder := folderWithRecords(t,
@@ -128,7 +128,7 @@
 		r.pending, r.pendingRecords = map[string]*message{}, nil
 		r.restore()
 		r.step()
-		want(t, "messages held", len(r.pending), 1)
-		want(t, "calls out, "+name, r.out, map[bool]int{false: 1, true: 0}[upgraded])
+		want(t, "messages pending", len(r.pending), 1)
+		want(t, "calls in flight, "+name, r.out, map[bool]int{false: 1, true: 0}[upgraded])
 	}
 }
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -155,7 +155,7 @@
 		case <-r.quit:
 			r.answerAtExit()
 			r.flush()
-			r.overflow.close()
+			r.overflow.closeStore()
 			return
 		}
 		for n := 1; n < batchMost; n++ {
