--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -35,12 +35,12 @@
 	Messages int
 }
 
-func (o *PendingBacklogError) Error() string {
-	return fmt.Sprintf("%s holds %d messages that have not ended, but the configuration has no backlog", o.Path, o.Messages)
+func (e *PendingBacklogError) Error() string {
+	return fmt.Sprintf("%s holds %d messages that have not ended, but the configuration has no backlog", e.Path, e.Messages)
 }
 
 // Remedy says what an operator can do.
-func (o *PendingBacklogError) Remedy() string {
+func (e *PendingBacklogError) Remedy() string {
 	return `put "backlog" back into the configuration until svc.backlog.messages is 0, then take it out`
 }
 
@@ -80,13 +80,13 @@
 	}
 	o.store = opened
 	r.logBacklogDamage()
-	for e := range r.journal.All() {
-		if opened.LenOf(e.Dest) == 0 {
+	for entry := range r.journal.All() {
+		if opened.LenOf(entry.Dest) == 0 {
 			continue
 		}
-		h, found, err := opened.Find(e.Dest, e.ID)
+		stored, found, err := opened.Find(entry.Dest, entry.ID)
 		if err == nil && found {
-			err = opened.Out(e.Dest, h.Place)
+			err = opened.Out(entry.Dest, stored.Place)
 		}
 		if err != nil {
 			o.closeStore()
@@ -213,9 +213,9 @@
 	if o == nil || o.store == nil || r.nextProcess != nil || o.resentIDs.has(entry.ID) || r.journal.Entry(entry.ID) != nil || o.store.LenOf(entry.Dest) == 0 {
 		return false
 	}
-	h, found, err := o.store.Find(entry.Dest, entry.ID)
+	stored, found, err := o.store.Find(entry.Dest, entry.ID)
 	if err == nil && found {
-		err = o.store.Out(entry.Dest, h.Place)
+		err = o.store.Out(entry.Dest, stored.Place)
 	}
 	if err != nil {
 		slog.Error("cannot withdraw a message from the backlog", "err", err, "remedy", remedy.Of(err))
--- a/internal/relay/backlog_load.go
+++ b/internal/relay/backlog_load.go
@@ -118,21 +118,21 @@
 	var records []journal.Record
 	var moving []*movingMessage
 	size := 0
-	for i, h := range stored {
-		if size += len(h.Data); i > 0 && size > maxMovedBytes {
+	for i, message := range stored {
+		if size += len(message.Data); i > 0 && size > maxMovedBytes {
 			o.moreWork = true
 			break
 		}
-		e, err := entry.Unpack(h)
+		unpacked, err := entry.Unpack(message)
 		if err != nil { // without terms it ends as undeliverable
 			slog.Error("cannot decode a message on disk", "err", err, "remedy", remedy.Of(err))
-			e = &journal.Entry{ID: h.ID, Dest: h.Dest, Due: h.Due}
+			unpacked = &journal.Entry{ID: message.ID, Dest: message.Dest, Due: message.Due}
 		}
-		journaled := r.journal.Entry(h.ID) != nil // then the journal decides
+		journaled := r.journal.Entry(message.ID) != nil // then the journal decides
 		if !journaled {
-			records = append(records, journal.Record{Op: journal.OpTaken, Entry: e})
+			records = append(records, journal.Record{Op: journal.OpTaken, Entry: unpacked})
 		}
-		moving = append(moving, &movingMessage{entry: e, place: h.Place, submitted: journaled})
+		moving = append(moving, &movingMessage{entry: unpacked, place: message.Place, submitted: journaled})
 	}
 	o.moving = append(o.moving, moving...)
 	if err := r.journal.Append(records...); err != nil {
--- a/internal/relay/groups.go
+++ b/internal/relay/groups.go
@@ -16,8 +16,8 @@
 type groupRecords Relay
 
 // runInLoop has the loop run a function and reports whether it did; false means that the relay is stopping.
-func (b *groupRecords) runInLoop(action func(*Relay)) bool {
-	r := (*Relay)(b)
+func (g *groupRecords) runInLoop(action func(*Relay)) bool {
+	r := (*Relay)(g)
 	finished := make(chan struct{})
 	r.post(func() { action(r); close(finished) })
 	select {
@@ -29,8 +29,8 @@
 }
 
 // Known returns the replication groups that the journal records but that no stream serves yet.
-func (b *groupRecords) Known() (known []state.Estate) {
-	b.runInLoop(func(r *Relay) {
+func (g *groupRecords) Known() (known []state.Estate) {
+	g.runInLoop(func(r *Relay) {
 		for _, mark := range r.journal.Marks() {
 			group := state.Estate{ID: mark.Estate, Name: mark.Name, Epoch: mark.Epoch, Owner: r.conf.Name, Writer: mark.Writer, Main: mark.Main, Copies: mark.Copies}
 			if len(mark.Sets) > 0 {
@@ -45,17 +45,17 @@
 }
 
 // Mark records a replication group's sets of replicas, and reports whether it did.
-func (b *groupRecords) Mark(group state.Estate) (ok bool) {
-	b.runInLoop(func(r *Relay) {
-		s := r.replication.streams[group.ID]
-		if s == nil || r.nextProcess != nil {
+func (g *groupRecords) Mark(group state.Estate) (ok bool) {
+	g.runInLoop(func(r *Relay) {
+		stream := r.replication.streams[group.ID]
+		if stream == nil || r.nextProcess != nil {
 			return
 		}
-		if err := r.markGroup(group, s.Next()); err != nil {
+		if err := r.markGroup(group, stream.Next()); err != nil {
 			slog.Error("cannot record the replicas of a replication group", "estate", group.ID, "err", err)
 			return
 		}
-		s.group, ok = group, true
+		stream.group, ok = group, true
 	})
 	return ok
 }
@@ -66,18 +66,18 @@
 }
 
 // Begin makes this process the writer of a replication group. It returns nil if that fails.
-func (b *groupRecords) Begin(group state.Estate, found *estate.Found) (s *estate.Stream) {
-	b.runInLoop(func(r *Relay) {
+func (g *groupRecords) Begin(group state.Estate, found *estate.Found) (stream *estate.Stream) {
+	g.runInLoop(func(r *Relay) {
 		if r.nextProcess != nil || r.stopped || r.replication.streams[group.ID] != nil {
 			return
 		}
 		group.Writer = r.kept.Instance
 		var err error
-		if s, err = r.beginGroup(group, found); err != nil {
+		if stream, err = r.beginGroup(group, found); err != nil {
 			slog.Error("cannot begin a replication group", "estate", group.ID, "err", err)
 		}
 	})
-	return s
+	return stream
 }
 
 // beginGroup resumes a replication group from this relay's journal, or from the records found at replicas if those
@@ -92,9 +92,9 @@
 			return nil, err
 		}
 		var missing []journal.Record
-		for _, rec := range found.Records {
-			if rec.Op == journal.OpTaken && rec.Entry != nil && rec.Entry.Estate == group.ID && r.journal.Entry(rec.Entry.ID) == nil {
-				missing = append(missing, rec)
+		for _, record := range found.Records {
+			if record.Op == journal.OpTaken && record.Entry != nil && record.Entry.Estate == group.ID && r.journal.Entry(record.Entry.ID) == nil {
+				missing = append(missing, record)
 			}
 		}
 		if err := r.journal.Append(missing...); err != nil {
@@ -104,7 +104,7 @@
 	if err := r.markGroup(group, next); err != nil {
 		return nil, err
 	}
-	s := r.newGroupStream(group, next)
+	stream := r.newGroupStream(group, next)
 	takenOver := group.Name != r.conf.Name || !group.Main
 	resumed := 0
 	for entry := range r.journal.All() {
@@ -121,45 +121,45 @@
 		source = found.Holder
 	}
 	slog.Info("replication group begun", "estate", group.ID, "of", group.Name, "epoch", group.Epoch, "inherited", takenOver, "from", source, "messages", resumed)
-	return s.Stream, nil
+	return stream.Stream, nil
 }
 
 // newGroupStream starts sending a group's records to its replicas.
 func (r *Relay) newGroupStream(group state.Estate, next uint64) *groupStream {
-	c := r.replication
-	s := &groupStream{group: group, shortSince: max(1, r.now())}
-	s.Stream = estate.NewStream(group.ID, group.Writer, next, c.client, func(ctx context.Context) (records []journal.Record, next uint64, ok bool) {
-		ok = (*groupRecords)(r).runInLoop(func(r *Relay) { records, next = r.journal.Whole(group.ID), s.Next() })
+	rep := r.replication
+	stream := &groupStream{group: group, shortSince: max(1, r.now())}
+	stream.Stream = estate.NewStream(group.ID, group.Writer, next, rep.client, func(ctx context.Context) (records []journal.Record, next uint64, ok bool) {
+		ok = (*groupRecords)(r).runInLoop(func(r *Relay) { records, next = r.journal.Whole(group.ID), stream.Next() })
 		return records, next, ok && ctx.Err() == nil
-	}, r.postCommitCheck, func(*state.Sealed) { c.owner.Seal(group.ID) })
-	s.BatchMost = min(s.BatchMost, int(journal.CopyBatch(r.conf.copyBudget())))
-	c.streams[group.ID] = s
+	}, r.postCommitCheck, func(*state.Sealed) { rep.owner.Seal(group.ID) })
+	stream.BatchMost = min(stream.BatchMost, int(journal.CopyBatch(r.conf.copyBudget())))
+	rep.streams[group.ID] = stream
 	if group.Main {
-		c.main = group.ID
+		rep.main = group.ID
 	}
 	r.scheduleCommitCheck()
-	return s
+	return stream
 }
 
 // Lost stops all work on a replication group that another relay now owns.
-func (b *groupRecords) Lost(id uint64) {
-	b.runInLoop(func(r *Relay) {
-		c := r.replication
-		s := c.streams[id]
-		delete(c.streams, id)
-		if c.main == id {
-			c.main = 0
+func (g *groupRecords) Lost(id uint64) {
+	g.runInLoop(func(r *Relay) {
+		rep := r.replication
+		stream := rep.streams[id]
+		delete(rep.streams, id)
+		if rep.main == id {
+			rep.main = 0
 		}
 		if r.nextProcess != nil {
 			return
 		}
 		ids := map[string]bool{}
-		for e := range r.journal.All() {
-			if e.Estate == id {
-				ids[e.ID] = true
+		for entry := range r.journal.All() {
+			if entry.Estate == id {
+				ids[entry.ID] = true
 			}
 		}
-		if s == nil && len(ids) == 0 {
+		if stream == nil && len(ids) == 0 {
 			return
 		}
 		for id := range ids {
@@ -172,12 +172,12 @@
 				}
 			}
 		}
-		r.pendingRecords = slices.DeleteFunc(r.pendingRecords, func(rec journal.Record) bool { return ids[rec.ID] })
+		r.pendingRecords = slices.DeleteFunc(r.pendingRecords, func(record journal.Record) bool { return ids[record.ID] })
 		countBefore := len(r.unrecordedNotices)
 		r.unrecordedNotices = slices.DeleteFunc(r.unrecordedNotices, func(n notice) bool { return ids[n.ID] })
 		r.pendingNotices -= countBefore - len(r.unrecordedNotices)
-		if s != nil {
-			s.gates.Drop()
+		if stream != nil {
+			stream.gates.Drop()
 		}
 		if err := r.journal.Append(r.journal.Forget(id)...); err != nil {
 			slog.Error("cannot remove a replication group of another relay from the journal", "estate", id, "err", err)
@@ -188,12 +188,12 @@
 }
 
 // Empty reports whether no message and no record of a replication group is left.
-func (b *groupRecords) Empty(id uint64) (empty bool) {
-	b.runInLoop(func(r *Relay) {
-		s := r.replication.streams[id]
-		empty = s != nil && s.gates.Len() == 0 && len(r.pendingRecords) == 0
-		for e := range r.journal.All() {
-			empty = empty && e.Estate != id
+func (g *groupRecords) Empty(id uint64) (empty bool) {
+	g.runInLoop(func(r *Relay) {
+		stream := r.replication.streams[id]
+		empty = stream != nil && stream.gates.Len() == 0 && len(r.pendingRecords) == 0
+		for entry := range r.journal.All() {
+			empty = empty && entry.Estate != id
 		}
 	})
 	return empty
@@ -201,7 +201,7 @@
 
 // adoptGroups continues the replication groups of the previous process after a handover, as the same writer.
 func (r *Relay) adoptGroups(writer string) {
-	c := r.replication
+	rep := r.replication
 	marks := r.journal.Marks()
 	for _, id := range slices.Sorted(maps.Keys(marks)) {
 		mark := marks[id]
@@ -212,8 +212,8 @@
 		if len(mark.Sets) > 0 {
 			group.Holders, group.Before = mark.Sets[0].Holders, mark.Sets[1:]
 		}
-		s := r.newGroupStream(group, max(1, mark.Next))
-		s.Set(group.Epoch, group.Copies, group.Holders)
-		c.owner.Adopt(s.Stream)
+		stream := r.newGroupStream(group, max(1, mark.Next))
+		stream.Set(group.Epoch, group.Copies, group.Holders)
+		rep.owner.Adopt(stream.Stream)
 	}
 }
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -59,7 +59,7 @@
 
 // forwarded is an update that the process that handed over sends to the next one: a client's message, or the result
 // of an attempt.
-type forwarded struct {
+type handoverUpdate struct {
 	RequestID int64            `json:"n,omitempty"`
 	Entry     *journal.Entry   `json:"take,omitempty"` // a client's message; its reply carries the same RequestID
 	TimeLeft  time.Duration    `json:"left,omitempty"`
--- a/internal/relay/handover_send.go
+++ b/internal/relay/handover_send.go
@@ -23,15 +23,15 @@
 func (r *Relay) listenForNextProcess() {
 	path := filepath.Join(r.conf.State, handoverSocket)
 	os.Remove(path) // left by a process that has ended or handed over
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
+	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		slog.Error("cannot listen for the next process; no upgrade under load is possible", "err", err)
 		return
 	}
-	l.SetUnlinkOnClose(false) // by then the path belongs to the next process
-	r.handoverListener = l
+	listener.SetUnlinkOnClose(false) // by then the path belongs to the next process
+	r.handoverListener = listener
 	go func() {
-		for requests := listen.Lasting(l); ; {
+		for requests := listen.Lasting(listener); ; {
 			accepted, err := requests.Accept()
 			if err != nil {
 				return
@@ -76,7 +76,7 @@
 // handOver transfers everything that this process has to the next one. It runs in the loop, right after a step, when
 // no event awaits a decision. If it fails, this process continues as before.
 func (r *Relay) handOver(conn *net.UnixConn) {
-	l, err := r.transferState(conn)
+	link, err := r.transferState(conn)
 	if err != nil {
 		slog.Error("handover failed; this process continues", "err", err)
 		conn.Close()
@@ -88,7 +88,7 @@
 		return
 	}
 	slog.Info("handed over", "held", len(r.pending), "calls", r.out)
-	r.nextProcess, r.forwardedIntakes = l, map[int64]*intake{}
+	r.nextProcess, r.forwardedIntakes = link, map[int64]*intake{}
 	r.overflow = nil
 	r.figures.hold(0, 0, 0) // the next process reports them now
 	r.figures.waiting(nil)
@@ -101,7 +101,7 @@
 	r.tcp.Close()                            // the next process has the socket with its accept queue
 	r.hostSide.Load().CloseIdleConnections() // both processes share one limit on descriptors
 	go func() {
-		readUpdates(l, func(v handoverReply) { r.post(func() { r.handleHandoverReply(v) }) })
+		readUpdates(link, func(reply handoverReply) { r.post(func() { r.handleHandoverReply(reply) }) })
 		r.post(r.nextProcessExited)
 	}()
 }
@@ -139,27 +139,27 @@
 		snapshot.Writer = r.replication.writer(r.kept.Instance)
 	}
 	listed := map[string]bool{}
-	for id, h := range r.hosts {
-		snapshot.Servers = append(snapshot.Servers, h.entry)
+	for id, host := range r.hosts {
+		snapshot.Servers = append(snapshot.Servers, host.entry)
 		listed[id] = true
 	}
-	numbers := map[*call]int{}
+	callIndexes := map[*call]int{}
 	for _, m := range r.pending {
 		if m.call == nil {
 			continue
 		}
-		n, ok := numbers[m.call]
+		index, ok := callIndexes[m.call]
 		if !ok {
-			n = len(snapshot.RunningCalls)
-			numbers[m.call] = n
-			h := m.call.host
-			snapshot.RunningCalls = append(snapshot.RunningCalls, runningCall{Host: h.id, Elapsed: time.Since(m.call.began)})
-			if !listed[h.id] {
-				snapshot.Departed = append(snapshot.Departed, h.entry)
-				listed[h.id] = true
+			index = len(snapshot.RunningCalls)
+			callIndexes[m.call] = index
+			host := m.call.host
+			snapshot.RunningCalls = append(snapshot.RunningCalls, runningCall{Host: host.id, Elapsed: time.Since(m.call.began)})
+			if !listed[host.id] {
+				snapshot.Departed = append(snapshot.Departed, host.entry)
+				listed[host.id] = true
 			}
 		}
-		snapshot.RunningCalls[n].IDs = append(snapshot.RunningCalls[n].IDs, m.ID)
+		snapshot.RunningCalls[index].IDs = append(snapshot.RunningCalls[index].IDs, m.ID)
 	}
 	return snapshot
 }
@@ -168,7 +168,7 @@
 func (r *Relay) forward(in *intake) {
 	r.lastForwardedID++
 	r.forwardedIntakes[r.lastForwardedID] = in
-	if !r.nextProcess.send(forwarded{RequestID: r.lastForwardedID, Entry: in.entry, TimeLeft: in.due - r.now()}) {
+	if !r.nextProcess.send(handoverUpdate{RequestID: r.lastForwardedID, Entry: in.entry, TimeLeft: in.due - r.now()}) {
 		r.handleHandoverReply(handoverReply{RequestID: r.lastForwardedID, Status: 503, RetryAfter: comeBack, Text: "no next process"})
 	}
 }
@@ -220,22 +220,22 @@
 
 // dialedTooLate reports whether a call got its connection so long after the handover that it must not be sent.
 func (r *Relay) dialedTooLate() bool {
-	at := r.handedOverAt.Load()
-	return at > 0 && steady.Now().Sub(time.Unix(0, at)) > lateDialLimit
+	handedOverAt := r.handedOverAt.Load()
+	return handedOverAt > 0 && steady.Now().Sub(time.Unix(0, handedOverAt)) > lateDialLimit
 }
 
 // closeReplication leaves replication groups, copies and the fleet address to the next process.
 func (r *Relay) closeReplication() {
-	c := r.replication
-	if c == nil {
+	rep := r.replication
+	if rep == nil {
 		return
 	}
-	for _, s := range c.streams {
-		s.Close()
-		s.gates.Forget()
+	for _, stream := range rep.streams {
+		stream.Close()
+		stream.gates.Forget()
 	}
-	if h := c.replica.Load(); h != nil {
-		h.Close()
+	if replica := rep.replica.Load(); replica != nil {
+		replica.Close()
 	}
 }
 
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -158,31 +158,31 @@
 // their results: both would count those calls as broken.
 func TestStopWaitsForCallsOfEveryProcess(t *testing.T) {
 	for _, test := range []struct {
-		name                      string
-		out, adopted, asked, held int
-		passed, stopped, idle     bool
+		name                                  string
+		inFlight, adopted, forwarded, pending int
+		handedOver, stopped, idle             bool
 	}{
 		{name: "nothing", idle: true},
-		{name: "a call", out: 1, held: 1, stopped: true},
-		{name: "a message", held: 1},
-		{name: "a message, after the last send", held: 1, stopped: true, idle: true},
-		{name: "a call of the previous process", adopted: 1, held: 1, stopped: true},
-		{name: "the same, handed over", adopted: 1, held: 1, passed: true, stopped: true},
-		{name: "an answer to forward", asked: 1, held: 1, passed: true, stopped: true},
-		{name: "messages of the next process", held: 1, passed: true, idle: true},
+		{name: "a call", inFlight: 1, pending: 1, stopped: true},
+		{name: "a message", pending: 1},
+		{name: "a message, after the last send", pending: 1, stopped: true, idle: true},
+		{name: "a call of the previous process", adopted: 1, pending: 1, stopped: true},
+		{name: "the same, handed over", adopted: 1, pending: 1, handedOver: true, stopped: true},
+		{name: "an answer to forward", forwarded: 1, pending: 1, handedOver: true, stopped: true},
+		{name: "messages of the next process", pending: 1, handedOver: true, idle: true},
 	} {
-		r := &Relay{out: test.out, stopped: test.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
+		r := &Relay{out: test.inFlight, stopped: test.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
 			handoverState: handoverState{previousProcess: &previousProcess{calls: map[string]*call{}}, forwardedIntakes: map[int64]*intake{}}}
-		if test.passed {
+		if test.handedOver {
 			r.nextProcess = &processLink{}
 		}
 		for i := range test.adopted {
 			r.previousProcess.calls[fmt.Sprint("m", i)] = &call{}
 		}
-		for i := range test.asked {
+		for i := range test.forwarded {
 			r.forwardedIntakes[int64(i)] = &intake{}
 		}
-		for i := range test.held {
+		for i := range test.pending {
 			r.pending[fmt.Sprint("m", i)] = &message{}
 		}
 		want(t, test.name, r.idle(), test.idle)
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -58,21 +58,21 @@
 // still owns the group.
 func (r *Relay) restore() {
 	wallTime := steady.UnixMilli()
-	for e := range r.journal.All() {
-		if r.replication == nil || e.Estate == 0 || r.replication.streams[e.Estate] != nil {
+	for entry := range r.journal.All() {
+		if r.replication == nil || entry.Estate == 0 || r.replication.streams[entry.Estate] != nil {
 			// After an upgrade all calls of the previous process are known, so any other call in flight is another
 			// relay's.
-			r.resume(e, r.previousProcess != nil && r.previousProcess.callOf(e.ID) == nil)
+			r.resume(entry, r.previousProcess != nil && r.previousProcess.callOf(entry.ID) == nil)
 		}
 	}
-	for id, s := range r.journal.Unwell() {
+	for id, health := range r.journal.Unwell() {
 		if r.previousProcess != nil { // the Chooser's memory, which was handed over, has more
 			break
 		}
-		r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
+		r.events = append(r.events, choice.Unwell{Host: id, Base: health.Base})
 	}
-	for id, h := range r.journal.ByHand() {
-		r.events = append(r.events, choice.ByHand{Host: id, Out: h.Ran, Ago: time.Duration(max(1, wallTime-h.At)) * time.Millisecond})
+	for id, disabled := range r.journal.ByHand() {
+		r.events = append(r.events, choice.ByHand{Host: id, Out: disabled.Ran, Ago: time.Duration(max(1, wallTime-disabled.At)) * time.Millisecond})
 	}
 	slog.Info("journal replayed", "held", len(r.pending), "owed", r.pendingNotices)
 }
@@ -81,7 +81,7 @@
 // made.
 func (r *Relay) resumeNow(entry *journal.Entry, noMoreAttempts bool) {
 	wallTime := steady.UnixMilli()
-	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
+	milliseconds := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	id := entry.ID
 	if entry.Status != "" {
 		r.queueNotice(notice{ID: entry.ID, Status: entry.Status, Again: entry.Again})
@@ -97,7 +97,7 @@
 		r.endWithNotice(&message{Entry: entry}, notice{ID: entry.ID, Status: undeliverable})
 		return
 	}
-	timeLeft := ms(entry.Due - wallTime)
+	timeLeft := milliseconds(entry.Due - wallTime)
 	timeLeft -= r.endMargin(lifetimeOf(entry, timeLeft))
 	m := &message{Entry: entry, due: r.now() + timeLeft}
 	r.pending[id] = m
@@ -105,12 +105,12 @@
 	runningCall := r.previousProcess.callOf(id)
 	restored := choice.Restored{Arrival: choice.Arrival{ID: id, Class: class, Dest: entry.Dest, Left: timeLeft,
 		Key: entry.Order, Tenant: slices.Index(r.set.Load().TenantNames, entry.Tenant), Terms: entry.Terms},
-		Attempts: entry.Tries, Timeout: ms(entry.Wait), Ran: entry.Ran, RanAgo: ms(wallTime - entry.RanAt), RanZone: entry.Zone}
+		Attempts: entry.Tries, Timeout: milliseconds(entry.Wait), Ran: entry.Ran, RanAgo: milliseconds(wallTime - entry.RanAt), RanZone: entry.Zone}
 	if runningCall != nil {
 		m.call = runningCall
 		restored.Out = &choice.Running{Host: runningCall.host.id, Call: runningCall.number, Ago: time.Since(runningCall.began)}
 	} else if entry.Out && !entry.Ran {
-		restored.Ran, restored.RanAgo, restored.RanZone = true, ms(wallTime-entry.OutAt), entry.OutTo
+		restored.Ran, restored.RanAgo, restored.RanZone = true, milliseconds(wallTime-entry.OutAt), entry.OutTo
 	}
 	if noMoreAttempts {
 		restored.Attempts = math.MaxInt32
@@ -118,7 +118,7 @@
 	r.events = append(r.events, restored)
 }
 
-func (r *Relay) record(rec journal.Record) { r.pendingRecords = append(r.pendingRecords, rec) }
+func (r *Relay) record(record journal.Record) { r.pendingRecords = append(r.pendingRecords, record) }
 
 // queueNotice has a notice sent once its record is written.
 func (r *Relay) queueNotice(n notice) {
@@ -148,8 +148,8 @@
 }
 
 // all returns the IDs, oldest first.
-func (s *recentIDs) all() []string {
-	return slices.DeleteFunc(slices.Concat(s.ring[min(s.next, len(s.ring)):], s.ring[:s.next]),
+func (r *recentIDs) all() []string {
+	return slices.DeleteFunc(slices.Concat(r.ring[min(r.next, len(r.ring)):], r.ring[:r.next]),
 		func(id string) bool { return id == "" })
 }
 
@@ -160,14 +160,14 @@
 	next int
 }
 
-func (s *recentIDs) has(id string) bool { return s.ids[id] }
+func (r *recentIDs) has(id string) bool { return r.ids[id] }
 
-func (s *recentIDs) add(id string) {
-	if s.ids == nil {
-		s.ids, s.ring = map[string]bool{}, make([]string, 4096)
+func (r *recentIDs) add(id string) {
+	if r.ids == nil {
+		r.ids, r.ring = map[string]bool{}, make([]string, 4096)
 	}
-	delete(s.ids, s.ring[s.next])
-	s.ring[s.next] = id
-	s.ids[id] = true
-	s.next = (s.next + 1) % len(s.ring)
+	delete(r.ids, r.ring[r.next])
+	r.ring[r.next] = id
+	r.ids[id] = true
+	r.next = (r.next + 1) % len(r.ring)
 }
--- a/internal/relay/replica_capacity.go
+++ b/internal/relay/replica_capacity.go
@@ -18,39 +18,39 @@
 // replicasHaveSpace reports whether a new message fits into the copies beside the pending ones, and reserves its
 // space if so.
 func (r *Relay) replicasHaveSpace(entry *journal.Entry) bool {
-	c := r.replication
-	if c == nil || c.conf.Short == fleet.OwnDisk {
+	rep := r.replication
+	if rep == nil || rep.config.Short == fleet.OwnDisk {
 		return true
 	}
 	size := journal.CopySize(entry)
-	if r.journal.CopyHeld(c.main)+c.unrecordedBytes+size > journal.CopyMost(r.conf.copyBudget()) {
+	if r.journal.CopyHeld(rep.main)+rep.unrecordedBytes+size > journal.CopyMost(r.conf.copyBudget()) {
 		return false
 	}
-	c.unrecordedBytes += size
+	rep.unrecordedBytes += size
 	return true
 }
 
 // replicationFigures returns the state of replication for the metrics.
 func (r *Relay) replicationFigures() copiesFigures {
 	figures := copiesFigures{on: true}
-	for _, s := range r.replication.streams {
+	for _, stream := range r.replication.streams {
 		figures.owned++
-		if s.shortSince > 0 {
+		if stream.shortSince > 0 {
 			figures.short++
 		} else {
-			figures.of = append(figures.of, fmt.Sprintf("%s.%d", s.group.Name, s.ID))
+			figures.of = append(figures.of, fmt.Sprintf("%s.%d", stream.group.Name, stream.ID))
 		}
-		figures.waiting += s.gates.Len()
+		figures.waiting += stream.gates.Len()
 	}
 	slices.Sort(figures.of)
 	if r.replication.main == 0 {
 		figures.short++
 	}
-	if figures.short > 0 && r.replication.conf.Short == fleet.OwnDisk {
+	if figures.short > 0 && r.replication.config.Short == fleet.OwnDisk {
 		figures.atRisk = len(r.pending)
 	}
-	if h := r.replication.replica.Load(); h != nil {
-		figures.copies = h.Len()
+	if replica := r.replication.replica.Load(); replica != nil {
+		figures.copies = replica.Len()
 	}
 	return figures
 }
--- a/internal/relay/replica_capacity_test.go
+++ b/internal/relay/replica_capacity_test.go
@@ -17,9 +17,9 @@
 )
 
 // These tests guard against notices that are sent late because copies are full while their replicas are well. On a
-// relay that kept its machine, six notices were 0.2 to 1.5 s too late while it was short of replicas for 4 and 6 s.
+// relay whose machine did not fail, six notices were 0.2 to 1.5 s too late while it was short of replicas for 4 and 6 s.
 // The replicas logged "refuses (507): journal: disk budget used up": a copy had a sixteenth of a relay's disk, of
-// which 128 KiB were kept free, so it was full with 19 messages of 600 bytes, while the owner accepted over a
+// which 128 KiB were reserved, so it was full with 19 messages of 600 bytes, while the owner accepted over a
 // thousand. A full copy accepts no ends either, since they follow the records that it has no space for. After 2 s
 // other replicas got the whole copy, and were full with the next message. A notice that was due waited for a
 // replica's acknowledgement all that time.
@@ -34,7 +34,7 @@
 	}
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 1024), quit: make(chan struct{}), conf: Config{DiskMB: diskMB},
 		messageRecords: messageRecords{journal: journal, pending: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
-			replication: &replication{conf: fleet.Config{Copies: replicas - 1}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: &http.Client{}}}}
+			replication: &replication{config: fleet.Config{Copies: replicas - 1}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: &http.Client{}}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	r.dests = map[int]*waiting{7: {}}
 	r.set.Store(&standing{})
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -32,10 +32,10 @@
 	fleetListenTimeout = 5 * time.Second
 )
 
-// replication is the replicated part of messageRecords. It belongs to the loop, except for the fields of atomic
-// types, and is nil in a relay that replicates nothing.
+// replication is the replicated part of messageRecords. It belongs to the loop, and is nil in a relay that replicates
+// nothing.
 type replication struct {
-	conf           fleet.Config
+	config         fleet.Config
 	owner          *estate.Owner
 	client         *http.Client
 	main           uint64 // ID of the group that accepts new messages; 0 for none yet
@@ -56,26 +56,26 @@
 	*estate.Stream
 	group      state.Estate
 	gates      estate.Gates
-	shortSince time.Duration // when too few replicas began to have a copy; 0 while enough do
+	shortSince time.Duration // since when too few replicas have a copy; 0 while enough do
 }
 
 // newReplication returns nil if the configuration asks for no copies.
-func newReplication(conf *fleet.Config) *replication {
-	if conf == nil || conf.Copies == 0 {
+func newReplication(config *fleet.Config) *replication {
+	if config == nil || config.Copies == 0 {
 		return nil
 	}
-	return &replication{conf: *conf, streams: map[uint64]*groupStream{}, ready: make(chan struct{})}
+	return &replication{config: *config, streams: map[uint64]*groupStream{}, ready: make(chan struct{})}
 }
 
 // groupOf returns the ID of the replication group that a record belongs to; 0 for none.
-func (r *Relay) groupOf(rec journal.Record) uint64 {
-	switch rec.Op {
+func (r *Relay) groupOf(record journal.Record) uint64 {
+	switch record.Op {
 	case journal.OpTaken:
-		return rec.Entry.Estate
+		return record.Entry.Estate
 	case journal.OpByHand, journal.OpWait:
 		return r.replication.main
 	}
-	if e := r.journal.Entry(rec.ID); e != nil {
+	if e := r.journal.Entry(record.ID); e != nil {
 		return e.Estate
 	}
 	return 0
@@ -86,8 +86,8 @@
 // becomes another relay's. then may be nil if nothing depends on the records. On an error nothing was recorded and
 // then is not called.
 func (r *Relay) bind(records []journal.Record, timeout time.Duration, then func(committed bool)) error {
-	c := r.replication
-	if c == nil {
+	rep := r.replication
+	if rep == nil {
 		if err := r.journal.Append(records...); err != nil {
 			return err
 		}
@@ -97,25 +97,25 @@
 		return nil
 	}
 	byStream := map[*groupStream][]journal.Record{}
-	for _, rec := range records {
-		if s := c.streams[r.groupOf(rec)]; s != nil {
-			byStream[s] = append(byStream[s], rec)
+	for _, record := range records {
+		if stream := rep.streams[r.groupOf(record)]; stream != nil {
+			byStream[stream] = append(byStream[stream], record)
 		}
 	}
 	entries := records[:len(records):len(records)]
-	for s, streamRecords := range byStream {
-		entries = append(entries, journal.Record{Op: journal.OpCount, Estate: s.ID, Next: s.Next() + uint64(len(streamRecords))})
+	for stream, streamRecords := range byStream {
+		entries = append(entries, journal.Record{Op: journal.OpCount, Estate: stream.ID, Next: stream.Next() + uint64(len(streamRecords))})
 	}
 	if err := r.journal.Append(entries...); err != nil {
 		return err
 	}
 	remaining, failed := len(byStream), false
-	for s, streamRecords := range byStream {
-		next := s.Append(then != nil, streamRecords...)
+	for stream, streamRecords := range byStream {
+		next := stream.Append(then != nil, streamRecords...)
 		if then == nil {
 			continue
 		}
-		s.gates.Add(next, r.now(), timeout, func(committed bool) {
+		stream.gates.Add(next, r.now(), timeout, func(committed bool) {
 			failed = failed || !committed
 			if remaining--; remaining == 0 {
 				then(!failed)
@@ -131,9 +131,9 @@
 
 // scheduleCommitCheck schedules a check for records that were not committed in time.
 func (r *Relay) scheduleCommitCheck() {
-	if c := r.replication; !c.checkScheduled {
-		c.checkScheduled = true
-		time.AfterFunc(commitTimeout/4, func() { r.post(func() { c.checkScheduled = false; r.checkCommits() }) })
+	if rep := r.replication; !rep.checkScheduled {
+		rep.checkScheduled = true
+		time.AfterFunc(commitTimeout/4, func() { r.post(func() { rep.checkScheduled = false; r.checkCommits() }) })
 	}
 }
 
@@ -147,24 +147,24 @@
 // checkCommits runs what waited for records that are committed by now, and gives up what waited too long.
 func (r *Relay) checkCommits() {
 	checkAgain := false
-	for _, s := range r.replication.streams {
-		standing, now := s.Standing(), r.now()
+	for _, stream := range r.replication.streams {
+		standing, now := stream.Standing(), r.now()
 		switch {
 		case !standing.Short:
-			if s.shortSince > 0 {
-				slog.Info("enough replicas accept copies", "estate", s.ID, "epoch", standing.Epoch, "after", now-s.shortSince)
+			if stream.shortSince > 0 {
+				slog.Info("enough replicas accept copies", "estate", stream.ID, "epoch", standing.Epoch, "after", now-stream.shortSince)
 			}
-			s.shortSince = 0
-			if s.ID == r.replication.main {
+			stream.shortSince = 0
+			if stream.ID == r.replication.main {
 				r.replication.markReady()
 			}
-		case s.shortSince == 0:
-			s.shortSince = now
-			slog.Warn("too few replicas accept copies", "estate", s.ID, "epoch", standing.Epoch, "holders", standing.States)
+		case stream.shortSince == 0:
+			stream.shortSince = now
+			slog.Warn("too few replicas accept copies", "estate", stream.ID, "epoch", standing.Epoch, "holders", standing.States)
 		}
-		risk := r.replication.conf.Short == fleet.OwnDisk && s.shortSince > 0 && now-s.shortSince >= commitTimeout/2
-		s.gates.Pass(standing.Counted, risk, now)
-		checkAgain = checkAgain || s.gates.Len() > 0 || s.shortSince > 0
+		risk := r.replication.config.Short == fleet.OwnDisk && stream.shortSince > 0 && now-stream.shortSince >= commitTimeout/2
+		stream.gates.Pass(standing.Counted, risk, now)
+		checkAgain = checkAgain || stream.gates.Len() > 0 || stream.shortSince > 0
 	}
 	r.tellDue()
 	if checkAgain {
@@ -173,32 +173,32 @@
 	r.figures.copied(r.replicationFigures())
 }
 
-// accepts reports whether a new message can be replicated, or is accepted on the own disk alone because the
+// accepts reports whether a new message can be replicated, or is accepted on this relay's disk alone because the
 // configuration says so.
-func (c *replication) accepts(now time.Duration) bool {
-	if c == nil || c.conf.Short == fleet.OwnDisk {
+func (rep *replication) accepts(now time.Duration) bool {
+	if rep == nil || rep.config.Short == fleet.OwnDisk {
 		return true
 	}
-	s := c.streams[c.main]
-	return s != nil && (s.shortSince == 0 || now-s.shortSince < commitTimeout)
+	stream := rep.streams[rep.main]
+	return stream != nil && (stream.shortSince == 0 || now-stream.shortSince < commitTimeout)
 }
 
 // writer returns the name by which replicas know the writing process. It is that of the previous process if this one
 // continues as the same writer.
-func (c *replication) writer(instance string) string {
-	for _, s := range c.streams {
-		return s.group.Writer
+func (rep *replication) writer(instance string) string {
+	for _, stream := range rep.streams {
+		return stream.group.Writer
 	}
 	return instance
 }
 
 // hasUncommitted reports whether a client waits for its message to be committed.
-func (c *replication) hasUncommitted() bool {
-	if c == nil {
+func (rep *replication) hasUncommitted() bool {
+	if rep == nil {
 		return false
 	}
-	for _, s := range c.streams {
-		if s.gates.Len() > 0 {
+	for _, stream := range rep.streams {
+		if stream.gates.Len() > 0 {
 			return true
 		}
 	}
--- a/internal/relay/replication_run.go
+++ b/internal/relay/replication_run.go
@@ -44,10 +44,10 @@
 	if session.Addr == "" {
 		session.Addr = listener.Addr().String()
 	}
-	if c := r.replication; c != nil {
-		c.replica.Store(replica)
-		session.Owned = c.owner.Marked
-		go c.owner.Run(ctx)
+	if rep := r.replication; rep != nil {
+		rep.replica.Store(replica)
+		session.Owned = rep.owner.Marked
+		go rep.owner.Run(ctx)
 	}
 	go r.sweepReplica(ctx, session.Client, replica)
 	session.Run(ctx)
@@ -95,11 +95,11 @@
 }
 
 // markReady records that new messages can be replicated.
-func (c *replication) markReady() {
+func (rep *replication) markReady() {
 	select {
-	case <-c.ready:
+	case <-rep.ready:
 	default:
-		close(c.ready)
+		close(rep.ready)
 	}
 }
 
@@ -127,13 +127,13 @@
 
 // newGroupOwner creates the owner that keeps a replicating relay up to date with the keepers and replicas.
 func (r *Relay) newGroupOwner() {
-	c := r.replication
+	rep := r.replication
 	transport := &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: dialer(r.conf.Source, time.Second).DialContext,
 		MaxIdleConnsPerHost: 4}
-	c.client = &http.Client{Transport: transport}
+	rep.client = &http.Client{Transport: transport}
 	keeperClient := &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn,
 		DialContext: dialer(r.conf.Source, time.Second).DialContext, MaxIdleConnsPerHost: 1}}, Keepers: r.conf.Fleet.Keepers}
-	c.owner = &estate.Owner{Name: r.conf.Name, Instance: r.kept.Instance, Adopted: c.adoptedWriter, Copies: c.conf.Copies, Client: c.client, Books: (*groupRecords)(r),
+	rep.owner = &estate.Owner{Name: r.conf.Name, Instance: r.kept.Instance, Adopted: rep.adoptedWriter, Copies: rep.config.Copies, Client: rep.client, Books: (*groupRecords)(r),
 		Say: func(ctx context.Context, event state.Event) (owned []*state.Estate, err error) {
 			err = keeperClient.Call(ctx, http.MethodPost, api.EstatesPath, event, &owned)
 			return owned, err
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 64), quit: make(chan struct{}),
 		messageRecords: messageRecords{journal: openJournal(t), pending: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
-			replication: &replication{conf: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: http.DefaultClient}}}
+			replication: &replication{config: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: http.DefaultClient}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	t.Cleanup(func() { close(r.quit) })
 	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Holders: []state.Holder{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
--- a/internal/relay/restart_states_test.go
+++ b/internal/relay/restart_states_test.go
@@ -25,8 +25,8 @@
 		{"out", []journal.Record{try}, ran},
 		{"refused", []journal.Record{try, {Op: journal.OpOutcome, ID: "m1"}}, never},
 		{"unanswered", []journal.Record{try, {Op: journal.OpOutcome, ID: "m1", Ran: true}}, ran},
-		{"its notice pending", []journal.Record{try, {Op: journal.OpNotice, ID: "m1", Status: "as told"}},
-			map[string]string{"status-update": "as told", "job-order": "as told", "payment": "as told"}},
+		{"its notice pending", []journal.Record{try, {Op: journal.OpNotice, ID: "m1", Status: "as recorded"}},
+			map[string]string{"status-update": "as recorded", "job-order": "as recorded", "payment": "as recorded"}},
 	}
 }
 
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -106,7 +106,7 @@
 func TestForwardedMessageTimeRunsInTransit(t *testing.T) {
 	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
 	in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
-	r.acceptForwarded(nil, forwarded{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // received a minute ago
+	r.acceptForwarded(nil, handoverUpdate{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // received a minute ago
 	if left := r.pending["m1"].due - r.now(); left > time.Minute {
 		t.Errorf("%v left, want a minute at most", left)
 	}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -211,7 +211,7 @@
 	m.call = nil
 	if r.nextProcess != nil {
 		r.hostSide.Load().CloseIdleConnections() // descriptors count for both processes together
-		r.nextProcess.send(forwarded{Result: &forwardedResult{m.ID, e.outcome, e.done, t.took, t.wait, t.report, t.stale}})
+		r.nextProcess.send(handoverUpdate{Result: &forwardedResult{m.ID, e.outcome, e.done, t.took, t.wait, t.report, t.stale}})
 		return
 	}
 	if t.wait > 0 && r.replication != nil { // an heir is to know of it
