--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -80,13 +80,13 @@
 	}
 	o.store = opened
 	r.logBacklogDamage()
-	for entry := range r.journal.All() {
-		if opened.LenOf(entry.Dest) == 0 {
+	for recorded := range r.journal.All() {
+		if opened.LenOf(recorded.Dest) == 0 {
 			continue
 		}
-		stored, found, err := opened.Find(entry.Dest, entry.ID)
+		stored, found, err := opened.Find(recorded.Dest, recorded.ID)
 		if err == nil && found {
-			err = opened.Out(entry.Dest, stored.Place)
+			err = opened.Out(recorded.Dest, stored.Place)
 		}
 		if err != nil {
 			o.closeStore()
@@ -113,21 +113,21 @@
 	if o == nil || o.store == nil {
 		return false
 	}
-	entry := in.entry
-	if i := slices.IndexFunc(o.queued, func(m *message) bool { return m.ID == entry.ID }); i >= 0 {
-		o.resentIDs.add(entry.ID)
+	journalEntry := in.entry
+	if i := slices.IndexFunc(o.queued, func(m *message) bool { return m.ID == journalEntry.ID }); i >= 0 {
+		o.resentIDs.add(journalEntry.ID)
 		o.queued[i].unanswered = append(o.queued[i].unanswered, in)
 		return true
 	}
-	if o.store.LenOf(entry.Dest) == 0 {
+	if o.store.LenOf(journalEntry.Dest) == 0 {
 		return false
 	}
-	switch _, found, err := o.store.Find(entry.Dest, entry.ID); {
+	switch _, found, err := o.store.Find(journalEntry.Dest, journalEntry.ID); {
 	case err != nil:
 		slog.Error("cannot search the backlog", "err", err, "remedy", remedy.Of(err))
 		in.reply <- answer{status: http.StatusServiceUnavailable, after: comeBack, text: "no room"}
 	case found:
-		o.resentIDs.add(entry.ID)
+		o.resentIDs.add(journalEntry.ID)
 		in.reply <- answer{status: http.StatusAccepted}
 	default:
 		return false
@@ -138,15 +138,15 @@
 // queueForDisk queues a message to be stored by the next step, if it has to wait on disk, or refuses it if its key
 // waits for another destination. It reports whether it did either.
 func (r *Relay) queueForDisk(in *intake) bool {
-	o, entry := r.overflow, in.entry
+	o, journalEntry := r.overflow, in.entry
 	switch {
 	case o == nil:
 		return false
-	case o.keyPendingElsewhere(entry.Order, entry.Dest):
-		r.figures.ended(entry.Class, refusedEnd)
+	case o.keyPendingElsewhere(journalEntry.Order, journalEntry.Dest):
+		r.figures.ended(journalEntry.Class, refusedEnd)
 		in.reply <- answer{status: http.StatusServiceUnavailable, after: comeBack, text: "its key waits for another destination"}
-	case o.mustWait(entry.Dest, r.now(), r.journal.Crowded()):
-		o.queued = append(o.queued, &message{Entry: entry, due: in.due, unanswered: []*intake{in}})
+	case o.mustWait(journalEntry.Dest, r.now(), r.journal.Crowded()):
+		o.queued = append(o.queued, &message{Entry: journalEntry, due: in.due, unanswered: []*intake{in}})
 	default:
 		return false
 	}
@@ -176,7 +176,7 @@
 func (r *Relay) storeMessages(messages []*message) error {
 	o := r.overflow
 	if r.stopped || o.store == nil {
-		return &backlog.Failure{Did: "is given up", Path: o.dir, Err: errStopping}
+		return &backlog.Failure{Did: "is closed", Path: o.dir, Err: errStopping}
 	}
 	if !o.fenced {
 		if err := journal.Fence(r.conf.State, "The folder backlog holds messages that are owed their end. Start a version of larchrouter that knows it."); err != nil {
@@ -208,14 +208,14 @@
 
 // withdrawStored ends a message on disk whose client disconnected before it was answered, and reports whether it did.
 // A message that was sent twice continues.
-func (r *Relay) withdrawStored(entry *journal.Entry) bool {
+func (r *Relay) withdrawStored(journalEntry *journal.Entry) bool {
 	o := r.overflow
-	if o == nil || o.store == nil || r.nextProcess != nil || o.resentIDs.has(entry.ID) || r.journal.Entry(entry.ID) != nil || o.store.LenOf(entry.Dest) == 0 {
+	if o == nil || o.store == nil || r.nextProcess != nil || o.resentIDs.has(journalEntry.ID) || r.journal.Entry(journalEntry.ID) != nil || o.store.LenOf(journalEntry.Dest) == 0 {
 		return false
 	}
-	stored, found, err := o.store.Find(entry.Dest, entry.ID)
+	stored, found, err := o.store.Find(journalEntry.Dest, journalEntry.ID)
 	if err == nil && found {
-		err = o.store.Out(entry.Dest, stored.Place)
+		err = o.store.Out(journalEntry.Dest, stored.Place)
 	}
 	if err != nil {
 		slog.Error("cannot withdraw a message from the backlog", "err", err, "remedy", remedy.Of(err))
--- a/internal/relay/full_journal_test.go
+++ b/internal/relay/full_journal_test.go
@@ -24,13 +24,13 @@
 			r := startRelay(t, p, func(c *Config) { c.DiskMB, c.Settings.MaxHeld = 3, 0 })
 			due := r.now() + 4*time.Second
 			accepted := 0
-			for full := false; !full; {
+			for rejected := false; !rejected; {
 				in := &intake{ctx: context.Background(), reply: make(chan answer, 1), due: due}
 				in.entry = &journal.Entry{ID: fmt.Sprintf("%016x", accepted), Class: "payment", Dest: 7, Body: []byte(strings.Repeat("x", bodySize)),
 					Due: time.Now().Add(due - r.now()).UnixMilli()}
 				in.entry.Terms = &choice.Terms{Class: r.set.Load().Classes[2], Attempts: 6}
 				r.post(func() { r.take(in) })
-				if full = wait(t, in.reply, "answer").status != http.StatusAccepted; !full {
+				if rejected = wait(t, in.reply, "answer").status != http.StatusAccepted; !rejected {
 					accepted++
 				}
 			}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -35,7 +35,7 @@
 	// maxHandoverRequests bounds how many next processes may wait for a handover: one that has died, and the one
 	// started in its place.
 	maxHandoverRequests = 2
-	linkQueueLength     = 4096
+	linkQueueLength     = 4096 // lines; a link is closed when its queue is full
 )
 
 // handoverSnapshot is the state that the next process needs besides the journal.
--- a/internal/relay/replica_capacity_test.go
+++ b/internal/relay/replica_capacity_test.go
@@ -39,27 +39,27 @@
 	r.dests = map[int]*waiting{7: {}}
 	r.set.Store(&standing{})
 	t.Cleanup(func() { close(r.quit) })
-	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: replicas - 1}
+	group := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: replicas - 1}
 	for i := range replicas {
-		h, err := estate.OpenHolder(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
+		replica, err := estate.OpenHolder(t.TempDir(), int64(diskMB*replicaDiskShare*1e6))
 		if err != nil {
 			t.Fatal(err)
 		}
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.Serve(l)
-		t.Cleanup(h.Close)
-		e.Holders = append(e.Holders, state.Holder{Name: fmt.Sprint("holder-", i), Addr: l.Addr().String(), Folder: h.Folder})
+		replica.Serve(listener)
+		t.Cleanup(replica.Close)
+		group.Holders = append(group.Holders, state.Holder{Name: fmt.Sprint("holder-", i), Addr: listener.Addr().String(), Folder: replica.Folder})
 	}
-	if err := r.markGroup(e, 1); err != nil {
+	if err := r.markGroup(group, 1); err != nil {
 		t.Fatal(err)
 	}
-	s := r.newGroupStream(e, 1)
-	s.Set(e.Epoch, e.Copies, e.Holders)
-	t.Cleanup(s.Close)
-	return r, s
+	stream := r.newGroupStream(group, 1)
+	stream.Set(group.Epoch, group.Copies, group.Holders)
+	t.Cleanup(stream.Close)
+	return r, stream
 }
 
 // runLoopUntil runs turns of the loop until a condition holds.
@@ -91,8 +91,8 @@
 func TestRelayAcceptsWhatReplicasHaveSpaceFor(t *testing.T) {
 	for _, bodySize := range []int{10, 600, 5000} {
 		t.Run(fmt.Sprint(bodySize), func(t *testing.T) {
-			r, s := newRelayWithReplicas(t, 3, 3)
-			r.runLoopUntil(t, "enough replicas", func() bool { return s.shortSince == 0 })
+			r, stream := newRelayWithReplicas(t, 3, 3)
+			r.runLoopUntil(t, "enough replicas", func() bool { return stream.shortSince == 0 })
 			for round := range 3 {
 				var accepted []string
 				for i := 0; ; i++ {
@@ -108,16 +108,16 @@
 					t.Fatalf("only %d messages of %d bytes are accepted", len(accepted), bodySize)
 				}
 				r.checkCommits()
-				want(t, "uncommitted records", s.gates.Len(), 0)
-				want(t, "time without enough replicas", s.shortSince, 0)
+				want(t, "uncommitted records", stream.gates.Len(), 0)
+				want(t, "time without enough replicas", stream.shortSince, 0)
 				// All accepted messages end; the replicas have space for that in any case.
 				for _, id := range accepted {
 					r.record(journal.Record{Op: journal.OpTry, ID: id, At: time.Now().UnixMilli(), Wait: 100})
 					r.finish(r.pending[id], servedEnd)
 				}
 				r.flush()
-				end := s.Next()
-				r.runLoopUntil(t, "the ends are committed", func() bool { return s.Standing().Counted >= end })
+				end := stream.Next()
+				r.runLoopUntil(t, "the ends are committed", func() bool { return stream.Standing().Counted >= end })
 			}
 		})
 	}
@@ -129,8 +129,8 @@
 func TestDueNoticeDoesNotWaitForReplicas(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.Refuse)
 	due := time.Now().Add(300 * time.Millisecond)
-	for id, at := range map[string]time.Time{"due": due, "not due": due.Add(time.Hour)} {
-		m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Due: at.UnixMilli()}}
+	for id, deadline := range map[string]time.Time{"due": due, "not due": due.Add(time.Hour)} {
+		m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Due: deadline.UnixMilli()}}
 		if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, 0, nil); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -20,14 +20,14 @@
 			replication: &replication{config: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*groupStream{}, ready: make(chan struct{}), client: http.DefaultClient}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	t.Cleanup(func() { close(r.quit) })
-	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Holders: []state.Holder{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
-	if err := r.markGroup(e, 1); err != nil {
+	group := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Holders: []state.Holder{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
+	if err := r.markGroup(group, 1); err != nil {
 		t.Fatal(err)
 	}
-	s := r.newGroupStream(e, 1)
-	s.Set(e.Epoch, e.Copies, e.Holders)
-	t.Cleanup(s.Close)
-	return r, s
+	stream := r.newGroupStream(group, 1)
+	stream.Set(group.Epoch, group.Copies, group.Holders)
+	t.Cleanup(stream.Close)
+	return r, stream
 }
 
 // bindMessage records a message as a step of the loop does.
@@ -98,12 +98,12 @@
 // Guards against a call that is sent although its record is not committed, or was committed too late for a successor
 // to know of it.
 func TestCallsWaitForCommittedRecords(t *testing.T) {
-	r, s := newReplicatingRelay(t, fleet.Refuse)
+	r, stream := newReplicatingRelay(t, fleet.Refuse)
 	m, _ := bindMessage(t, r, "m1", choice.Keyed)
-	for name, written := range map[string]time.Time{"not committed": time.Now(), "too late": time.Now().Add(-callStartTimeout)} {
+	for name, recordedAt := range map[string]time.Time{"not committed": time.Now(), "too late": time.Now().Add(-callStartTimeout)} {
 		r.events = nil
 		c := &call{host: &host{id: "h"}, members: []*message{m}, sends: []choice.Send{{ID: "m1", Host: "h", Timeout: time.Minute}}}
-		r.startCounted(c, written, name == "too late")
+		r.startCounted(c, recordedAt, name == "too late")
 		if len(r.events) != 1 || r.events[0].(choice.Result).Outcome != choice.NotSent || m.call != nil {
 			t.Errorf("%s: %+v", name, r.events)
 		}
@@ -119,15 +119,15 @@
 			}
 		}
 	}()
-	(*groupRecords)(r).Lost(s.ID)
-	over := make(chan struct{})
+	(*groupRecords)(r).Lost(stream.ID)
+	checked := make(chan struct{})
 	r.post(func() {
-		defer close(over)
+		defer close(checked)
 		if !m.ended || !m.transferred || len(r.pending) > 0 || r.journal.Len() > 0 || r.replication.main != 0 || r.replication.accepts(r.now()) {
 			t.Errorf("after the group became another relay's: %+v, %d pending, %d on record, main %d", m, len(r.pending), r.journal.Len(), r.replication.main)
 		}
 	})
-	<-over
+	<-checked
 }
 
 // Guards against a client that is told to retry while replicas may still have its message: a successor would deliver
@@ -154,8 +154,8 @@
 // the group's previous owner, may still be in flight, whatever this relay's journal says.
 func TestRestartWaitsForAttemptsOfPreviousOwner(t *testing.T) {
 	for name, atOnce := range map[string]bool{"r": true, "another": false} {
-		r, s := newReplicatingRelay(t, fleet.Refuse)
-		delete(r.replication.streams, s.ID)
+		r, original := newReplicatingRelay(t, fleet.Refuse)
+		delete(r.replication.streams, original.ID)
 		r.set.Store(&standing{})
 		now := time.Now().UnixMilli()
 		e := &journal.Entry{ID: "m1", Class: "c", Dest: 7, Estate: 1, Due: now + time.Minute.Milliseconds(), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -55,10 +55,10 @@
 // Guards against a repeat after its window has passed, by as much as a start was delayed.
 func TestRestoredMessageTimesIncludeDelay(t *testing.T) {
 	before := choice.Restored{Arrival: choice.Arrival{Left: 9 * time.Second}, RanAgo: time.Second, Out: &choice.Running{Ago: 2 * time.Second}}
-	e := withTimeLeft(before, 5*time.Second)
-	want(t, "left", e.Left, 5*time.Second)
-	want(t, "since it ran", e.RanAgo, 5*time.Second)
-	want(t, "since it was sent", e.Out.Ago, 6*time.Second)
+	delayed := withTimeLeft(before, 5*time.Second)
+	want(t, "left", delayed.Left, 5*time.Second)
+	want(t, "since it ran", delayed.RanAgo, 5*time.Second)
+	want(t, "since it was sent", delayed.Out.Ago, 6*time.Second)
 	want(t, "time since it was sent, in the original", before.Out.Ago, 2*time.Second)
 }
 
@@ -107,8 +107,8 @@
 	r := newSteppedRelay(t, newPlatform(t, leavingHost()), t.TempDir())
 	in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.acceptForwarded(nil, handoverUpdate{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // received a minute ago
-	if left := r.pending["m1"].due - r.now(); left > time.Minute {
-		t.Errorf("%v left, want a minute at most", left)
+	if timeLeft := r.pending["m1"].due - r.now(); timeLeft > time.Minute {
+		t.Errorf("%v left, want a minute at most", timeLeft)
 	}
 }
 
