--- a/internal/relay/overflow.go
+++ b/internal/relay/overflow.go
@@ -93,7 +93,7 @@
 // broken reports whether the store could not be opened, so that its content is unknown.
 func (o *overflow) broken() bool { return o != nil && o.store == nil }
 
-// close closes the store.
+// closeStore closes the store.
 func (o *overflow) closeStore() {
 	if o != nil && o.store != nil {
 		o.store.Close()
