--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -14,7 +14,7 @@
 // Source tells a relay of the list of endpoints.
 type Source interface {
 	// Follow passes on each list, whole or changed, in the order of versions, until the context ends.
-	Follow(ctx context.Context, tell func(List))
+	Follow(ctx context.Context, onList func(List))
 }
 
 // Server is one entry of the list.
@@ -37,56 +37,56 @@
 
 // Fleet is what the settings say of how often a relay may ask.
 type Fleet struct {
-	Size      int           // relays
-	AskWithin time.Duration // one that has not asked for so long counts as told of what it does not know
+	Size            int           // relays
+	MaxPollInterval time.Duration // one that has not asked for so long counts as told of what it does not know
 }
 
 // At is where discovery and the taker of notices are. It may change while the relay runs.
-type At struct {
-	mu    sync.Mutex
-	addr  string
-	valid context.Context // ends when the address changes
-	end   context.CancelFunc
+type Address struct {
+	mu     sync.Mutex
+	addr   string
+	valid  context.Context // ends when the address changes
+	cancel context.CancelFunc
 }
 
 // NewAt is an address that may change.
-func NewAt(addr string) *At {
-	p := &At{}
-	p.Set(addr)
-	return p
+func NewAddress(addr string) *Address {
+	a := &Address{}
+	a.Set(addr)
+	return a
 }
 
 // Get returns the address, and a context that ends when it no longer holds.
-func (p *At) Get() (addr string, valid context.Context) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.addr, p.valid
+func (a *Address) Get() (addr string, valid context.Context) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.addr, a.valid
 }
 
 // Set changes the address; what the old one is asked ends.
-func (p *At) Set(addr string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.end != nil {
-		p.end()
+func (a *Address) Set(addr string) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	if a.cancel != nil {
+		a.cancel()
 	}
-	p.addr = addr
-	p.valid, p.end = context.WithCancel(context.Background())
+	a.addr = addr
+	a.valid, a.cancel = context.WithCancel(context.Background())
 }
 
 // Platform is the platform's discovery service as a source.
 type Platform struct {
 	Client  *http.Client
-	At      *At
+	Address *Address
 	Fleet   func() Fleet // asked anew before each call
 	Seed    uint64
-	Known   bool  // the relay has a whole list to work from
+	HasList bool  // the relay has a whole list to work from
 	Version int64 // of that list
 	// Before is how the process before this one held the list; nil if nothing is known of that.
-	Before *Lease
+	PreviousLease *Lease
 	// Renewed is told how the list stands as that changes, from the follower's goroutine; nil if nobody wants to know. News of
 	// the list are passed on before it.
-	Renewed func(Lease)
+	LeaseChanged func(Lease)
 }
 
 // Check tells what makes a list unfit to act on. Discovery's word ends calls and closes
@@ -95,12 +95,12 @@
 	if l.Full && l.Servers == nil {
 		return errors.New("a whole list without servers")
 	}
-	for i, s := range l.Servers {
-		if s.ID == "" || s.State != "left" && s.Addr == "" {
-			return fmt.Errorf("servers[%d]: id is %q and addr %q", i, s.ID, s.Addr)
+	for i, server := range l.Servers {
+		if server.ID == "" || server.State != "left" && server.Addr == "" {
+			return fmt.Errorf("servers[%d]: id is %q and addr %q", i, server.ID, server.Addr)
 		}
-		if s.State != "active" && s.State != "leaving" && s.State != "left" {
-			return fmt.Errorf("servers[%d]: %q is no state", i, s.State)
+		if server.State != "active" && server.State != "leaving" && server.State != "left" {
+			return fmt.Errorf("servers[%d]: %q is no state", i, server.State)
 		}
 	}
 	return nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,9 +13,9 @@
 )
 
 // Guards against a malformed list that takes all endpoints away, or sends messages nowhere.
-func TestMalformedListIsNotTaken(t *testing.T) {
+func TestMalformedListIsRejected(t *testing.T) {
 	entry := `{"id":"s-1","addr":"127.0.0.1:1","kind":"m","cell":3,"state":"active"}`
-	for body, sound := range map[string]bool{
+	for body, valid := range map[string]bool{
 		`{"version":2,"full":true,"servers":[` + entry + `]}`:                                         true,
 		`{"version":2,"full":true,"servers":[]}`:                                                      true,
 		`{"version":2,"full":false}`:                                                                  true,
@@ -27,63 +27,63 @@
 		`{"version":2,"full":false,"servers":[` + strings.Replace(entry, "active", "odd", 1) + `]}`:   false,
 		`nothing`: false,
 	} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }))
-		r := &Platform{Client: http.DefaultClient}
-		c := &call{whole: true}
-		r.ask(context.Background(), context.Background(), s.Listener.Addr().String(), 1, c)
-		s.Close()
-		if (c.err == nil) != sound {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, body) }))
+		platform := &Platform{Client: http.DefaultClient}
+		c := &call{fullList: true}
+		platform.fetch(context.Background(), context.Background(), server.Listener.Addr().String(), 1, c)
+		server.Close()
+		if (c.err == nil) != valid {
 			t.Errorf("%s: error is %v", body, c.err)
 		}
 	}
 }
 
 // answers is a discovery that says the same at once, whatever it is asked.
-type answers struct {
+type fixedAnswer struct {
 	body   string
-	asked  int
-	enough func() // ends a test that would go on for ever
+	calls  int
+	cancel func() // ends a test that would go on for ever
 }
 
-func (a *answers) RoundTrip(*http.Request) (*http.Response, error) {
-	if a.asked++; a.asked >= 1000 {
-		a.enough()
+func (a *fixedAnswer) RoundTrip(*http.Request) (*http.Response, error) {
+	if a.calls++; a.calls >= 1000 {
+		a.cancel()
 	}
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(a.body))}, nil
 }
 
 // Guards against a relay that spends its core on asking a discovery which does not wait for news.
-func TestWatchWithoutWaitingIsPaced(t *testing.T) {
+func TestImmediateWatchAnswersArePaced(t *testing.T) {
 	for _, body := range []string{`{"version":1,"servers":[]}`, `{"version":0,"servers":[]}`} {
 		synctest.Test(t, func(t *testing.T) {
-			said := &answers{body: body}
-			r := &Platform{Client: &http.Client{Transport: said}, At: NewAt("discovery:1"), Fleet: func() Fleet { return Fleet{Size: 2} }, Version: 1}
+			transport := &fixedAnswer{body: body}
+			platform := &Platform{Client: &http.Client{Transport: transport}, Address: NewAddress("discovery:1"), Fleet: func() Fleet { return Fleet{Size: 2} }, Version: 1}
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
-			said.enough = cancel
-			r.Follow(ctx, func(List) {})
-			if most := int(2*time.Second/firstPause) + 1; said.asked > most {
-				t.Errorf("%s: asked %d times in a second, want %d at most", body, said.asked, most)
+			transport.cancel = cancel
+			platform.Follow(ctx, func(List) {})
+			if limit := int(2*time.Second/minPause) + 1; transport.calls > limit {
+				t.Errorf("%s: asked %d times in a second, want %d at most", body, transport.calls, limit)
 			}
 		})
 	}
 }
 
 // crowd is a discovery that counts the calls of a fleet by the second.
-type crowd struct {
-	mu     sync.Mutex
-	began  time.Time
-	body   string // empty: it has no time for anyone
-	calls  map[int]int
-	waited int // calls for changes
+type countingDiscovery struct {
+	mu            sync.Mutex
+	startedAt     time.Time
+	body          string // empty: it has no time for anyone
+	callsBySecond map[int]int
+	watches       int // calls for changes
 }
 
-func (c *crowd) RoundTrip(req *http.Request) (*http.Response, error) {
+func (c *countingDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.calls[int(time.Since(c.began)/time.Second)]++
+	c.callsBySecond[int(time.Since(c.startedAt)/time.Second)]++
 	if req.URL.Query().Has("since") {
-		c.waited++
+		c.watches++
 	}
 	status := http.StatusOK
 	if c.body == "" {
@@ -94,57 +94,57 @@
 
 // followAll has a fleet that started together follow one discovery for a while, and returns how many
 // lists its relays took up.
-func followAll(c *crowd, fleet int, span time.Duration) (taken int) {
-	c.began, c.calls = time.Now(), map[int]int{}
-	ctx, cancel := context.WithTimeout(context.Background(), span)
+func followAll(c *countingDiscovery, fleetSize int, duration time.Duration) (applied int) {
+	c.startedAt, c.callsBySecond = time.Now(), map[int]int{}
+	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
-	var all sync.WaitGroup
-	for i := range fleet {
-		r := &Platform{Client: &http.Client{Transport: c}, At: NewAt("discovery:1"), Seed: uint64(i), Known: true,
-			Fleet: func() Fleet { return Fleet{fleet, 10 * time.Second} }}
-		all.Go(func() {
-			n := 0
-			r.Follow(ctx, func(List) { n++ })
+	var relays sync.WaitGroup
+	for i := range fleetSize {
+		platform := &Platform{Client: &http.Client{Transport: c}, Address: NewAddress("discovery:1"), Seed: uint64(i), HasList: true,
+			Fleet: func() Fleet { return Fleet{fleetSize, 10 * time.Second} }}
+		relays.Go(func() {
+			lists := 0
+			platform.Follow(ctx, func(List) { lists++ })
 			c.mu.Lock()
 			defer c.mu.Unlock()
-			taken += n
+			applied += lists
 		})
 	}
-	all.Wait()
-	return taken
+	relays.Wait()
+	return applied
 }
 
 // Guards against a fleet that starts together and asks in step, and against retries that keep discovery
 // overbooked: with answers it must be asked no more by many than by few, and without by a quarter of the fleet a second in
 // the mean, which is what hearing of a change in time takes (HeardIn).
-func TestFleetAsksForListsSpreadOut(t *testing.T) {
+func TestFleetSpreadsItsCalls(t *testing.T) {
 	for name, body := range map[string]string{"overbooked": "", "well": `{"version":3,"full":true,"servers":[]}`} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &crowd{body: body}
-				taken := followAll(c, 80, 30*time.Second)
-				most, all := 25, 0
+				c := &countingDiscovery{body: body}
+				applied := followAll(c, 80, 30*time.Second)
+				limit, total := 25, 0
 				if body == "" {
-					most = 80 * 2 / 5
+					limit = 80 * 2 / 5
 				}
-				for second, n := range c.calls {
-					if all += n; n > most {
-						t.Errorf("%d calls in second %d, want %d at most", n, second, most)
+				for second, n := range c.callsBySecond {
+					if total += n; n > limit {
+						t.Errorf("%d calls in second %d, want %d at most", n, second, limit)
 					}
 				}
-				if all > 30*80/4+80 {
-					t.Errorf("%d calls in 30 seconds, want %d at most", all, 30*80/4+80)
+				if total > 30*80/4+80 {
+					t.Errorf("%d calls in 30 seconds, want %d at most", total, 30*80/4+80)
 				}
 				for second := range 27 {
-					if c.calls[second]+c.calls[second+1]+c.calls[second+2] == 0 {
+					if c.callsBySecond[second]+c.callsBySecond[second+1]+c.callsBySecond[second+2] == 0 {
 						t.Errorf("no calls from second %d on: nobody hears of a change", second)
 					}
 				}
-				if c.waited > 0 {
-					t.Errorf("%d watches, which cannot be renewed in time", c.waited)
+				if c.watches > 0 {
+					t.Errorf("%d watches, which cannot be renewed in time", c.watches)
 				}
-				if body != "" && taken != 80 {
-					t.Errorf("the same list taken up %d times by 80 relays, want once each", taken)
+				if body != "" && applied != 80 {
+					t.Errorf("the same list taken up %d times by 80 relays, want once each", applied)
 				}
 			})
 		})
@@ -152,27 +152,27 @@
 }
 
 // Guards against a small fleet that hears of changes late: it watches, and its watches go on at once.
-func TestSmallFleetWatches(t *testing.T) {
+func TestSmallFleetRenewsWatchesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &crowd{body: `{"version":3,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`}
+		c := &countingDiscovery{body: `{"version":3,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c.began, c.calls = time.Now(), map[int]int{}
-		r := &Platform{Client: &http.Client{Transport: c}, At: NewAt("discovery:1"), Fleet: func() Fleet { return Fleet{2, 10 * time.Second} }}
-		told := make(chan List)
-		go r.Follow(ctx, func(l List) {
+		c.startedAt, c.callsBySecond = time.Now(), map[int]int{}
+		platform := &Platform{Client: &http.Client{Transport: c}, Address: NewAddress("discovery:1"), Fleet: func() Fleet { return Fleet{2, 10 * time.Second} }}
+		lists := make(chan List)
+		go platform.Follow(ctx, func(l List) {
 			select {
-			case told <- l:
+			case lists <- l:
 			case <-ctx.Done():
 			}
 		})
 		for range 100 { // as many as are taken up; an empty clock moves for pauses alone
-			<-told
+			<-lists
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if gone := time.Since(c.began); gone > 100*time.Millisecond || c.waited < 99 {
-			t.Errorf("100 changes took %v and %d watches, want each renewed at once", gone, c.waited)
+		if elapsed := time.Since(c.startedAt); elapsed > 100*time.Millisecond || c.watches < 99 {
+			t.Errorf("100 changes took %v and %d watches, want each renewed at once", elapsed, c.watches)
 		}
 	})
 }
--- a/internal/discovery/expiry_test.go
+++ b/internal/discovery/expiry_test.go
@@ -14,108 +14,108 @@
 )
 
 // usable keeps until when a relay could act on the list that it had.
-type usable struct {
-	mu      sync.Mutex
-	expires time.Time
-	heard   bool      // of the change
-	last    time.Time // at which it could act without having heard
+type listUse struct {
+	mu             sync.Mutex
+	expires        time.Time
+	changeReceived bool      // of the change
+	lastUsable     time.Time // at which it could act without having heard
 }
 
 // see takes in what passes until now.
-func (u *usable) see() {
-	if now := time.Now(); !u.heard && now.After(u.expires) {
-		if u.expires.After(u.last) {
-			u.last = u.expires
+func (u *listUse) observe() {
+	if now := time.Now(); !u.changeReceived && now.After(u.expires) {
+		if u.expires.After(u.lastUsable) {
+			u.lastUsable = u.expires
 		}
-	} else if !u.heard {
-		u.last = now
+	} else if !u.changeReceived {
+		u.lastUsable = now
 	}
 }
 
-func (u *usable) renew(l Lease) {
+func (u *listUse) renew(l Lease) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.see()
+	u.observe()
 	u.expires = l.Expires
 }
 
-func (u *usable) hear() {
+func (u *listUse) receiveChange() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.see()
-	u.heard = true
+	u.observe()
+	u.changeReceived = true
 }
 
 // noted tells when the first byte of a body was read.
-type noted struct {
+type firstByteNotifier struct {
 	io.Reader
-	first func()
-	once  sync.Once
+	onFirstByte func()
+	once        sync.Once
 }
 
-func (n *noted) Read(p []byte) (int, error) {
-	c, err := n.Reader.Read(p)
-	if c > 0 {
-		n.once.Do(n.first)
+func (n *firstByteNotifier) Read(p []byte) (int, error) {
+	count, err := n.Reader.Read(p)
+	if count > 0 {
+		n.once.Do(n.onFirstByte)
 	}
-	return c, err
+	return count, err
 }
 
 // Seen: requests went to draining endpoints, for relays went on by their list while call after call for a newer one failed; and
 // others whose calls had been answered until then, but the next one was not.
 // Here a change is made as calls begin to fail, in every way that they can: no relay may act on the list that lacks it when it
 // counts as told: 6 s after it, whenever the call comes that fails, or as a part of an answer is written that has it.
-func TestNoListIsActedOnTooLong(t *testing.T) {
+func TestListIsNotUsedAfterNotification(t *testing.T) {
 	for name, fail := range failures {
 		if name == "nobody there" || name == "older" { // nothing counts meanwhile; another history, which has no such change
 			continue
 		}
-		for _, fleet := range []int{1, 2, 12, 13, 20, 30, 300} {
-			t.Run(fmt.Sprint(name, " ", fleet), func(t *testing.T) {
+		for _, fleetSize := range []int{1, 2, 12, 13, 20, 30, 300} {
+			t.Run(fmt.Sprint(name, " ", fleetSize), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					began := time.Now()
-					from, until := 12*time.Second, 40*time.Second
-					relays := make([]usable, fleet)
-					written := make([]time.Time, fleet)
-					ctx, cancel := context.WithTimeout(context.Background(), until+time.Second)
+					startedAt := time.Now()
+					failFrom, failUntil := 12*time.Second, 40*time.Second
+					relays := make([]listUse, fleetSize)
+					firstBytes := make([]time.Time, fleetSize)
+					ctx, cancel := context.WithTimeout(context.Background(), failUntil+time.Second)
 					defer cancel()
-					var all sync.WaitGroup
+					var followers sync.WaitGroup
 					for i := range relays {
-						u := &relays[i]
-						f := &faulty{began: began, from: from, until: until, rand: newRand(uint64(i)), calls: map[int]int{}}
-						f.fail = func(req *http.Request) (*http.Response, error) {
+						use := &relays[i]
+						discovery := &failingDiscovery{startedAt: startedAt, failFrom: failFrom, failUntil: failUntil, rand: newRand(uint64(i)), callsBySecond: map[int]int{}}
+						discovery.fail = func(req *http.Request) (*http.Response, error) {
 							resp, err := fail(req)
 							if resp != nil && resp.StatusCode == http.StatusOK {
-								resp.Body = io.NopCloser(&noted{Reader: resp.Body, first: func() {
-									if written[i].IsZero() {
-										written[i] = time.Now()
+								resp.Body = io.NopCloser(&firstByteNotifier{Reader: resp.Body, onFirstByte: func() {
+									if firstBytes[i].IsZero() {
+										firstBytes[i] = time.Now()
 									}
 								}})
 							}
 							return resp, err
 						}
-						p := &Platform{Client: &http.Client{Transport: f}, At: NewAt("discovery:1"), Seed: uint64(i), Known: true, Version: 5, Renewed: u.renew,
-							Fleet: func() Fleet { return Fleet{fleet, 10 * time.Second} }}
-						all.Go(func() {
-							p.Follow(ctx, func(l List) {
+						platform := &Platform{Client: &http.Client{Transport: discovery}, Address: NewAddress("discovery:1"), Seed: uint64(i), HasList: true, Version: 5, LeaseChanged: use.renew,
+							Fleet: func() Fleet { return Fleet{fleetSize, 10 * time.Second} }}
+						followers.Go(func() {
+							platform.Follow(ctx, func(l List) {
 								if l.Version == 6 {
-									u.hear()
+									use.receiveChange()
 								}
 							})
 						})
 					}
-					all.Wait()
+					followers.Wait()
 					for i := range relays {
-						u := &relays[i]
-						u.mu.Lock()
-						u.see()
-						u.mu.Unlock()
-						told := began.Add(from + HeardIn)
-						if !written[i].IsZero() && written[i].Before(told) {
-							told = written[i]
+						use := &relays[i]
+						use.mu.Lock()
+						use.observe()
+						use.mu.Unlock()
+						notifiedAt := startedAt.Add(failFrom + NotifiedAfter)
+						if !firstBytes[i].IsZero() && firstBytes[i].Before(notifiedAt) {
+							notifiedAt = firstBytes[i]
 						}
-						if u.last.After(told) {
-							t.Errorf("relay %d could act on its list until %v, and the change counted as told at %v", i, u.last.Sub(began), told.Sub(began))
+						if use.lastUsable.After(notifiedAt) {
+							t.Errorf("relay %d could act on its list until %v, and the change counted as told at %v", i, use.lastUsable.Sub(startedAt), notifiedAt.Sub(startedAt))
 						}
 					}
 				})
@@ -126,24 +126,24 @@
 
 // Guards against a list that runs out though discovery answers all calls at once: by watches, with news and without, and by
 // polls, whatever time the settings give.
-func TestAnsweredCallsKeepTheLease(t *testing.T) {
-	for _, fleet := range []int{1, 6, 12, 13, 30, 300} {
-		for _, askWithin := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, time.Minute} {
-			t.Run(fmt.Sprint(fleet, " ", askWithin), func(t *testing.T) {
+func TestAnsweredCallsRenewLease(t *testing.T) {
+	for _, fleetSize := range []int{1, 6, 12, 13, 30, 300} {
+		for _, maxPollInterval := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, time.Minute} {
+			t.Run(fmt.Sprint(fleetSize, " ", maxPollInterval), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					ctx, cancel := context.WithTimeout(context.Background(), 2*time.Minute)
 					defer cancel()
-					f := &newsy{began: time.Now(), every: 2900 * time.Millisecond}
+					discovery := &changingDiscovery{startedAt: time.Now(), changeInterval: 2900 * time.Millisecond}
 					last := Lease{Expires: time.Now().Add(time.Hour)}
-					p := &Platform{Client: &http.Client{Transport: f}, At: NewAt("discovery:1"), Seed: uint64(fleet), Known: true, Version: 1,
-						Fleet: func() Fleet { return Fleet{fleet, askWithin} },
-						Renewed: func(l Lease) {
-							if now := time.Now(); now.After(last.Expires.Add(grace)) {
-								t.Errorf("the list had run out %v ago after %v", now.Sub(last.Expires), now.Sub(f.began))
+					platform := &Platform{Client: &http.Client{Transport: discovery}, Address: NewAddress("discovery:1"), Seed: uint64(fleetSize), HasList: true, Version: 1,
+						Fleet: func() Fleet { return Fleet{fleetSize, maxPollInterval} },
+						LeaseChanged: func(l Lease) {
+							if now := time.Now(); now.After(last.Expires.Add(sendGrace)) {
+								t.Errorf("the list had run out %v ago after %v", now.Sub(last.Expires), now.Sub(discovery.startedAt))
 							}
 							last = l
 						}}
-					p.Follow(ctx, func(List) {})
+					platform.Follow(ctx, func(List) {})
 				})
 			})
 		}
@@ -152,72 +152,72 @@
 
 // Guards against a relay that goes on by its list when the watch it renews is refused: a change right behind the last answer counts as
 // told as it is made.
-func TestARefusedRenewalEndsTheLease(t *testing.T) {
+func TestRefusedWatchRenewalEndsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		refusing := 0
-		transport := roundTrip(func(req *http.Request) (*http.Response, error) {
-			switch now := time.Since(began); {
+		startedAt := time.Now()
+		refusals := 0
+		transport := transportFunc(func(req *http.Request) (*http.Response, error) {
+			switch elapsed := time.Since(startedAt); {
 			case !req.URL.Query().Has("since"):
-				return said(req, http.StatusOK, strings.NewReader(listOf(2))), nil
-			case now < time.Second:
-				time.Sleep(time.Second - now)
-				return said(req, http.StatusOK, strings.NewReader(`{"version":3,"full":false,"servers":[]}`)), nil
-			case now < 5*time.Second:
-				refusing++
-				return said(req, http.StatusServiceUnavailable, strings.NewReader("")), nil
+				return response(req, http.StatusOK, strings.NewReader(listJSON(2))), nil
+			case elapsed < time.Second:
+				time.Sleep(time.Second - elapsed)
+				return response(req, http.StatusOK, strings.NewReader(`{"version":3,"full":false,"servers":[]}`)), nil
+			case elapsed < 5*time.Second:
+				refusals++
+				return response(req, http.StatusServiceUnavailable, strings.NewReader("")), nil
 			}
-			time.Sleep(watchFor)
-			return said(req, http.StatusOK, strings.NewReader(`{"version":3,"full":false,"servers":[]}`)), nil
+			time.Sleep(watchWait)
+			return response(req, http.StatusOK, strings.NewReader(`{"version":3,"full":false,"servers":[]}`)), nil
 		})
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
 		var refused, answered Lease
-		p := &Platform{Client: &http.Client{Transport: transport}, At: NewAt("discovery:1"), Fleet: func() Fleet { return Fleet{3, 10 * time.Second} },
-			Renewed: func(l Lease) {
+		platform := &Platform{Client: &http.Client{Transport: transport}, Address: NewAddress("discovery:1"), Fleet: func() Fleet { return Fleet{3, 10 * time.Second} },
+			LeaseChanged: func(l Lease) {
 				if answered = l; l.Failures == 1 {
 					refused = l
 				}
 			}}
-		p.Follow(ctx, func(List) {})
-		if at := refused.Expires.Sub(began); refusing == 0 || at > time.Second {
+		platform.Follow(ctx, func(List) {})
+		if at := refused.Expires.Sub(startedAt); refusals == 0 || at > time.Second {
 			t.Errorf("after a renewal that was refused at 1 s the list could be acted on until %v", at)
 		}
-		if at := answered.Expires.Sub(began); at < 10*time.Second {
+		if at := answered.Expires.Sub(startedAt); at < 10*time.Second {
 			t.Errorf("after answers again the list can be acted on until %v", at)
 		}
 	})
 }
 
 // roundTrip is a transport.
-type roundTrip func(*http.Request) (*http.Response, error)
+type transportFunc func(*http.Request) (*http.Response, error)
 
-func (r roundTrip) RoundTrip(req *http.Request) (*http.Response, error) { return r(req) }
+func (f transportFunc) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
 // grace is for how long past a lease's end a relay may still send, less what it may be held up.
-const grace = 800 * time.Millisecond
+const sendGrace = 800 * time.Millisecond
 
 // newsy is a discovery that has a change to tell again and again, and answers at once.
-type newsy struct {
-	began time.Time
-	every time.Duration
+type changingDiscovery struct {
+	startedAt      time.Time
+	changeInterval time.Duration
 }
 
-func (n *newsy) RoundTrip(req *http.Request) (*http.Response, error) {
-	version := 2 + int(time.Since(n.began)/n.every)
+func (d *changingDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
+	version := 2 + int(time.Since(d.startedAt)/d.changeInterval)
 	if req.URL.Query().Get("since") == fmt.Sprint(version) {
-		next := n.began.Add(time.Duration(version-1) * n.every)
+		nextChange := d.startedAt.Add(time.Duration(version-1) * d.changeInterval)
 		select {
-		case <-time.After(min(watchFor, time.Until(next))):
+		case <-time.After(min(watchWait, time.Until(nextChange))):
 		case <-req.Context().Done():
 			return nil, req.Context().Err()
 		}
-		if time.Now().Before(next) {
-			return said(req, http.StatusOK, strings.NewReader(fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, version))), nil
+		if time.Now().Before(nextChange) {
+			return response(req, http.StatusOK, strings.NewReader(fmt.Sprintf(`{"version":%d,"full":false,"servers":[]}`, version))), nil
 		}
 		version++
 	}
-	return said(req, http.StatusOK, strings.NewReader(listOf(version))), nil
+	return response(req, http.StatusOK, strings.NewReader(listJSON(version))), nil
 }
 
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 7)) }
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -13,85 +13,85 @@
 
 // queued is a discovery that handles calls in turn. One whose turn does not come in time is refused, and takes its turn all the
 // same: what the caller no longer waits for is work, too.
-type queued struct {
-	mu   sync.Mutex
-	cost time.Duration // of a call
-	free time.Time     // when all that has come so far is handled
-	down func(now time.Time) bool
+type queueingDiscovery struct {
+	mu        sync.Mutex
+	callCost  time.Duration // of a call
+	busyUntil time.Time     // when all that has come so far is handled
+	down      func(now time.Time) bool
 }
 
 const (
-	waitMost  = 2 * time.Second // for its turn
-	queueMost = 4 * time.Second // of work; what comes then is refused at once
+	maxQueueWait  = 2 * time.Second // for its turn
+	maxQueuedWork = 4 * time.Second // of work; what comes then is refused at once
 )
 
-func (q *queued) RoundTrip(req *http.Request) (*http.Response, error) {
-	q.mu.Lock()
+func (d *queueingDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
+	d.mu.Lock()
 	now := time.Now()
-	if q.free.Before(now) {
-		q.free = now
+	if d.busyUntil.Before(now) {
+		d.busyUntil = now
 	}
-	takes, refused := q.free.Sub(now)+q.cost, false
+	answerTime, refused := d.busyUntil.Sub(now)+d.callCost, false
 	switch {
-	case q.down(now):
-		takes, refused = waitMost, true
-	case takes > queueMost:
-		takes, refused = 0, true
+	case d.down(now):
+		answerTime, refused = maxQueueWait, true
+	case answerTime > maxQueuedWork:
+		answerTime, refused = 0, true
 	default:
-		q.free = q.free.Add(q.cost)
-		takes, refused = min(takes, waitMost), takes > waitMost
+		d.busyUntil = d.busyUntil.Add(d.callCost)
+		answerTime, refused = min(answerTime, maxQueueWait), answerTime > maxQueueWait
 	}
-	q.mu.Unlock()
+	d.mu.Unlock()
 	select {
-	case <-time.After(takes):
+	case <-time.After(answerTime):
 	case <-req.Context().Done():
 		return nil, req.Context().Err()
 	}
 	if refused {
-		return said(req, http.StatusServiceUnavailable, strings.NewReader("")), nil
+		return response(req, http.StatusServiceUnavailable, strings.NewReader("")), nil
 	}
-	return said(req, http.StatusOK, strings.NewReader(listOf(6))), nil
+	return response(req, http.StatusOK, strings.NewReader(listJSON(6))), nil
 }
 
 // standing sums up for how long the leases of a fleet had run out, and the grace behind them.
-type standing struct {
-	mu      sync.Mutex
-	from    time.Time // what was before does not count
-	leases  []Lease
-	since   []time.Time // of each relay's lease
-	expired time.Duration
+type leaseGaps struct {
+	mu         sync.Mutex
+	countFrom  time.Time // what was before does not count
+	leases     []Lease
+	leaseSince []time.Time // of each relay's lease
+	expired    time.Duration
 }
 
-func newStanding(fleet int, from time.Time) *standing {
-	s := &standing{from: from, leases: make([]Lease, fleet), since: make([]time.Time, fleet)}
-	for i := range s.since {
-		s.since[i] = time.Now()
+func newLeaseGaps(fleetSize int, from time.Time) *leaseGaps {
+	g := &leaseGaps{countFrom: from, leases: make([]Lease, fleetSize), leaseSince: make([]time.Time, fleetSize)}
+	for i := range g.leaseSince {
+		g.leaseSince[i] = time.Now()
 	}
-	return s
+	return g
 }
 
-func (s *standing) renew(relay int, lease Lease) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (g *leaseGaps) renew(relay int, lease Lease) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	now := time.Now()
-	begin := s.since[relay]
-	for _, at := range []time.Time{s.from, s.leases[relay].Expires.Add(grace)} {
-		if at.After(begin) {
-			begin = at
+	gapStart := g.leaseSince[relay]
+	for _, at := range []time.Time{g.countFrom, g.leases[relay].Expires.Add(sendGrace)} {
+		if at.After(gapStart) {
+			gapStart = at
 		}
 	}
-	if now.After(begin) {
-		s.expired += now.Sub(begin)
+	if now.After(gapStart) {
+		g.expired += now.Sub(gapStart)
 	}
-	s.leases[relay], s.since[relay] = lease, now
+	g.leases[relay], g.leaseSince[relay] = lease, now
 }
 
 // part is the part of all relays' time in which their leases had run out.
-func (s *standing) part() float64 {
-	for i := range s.leases {
-		s.renew(i, s.leases[i])
+func (g *leaseGaps) expiredPart() float64 {
+	for i := range g.leases {
+		g.renew(i, g.leases[i])
 	}
-	return s.expired.Seconds() / (time.Since(s.from).Seconds() * float64(len(s.leases)))
+	return g.expired.Seconds() / (time.Since(g.countFrom).Seconds() * float64(len(g.leases)))
 }
 
 // Guards against a fleet whose calls for the list keep discovery so busy that it answers none of them in time: it must get over
@@ -115,24 +115,24 @@
 	} {
 		t.Run(fmt.Sprintf("%d relays, %g calls a second, %v away", test.fleet, test.perSecond, test.outage), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
-				away := began.Add(10 * time.Second)
-				back := away.Add(test.outage)
-				q := &queued{cost: time.Duration(float64(time.Second) / test.perSecond),
-					down: func(now time.Time) bool { return now.After(away) && now.Before(back) }}
-				s := newStanding(test.fleet, back.Add(20*time.Second))
-				ctx, cancel := context.WithDeadline(context.Background(), s.from.Add(time.Minute))
+				startedAt := time.Now()
+				outageStart := startedAt.Add(10 * time.Second)
+				outageEnd := outageStart.Add(test.outage)
+				discovery := &queueingDiscovery{callCost: time.Duration(float64(time.Second) / test.perSecond),
+					down: func(now time.Time) bool { return now.After(outageStart) && now.Before(outageEnd) }}
+				gaps := newLeaseGaps(test.fleet, outageEnd.Add(20*time.Second))
+				ctx, cancel := context.WithDeadline(context.Background(), gaps.countFrom.Add(time.Minute))
 				defer cancel()
-				var all sync.WaitGroup
+				var followers sync.WaitGroup
 				for i := range test.fleet {
-					p := &Platform{Client: &http.Client{Transport: q}, At: NewAt("discovery:1"), Seed: uint64(i), Known: true, Version: 5,
-						Renewed: func(l Lease) { s.renew(i, l) },
-						Fleet:   func() Fleet { return Fleet{test.fleet, 10 * time.Second} }}
-					all.Go(func() { p.Follow(ctx, func(List) {}) })
+					platform := &Platform{Client: &http.Client{Transport: discovery}, Address: NewAddress("discovery:1"), Seed: uint64(i), HasList: true, Version: 5,
+						LeaseChanged: func(l Lease) { gaps.renew(i, l) },
+						Fleet:        func() Fleet { return Fleet{test.fleet, 10 * time.Second} }}
+					followers.Go(func() { platform.Follow(ctx, func(List) {}) })
 				}
-				all.Wait()
-				unanswered := max(0, 1-(HeardIn+grace).Seconds()*test.perSecond/float64(test.fleet))
-				part := s.part() - unanswered
+				followers.Wait()
+				unanswered := max(0, 1-(NotifiedAfter+sendGrace).Seconds()*test.perSecond/float64(test.fleet))
+				part := gaps.expiredPart() - unanswered
 				t.Logf("without a list for %.3f of the time beyond %.3f", part, unanswered)
 				if part > test.most {
 					t.Errorf("without a list for %.3f of the time beyond %.3f, want %.2f at most", part, unanswered, test.most)
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -12,20 +12,20 @@
 )
 
 // mute is a discovery whose first watch falls silent: it never answers, nor ends.
-type mute struct {
-	mu      sync.Mutex
-	began   time.Time
-	watches []time.Duration // when they came
+type silentDiscovery struct {
+	mu          sync.Mutex
+	startedAt   time.Time
+	watchStarts []time.Duration // when they came
 }
 
-func (m *mute) RoundTrip(req *http.Request) (*http.Response, error) {
-	m.mu.Lock()
+func (d *silentDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
+	d.mu.Lock()
 	watch := strings.Contains(req.URL.RawQuery, "since=")
 	if watch {
-		m.watches = append(m.watches, time.Since(m.began))
+		d.watchStarts = append(d.watchStarts, time.Since(d.startedAt))
 	}
-	silent := watch && len(m.watches) == 1
-	m.mu.Unlock()
+	silent := watch && len(d.watchStarts) == 1
+	d.mu.Unlock()
 	if silent {
 		<-req.Context().Done()
 		return nil, req.Context().Err()
@@ -39,32 +39,32 @@
 
 // Guards against a relay that waits on a watch that has fallen silent: what it misses counts as told 6 s after that, or 2 s
 // after the wait of that call, so it must have asked anew by then. Lists may come indented.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+func TestSilentWatchIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &mute{began: time.Now()}
+		discovery := &silentDiscovery{startedAt: time.Now()}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		p := &Platform{Client: &http.Client{Transport: m}, At: NewAt("discovery:1"), Fleet: func() Fleet { return Fleet{3, 10 * time.Second} }}
-		told := make(chan time.Duration, 1)
-		go p.Follow(ctx, func(l List) {
+		platform := &Platform{Client: &http.Client{Transport: discovery}, Address: NewAddress("discovery:1"), Fleet: func() Fleet { return Fleet{3, 10 * time.Second} }}
+		received := make(chan time.Duration, 1)
+		go platform.Follow(ctx, func(l List) {
 			if len(l.Servers) == 1 && l.Servers[0].State == "leaving" {
 				select {
-				case told <- time.Since(m.began):
+				case received <- time.Since(discovery.startedAt):
 				default:
 				}
 			}
 		})
-		var at time.Duration
+		var receivedAt time.Duration
 		select {
-		case at = <-told:
+		case receivedAt = <-received:
 		case <-time.After(time.Minute):
 			t.Fatal("the change is never heard of")
 		}
-		m.mu.Lock()
-		silent := m.watches[0]
-		m.mu.Unlock()
-		if most := max(6*time.Second, watchFor+2*time.Second); at > silent+most {
-			t.Errorf("a change that came as the watch fell silent is heard %v later, and counts as told after %v", at-silent, most)
+		discovery.mu.Lock()
+		silentSince := discovery.watchStarts[0]
+		discovery.mu.Unlock()
+		if limit := max(6*time.Second, watchWait+2*time.Second); receivedAt > silentSince+limit {
+			t.Errorf("a change that came as the watch fell silent is heard %v later, and counts as told after %v", receivedAt-silentSince, limit)
 		}
 	})
 }
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -16,69 +16,69 @@
 	Address string `json:"address,omitempty"`
 	// Copies is at how many further relays a record has to be to count; 0 for a relay that copies nothing. Short says what
 	// follows where they cannot be reached: refuse, or own-disk.
-	Copies int    `json:"copies,omitempty"`
-	Short  string `json:"short,omitempty"`
+	Copies     int    `json:"copies,omitempty"`
+	OnShortage string `json:"short,omitempty"`
 }
 
 // What Short may be.
 const (
-	Refuse  = "refuse"
-	OwnDisk = "own-disk"
+	ShortageRefuse  = "refuse"
+	ShortageOwnDisk = "own-disk"
 )
 
 // copiesMost bounds copies.
-const copiesMost = 4
+const maxCopies = 4
 
 // Wrong is a key of the object fleet that cannot be as it is.
-type Wrong struct{ Key, Text string }
+type ConfigError struct{ Key, Text string }
 
-func (w *Wrong) Error() string { return "fleet: " + w.Key + ": " + w.Text }
+func (e *ConfigError) Error() string { return "fleet: " + e.Key + ": " + e.Text }
 
 // Remedy says what an operator can do.
-func (w *Wrong) Remedy() string {
-	return "correct " + w.Key + " in the fleet object of the configuration"
+func (e *ConfigError) Remedy() string {
+	return "correct " + e.Key + " in the fleet object of the configuration"
 }
 
 // Check tells what is wrong.
 func (c *Config) Check() error {
 	if len(c.Keepers) == 0 || slices.Contains(c.Keepers, "") {
-		return &Wrong{"keepers", "must name one at least, and none may be empty"}
+		return &ConfigError{"keepers", "must name one at least, and none may be empty"}
 	}
 	for key, addr := range map[string]string{"listen": c.Listen, "address": c.Address} {
 		if _, port, err := net.SplitHostPort(addr); addr != "" && (err != nil || port == "") {
-			return &Wrong{key, fmt.Sprintf("%q is no address with a port", addr)}
+			return &ConfigError{key, fmt.Sprintf("%q is no address with a port", addr)}
 		}
 	}
 	switch {
-	case c.Copies < 0 || c.Copies > copiesMost:
-		return &Wrong{"copies", fmt.Sprintf("is %d, must be 0 to %d", c.Copies, copiesMost)}
+	case c.Copies < 0 || c.Copies > maxCopies:
+		return &ConfigError{"copies", fmt.Sprintf("is %d, must be 0 to %d", c.Copies, maxCopies)}
 	case c.Copies > 0 && c.Listen == "":
-		return &Wrong{"listen", "is missing: a relay whose records others hold holds theirs"}
-	case c.Short != "" && c.Short != Refuse && c.Short != OwnDisk:
-		return &Wrong{"short", fmt.Sprintf("%q is neither %s nor %s", c.Short, Refuse, OwnDisk)}
+		return &ConfigError{"listen", "is missing: a relay whose records others hold holds theirs"}
+	case c.OnShortage != "" && c.OnShortage != ShortageRefuse && c.OnShortage != ShortageOwnDisk:
+		return &ConfigError{"short", fmt.Sprintf("%q is neither %s nor %s", c.OnShortage, ShortageRefuse, ShortageOwnDisk)}
 	case c.Address != "" && c.Listen == "":
-		return &Wrong{"address", "means nothing without listen"}
+		return &ConfigError{"address", "means nothing without listen"}
 	}
 	return nil
 }
 
 // Unfit is a generation that the relay cannot act by.
-type Unfit struct {
-	Number uint64
-	Force  bool // it is in force; else it is rejected
-	Err    error
+type UnusableGeneration struct {
+	Number   uint64
+	InEffect bool // it is in force; else it is rejected
+	Err      error
 }
 
-func (u *Unfit) Error() string {
-	if u.Force {
-		return fmt.Sprintf("generation %d is in force, and cannot be acted by: %v", u.Number, u.Err)
+func (e *UnusableGeneration) Error() string {
+	if e.InEffect {
+		return fmt.Sprintf("generation %d is in force, and cannot be acted by: %v", e.Number, e.Err)
 	}
-	return fmt.Sprintf("generation %d is rejected: %v", u.Number, u.Err)
+	return fmt.Sprintf("generation %d is rejected: %v", e.Number, e.Err)
 }
 
-func (u *Unfit) Unwrap() error { return u.Err }
+func (e *UnusableGeneration) Unwrap() error { return e.Err }
 
 // Remedy says what an operator can do.
-func (u *Unfit) Remedy() string {
+func (e *UnusableGeneration) Remedy() string {
 	return "correct the document, or the relay's own file where that is narrower, or upgrade the relay"
 }
--- a/internal/fleet/kept.go
+++ b/internal/fleet/kept.go
@@ -16,120 +16,120 @@
 )
 
 // docMost bounds a generation's document at a relay, whose disk is small: two are kept, and a copy as they change.
-const docMost = 48 << 10
+const maxDocumentBytes = 48 << 10
 
 // StateMost is how much of the folder that lasts a Kept takes at most, in bytes.
-const StateMost = 6*docMost + 8<<10
+const MaxStateBytes = 6*maxDocumentBytes + 8<<10
 
 // generation is one whose document has been checked, with this relay's own keys in it.
 type generation struct {
-	doc json.RawMessage
-	set settings.Settings
+	document json.RawMessage
+	settings settings.Settings
 }
 
 // File is the relay's own settings.
 type File struct {
-	Raw json.RawMessage
-	Set settings.Settings
+	Raw      json.RawMessage
+	Settings settings.Settings
 }
 
 // Kept is what the loop holds. It is not safe for concurrent use.
-type Kept struct {
-	Instance string // of this process
-	Before   string // of the one that kept what this one found; empty for none
-
-	path   string
-	file   File
-	hold   hold.Holder
-	docs   map[uint64]generation
-	acting hold.Acts
-	set    settings.Settings // by which the relay acts
+type Member struct {
+	Instance         string // of this process
+	PreviousInstance string // of the one that kept what this one found; empty for none
+
+	path        string
+	file        File
+	lease       hold.Lease
+	generations map[uint64]generation
+	status      hold.Status
+	settings    settings.Settings // by which the relay acts
 }
 
 // Open takes up what an earlier process kept, if it can be read: its lease is over, for no clock has been running
 // since, so the relay acts by the fallback until it hears from the keepers.
-func Open(dir, instance string, file File) *Kept {
-	k := &Kept{Instance: instance, path: statePath(dir), file: file, docs: map[uint64]generation{}, set: file.Set}
-	s, err := readState(k.path)
+func Open(dir, instance string, file File) *Member {
+	m := &Member{Instance: instance, path: statePath(dir), file: file, generations: map[uint64]generation{}, settings: file.Settings}
+	state, err := readState(m.path)
 	if err != nil {
 		slog.Warn("what was agreed on is not taken up", "err", err)
-		return k
+		return m
 	}
-	if s == nil {
-		return k
+	if state == nil {
+		return m
 	}
-	k.Before = s.Instance
-	for _, g := range s.Generations {
-		if err := k.learn(&g); err != nil {
+	m.PreviousInstance = state.Instance
+	for _, g := range state.Generations {
+		if err := m.addGeneration(&g); err != nil {
 			slog.Warn("what was agreed on is not taken up", "generation", g.Number, "err", err)
-			return k
+			return m
 		}
 	}
-	k.hold.Resume(hold.Told{Turn: s.Turn, Force: s.Force, Next: s.Next})
-	return k
+	m.lease.Resume(hold.Grant{Revision: state.Revision, Current: state.Current, Next: state.Next})
+	return m
 }
 
 // Sign notes in the folder that this process is the relay's now, so that the next one can say from whom it takes over: else
 // the keepers take it for another of that name until a lease is over.
-func (k *Kept) Sign() error {
-	a := k.hold.Acts(0)
-	return k.save(hold.Told{Turn: a.Turn, Force: a.Force, Next: a.Next})
+func (m *Member) RecordInstance() error {
+	status := m.lease.Status(0)
+	return m.save(hold.Grant{Revision: status.Revision, Current: status.Current, Next: status.Next})
 }
 
 // learn checks a document as a reload checks a file, and keeps it.
-func (k *Kept) learn(g *api.Generation) error {
-	if _, known := k.docs[g.Number]; known || g.Doc == nil {
+func (m *Member) addGeneration(g *api.Generation) error {
+	if _, known := m.generations[g.Number]; known || g.Doc == nil {
 		return nil
 	}
-	if len(g.Doc) > docMost {
-		return fmt.Errorf("the document has %d bytes, of %d", len(g.Doc), docMost)
+	if len(g.Doc) > maxDocumentBytes {
+		return fmt.Errorf("the document has %d bytes, of %d", len(g.Doc), maxDocumentBytes)
 	}
-	var d struct {
+	var document struct {
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(g.Doc, &d); err != nil {
+	if err := json.Unmarshal(g.Doc, &document); err != nil {
 		return err
 	}
-	adapted, err := settings.Adapt(d.Settings, k.file.Raw)
+	adapted, err := settings.Adapt(document.Settings, m.file.Raw)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if err := settings.Complete(k.file.Raw, adapted); err != nil {
+	if err := settings.Complete(m.file.Raw, adapted); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	set, err := settings.Parse(adapted)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	k.docs[g.Number] = generation{slices.Clone(g.Doc), set}
+	m.generations[g.Number] = generation{slices.Clone(g.Doc), set}
 	return nil
 }
 
 // by is the settings that a way of acting means.
-func (k *Kept) by(a hold.Acts) (settings.Settings, error) {
-	own := k.file.Set
-	if a.Mode == hold.Own {
+func (m *Member) settingsFor(status hold.Status) (settings.Settings, error) {
+	own := m.file.Settings
+	if status.Mode == hold.OwnFile {
 		return own, nil
 	}
 	set := own
-	if a.Force != 0 {
-		g, ok := k.docs[a.Force]
+	if status.Current != 0 {
+		g, ok := m.generations[status.Current]
 		if !ok {
-			return own, fmt.Errorf("the document of generation %d is missing", a.Force)
+			return own, fmt.Errorf("the document of generation %d is missing", status.Current)
 		}
-		set = g.set
+		set = g.settings
 	}
-	if a.Next != 0 {
-		g, ok := k.docs[a.Next]
+	if status.Next != 0 {
+		g, ok := m.generations[status.Next]
 		if !ok {
-			return own, fmt.Errorf("the document of generation %d is missing", a.Next)
+			return own, fmt.Errorf("the document of generation %d is missing", status.Next)
 		}
 		var err error
-		if set, err = settings.Join(set, g.set); err != nil {
+		if set, err = settings.Join(set, g.settings); err != nil {
 			return own, err
 		}
 	}
-	if a.Mode == hold.Fallback {
+	if status.Mode == hold.Fallback {
 		return settings.Join(set, own)
 	}
 	return set, nil
@@ -137,42 +137,42 @@
 
 // Look tells by which settings the relay acts now, and whether that has changed since it looked last. The loop looks
 // before it does anything, so one that was stopped for longer than its lease acts by the fallback when it goes on.
-func (k *Kept) Look(now time.Duration) (set settings.Settings, changed bool) {
-	a := k.hold.Acts(now)
-	if a == k.acting {
-		return k.set, false
+func (m *Member) Refresh(now time.Duration) (set settings.Settings, changed bool) {
+	status := m.lease.Status(now)
+	if status == m.status {
+		return m.settings, false
 	}
-	set, err := k.by(a)
+	set, err := m.settingsFor(status)
 	if err != nil { // of what it held it cannot say what it allows: its own file is left
-		slog.Error("acts by its own file", "mode", a.Mode.String(), "generation", a.Force, "err", err)
-		set = k.file.Set
+		slog.Error("acts by its own file", "mode", status.Mode.String(), "generation", status.Current, "err", err)
+		set = m.file.Settings
 	}
-	slog.Info("acts", "mode", a.Mode.String(), "turn", a.Turn, "generation", a.Force, "next", a.Next)
-	k.acting, k.set = a, set
+	slog.Info("acts", "mode", status.Mode.String(), "turn", status.Revision, "generation", status.Current, "next", status.Next)
+	m.status, m.settings = status, set
 	return set, true
 }
 
 // Left is how much of the lease there is; 0 once the relay acts by the fallback, or never held one.
-func (k *Kept) Left(now time.Duration) time.Duration { return k.hold.Left(now) }
+func (m *Member) LeaseRemaining(now time.Duration) time.Duration { return m.lease.Remaining(now) }
 
 // Acting is by what the relay acts since it looked last, in words for logs and figures.
-func (k *Kept) Acting() hold.Acts { return k.acting }
+func (m *Member) Status() hold.Status { return m.status }
 
 // SetFile takes another file of the relay's own up.
-func (k *Kept) SetFile(f File) {
-	k.file = f
-	for n, g := range k.docs { // with the relay's own keys as the file has them now
-		delete(k.docs, n)
-		if err := k.learn(&api.Generation{Number: n, Doc: g.doc}); err != nil {
-			slog.Warn("the file does not go with what was agreed on", "generation", n, "err", err)
-			k.docs[n] = g
+func (m *Member) SetFile(f File) {
+	m.file = f
+	for number, g := range m.generations { // with the relay's own keys as the file has them now
+		delete(m.generations, number)
+		if err := m.addGeneration(&api.Generation{Number: number, Doc: g.document}); err != nil {
+			slog.Warn("the file does not go with what was agreed on", "generation", number, "err", err)
+			m.generations[number] = g
 		}
 	}
-	k.acting = hold.Acts{Mode: -1} // what it means may have changed
+	m.status = hold.Status{Mode: -1} // what it means may have changed
 }
 
 // Word is what the keepers are to be told of an answer of theirs.
-type Word struct {
+type Reply struct {
 	Confirm uint64 // a turn that the relay acts by; 0 for none
 	Reject  uint64 // a generation that it cannot act by; 0 for none
 	Reason  string
@@ -182,56 +182,56 @@
 
 // Hear takes an answer in, and says what is to be told in turn. Confirm may be told only once the loop has looked
 // again and acts by the settings that Look says.
-func (k *Kept) Hear(now, asked time.Duration, s api.Standing) (Word, error) {
-	t := hold.Told{Asked: asked, Lease: time.Duration(s.LeaseMS) * time.Millisecond, Turn: s.Turn}
-	if s.Force != nil {
-		t.Force = s.Force.Number
-		if err := k.learn(s.Force); err != nil {
-			return Word{Leave: true, Reason: err.Error()}, &Unfit{t.Force, true, err}
+func (m *Member) Receive(now, requestedAt time.Duration, standing api.Standing) (Reply, error) {
+	grant := hold.Grant{RequestedAt: requestedAt, Duration: time.Duration(standing.LeaseMS) * time.Millisecond, Revision: standing.Turn}
+	if standing.Force != nil {
+		grant.Current = standing.Force.Number
+		if err := m.addGeneration(standing.Force); err != nil {
+			return Reply{Leave: true, Reason: err.Error()}, &UnusableGeneration{grant.Current, true, err}
 		}
 	}
-	if s.Next != nil {
-		t.Next = s.Next.Number
-		if err := k.learn(s.Next); err != nil {
-			return Word{Reject: t.Next, Reason: err.Error()}, &Unfit{t.Next, false, err}
+	if standing.Next != nil {
+		grant.Next = standing.Next.Number
+		if err := m.addGeneration(standing.Next); err != nil {
+			return Reply{Reject: grant.Next, Reason: err.Error()}, &UnusableGeneration{grant.Next, false, err}
 		}
 	}
-	if _, err := k.by(hold.Acts{Mode: hold.Joined, Force: t.Force, Next: t.Next}); err != nil && t.Next != 0 {
-		delete(k.docs, t.Next)
-		return Word{Reject: t.Next, Reason: err.Error()}, &Unfit{t.Next, false, err}
+	if _, err := m.settingsFor(hold.Status{Mode: hold.Joined, Current: grant.Current, Next: grant.Next}); err != nil && grant.Next != 0 {
+		delete(m.generations, grant.Next)
+		return Reply{Reject: grant.Next, Reason: err.Error()}, &UnusableGeneration{grant.Next, false, err}
 	} else if err != nil {
-		return Word{}, err
+		return Reply{}, err
 	}
-	if err := k.hold.Hear(now, t); err != nil {
-		return Word{}, err
+	if err := m.lease.Renew(now, grant); err != nil {
+		return Reply{}, err
 	}
-	due, ok := k.hold.Due()
+	pending, ok := m.lease.Pending()
 	if !ok {
-		if s.Confirmed == t.Turn {
-			return Word{}, nil
+		if standing.Confirmed == grant.Revision {
+			return Reply{}, nil
 		}
-		return Word{Confirm: t.Turn}, nil // once more: the word of it was lost, or the session is another
+		return Reply{Confirm: grant.Revision}, nil // once more: the word of it was lost, or the session is another
 	}
 	// On disk first: a process that dies now goes on from the newer turn, never from the older.
-	if err := k.save(due); err != nil {
-		return Word{}, err
+	if err := m.save(pending); err != nil {
+		return Reply{}, err
 	}
-	if err := k.hold.Take(due.Turn); err != nil {
-		return Word{}, err
+	if err := m.lease.Adopt(pending.Revision); err != nil {
+		return Reply{}, err
 	}
-	for n := range k.docs {
-		if n != due.Force && n != due.Next {
-			delete(k.docs, n)
+	for number := range m.generations {
+		if number != pending.Current && number != pending.Next {
+			delete(m.generations, number)
 		}
 	}
-	return Word{Confirm: due.Turn}, nil
+	return Reply{Confirm: pending.Revision}, nil
 }
 
 // Have are the generations whose documents are known.
-func (k *Kept) Have() (all []uint64) {
-	for n := range k.docs {
-		all = append(all, n)
+func (m *Member) KnownGenerations() (numbers []uint64) {
+	for number := range m.generations {
+		numbers = append(numbers, number)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(numbers)
+	return numbers
 }
--- a/internal/hollow/judge.go
+++ b/internal/hollow/judge.go
@@ -23,7 +23,7 @@
 }
 
 // leased tells whether it is by a generation, under a lease that has not run out.
-func (a Act) leased() bool { return a.Mode == hold.Alone || a.Mode == hold.Joined }
+func (a Act) leased() bool { return a.Mode == hold.Single || a.Mode == hold.Joined }
 
 // Asked is a change that operators asked for.
 type Asked struct {
--- a/internal/hollow/judge_test.go
+++ b/internal/hollow/judge_test.go
@@ -9,7 +9,7 @@
 )
 
 func alone(at time.Duration, member int, force uint64) Act {
-	return Act{At: at * time.Second, Member: member, Mode: hold.Alone, Force: force}
+	return Act{At: at * time.Second, Member: member, Mode: hold.Single, Force: force}
 }
 
 func joined(at time.Duration, member int, force, next uint64) Act {
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -37,8 +37,8 @@
 	tell   func(Act)
 
 	mu   sync.Mutex // in place of the relay's loop
-	kept *fleet.Kept
-	last hold.Acts
+	kept *fleet.Member
+	last hold.Status
 	end  time.Duration // of the lease
 	wake *time.Timer   // at that time
 	stop context.CancelFunc
@@ -53,7 +53,7 @@
 		return fmt.Errorf("member %d runs already", m.number)
 	}
 	k := fleet.Open(m.dir, rand.Text()[:16], m.file)
-	if err := k.Sign(); err != nil {
+	if err := k.RecordInstance(); err != nil {
 		return err
 	}
 	conns := &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute, DialContext: m.wan.Dial(m.region),
@@ -63,9 +63,9 @@
 		c.Keepers = append(c.Keepers, k.Front)
 	}
 	s := &fleet.Session{Client: c, Name: fmt.Sprintf("relay/%d", m.number), Zone: fmt.Sprintf("region-%d", m.region), Seed: uint64(m.number),
-		Instance: k.Instance, Before: k.Before, Fleet: func() int { return m.fleet }, Now: Clock}
-	s.Hear = func(h fleet.Heard) (have []uint64, w fleet.Word, ok bool) { return m.hear(k, h) }
-	m.kept, m.last, m.end = k, hold.Acts{Mode: Gone}, 0
+		Instance: k.Instance, PreviousInstance: k.PreviousInstance, FleetSize: func() int { return m.fleet }, Now: Clock}
+	s.HandleAnswer = func(h fleet.Answer) (have []uint64, w fleet.Reply, ok bool) { return m.hear(k, h) }
+	m.kept, m.last, m.end = k, hold.Status{Mode: Gone}, 0
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop, m.done = stop, make(chan struct{})
 	m.look()
@@ -97,16 +97,16 @@
 }
 
 // hear takes in an answer of the keepers, as a relay's loop does.
-func (m *member) hear(k *fleet.Kept, h fleet.Heard) (have []uint64, w fleet.Word, ok bool) {
+func (m *member) hear(k *fleet.Member, h fleet.Answer) (have []uint64, w fleet.Reply, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.kept != k { // it was killed meanwhile
-		return nil, fleet.Word{}, false
+		return nil, fleet.Reply{}, false
 	}
 	m.look() // what it acted by until now may have ended before
-	w, err := k.Hear(Clock(), h.Asked, h.Standing)
+	w, err := k.Receive(Clock(), h.RequestedAt, h.Standing)
 	m.look()
-	return slices.Clone(k.Have()), w, err == nil
+	return slices.Clone(k.KnownGenerations()), w, err == nil
 }
 
 // look has the member act by what it may act by now. The lock is held.
@@ -115,16 +115,16 @@
 		return
 	}
 	now := Clock()
-	_, changed := m.kept.Look(now)
-	if acts := m.kept.Acting(); changed || m.last.Mode == Gone {
+	_, changed := m.kept.Refresh(now)
+	if acts := m.kept.Status(); changed || m.last.Mode == Gone {
 		at := now
 		if acts.Mode == hold.Fallback && m.end > 0 { // nothing has gone out by the lease since it ended
 			at = min(at, m.end)
 		}
 		m.last = acts
-		m.tell(Act{At: at, Member: m.number, Mode: acts.Mode, Force: acts.Force, Next: acts.Next})
+		m.tell(Act{At: at, Member: m.number, Mode: acts.Mode, Force: acts.Current, Next: acts.Next})
 	}
-	left := m.kept.Left(now)
+	left := m.kept.LeaseRemaining(now)
 	if end := now + left; left > 0 && end != m.end {
 		m.end = end
 		if m.wake != nil {
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -79,7 +79,7 @@
 	defer p.wan.Net.Close()
 	for _, n := range s.Members {
 		m := &member{number: n, region: Region(n, len(s.Distances)), fleet: s.Fleet, wan: p.wan, dir: filepath.Join(s.Dir, fmt.Sprint(n)),
-			file: fleet.File{Raw: s.Settings, Set: set}, tell: p.tell}
+			file: fleet.File{Raw: s.Settings, Settings: set}, tell: p.tell}
 		if err := json.Unmarshal(list, &m.list); err != nil { // each has its own copy, as relays have
 			return err
 		}
--- a/internal/keeper/cost_test.go
+++ b/internal/keeper/cost_test.go
@@ -96,14 +96,14 @@
 	c.stop = stop
 	began := time.Now()
 	for i := range members {
-		k := fleet.Open(b.TempDir(), fmt.Sprint("instance-", i), fleet.File{Raw: raw, Set: set})
+		k := fleet.Open(b.TempDir(), fmt.Sprint("instance-", i), fleet.File{Raw: raw, Settings: set})
 		s := &fleet.Session{Client: &api.Client{HTTP: &http.Client{Transport: transport()}, Keepers: slices.Clone(addrs)}, Name: fmt.Sprint("relay/", i), Seed: uint64(i),
-			Instance: k.Instance, Fleet: func() int { return members }, Now: func() time.Duration { return time.Since(began) }}
-		s.Hear = func(h fleet.Heard) ([]uint64, fleet.Word, bool) {
+			Instance: k.Instance, FleetSize: func() int { return members }, Now: func() time.Duration { return time.Since(began) }}
+		s.HandleAnswer = func(h fleet.Answer) ([]uint64, fleet.Reply, bool) {
 			c.heard.Add(1)
-			w, err := k.Hear(time.Since(began), h.Asked, h.Standing)
-			k.Look(time.Since(began))
-			return k.Have(), w, err == nil
+			w, err := k.Receive(time.Since(began), h.RequestedAt, h.Standing)
+			k.Refresh(time.Since(began))
+			return k.KnownGenerations(), w, err == nil
 		}
 		c.all.Go(func() { s.Run(ctx) })
 	}
--- a/internal/relay/agreed.go
+++ b/internal/relay/agreed.go
@@ -19,7 +19,7 @@
 
 // agreement is what the fleet has agreed on.
 type agreement struct {
-	kept *fleet.Kept // nil for a relay that shares nothing
+	kept *fleet.Member // nil for a relay that shares nothing
 	// agreed is by what calls go out, for other goroutines; nil for a relay that shares nothing.
 	agreed atomic.Pointer[acting]
 }
@@ -56,12 +56,12 @@
 	conns := &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: dialer(r.conf.Source, 0).DialContext,
 		MaxIdleConnsPerHost: 2, MaxConnsPerHost: 2}
 	return &fleet.Session{Client: &api.Client{HTTP: &http.Client{Transport: conns}, Keepers: r.conf.Fleet.Keepers}, Name: r.conf.Name,
-		Zone: r.conf.Fleet.Zone, Version: version(), Seed: r.conf.Seed, Instance: r.kept.Instance, Before: r.kept.Before,
-		Fleet: func() int { return r.set.Load().Fleet }, Now: r.now, Hear: r.hear}
+		Zone: r.conf.Fleet.Zone, Version: version(), Seed: r.conf.Seed, Instance: r.kept.Instance, PreviousInstance: r.kept.PreviousInstance,
+		FleetSize: func() int { return r.set.Load().Fleet }, Now: r.now, HandleAnswer: r.hear}
 }
 
 // hear has the loop take in an answer of the keepers, and act by it.
-func (r *Relay) hear(h fleet.Heard) (have []uint64, w fleet.Word, ok bool) {
+func (r *Relay) hear(h fleet.Answer) (have []uint64, w fleet.Reply, ok bool) {
 	if r.copies != nil {
 		r.copies.owner.Hear(h.Standing.Owned)
 	}
@@ -72,16 +72,16 @@
 			return
 		}
 		var err error
-		if w, err = r.kept.Hear(r.now(), h.Asked, h.Standing); err != nil {
+		if w, err = r.kept.Receive(r.now(), h.RequestedAt, h.Standing); err != nil {
 			slog.Warn("an answer of the keepers is not taken", "err", err, "remedy", remedy.Of(err))
 		}
 		r.look()
-		have, ok = r.kept.Have(), err == nil
+		have, ok = r.kept.KnownGenerations(), err == nil
 	})
 	select {
 	case <-done:
 	case <-r.quit:
-		return nil, fleet.Word{}, false
+		return nil, fleet.Reply{}, false
 	}
 	return have, w, ok
 }
@@ -89,10 +89,10 @@
 // look has the relay act by what it may act by now.
 func (r *Relay) look() {
 	now := r.now()
-	set, changed := r.kept.Look(now)
+	set, changed := r.kept.Refresh(now)
 	if changed {
-		a, acts := &acting{}, r.kept.Acting()
-		a.text = fmt.Sprintf("%d %d %d %s", acts.Turn, acts.Force, acts.Next, acts.Mode)
+		a, acts := &acting{}, r.kept.Status()
+		a.text = fmt.Sprintf("%d %d %d %s", acts.Revision, acts.Current, acts.Next, acts.Mode)
 		r.figures.agree(acts)
 		r.agreed.Store(a)
 		r.actBy(set)
@@ -101,9 +101,9 @@
 	if a == nil { // it has never held anything
 		return
 	}
-	left := r.kept.Left(now)
+	left := r.kept.LeaseRemaining(now)
 	end := int64(math.MaxInt64) // the fallback has no end
-	if mode := r.kept.Acting().Mode; mode == hold.Alone || mode == hold.Joined {
+	if mode := r.kept.Status().Mode; mode == hold.Single || mode == hold.Joined {
 		end = int64(now + left)
 	}
 	if a.end.Swap(end) != end && left > 0 {
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -23,7 +23,7 @@
 		return
 	}
 	signed := make(chan error, 1)
-	r.post(func() { signed <- r.kept.Sign() })
+	r.post(func() { signed <- r.kept.RecordInstance() })
 	select {
 	case err := <-signed:
 		if err != nil {
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -72,7 +72,7 @@
 func (c *Config) journalBytes() int64 {
 	disk := int64(c.DiskMB*1e6) - smallFiles
 	if c.Fleet != nil {
-		disk -= fleet.StateMost
+		disk -= fleet.MaxStateBytes
 		if c.Fleet.Listen != "" {
 			disk -= int64(c.DiskMB * copiesPart * 1e6)
 		}
@@ -187,7 +187,7 @@
 		return nil, "", set, &BadConfig{path, fmt.Errorf("discovery: %w", err)}
 	}
 	set.Raw = f.Settings
-	if set.Set, err = settings.Parse(f.Settings); err != nil {
+	if set.Settings, err = settings.Parse(f.Settings); err != nil {
 		return nil, "", set, &BadConfig{path, fmt.Errorf("settings: %w", err)}
 	}
 	return data, f.Discovery, set, nil
--- a/internal/relay/copies.go
+++ b/internal/relay/copies.go
@@ -153,7 +153,7 @@
 			s.short = now
 			slog.Warn("too few holders take copies", "estate", s.ID, "epoch", st.Epoch, "holders", st.States)
 		}
-		risk := r.copies.conf.Short == fleet.OwnDisk && s.short > 0 && now-s.short >= countIn/2
+		risk := r.copies.conf.OnShortage == fleet.ShortageOwnDisk && s.short > 0 && now-s.short >= countIn/2
 		s.gates.Pass(st.Counted, risk, now)
 		waits = waits || s.gates.Len() > 0 || s.short > 0
 	}
@@ -166,7 +166,7 @@
 
 // takes tells whether a new message can be copied, or goes on the own disk as configured.
 func (c *copying) takes(now time.Duration) bool {
-	if c == nil || c.conf.Short == fleet.OwnDisk {
+	if c == nil || c.conf.OnShortage == fleet.ShortageOwnDisk {
 		return true
 	}
 	s := c.streams[c.main]
--- a/internal/relay/copies_room.go
+++ b/internal/relay/copies_room.go
@@ -16,7 +16,7 @@
 // holdersHaveRoom tells whether a new message fits into the copies of what is held, and counts it if so.
 func (r *Relay) holdersHaveRoom(e *journal.Entry) bool {
 	c := r.copies
-	if c == nil || c.conf.Short == fleet.OwnDisk {
+	if c == nil || c.conf.OnShortage == fleet.ShortageOwnDisk {
 		return true
 	}
 	size := journal.CopySize(e)
@@ -43,7 +43,7 @@
 	if r.copies.main == 0 {
 		f.short++
 	}
-	if f.short > 0 && r.copies.conf.Short == fleet.OwnDisk {
+	if f.short > 0 && r.copies.conf.OnShortage == fleet.ShortageOwnDisk {
 		f.atRisk = len(r.held)
 	}
 	if h := r.copies.holder.Load(); h != nil {
--- a/internal/relay/copies_room_test.go
+++ b/internal/relay/copies_room_test.go
@@ -123,7 +123,7 @@
 // Guards against an end that is due and waits for a holder's word: it comes too late, and for nothing, since by then no heir may
 // deliver the message any more. One that is not due yet does wait: an heir could deliver what its client hands in again.
 func TestADueEndWaitsForNoHolder(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
+	r, _ := copier(t, fleet.ShortageRefuse)
 	due := time.Now().Add(300 * time.Millisecond)
 	for id, at := range map[string]time.Time{"due": due, "not due": due.Add(time.Hour)} {
 		m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Due: at.UnixMilli()}}
@@ -148,7 +148,7 @@
 
 // Guards against an end that is told though it is not on record: a start would deliver the message. It waits to be recorded once.
 func TestADueEndThatIsNotRecordedWaits(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
+	r, _ := copier(t, fleet.ShortageRefuse)
 	m := &message{Entry: &journal.Entry{ID: "due", Class: "c", Estate: 1, Due: time.Now().Add(-time.Second).UnixMilli()}}
 	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, 0, nil); err != nil {
 		t.Fatal(err)
--- a/internal/relay/copies_test.go
+++ b/internal/relay/copies_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	r := &Relay{began: time.Now().Add(-time.Minute), inbox: make(chan func(), 64), quit: make(chan struct{}),
 		books: books{journal: openJournal(t), held: map[string]*message{}, notices: newNoticeSender(nil, nil, nil, nil),
-			copies: &copying{conf: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*stream{}, begun: make(chan struct{}), client: http.DefaultClient}}}
+			copies: &copying{conf: fleet.Config{Copies: 1, OnShortage: short}, streams: map[uint64]*stream{}, begun: make(chan struct{}), client: http.DefaultClient}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	t.Cleanup(func() { close(r.quit) })
 	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Holders: []state.Holder{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
@@ -51,7 +51,7 @@
 // Guards against a promise that no holder has: a client is told nothing until its message counts, then that it is refused, or
 // where it must not run twice that nobody knows; and what was recorded of it is taken back.
 func TestNothingIsPromisedWithoutCopies(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
+	r, _ := copier(t, fleet.ShortageRefuse)
 	_, keyed := takeOn(t, r, "m1", choice.Keyed)
 	_, once := takeOn(t, r, "m2", choice.Unsafe)
 	r.counted()
@@ -80,7 +80,7 @@
 
 // Guards against a relay that refuses although it is to go on by its own disk, or that does so without telling.
 func TestOwnDisk(t *testing.T) {
-	r, _ := copier(t, fleet.OwnDisk)
+	r, _ := copier(t, fleet.ShortageOwnDisk)
 	_, reply := takeOn(t, r, "m1", choice.Unsafe)
 	r.counted()
 	r.began = r.began.Add(-countIn)
@@ -95,7 +95,7 @@
 
 // Guards against a call that goes although its record does not count, or counted too late for an heir to know.
 func TestCallsWaitForTheirRecord(t *testing.T) {
-	r, s := copier(t, fleet.Refuse)
+	r, s := copier(t, fleet.ShortageRefuse)
 	m, _ := takeOn(t, r, "m1", choice.Keyed)
 	for name, written := range map[string]time.Time{"not counted": time.Now(), "too late": time.Now().Add(-freshIn)} {
 		r.events = nil
@@ -129,7 +129,7 @@
 
 // Guards against a client that is told to hand a message in again while holders may still have it: an heir would deliver it, too.
 func TestAWithdrawalWaitsForItsCopies(t *testing.T) {
-	r, _ := copier(t, fleet.Refuse)
+	r, _ := copier(t, fleet.ShortageRefuse)
 	m, _ := takeOn(t, r, "m1", choice.Keyed)
 	said := make(chan bool, 1)
 	want(t, "it is withdrawn", r.withdraw(m.ID, func(counts bool) { said <- counts }), true)
@@ -150,7 +150,7 @@
 // may still be out, whatever this relay's folder tells.
 func TestARestartLeavesAloneWhatAnOwnerBeforeHasOut(t *testing.T) {
 	for name, atOnce := range map[string]bool{"r": true, "another": false} {
-		r, s := copier(t, fleet.Refuse)
+		r, s := copier(t, fleet.ShortageRefuse)
 		delete(r.copies.streams, s.ID)
 		r.set.Store(&standing{})
 		now := time.Now().UnixMilli()
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -36,7 +36,7 @@
 	reloadsOK, reloadsFailed int
 	list                     discovery.Lease
 	listExpired              bool
-	agreed                   *hold.Acts // by what the relay acts; nil for one that shares nothing
+	agreed                   *hold.Status // by what the relay acts; nil for one that shares nothing
 	copies                   copiesFigures
 	backlog                  backlogFigures
 }
@@ -114,7 +114,7 @@
 }
 
 // agree tells by what the relay acts now.
-func (f *figures) agree(a hold.Acts) {
+func (f *figures) agree(a hold.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.agreed = &a
@@ -169,7 +169,7 @@
 			time.Since(l.Confirmed).Milliseconds(), l.Failures, oneIf(f.listExpired))
 	}
 	if a := f.agreed; a != nil {
-		fmt.Fprintf(&b, "svc.fleet.turn=%d\nsvc.fleet.generation=%d\nsvc.fleet.joined=%d\nsvc.fleet.mode=%d\n", a.Turn, a.Force, a.Next, a.Mode)
+		fmt.Fprintf(&b, "svc.fleet.turn=%d\nsvc.fleet.generation=%d\nsvc.fleet.joined=%d\nsvc.fleet.mode=%d\n", a.Revision, a.Current, a.Next, a.Mode)
 	}
 	if c := f.copies; c.on {
 		fmt.Fprintf(&b, "svc.estates.owned=%d\nsvc.estates.short=%d\nsvc.estates.waiting=%d\nsvc.estates.at_risk=%d\nsvc.estates.copies=%d\n",
--- a/internal/relay/listlease.go
+++ b/internal/relay/listlease.go
@@ -59,7 +59,7 @@
 			return nil
 		}
 		// The lease was lost: it could not be written, or was damaged. It may have been about to end.
-		return &discovery.Lease{Confirmed: now, Expires: now.Add(-discovery.HeardIn), Version: version}
+		return &discovery.Lease{Confirmed: now, Expires: now.Add(-discovery.NotifiedAfter), Version: version}
 	}
 	l := &discovery.Lease{Confirmed: now.Add(-max(0, steady.Since(k.Confirmed))), Expires: now.Add(steady.Until(k.Expires)), Failures: k.Failures,
 		Version: version}
--- a/internal/relay/notice_sender.go
+++ b/internal/relay/notice_sender.go
@@ -29,7 +29,7 @@
 // waits for the platform, and batches do not wait for one that gets no answer. Its connections serve nothing else: one that
 // has fallen silent for discovery must not hold up a notice.
 type noticeSender struct {
-	platform *discovery.At
+	platform *discovery.Address
 	conns    *http.Transport
 	sending  func([]notice) // is called, by any goroutine, with what leaves the queue
 	accepted func([]notice) // likewise, with what the platform has accepted
@@ -42,7 +42,7 @@
 	arrived chan struct{} // holds a value once something is queued
 }
 
-func newNoticeSender(platform *discovery.At, dial dialFunc, sending, accepted func([]notice)) *noticeSender {
+func newNoticeSender(platform *discovery.Address, dial dialFunc, sending, accepted func([]notice)) *noticeSender {
 	s := &noticeSender{platform: platform, sending: sending, accepted: accepted, arrived: make(chan struct{}, 1),
 		slots: make(chan struct{}, noticeBatches), hedges: make(chan struct{}, noticeHedges)}
 	s.conns = &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, MaxIdleConnsPerHost: 1,
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -136,7 +136,7 @@
 				g.end("under way")
 				time.Sleep(moved)
 				g.end("behind")
-				g.post(func() { g.retune(fleet.File{Set: g.conf.Settings}, secondAddr) })
+				g.post(func() { g.retune(fleet.File{Settings: g.conf.Settings}, secondAddr) })
 				g.takenBy(next, moved, "under way", "behind")
 				posts := p.posted()
 				time.Sleep(2 * time.Minute)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -41,7 +41,7 @@
 	tcp      *net.TCPListener // under listener
 	platform *http.Client     // for discovery
 	// platformAt is where discovery and the taker of notices are.
-	platformAt *discovery.At
+	platformAt *discovery.Address
 	list       discovery.Source // of the endpoints
 	calls      context.Context
 	endCalls   context.CancelCauseFunc
@@ -78,7 +78,7 @@
 // New replays the journal and listens; Serve does the rest.
 func New(conf Config) (r *Relay, err error) {
 	set := conf.Settings
-	r = &Relay{conf: conf, platformAt: discovery.NewAt(conf.Discovery), began: time.Now(), inbox: make(chan func(), 1024),
+	r = &Relay{conf: conf, platformAt: discovery.NewAddress(conf.Discovery), began: time.Now(), inbox: make(chan func(), 1024),
 		books:     books{held: map[string]*message{}},
 		endpoints: endpoints{zones: set.Zones, hosts: map[string]*host{}, dests: map[int]*waiting{}},
 		quit:      make(chan struct{}), halted: make(chan struct{}), wake: time.NewTimer(time.Hour)}
@@ -86,11 +86,11 @@
 	r.hostSide.Store(newTransport(&set, kept, r.dial(set.DialTimeout)))
 	r.platform = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: r.dial(0)}}
 	r.notices = newNoticeSender(r.platformAt, r.dial(noticeIn), r.noticesSending, r.noticesAccepted)
-	list := &discovery.Platform{Client: r.platform, At: r.platformAt, Seed: conf.Seed, Known: conf.Known.Full, Version: conf.Known.Version,
-		Renewed: r.leaseRenewed,
+	list := &discovery.Platform{Client: r.platform, Address: r.platformAt, Seed: conf.Seed, HasList: conf.Known.Full, Version: conf.Known.Version,
+		LeaseChanged: r.leaseRenewed,
 		Fleet: func() discovery.Fleet {
 			set := r.set.Load()
-			return discovery.Fleet{Size: set.Fleet, AskWithin: set.AskWithin}
+			return discovery.Fleet{Size: set.Fleet, MaxPollInterval: set.AskWithin}
 		}}
 	r.list = list
 	r.calls, r.endCalls = context.WithCancelCause(context.Background())
@@ -131,8 +131,8 @@
 	if r.heritage != nil {
 		version = r.heritage.Version
 	}
-	if list.Before = leaseBefore(conf.State, version); list.Before != nil {
-		r.bindLease(*list.Before)
+	if list.PreviousLease = leaseBefore(conf.State, version); list.PreviousLease != nil {
+		r.bindLease(*list.PreviousLease)
 	}
 	if r.journal, err = journal.Open(conf.State, conf.journalBytes()); err != nil {
 		return nil, err
@@ -147,7 +147,7 @@
 		}
 	}()
 	if conf.Fleet != nil {
-		r.kept = fleet.Open(conf.State, newInstance(), fleet.File{Raw: conf.settings, Set: set})
+		r.kept = fleet.Open(conf.State, newInstance(), fleet.File{Raw: conf.settings, Settings: set})
 		r.look()
 		if r.copies = newCopying(conf.Fleet); r.copies != nil {
 			if r.heritage != nil {
@@ -168,7 +168,7 @@
 		if r.copies != nil {
 			r.adoptEstates(h.Writer)
 		}
-		r.startLease(list.Before)
+		r.startLease(list.PreviousLease)
 		r.restore()
 		for i := range h.Gone {
 			h.Gone[i].State = "left"
@@ -179,7 +179,7 @@
 	if conf.Known.Full || len(conf.Known.Servers) > 0 {
 		r.listed(conf.Known)
 	}
-	r.startLease(list.Before)
+	r.startLease(list.PreviousLease)
 	r.restore()
 	return r, nil
 }
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -104,7 +104,7 @@
 		r.look()
 		return nil
 	}
-	r.actBy(file.Set)
+	r.actBy(file.Settings)
 	return nil
 }
 
