--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,23 +10,23 @@
 	"time"
 )
 
-// listMost is how many bytes an answer may have.
+// maxAnswerBytes is the maximum size of an answer's body.
 const maxAnswerBytes = 4 << 20
 
-// call is one call for the list.
+// call is one call to discovery for the list.
 type call struct {
 	startedAt   time.Time
-	fullList    bool   // it asks for the whole list, and does not wait
-	onFirstByte func() // called as the first byte of the answer's body comes
+	fullList    bool   // it requests the full list, which discovery sends without waiting for a change
+	onFirstByte func() // called when the first byte of the answer's body arrives
 	list        List
 	err         error
 	duration    time.Duration
-	// connect is how long its connection took to come up; 0 for one that was kept.
+	// connectTime is how long it took to establish the connection; 0 for a reused one.
 	connectTime time.Duration
 }
 
-// current is a time at which the list had all that discovery had, for a call that was answered. A watch that found nothing new
-// tells so of its whole wait.
+// currentAt returns a time at which the answer to this call had every change that discovery had. A watch that ends without a
+// change confirms the list for the whole time that it waited.
 func (c *call) currentAt() time.Time {
 	if !c.fullList && !c.list.Full && len(c.list.Servers) == 0 && c.duration >= watchWait {
 		return c.startedAt.Add(watchWait)
@@ -34,7 +34,8 @@
 	return c.startedAt
 }
 
-// ask makes one call, which ends at the latest when the address is no longer valid.
+// fetch makes one call and checks its answer; the result is in c. The call is cancelled when valid ends, as addr has been
+// replaced then.
 func (p *Platform) fetch(ctx, valid context.Context, addr string, version int64, c *call) {
 	c.list, c.err = p.request(ctx, valid, addr, version, c)
 	if c.err == nil {
@@ -42,6 +43,7 @@
 	}
 }
 
+// request sends the HTTP request of a call and decodes the answer.
 func (p *Platform) request(ctx, valid context.Context, addr string, version int64, c *call) (list List, err error) {
 	url := "http://" + addr + "/discovery/hosts"
 	timeout := fullListTimeout
@@ -68,7 +70,7 @@
 	return list, json.NewDecoder(body).Decode(&list)
 }
 
-// timeConnect has it noted how long the connection of a call takes to come up.
+// traceConnect returns a context under which the time to establish the call's connection is recorded.
 func (c *call) traceConnect(ctx context.Context) context.Context {
 	var startedAt time.Time
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -81,7 +83,7 @@
 	})
 }
 
-// noticedBody tells of the first byte that is read of it.
+// firstByteReader calls onFirstByte once, when the first byte has been read.
 type firstByteReader struct {
 	io.Reader
 	onFirstByte func()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery follows the list of endpoints: what it looks like, where it comes from, and how a relay of a
-// large fleet asks for it without a crowd.
+// Package discovery follows the platform's list of endpoints: the format of the list, the calls that fetch it, the pacing of
+// those calls across a fleet, and the lease under which a relay may act on a list.
 package discovery
 
 import (
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Source tells a relay of the list of endpoints.
+// Source provides a relay with the list of endpoints.
 type Source interface {
-	// Follow passes on each list, whole or changed, in the order of versions, until the context ends.
+	// Follow passes each list, full or incremental, to onList in the order of versions, until ctx ends.
 	Follow(ctx context.Context, onList func(List))
 }
 
-// Server is one entry of the list.
+// Server is one entry of the list, an endpoint.
 type Server struct {
 	ID     string  `json:"id"`
 	Addr   string  `json:"addr"`
@@ -28,42 +28,43 @@
 	Weight float64 `json:"weight"`
 }
 
-// List is an answer of discovery: the whole list, or what has changed.
+// List is an answer of discovery: the full list, or the entries that changed since the version that the relay has.
 type List struct {
 	Version int64    `json:"version"`
 	Full    bool     `json:"full"`
 	Servers []Server `json:"servers"`
 }
 
-// Fleet is what the settings say of how often a relay may ask.
+// Fleet is what the settings say about how often a relay calls discovery.
 type Fleet struct {
-	Size            int           // relays
-	MaxPollInterval time.Duration // one that has not asked for so long counts as told of what it does not know
+	Size            int           // number of relays
+	MaxPollInterval time.Duration // a relay that has not called for this long counts as notified of every change
 }
 
-// At is where discovery and the taker of notices are. It may change while the relay runs.
+// Address is the network address of the platform, at which discovery and the receiver of notices listen. It may change while
+// the relay runs, and is safe for concurrent use.
 type Address struct {
 	mu     sync.Mutex
 	addr   string
-	valid  context.Context // ends when the address changes
+	valid  context.Context // ends when addr is replaced
 	cancel context.CancelFunc
 }
 
-// NewAt is an address that may change.
+// NewAddress returns an Address that is set to addr.
 func NewAddress(addr string) *Address {
 	a := &Address{}
 	a.Set(addr)
 	return a
 }
 
-// Get returns the address, and a context that ends when it no longer holds.
+// Get returns the address, and a context that ends when the address is replaced.
 func (a *Address) Get() (addr string, valid context.Context) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.addr, a.valid
 }
 
-// Set changes the address; what the old one is asked ends.
+// Set replaces the address. Calls that are in flight to the old one are cancelled.
 func (a *Address) Set(addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,33 +75,33 @@
 	a.valid, a.cancel = context.WithCancel(context.Background())
 }
 
-// Platform is the platform's discovery service as a source.
+// Platform is a Source that calls the platform's discovery service.
 type Platform struct {
 	Client  *http.Client
 	Address *Address
-	Fleet   func() Fleet // asked anew before each call
+	Fleet   func() Fleet // called each time the pace of calls or the lease is determined
 	Seed    uint64
-	HasList bool  // the relay has a whole list to work from
+	HasList bool  // the relay starts with a full list, from an earlier process or its configuration
 	Version int64 // of that list
-	// Before is how the process before this one held the list; nil if nothing is known of that.
+	// PreviousLease is the lease that the previous process had on the list; nil if it is unknown.
 	PreviousLease *Lease
-	// Renewed is told how the list stands as that changes, from the follower's goroutine; nil if nobody wants to know. News of
-	// the list are passed on before it.
+	// LeaseChanged receives the lease each time it may have changed, from the goroutine that runs Follow. It may be nil. A
+	// changed list is passed to onList before the lease that goes with it is passed here.
 	LeaseChanged func(Lease)
 }
 
-// Check tells what makes a list unfit to act on. Discovery's word ends calls and closes
-// endpoints, so what is malformed leaves the list held as it is.
+// Check returns an error if the list is malformed. A list can end calls and close endpoints, so a malformed one is rejected as
+// a whole, and the relay goes on with the list that it has.
 func (l *List) Check() error {
 	if l.Full && l.Servers == nil {
-		return errors.New("a whole list without servers")
+		return errors.New("the full list has no servers")
 	}
 	for i, server := range l.Servers {
 		if server.ID == "" || server.State != "left" && server.Addr == "" {
-			return fmt.Errorf("servers[%d]: id is %q and addr %q", i, server.ID, server.Addr)
+			return fmt.Errorf("servers[%d]: id %q or addr %q is missing", i, server.ID, server.Addr)
 		}
 		if server.State != "active" && server.State != "leaving" && server.State != "left" {
-			return fmt.Errorf("servers[%d]: %q is no state", i, server.State)
+			return fmt.Errorf("servers[%d]: unknown state %q", i, server.State)
 		}
 	}
 	return nil
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Guards against a malformed list that takes all endpoints away, or sends messages nowhere.
+// Guards against a malformed list that removes all endpoints, or has messages sent to an endpoint without an address.
 func TestMalformedListIsRejected(t *testing.T) {
 	entry := `{"id":"s-1","addr":"127.0.0.1:1","kind":"m","cell":3,"state":"active"}`
 	for body, valid := range map[string]bool{
@@ -38,11 +38,11 @@
 	}
 }
 
-// answers is a discovery that says the same at once, whatever it is asked.
+// fixedAnswer is a discovery that gives the same answer to each call, at once.
 type fixedAnswer struct {
 	body   string
 	calls  int
-	cancel func() // ends a test that would go on for ever
+	cancel func() // called at the 1000th call, to end a test that would not end by itself
 }
 
 func (a *fixedAnswer) RoundTrip(*http.Request) (*http.Response, error) {
@@ -52,7 +52,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(a.body))}, nil
 }
 
-// Guards against a relay that spends its core on asking a discovery which does not wait for news.
+// Guards against a relay that uses up its core with calls to a discovery that answers watches without waiting for a change.
 func TestImmediateWatchAnswersArePaced(t *testing.T) {
 	for _, body := range []string{`{"version":1,"servers":[]}`, `{"version":0,"servers":[]}`} {
 		synctest.Test(t, func(t *testing.T) {
@@ -63,17 +63,17 @@
 			transport.cancel = cancel
 			platform.Follow(ctx, func(List) {})
 			if limit := int(2*time.Second/minPause) + 1; transport.calls > limit {
-				t.Errorf("%s: asked %d times in a second, want %d at most", body, transport.calls, limit)
+				t.Errorf("%s: %d calls in a second, want at most %d", body, transport.calls, limit)
 			}
 		})
 	}
 }
 
-// crowd is a discovery that counts the calls of a fleet by the second.
+// countingDiscovery is a discovery that counts the calls of a fleet by the second.
 type countingDiscovery struct {
 	mu            sync.Mutex
 	startedAt     time.Time
-	body          string // empty: it has no time for anyone
+	body          string // of each answer; if empty, each call is answered with status 503
 	callsBySecond map[int]int
 	watches       int // calls for changes
 }
@@ -92,8 +92,8 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(c.body))}, nil
 }
 
-// followAll has a fleet that started together follow one discovery for a while, and returns how many
-// lists its relays took up.
+// followAll runs the followers of a fleet that start together against one discovery for a duration. It returns how many lists
+// all of them applied.
 func followAll(c *countingDiscovery, fleetSize int, duration time.Duration) (applied int) {
 	c.startedAt, c.callsBySecond = time.Now(), map[int]int{}
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
@@ -114,9 +114,9 @@
 	return applied
 }
 
-// Guards against a fleet that starts together and asks in step, and against retries that keep discovery
-// overbooked: with answers it must be asked no more by many than by few, and without by a quarter of the fleet a second in
-// the mean, which is what hearing of a change in time takes (HeardIn).
+// Guards against a fleet that starts together and calls in step, and against retries that keep discovery overloaded. While calls
+// are answered, a large fleet must not call more often than a small one. While none is, a quarter of the fleet may call each
+// second in the mean, which is what receiving a change within NotifiedAfter takes.
 func TestFleetSpreadsItsCalls(t *testing.T) {
 	for name, body := range map[string]string{"overbooked": "", "well": `{"version":3,"full":true,"servers":[]}`} {
 		t.Run(name, func(t *testing.T) {
@@ -129,29 +129,29 @@
 				}
 				for second, n := range c.callsBySecond {
 					if total += n; n > limit {
-						t.Errorf("%d calls in second %d, want %d at most", n, second, limit)
+						t.Errorf("%d calls in second %d, want at most %d", n, second, limit)
 					}
 				}
 				if total > 30*80/4+80 {
-					t.Errorf("%d calls in 30 seconds, want %d at most", total, 30*80/4+80)
+					t.Errorf("%d calls in 30 seconds, want at most %d", total, 30*80/4+80)
 				}
 				for second := range 27 {
 					if c.callsBySecond[second]+c.callsBySecond[second+1]+c.callsBySecond[second+2] == 0 {
-						t.Errorf("no calls from second %d on: nobody hears of a change", second)
+						t.Errorf("no calls in the three seconds from second %d on: no relay receives a change", second)
 					}
 				}
 				if c.watches > 0 {
-					t.Errorf("%d watches, which cannot be renewed in time", c.watches)
+					t.Errorf("%d watches, which so large a fleet cannot renew in time", c.watches)
 				}
 				if body != "" && applied != 80 {
-					t.Errorf("the same list taken up %d times by 80 relays, want once each", applied)
+					t.Errorf("the same list was applied %d times by 80 relays, want once by each", applied)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a small fleet that hears of changes late: it watches, and its watches go on at once.
+// Guards against a small fleet that receives changes late: it has to watch, and to renew each watch at once.
 func TestSmallFleetRenewsWatchesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := &countingDiscovery{body: `{"version":3,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`}
@@ -166,13 +166,13 @@
 			case <-ctx.Done():
 			}
 		})
-		for range 100 { // as many as are taken up; an empty clock moves for pauses alone
+		for range 100 { // the clock of synctest advances only if the follower pauses
 			<-lists
 		}
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if elapsed := time.Since(c.startedAt); elapsed > 100*time.Millisecond || c.watches < 99 {
-			t.Errorf("100 changes took %v and %d watches, want each renewed at once", elapsed, c.watches)
+			t.Errorf("100 changes took %v and %d watches, want each watch renewed at once", elapsed, c.watches)
 		}
 	})
 }
--- a/internal/discovery/expiry_test.go
+++ b/internal/discovery/expiry_test.go
@@ -13,15 +13,15 @@
 	"time"
 )
 
-// usable keeps until when a relay could act on the list that it had.
+// listUse records until when a relay could act on a list without a change.
 type listUse struct {
 	mu             sync.Mutex
 	expires        time.Time
-	changeReceived bool      // of the change
-	lastUsable     time.Time // at which it could act without having heard
+	changeReceived bool
+	lastUsable     time.Time // last time at which it could act on the list without the change
 }
 
-// see takes in what passes until now.
+// observe updates lastUsable to the present time. The lock is held.
 func (u *listUse) observe() {
 	if now := time.Now(); !u.changeReceived && now.After(u.expires) {
 		if u.expires.After(u.lastUsable) {
@@ -46,7 +46,7 @@
 	u.changeReceived = true
 }
 
-// noted tells when the first byte of a body was read.
+// firstByteNotifier calls onFirstByte when the first byte has been read.
 type firstByteNotifier struct {
 	io.Reader
 	onFirstByte func()
@@ -61,13 +61,14 @@
 	return count, err
 }
 
-// Seen: requests went to draining endpoints, for relays went on by their list while call after call for a newer one failed; and
-// others whose calls had been answered until then, but the next one was not.
-// Here a change is made as calls begin to fail, in every way that they can: no relay may act on the list that lacks it when it
-// counts as told: 6 s after it, whenever the call comes that fails, or as a part of an answer is written that has it.
+// Guards against requests to draining endpoints, which relays made because they acted on their list while their calls for a newer
+// one failed, or because their last call had been answered and the next one was not. Here a change is made when calls begin to
+// fail, in each way in which they can. No relay may act on the list without the change once it counts as notified: 6 s after
+// the change, whenever the failing call is made, or when a part of an answer that has it is written.
 func TestListIsNotUsedAfterNotification(t *testing.T) {
 	for name, fail := range failures {
-		if name == "nobody there" || name == "older" { // nothing counts meanwhile; another history, which has no such change
+		// While connections are refused no change counts as notified, and an older history does not have the change.
+		if name == "connection refused" || name == "older" {
 			continue
 		}
 		for _, fleetSize := range []int{1, 2, 12, 13, 20, 30, 300} {
@@ -115,7 +116,7 @@
 							notifiedAt = firstBytes[i]
 						}
 						if use.lastUsable.After(notifiedAt) {
-							t.Errorf("relay %d could act on its list until %v, and the change counted as told at %v", i, use.lastUsable.Sub(startedAt), notifiedAt.Sub(startedAt))
+							t.Errorf("relay %d could act on its list until %v, and the change counted as notified at %v", i, use.lastUsable.Sub(startedAt), notifiedAt.Sub(startedAt))
 						}
 					}
 				})
@@ -124,8 +125,8 @@
 	}
 }
 
-// Guards against a list that runs out though discovery answers all calls at once: by watches, with news and without, and by
-// polls, whatever time the settings give.
+// Guards against a lease that expires though discovery answers all calls at once: in fleets that watch, with and without changes,
+// and in those that poll, with any MaxPollInterval.
 func TestAnsweredCallsRenewLease(t *testing.T) {
 	for _, fleetSize := range []int{1, 6, 12, 13, 30, 300} {
 		for _, maxPollInterval := range []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second, time.Minute} {
@@ -139,7 +140,7 @@
 						Fleet: func() Fleet { return Fleet{fleetSize, maxPollInterval} },
 						LeaseChanged: func(l Lease) {
 							if now := time.Now(); now.After(last.Expires.Add(sendGrace)) {
-								t.Errorf("the list had run out %v ago after %v", now.Sub(last.Expires), now.Sub(discovery.startedAt))
+								t.Errorf("the lease had expired %v ago after %v", now.Sub(last.Expires), now.Sub(discovery.startedAt))
 							}
 							last = l
 						}}
@@ -150,8 +151,8 @@
 	}
 }
 
-// Guards against a relay that goes on by its list when the watch it renews is refused: a change right behind the last answer counts as
-// told as it is made.
+// Guards against a relay that goes on acting on its list when the renewal of its watch is refused: a change right after the last
+// answer counts as notified at once.
 func TestRefusedWatchRenewalEndsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
@@ -181,23 +182,23 @@
 			}}
 		platform.Follow(ctx, func(List) {})
 		if at := refused.Expires.Sub(startedAt); refusals == 0 || at > time.Second {
-			t.Errorf("after a renewal that was refused at 1 s the list could be acted on until %v", at)
+			t.Errorf("after a refused renewal at 1 s the list could be acted on until %v", at)
 		}
 		if at := answered.Expires.Sub(startedAt); at < 10*time.Second {
-			t.Errorf("after answers again the list can be acted on until %v", at)
+			t.Errorf("after further answers the list can be acted on until %v", at)
 		}
 	})
 }
 
-// roundTrip is a transport.
+// transportFunc is a function as an http.RoundTripper.
 type transportFunc func(*http.Request) (*http.Response, error)
 
 func (f transportFunc) RoundTrip(req *http.Request) (*http.Response, error) { return f(req) }
 
-// grace is for how long past a lease's end a relay may still send, less what it may be held up.
+// sendGrace is for how long after the end of a lease a relay may still send, less an allowance for its delays.
 const sendGrace = 800 * time.Millisecond
 
-// newsy is a discovery that has a change to tell again and again, and answers at once.
+// changingDiscovery is a discovery whose list changes at each changeInterval, and which answers at once.
 type changingDiscovery struct {
 	startedAt      time.Time
 	changeInterval time.Duration
@@ -220,4 +221,5 @@
 	return response(req, http.StatusOK, strings.NewReader(listJSON(version))), nil
 }
 
+// newRand returns a source of random numbers that is the same for the same seed.
 func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 7)) }
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -9,34 +9,35 @@
 	"time"
 )
 
-// errOlder says that a list is older than the one that discovery told before.
-var errStaleList = errors.New("a list of an older version than the last one")
+// errStaleList reports a list that is older than the last one that discovery sent.
+var errStaleList = errors.New("the list has an older version than the last one received")
 
-// olderIn is how long such answers are left alone: then discovery has begun another history, as after a loss of its
-// record, and counts its versions anew; what it tells now is due within HeardIn. One alone is a copy of it that lags, or an
-// answer that was long on its way; by that an endpoint would come back that drains.
+// historyChangeAfter is how long answers of an older version are rejected. If they go on for longer, discovery has begun another
+// history of versions, as after a loss of its records, and its changes have to be applied within NotifiedAfter. A single such
+// answer comes from a replica of discovery that lags, or was delayed on its way; applied, it could bring back an endpoint that
+// is draining.
 const historyChangeAfter = 3 * time.Second
 
-// doubtFor is how long after a change of history calls still come as after a failed one: it may have been a copy that lagged
-// for long.
+// historyChangeCaution is how long after a change of history the pauses between calls stay as short as after a failed call: the
+// answers may have come from a replica of discovery that lagged for long.
 const historyChangeCaution = time.Minute
 
-// follower is where a source stands.
+// follower is the state of Platform.Follow. It is used by one goroutine only.
 type follower struct {
 	*Platform
 	pacer
 	leaseState
 	version              int64
-	needFullList         bool          // ask for the whole list: what is known may be old
-	versionFromDiscovery bool          // version is that of a list which discovery itself told
-	staleSince           time.Time     // the first of the answers in a row that were of an older version
-	historyChangedAt     time.Time     // another history was begun
-	roundTripTime        time.Duration // to discovery and back: what the last connection took to come up
-	lastWatchAnswer      time.Time     // the last answer of a watch came; zero if another call was answered or failed since
+	needFullList         bool          // the next call requests the full list, as the known one may be outdated
+	versionFromDiscovery bool          // version is that of a list received from discovery in this process and not from an earlier address
+	staleSince           time.Time     // first of the latest answers in a row with an older version; zero if the last one was not
+	historyChangedAt     time.Time     // when another history of versions was accepted; zero for never
+	roundTripTime        time.Duration // network round trip to discovery: the time that the last connection took to establish
+	lastWatchAnswer      time.Time     // when the last watch was answered; zero if another call was answered or failed since
 }
 
-// Follow keeps up with discovery until the context ends. The list counts as told while the next call
-// comes within 200 ms of the last answer, so a watch is renewed at once.
+// Follow implements Source. A watch is renewed at once after each answer, as changes within 200 ms of an answer (watchRenewal)
+// count as notified whether the next call has arrived or not.
 func (p *Platform) Follow(ctx context.Context, onList func(List)) {
 	f := &follower{Platform: p, pacer: pacer{rand: rand.New(rand.NewPCG(p.Seed, 1))}, leaseState: newLeaseState(time.Now(), p.PreviousLease),
 		version: p.Version, needFullList: true}
@@ -55,14 +56,14 @@
 		case <-time.After(pause):
 		}
 		c := &call{startedAt: time.Now(), fullList: f.needFullList, onFirstByte: func() { f.recordPartialAnswer(time.Now()); f.publishLease() }}
-		slog.Debug("a call for the list goes out", "whole", c.fullList, "version", f.version)
+		slog.Debug("calling discovery for the list", "whole", c.fullList, "version", f.version)
 		if valid.Err() == nil {
 			f.fetch(ctx, valid, addr, f.version, c)
 		}
 		if ctx.Err() != nil {
 			return
 		}
-		if valid.Err() != nil { // what the old address said last may be older than what the new one says
+		if valid.Err() != nil { // the address was replaced: the list from the old one may be outdated
 			addr, valid = p.Address.Get()
 			f.recordMove(time.Now())
 			f.publishLease()
@@ -74,7 +75,7 @@
 	}
 }
 
-// publish tells how the list stands now.
+// publishLease passes the present lease to LeaseChanged.
 func (f *follower) publishLease() {
 	if f.LeaseChanged != nil {
 		lease := f.snapshot(f.Fleet().leaseDuration())
@@ -83,7 +84,7 @@
 	}
 }
 
-// take acts on a call that is over, and returns the pause before the next one.
+// handleCall processes a call that has ended, and returns the pause before the next one.
 func (f *follower) handleCall(c *call, onList func(List)) (pause time.Duration) {
 	var changed bool
 	if c.err == nil {
@@ -94,10 +95,10 @@
 		return f.handleFailure(c, fleet)
 	}
 	if f.leaseState.failures > 0 {
-		slog.Info("the list is heard of again", "whole", c.fullList, "took", c.duration, "failures", f.leaseState.failures, "version", f.version,
+		slog.Info("discovery answers again", "whole", c.fullList, "took", c.duration, "failures", f.leaseState.failures, "version", f.version,
 			"age", c.startedAt.Sub(f.confirmed))
 	}
-	slog.Debug("a call for the list is answered", "whole", c.fullList, "took", c.duration, "version", c.list.Version, "news", changed)
+	slog.Debug("discovery answered a call for the list", "whole", c.fullList, "took", c.duration, "version", c.list.Version, "news", changed)
 	f.confirm(c.currentAt())
 	f.lastWatchAnswer = time.Time{}
 	if !c.fullList {
@@ -116,7 +117,7 @@
 		if f.needFullList, pause = true, f.pauseAfterAnswer(fleet, c.duration, serverTime)-c.duration; !f.historyChangedAt.IsZero() && time.Since(f.historyChangedAt) < historyChangeCaution {
 			pause = min(pause, f.pauseAfterFailure(fleet, c.duration))
 		}
-	case changed || c.duration >= minPause: // else asking at once would go round and round
+	case changed || c.duration >= minPause: // without a change or a wait, calling again at once would loop without pause
 		f.pauseAfterAnswer(fleet, c.duration, serverTime)
 	default:
 		pause = f.pauseAfterAnswer(fleet, c.duration, serverTime)
@@ -124,7 +125,7 @@
 	return pause
 }
 
-// takeFailure acts on a call that failed.
+// handleFailure processes a failed call, and returns the pause before the next one.
 func (f *follower) handleFailure(c *call, fleet Fleet) (pause time.Duration) {
 	age := c.startedAt.Sub(f.confirmed)
 	switch {
@@ -137,24 +138,25 @@
 	default:
 		pause = f.pauseAfterCongestion(fleet, c.duration)
 	}
-	if !f.lastWatchAnswer.IsZero() && c.duration < watchRenewal { // the watch did not go on, and what changed meanwhile counts as told
+	if !f.lastWatchAnswer.IsZero() && c.duration < watchRenewal { // the watch was not renewed in time, so changes since its last answer count as notified
 		f.recordPartialAnswer(f.lastWatchAnswer)
 	}
 	f.lastWatchAnswer = time.Time{}
 	f.recordFailure()
 	f.publishLease()
-	slog.Warn("a call for the list failed", "err", c.err, "whole", c.fullList, "took", c.duration, "failures", f.leaseState.failures,
+	slog.Warn("call to discovery for the list failed", "err", c.err, "whole", c.fullList, "took", c.duration, "failures", f.leaseState.failures,
 		"version", f.version, "age", age, "next", pause)
 	return pause
 }
 
-// heed takes in an answer, and tells whether it is news.
+// applyAnswer updates the version by an answer, and reports whether the list has changed. It returns errStaleList for a list that
+// must not be used.
 func (f *follower) applyAnswer(l *List) (changed bool, err error) {
 	if l.Version < f.version && (f.versionFromDiscovery || !l.Full) {
 		if f.staleSince.IsZero() {
 			f.staleSince = time.Now()
 		}
-		if !l.Full || time.Since(f.staleSince) < historyChangeAfter { // changes cannot be built on another history
+		if !l.Full || time.Since(f.staleSince) < historyChangeAfter { // an incremental list cannot be applied to another history
 			f.needFullList = true
 			return false, errStaleList
 		}
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -2,36 +2,35 @@
 
 import "time"
 
-// When a change of the list counts as told to a relay that has not heard of it (protocol page, "Discovery", and the terms of
-// the fleet pages).
+// The times after which the discovery protocol counts a change of the list as notified to a relay that has not received it.
 const (
-	// HeardIn is how long after a change discovery counts as having told it to a relay whose call failed, was refused or
-	// given up, from when discovery had it and could be reached.
+	// NotifiedAfter is the time after which a change counts as notified to a relay whose call failed, was refused or was
+	// abandoned. It starts when discovery has the change and can be reached.
 	NotifiedAfter = 6 * time.Second
-	// movedIn is the same after the relay was told of another address.
+	// notifiedAfterMove is the same time, starting when the relay was given another address of discovery.
 	notifiedAfterMove = 4 * time.Second
 )
 
-// Lease is how a list stands that a relay acts on. The relay holds it for a while after each answer; it runs out where no
-// further answer comes, since discovery may have changes that count as told by then.
+// Lease is the time for which a relay may act on its list. Each answer of discovery extends it. Without further answers it
+// expires, because by then discovery may have changes that count as notified.
 type Lease struct {
-	Confirmed time.Time // the list had all that discovery had at this time, or later; the start, if there was no answer yet
-	Expires   time.Time // from then on something that the list lacks may count as told
-	Failures  int       // calls that failed since the last answer
+	Confirmed time.Time // the list had every change at this time or later; the start of the process, if there was no answer yet
+	Expires   time.Time // from this time on a change that the list lacks may count as notified
+	Failures  int       // failed calls since the last answer
 	Version   int64     // of the list
 }
 
-// lease is the state behind a Lease: pure, with the time as an argument.
+// leaseState is the state from which a Lease is computed. It reads no clock; each method takes the times that it needs.
 type leaseState struct {
 	confirmed time.Time
-	// cap is the earliest time from which something that the list lacks counts as told for another reason than its age;
-	// zero for none.
+	// expiryLimit is the earliest time from which a change that the list lacks counts as notified for a reason other than
+	// the list's age; zero for none.
 	expiryLimit time.Time
 	failures    int
 }
 
-// newLease is the lease of a list that was not heard of in this process: as the process before held it, or, where nothing is
-// known of that, as if it had been heard of now.
+// newLeaseState returns the state at the start of a process, before any answer: that of the previous process's lease, or, if
+// that is unknown, that of a list confirmed now.
 func newLeaseState(now time.Time, previous *Lease) leaseState {
 	if previous == nil {
 		return leaseState{confirmed: now}
@@ -39,7 +38,7 @@
 	return leaseState{confirmed: previous.Confirmed, expiryLimit: previous.Expires, failures: previous.Failures}
 }
 
-// confirm takes in an answer that came whole and told all that discovery had at a time.
+// confirm records a complete answer, which had every change that discovery had at the given time.
 func (l *leaseState) confirm(at time.Time) {
 	if at.Before(l.confirmed) {
 		at = l.confirmed
@@ -47,40 +46,44 @@
 	*l = leaseState{confirmed: at}
 }
 
-// fail takes in a call that failed. What discovery had and could tell meanwhile counts as told; the lease allows for that already.
+// recordFailure records a failed call. Changes that discovery had meanwhile count as notified after NotifiedAfter, which the
+// lease's duration allows for already.
 func (l *leaseState) recordFailure() { l.failures++ }
 
-// unreachable takes in a call that nobody was there to take, begun at a time: what changes counts from the time at which
-// discovery can be reached again.
+// recordUnreachable records a call, begun at startedAt, whose connection was refused. The time after which changes count as
+// notified starts only when discovery can be reached again.
 func (l *leaseState) recordUnreachable(startedAt time.Time) {
 	if startedAt.After(l.confirmed) {
 		l.confirmed = startedAt
 	}
 }
 
-// written takes in that an answer has begun to come, or came and could not be used: what it tells counts as told.
+// recordPartialAnswer records that an answer has begun to arrive, or has arrived and cannot be used. The changes in it count as
+// notified.
 func (l *leaseState) recordPartialAnswer(now time.Time) { l.limitExpiry(now) }
 
-// move takes in that discovery is at another address.
+// recordMove records that discovery has another address.
 func (l *leaseState) recordMove(now time.Time) { l.limitExpiry(now.Add(notifiedAfterMove)) }
 
+// limitExpiry lowers expiryLimit to a time, if that is earlier.
 func (l *leaseState) limitExpiry(at time.Time) {
 	if l.expiryLimit.IsZero() || at.Before(l.expiryLimit) {
 		l.expiryLimit = at
 	}
 }
 
-// span is for how long a list may be acted on after it was confirmed. The settings' time for asking is longer in large fleets, but
-// it is for a relay whose next call is answered. If that one fails, changes count as told HeardIn after they were made, also
-// for what was sent before it; and how it will end is not known while the list is acted on.
+// leaseDuration returns for how long a list may be acted on after it was confirmed. MaxPollInterval is longer than that in large
+// fleets, but it applies to a relay whose next call is answered. If that call fails, changes count as notified NotifiedAfter
+// after they were made, even for messages that were sent before the call failed. While the relay acts on the list it cannot
+// know how the next call will end.
 func (f Fleet) leaseDuration() time.Duration {
-	if !polls(f.Size) || f.MaxPollInterval <= 0 { // one that watches asks all the time, so a shorter time says nothing of it
+	if !polls(f.Size) || f.MaxPollInterval <= 0 { // a watching relay always has a call in flight, so a shorter interval does not apply to it
 		return NotifiedAfter
 	}
 	return min(f.MaxPollInterval, NotifiedAfter)
 }
 
-// state is how the list stands where it may be acted on for a time after it was confirmed.
+// snapshot returns the lease of a list that may be acted on for the given duration after it was confirmed.
 func (l *leaseState) snapshot(duration time.Duration) Lease {
 	expires := l.confirmed.Add(duration)
 	if !l.expiryLimit.IsZero() && l.expiryLimit.Before(expires) {
--- a/internal/discovery/lease_test.go
+++ b/internal/discovery/lease_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A list may be acted on until the first change that it lacks may count as told.
+// Guards against a lease that outlasts the first time at which a change that the list lacks may count as notified, after each
+// sequence of answers, failures and moves.
 func TestLeaseEndsWhenChangeCountsAsNotified(t *testing.T) {
 	start := time.Now()
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
@@ -29,31 +30,31 @@
 			lease.recordFailure()
 		}, 8},
 		"an answer after them": {10 * time.Second, func(lease *leaseState) { lease.recordFailure(); lease.recordFailure(); lease.confirm(at(7)) }, 13},
-		"nobody there":         {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordUnreachable(at(5)); lease.recordFailure() }, 11},
-		"nobody there, then no time": {10 * time.Second, func(lease *leaseState) {
+		"a refused connection": {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordUnreachable(at(5)); lease.recordFailure() }, 11},
+		"a refused connection, then a failure": {10 * time.Second, func(lease *leaseState) {
 			lease.confirm(at(2))
 			lease.recordUnreachable(at(5))
 			lease.recordFailure()
 			lease.recordFailure()
 		}, 11},
-		"half an answer": {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordPartialAnswer(at(4)) }, 4},
-		"half an answer, twice": {10 * time.Second, func(lease *leaseState) {
+		"a partial answer": {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordPartialAnswer(at(4)) }, 4},
+		"two partial answers": {10 * time.Second, func(lease *leaseState) {
 			lease.confirm(at(2))
 			lease.recordPartialAnswer(at(4))
 			lease.recordFailure()
 			lease.recordPartialAnswer(at(6))
 		}, 4},
-		"half an answer, then a whole one": {10 * time.Second, func(lease *leaseState) { lease.recordPartialAnswer(at(4)); lease.recordFailure(); lease.confirm(at(5)) }, 11},
-		"a move":                           {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordMove(at(3)) }, 7},
-		"moves in a row":                   {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordMove(at(3)); lease.recordMove(at(5)) }, 7},
-		"a move late in the list's time":   {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordFailure(); lease.recordMove(at(7)) }, 8},
-		"nobody at the address of a move": {10 * time.Second, func(lease *leaseState) {
+		"a partial answer, then a complete one": {10 * time.Second, func(lease *leaseState) { lease.recordPartialAnswer(at(4)); lease.recordFailure(); lease.confirm(at(5)) }, 11},
+		"a move":                                {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordMove(at(3)) }, 7},
+		"moves in a row":                        {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordMove(at(3)); lease.recordMove(at(5)) }, 7},
+		"a move late in the lease":              {10 * time.Second, func(lease *leaseState) { lease.confirm(at(2)); lease.recordFailure(); lease.recordMove(at(7)) }, 8},
+		"a refused connection after a move": {10 * time.Second, func(lease *leaseState) {
 			lease.confirm(at(2))
 			lease.recordMove(at(3))
 			lease.recordUnreachable(at(6))
 			lease.recordFailure()
 		}, 7},
-		"an older answer confirms no younger": {10 * time.Second, func(lease *leaseState) { lease.confirm(at(5)); lease.confirm(at(4)) }, 11},
+		"an earlier time confirms nothing": {10 * time.Second, func(lease *leaseState) { lease.confirm(at(5)); lease.confirm(at(4)) }, 11},
 	} {
 		lease := newLeaseState(start, nil)
 		test.events(&lease)
@@ -66,12 +67,12 @@
 		events func(*leaseState)
 		want   float64
 	}{
-		"as the process before held it":        {Lease{Confirmed: at(-5), Expires: at(5), Failures: 0}, func(*leaseState) {}, 1},
-		"and its call fails here":              {Lease{Confirmed: at(-5), Expires: at(5), Failures: 0}, func(lease *leaseState) { lease.recordFailure() }, 1},
-		"its calls failed there":               {Lease{Confirmed: at(-5), Expires: at(1), Failures: 2}, func(*leaseState) {}, 1},
-		"it had run out there":                 {Lease{Confirmed: at(-15), Expires: at(-5), Failures: 0}, func(*leaseState) {}, -9},
-		"a part of an answer was written then": {Lease{Confirmed: at(-5), Expires: at(-1), Failures: 1}, func(lease *leaseState) { lease.recordUnreachable(at(2)) }, -1},
-		"it is heard of here":                  {Lease{Confirmed: at(-15), Expires: at(-5), Failures: 3}, func(lease *leaseState) { lease.confirm(at(1)) }, 7},
+		"the previous process's lease":              {Lease{Confirmed: at(-5), Expires: at(5), Failures: 0}, func(*leaseState) {}, 1},
+		"that lease, and a failure in this process": {Lease{Confirmed: at(-5), Expires: at(5), Failures: 0}, func(lease *leaseState) { lease.recordFailure() }, 1},
+		"failures in the previous process":          {Lease{Confirmed: at(-5), Expires: at(1), Failures: 2}, func(*leaseState) {}, 1},
+		"expired in the previous process":           {Lease{Confirmed: at(-15), Expires: at(-5), Failures: 0}, func(*leaseState) {}, -9},
+		"a partial answer in the previous process":  {Lease{Confirmed: at(-5), Expires: at(-1), Failures: 1}, func(lease *leaseState) { lease.recordUnreachable(at(2)) }, -1},
+		"an answer in this process":                 {Lease{Confirmed: at(-15), Expires: at(-5), Failures: 3}, func(lease *leaseState) { lease.confirm(at(1)) }, 7},
 	} {
 		lease := newLeaseState(start, &test.before)
 		test.events(&lease)
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// queued is a discovery that handles calls in turn. One whose turn does not come in time is refused, and takes its turn all the
-// same: what the caller no longer waits for is work, too.
+// queueingDiscovery is a discovery that handles calls in the order of their arrival. A call that is queued for too long is
+// refused and still uses up its share of the capacity, as the work for a caller that no longer waits is done all the same.
 type queueingDiscovery struct {
 	mu        sync.Mutex
-	callCost  time.Duration // of a call
-	busyUntil time.Time     // when all that has come so far is handled
+	callCost  time.Duration // capacity that a call uses
+	busyUntil time.Time     // when all calls that have arrived so far are handled
 	down      func(now time.Time) bool
 }
 
 const (
-	maxQueueWait  = 2 * time.Second // for its turn
-	maxQueuedWork = 4 * time.Second // of work; what comes then is refused at once
+	maxQueueWait  = 2 * time.Second // a call that is queued for longer is refused after this time
+	maxQueuedWork = 4 * time.Second // work in the queue; calls beyond it are refused at once
 )
 
 func (d *queueingDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -53,12 +53,12 @@
 	return response(req, http.StatusOK, strings.NewReader(listJSON(6))), nil
 }
 
-// standing sums up for how long the leases of a fleet had run out, and the grace behind them.
+// leaseGaps sums the times in which relays of a fleet had no list to act on: their leases, and sendGrace after them, had ended.
 type leaseGaps struct {
 	mu         sync.Mutex
-	countFrom  time.Time // what was before does not count
+	countFrom  time.Time // earlier times are not counted
 	leases     []Lease
-	leaseSince []time.Time // of each relay's lease
+	leaseSince []time.Time // when each relay's present lease was recorded
 	expired    time.Duration
 }
 
@@ -86,7 +86,7 @@
 	g.leases[relay], g.leaseSince[relay] = lease, now
 }
 
-// part is the part of all relays' time in which their leases had run out.
+// expiredPart returns the part of all relays' time in which they had no list to act on.
 func (g *leaseGaps) expiredPart() float64 {
 	for i := range g.leases {
 		g.renew(i, g.leases[i])
@@ -94,15 +94,16 @@
 	return g.expired.Seconds() / (time.Since(g.countFrom).Seconds() * float64(len(g.leases)))
 }
 
-// Guards against a fleet whose calls for the list keep discovery so busy that it answers none of them in time: it must get over
-// an outage, and over a start of all relays at once, where discovery can answer each relay once in the settings' time and hardly
-// more. Relays that it cannot answer in HeardIn and the grace are without a list whatever the fleet does; the bound is for what comes on top.
+// Guards against a fleet whose calls keep discovery so busy that it answers none of them in time. The fleet must recover from an
+// outage, and from a start of all relays at once, with a discovery that can answer each relay little more than once in
+// MaxPollInterval. Relays that discovery cannot answer within NotifiedAfter and sendGrace are without a list in any case; the
+// bound applies to the time beyond that.
 func TestFleetGetsOverCongestion(t *testing.T) {
 	for _, test := range []struct {
 		fleet     int
-		perSecond float64 // calls that discovery handles
+		perSecond float64 // calls that discovery can handle
 		outage    time.Duration
-		most      float64 // part of the time without a list, beyond what discovery cannot answer
+		most      float64 // part of the time without a list, beyond what discovery's capacity makes unavoidable
 	}{
 		{273, 30, 0, 0.13},
 		{273, 30, 8 * time.Second, 0.13},
@@ -135,7 +136,7 @@
 				part := gaps.expiredPart() - unanswered
 				t.Logf("without a list for %.3f of the time beyond %.3f", part, unanswered)
 				if part > test.most {
-					t.Errorf("without a list for %.3f of the time beyond %.3f, want %.2f at most", part, unanswered, test.most)
+					t.Errorf("without a list for %.3f of the time beyond %.3f, want at most %.2f", part, unanswered, test.most)
 				}
 			})
 		})
--- a/internal/discovery/pacer.go
+++ b/internal/discovery/pacer.go
@@ -6,110 +6,116 @@
 )
 
 const (
-	// watchFor and watchSlack are how long a watch waits, and how much longer its call: together they leave time to
-	// hear from the next one what a watch that fell silent at its start has missed.
+	// watchWait is how long discovery waits for a change before it answers a watch, and watchSlack is how much longer the call
+	// may take. If a watch falls silent at its start, their sum leaves time to receive what it missed from the next one.
 	watchWait  = 3 * time.Second
 	watchSlack = 500 * time.Millisecond
-	// watchGap is within which the next call of a watch has to come: changes behind an answer count as told for so long, whether
-	// it comes or not (protocol page, "Discovery").
+	// watchRenewal is the time after an answer in which the next watch has to reach discovery. By the discovery protocol,
+	// changes in this time count as notified whether the next watch comes or not.
 	watchRenewal = 200 * time.Millisecond
-	// answerIn is for a whole list, which waits for its turn.
+	// fullListTimeout is the timeout of a call for the full list, which includes its time in discovery's queue.
 	fullListTimeout = 2200 * time.Millisecond
-	// takesIn is how long an answer takes at most where discovery has time for it; it is what HeardIn has to hold, too.
+	// maxAnswerTime is the longest time that an answer takes while discovery is not overloaded. NotifiedAfter has to cover the
+	// pause before a call and this time.
 	maxAnswerTime = time.Second
-	// firstPause and longPause bound the pauses after a call to the platform that failed.
+	// minPause and maxPause bound the pauses after failed calls to discovery.
 	minPause = 50 * time.Millisecond
 	maxPause = time.Second
-	// promptIn is how long an answer takes at most where few calls wait for their turn. Discovery gives up calls that wait
-	// for some seconds, so slower ones are a first sign of congestion.
+	// promptAnswer is the longest time that an answer takes while few calls are queued at discovery. Discovery drops calls that
+	// have been queued for some seconds, so slower answers are an early sign of congestion.
 	promptAnswer = 500 * time.Millisecond
-	// quickIn is how long an answer takes at most where hardly a call waits for another.
+	// quickAnswer is the longest time that an answer takes while hardly any call is queued.
 	quickAnswer = 200 * time.Millisecond
-	// moveIn bounds the time to the first call of a process that was told another address.
+	// maxPauseAfterMove bounds the pause before the first call to a new address.
 	maxPauseAfterMove = 3 * time.Second
-	// backOffMost is how often a pause doubles: far beyond the longest one.
+	// maxDoublings bounds how often a pause doubles. The bound is far above the longest pause and only prevents an overflow.
 	maxDoublings = 8
-	// The time between calls of a large fleet's relay changes by these factors: after a prompt answer, a slow one, and a call that
-	// failed. Near what discovery can handle a fleet whose relays change theirs by more swings between too many calls and
-	// too few, and a list may be acted on for less time than a swing takes (trials with TestFleetGetsOverCongestion).
+	// promptFactor, slowFactor and failureFactor multiply the interval between a relay's calls in a large fleet after a prompt
+	// answer, a slow answer and a failed call. With larger steps a fleet near discovery's capacity oscillates between too many
+	// calls and too few, and one oscillation takes longer than a list may be acted on (see TestFleetGetsOverCongestion).
 	promptFactor, slowFactor, failureFactor = 0.9, 1.2, 1.3
-	// firstRound is the part of a round of calls by the whole fleet, as the first answer has it, that the time from call to call is
-	// at first: that answer waited for others, mostly of relays that started with this one (trials with TestFleetGetsOverCongestion).
+	// initialRoundPart scales the first estimate of the time that one call from each relay takes. The estimate is too long, as
+	// the first answer was queued behind others, mostly of relays that started at the same time (see
+	// TestFleetGetsOverCongestion).
 	initialRoundPart = 0.6
-	// even and mixed are the parts by which the time between calls differs by chance: little where each call renews a list just
-	// before it expires, and much where lists expire in any case, for calls that come in bunches wait for each other, and leave
-	// discovery idle behind them.
+	// smallJitter and largeJitter are the parts of the interval by which it varies at random. The variation is small where each
+	// call renews a lease just before it expires. It is large where leases expire in any case, because calls that arrive in
+	// bunches queue behind each other and leave discovery idle after them.
 	smallJitter, largeJitter = 0.04, 0.2
 )
 
-// pacer spaces this relay's calls for the list. Discovery serves all relays in turn, and a change, an
-// outage or a mass restart is one for all of them: asking again at once, or after equal pauses, they come
-// in step. Pauses are by chance, and as much longer as the fleet is larger, so that what all ask together does not grow
-// with it, as far as terms allow.
+// pacer determines the pauses between this relay's calls for the list. Discovery serves the calls of all relays in turn. A
+// change, an outage or a mass restart affects all relays at once, so calls repeated at once or after equal pauses would arrive
+// together. Pauses are therefore random, and grow with the size of the fleet, so that the rate of all calls together does not
+// grow with it, as far as the protocol's times allow.
 //
-// A small fleet watches (see polls). A large one polls, and its relays heed congestion, each by what it meets: where calls
-// fail or are answered slowly, discovery has more to do than it can, and calls that wait too long take their turn from
-// others, so at an unchanged pace nobody may be answered any more. So the time between calls grows with each failure and
-// slow answer, up to a little more than the time in which the settings have a relay ask, and shrinks with each prompt one.
-// What a relay may do with its list meanwhile is the lease's matter.
+// The relays of a small fleet watch (see polls). Those of a large fleet poll with congestion control, each by the results of
+// its own calls. Failed calls and slow answers mean that discovery is overloaded. Calls that time out in its queue use capacity
+// that others need, so at an unchanged rate it might answer none in time. The interval between calls therefore grows with each
+// failure and slow answer, up to a little more than MaxPollInterval, and shrinks with each prompt answer. The lease determines
+// for how long the relay may act on its list meanwhile.
 type pacer struct {
 	rand                *rand.Rand
-	backoffLevel        int           // of a small fleet: doublings, one more with each failed call, one less with each answer
-	consecutiveFailures int           // calls of a large fleet's relay that failed in a row
-	interval            time.Duration // from call to call of a large fleet's relay, in the mean; 0 before the first one is over
+	backoffLevel        int           // in a small fleet: doublings of the pause, one more after each failed call, one less after each answer
+	consecutiveFailures int           // in a large fleet: failed calls in a row
+	interval            time.Duration // in a large fleet: mean time from call to call; 0 before the first answer or failure
 }
 
-// share is the time in which one call of this relay is its even part of what the fleet asks.
+// evenInterval returns the interval between one relay's calls at which a large fleet makes about ten calls a second in all.
 func evenInterval(fleetSize int) time.Duration {
 	return max(minPause, 2*minPause*time.Duration(fleetSize-2))
 }
 
-// polls tells whether a relay asks for the whole list now and then, and watches no changes. A watch has to
-// be renewed within 200 ms: a change in that time counts as told, whether the next call comes or not. Where
-// that is far less than a relay's share, all renewals at once would overbook discovery with each change.
+// polls reports whether a relay requests the full list at intervals instead of watching for changes. A watch has to be renewed
+// within 200 ms (watchRenewal), as a change in that time counts as notified whether the next call comes or not. Where that is
+// far less than evenInterval, the simultaneous renewals of all relays would overload discovery after each change.
 func polls(fleetSize int) bool { return evenInterval(fleetSize) > maxPause }
 
-// within is the time from call to call in which a list is heard of again before nothing may be sent by it any more: most of the
-// settings' grace for drains comes on top of the list's time.
+// renewInterval returns the longest interval between calls at which the list is confirmed again before the relay has to stop
+// sending by it. That is a little more than the lease's duration, as most of the settings' grace for drains is added to it.
 func (f Fleet) renewInterval() time.Duration { return max(maxPause, 13*f.leaseDuration()/12) }
 
-// round is the time from call to call after the first answer. Discovery handles calls in turn, so one for each relay takes it as
-// many times as long as that one took, at the most; the settings' time allows for what it can handle. Calls that come faster than
-// that keep it so busy that nobody is answered any more.
+// initialInterval returns the interval after the first answer, which was queued and handled at discovery for serverTime.
+// Discovery handles calls in turn, so one call from each relay takes at most Size times as long. MaxPollInterval bounds the
+// interval, since discovery can answer each relay in that time. Calls at shorter intervals keep discovery so busy that it
+// answers none in time.
 func (f Fleet) initialInterval(serverTime time.Duration) time.Duration {
 	return min(max(f.renewInterval(), scale(time.Duration(f.Size)*serverTime, initialRoundPart)), f.maxInterval())
 }
 
-// usual is the time from call to call below which it shrinks after quick answers only: well within the settings' time. A list may
-// not be acted on for some of it.
+// usualInterval returns the interval below which only quick answers shorten it further. It is well below MaxPollInterval. At
+// this interval a lease expires for some time before each call.
 func (f Fleet) usualInterval() time.Duration { return max(f.renewInterval(), 7*f.MaxPollInterval/10) }
 
-// shortest is the time from call to call while answers come promptly: a relay's share, if that is within the settings' time.
+// minInterval returns the shortest interval, which is reached while answers are prompt: evenInterval, or renewInterval if that
+// is shorter.
 func (f Fleet) minInterval() time.Duration { return min(evenInterval(f.Size), f.renewInterval()) }
 
-// slow is the longest time from call to call while answers come slowly: the settings' time.
+// maxInterval returns the longest interval while answers are slow: MaxPollInterval, or renewInterval if that is longer.
 func (f Fleet) maxInterval() time.Duration { return max(f.renewInterval(), f.MaxPollInterval) }
 
-// congested is the longest time from call to call where calls fail, beyond that for which a list may be used: better that some
-// relays wait for a list than that none gets one.
+// maxCongestedInterval returns the longest interval while calls fail. It is longer than a list may be used: it is better that
+// some relays wait for a list than that none receives one.
 func (f Fleet) maxCongestedInterval() time.Duration {
 	return max(NotifiedAfter, f.maxInterval(), 12*f.MaxPollInterval/10)
 }
 
-// first is the pause before the first call where there is a list to work from, and so much time: a relay's share of a round of
-// calls by the whole fleet. Where many processes start at once it is worth more that discovery can answer them than that the list
-// of each is heard of before it expires: calls that come too fast leave most without an answer for long.
+// initialPause returns a random pause before the first call of a relay that has a list, so that the first calls of the whole
+// fleet are spread over evenInterval, or longest if that is shorter. Where many processes start at once it matters more that
+// discovery can answer them than that each lease is renewed before it expires: calls that arrive too fast leave most relays
+// without an answer for a long time.
 func (p *pacer) initialPause(f Fleet, longest time.Duration) time.Duration {
 	return time.Duration(p.rand.Float64() * float64(min(evenInterval(f.Size), longest)))
 }
 
-// around is a time by chance, as much under as over a mean: the part of it at most.
+// jitter returns a random duration that is below or above the mean by at most the given part of it.
 func (p *pacer) jitter(mean time.Duration, part float64) time.Duration {
 	return time.Duration((1 - part + 2*part*p.rand.Float64()) * float64(mean))
 }
 
-// next is the pause after an answer that took so long, from the call that it came for, of which it waited for its turn and was
-// handled for a part. The settings bound it: a relay that has not asked for so long counts as told of what it does not know.
+// pauseAfterAnswer returns the time until the next call after an answered one; in a large fleet it counts from the start of the
+// answered call. That call took duration, of which it was queued and handled at discovery for serverTime. The settings bound the
+// pause, as a relay that has not called for MaxPollInterval counts as notified of every change.
 func (p *pacer) pauseAfterAnswer(f Fleet, duration, serverTime time.Duration) time.Duration {
 	p.backoffLevel = max(0, p.backoffLevel-1)
 	if !polls(f.Size) {
@@ -130,16 +136,17 @@
 	return p.jitter(p.interval, smallJitter)
 }
 
-// slower stretches the time between calls by a factor for what may be congestion, up to a time; one that is longer stays as it is.
+// lengthenInterval multiplies the interval by a factor after a sign of congestion, up to longest. An interval that is longer than
+// that already stays unchanged.
 func (p *pacer) lengthenInterval(f Fleet, factor float64, longest time.Duration) {
 	p.interval = max(p.interval, min(scale(max(p.interval, f.minInterval()), factor), longest))
 }
 
-// scaled is a multiple of a time.
+// scale returns a duration multiplied by a factor.
 func scale(d time.Duration, factor float64) time.Duration { return time.Duration(factor * float64(d)) }
 
-// failed is the pause after a call that failed and took so long, surely not for congestion: short enough to hear of a change within HeardIn from the next
-// one, if that is answered.
+// pauseAfterFailure returns the pause after a call that took duration and failed for a reason other than congestion. The pause is
+// short enough that a change is received within NotifiedAfter from the next call, if that one is answered.
 func (p *pacer) pauseAfterFailure(f Fleet, duration time.Duration) time.Duration {
 	longest := NotifiedAfter - maxAnswerTime - duration
 	mean := min(evenInterval(f.Size)*(maxPause/minPause), evenInterval(f.Size)<<p.backoffLevel)
@@ -149,8 +156,8 @@
 	return p.jitter(min(mean, 4*longest/5), 0.25)
 }
 
-// crowdedOut is the pause after a call that failed at discovery, which may have more to do than it can. In a large fleet it
-// doubles with each one in a row.
+// pauseAfterCongestion returns the pause after a call that took duration and failed at discovery, which may be overloaded. In a
+// large fleet the pause doubles with each such call in a row.
 func (p *pacer) pauseAfterCongestion(f Fleet, duration time.Duration) time.Duration {
 	if !polls(f.Size) {
 		return p.pauseAfterFailure(f, duration)
--- a/internal/discovery/heard_test.go
+++ b/internal/discovery/recovery_test.go
@@ -14,15 +14,16 @@
 	"time"
 )
 
-// faulty is a discovery that fails in one way until a time, and has a change to tell from a second before that.
+// failingDiscovery is a discovery whose calls fail in one way for some time. The list has version 5 until that time ends, and
+// version 6 from then on.
 type failingDiscovery struct {
 	mu            sync.Mutex
 	startedAt     time.Time
-	failFrom      time.Duration // it fails from then on
+	failFrom      time.Duration // calls fail from this time after startedAt on
 	failUntil     time.Duration
 	fail          func(*http.Request) (*http.Response, error)
 	rand          *rand.Rand
-	callsBySecond map[int]int // by second
+	callsBySecond map[int]int // by the second after startedAt
 }
 
 func response(req *http.Request, status int, body io.Reader) *http.Response {
@@ -46,7 +47,7 @@
 	if elapsed >= d.failUntil {
 		version = 6
 	}
-	if req.URL.Query().Get("since") == fmt.Sprint(version) { // a watch; it ends as discovery goes
+	if req.URL.Query().Get("since") == fmt.Sprint(version) { // a watch, which fails when calls begin to fail
 		answerTime = max(0, min(watchWait, d.failFrom-elapsed))
 		if elapsed >= d.failUntil {
 			answerTime = watchWait
@@ -65,7 +66,7 @@
 	return response(req, 200, strings.NewReader(listJSON(version))), nil
 }
 
-// drip is a body of which a byte comes now and then, without end.
+// trickleBody is a body of which one byte arrives every 100 ms, without end.
 type trickleBody struct {
 	ctx  context.Context
 	text string
@@ -85,7 +86,7 @@
 	return 1, nil
 }
 
-// stuck is a body of which half comes, and then nothing.
+// stalledBody is a body of which the first half arrives, and then nothing.
 type stalledBody struct {
 	ctx       context.Context
 	firstHalf io.Reader
@@ -99,14 +100,14 @@
 	return 0, b.ctx.Err()
 }
 
-// failures are the ways in which a call to discovery fails.
+// failures are the ways in which a call to discovery can fail.
 var failures = map[string]func(*http.Request) (*http.Response, error){
-	"reset":        func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
-	"nobody there": func(*http.Request) (*http.Response, error) { return nil, syscall.ECONNREFUSED },
-	"no time": func(req *http.Request) (*http.Response, error) {
+	"reset":              func(*http.Request) (*http.Response, error) { return nil, io.ErrUnexpectedEOF },
+	"connection refused": func(*http.Request) (*http.Response, error) { return nil, syscall.ECONNREFUSED },
+	"status 503": func(req *http.Request) (*http.Response, error) {
 		return response(req, 503, strings.NewReader("")), nil
 	},
-	"no time, told late": func(req *http.Request) (*http.Response, error) {
+	"status 503 after 2 s": func(req *http.Request) (*http.Response, error) {
 		select {
 		case <-time.After(2 * time.Second):
 			return response(req, 503, strings.NewReader("")), nil
@@ -118,7 +119,7 @@
 		<-req.Context().Done()
 		return nil, req.Context().Err()
 	},
-	"half a list": func(req *http.Request) (*http.Response, error) {
+	"half of a list": func(req *http.Request) (*http.Response, error) {
 		return response(req, 200, &stalledBody{req.Context(), strings.NewReader(listJSON(6)[:40])}), nil
 	},
 	"trickles": func(req *http.Request) (*http.Response, error) {
@@ -132,12 +133,13 @@
 	},
 }
 
-// congested tells whether a way to fail may be congestion to a relay of a fleet: then its fleet has to call less.
+// maybeCongestion reports whether a relay of a fleet may take a failure for congestion, so that the fleet has to call less.
 func maybeCongestion(fleetSize int, failure string) bool {
-	return polls(fleetSize) && failure != "older" && failure != "nobody there"
+	return polls(fleetSize) && failure != "older" && failure != "connection refused"
 }
 
-// metBy is how long after calls begin to fail the last relay of a fleet meets that: a large one polls.
+// failureMetWithin returns the time from the first failure until the last relay of a fleet has met one. In a fleet that polls, that
+// takes up to the interval between a relay's calls.
 func failureMetWithin(fleetSize int) time.Duration {
 	if polls(fleetSize) {
 		return 11 * time.Second
@@ -145,8 +147,8 @@
 	return 0
 }
 
-// heardWithin is how soon a change is heard of once discovery can be reached: within the longest pause between calls, and an
-// answer's time.
+// receivedWithin returns how soon a change has to be received once discovery can be reached: within the longest pause between
+// calls and the time of an answer.
 func receivedWithin(fleetSize int, failure string) time.Duration {
 	if maybeCongestion(fleetSize, failure) {
 		return 5*12*time.Second/4 + maxAnswerTime
@@ -154,8 +156,8 @@
 	return NotifiedAfter
 }
 
-// callsPerSecond is how many calls may come in the mean while all fail: a call of each relay in 3.6 s, and in 5 s where that may
-// be congestion.
+// maxMeanCallsPerSecond returns how many calls a fleet may make in the mean while all fail: one by each relay in 3.6 s, or in 5 s
+// where the failure may be congestion.
 func maxMeanCallsPerSecond(fleetSize int, failure string) float64 {
 	if maybeCongestion(fleetSize, failure) {
 		return float64(fleetSize)/5 + 1
@@ -163,10 +165,10 @@
 	return float64(fleetSize)/3.6 + 1
 }
 
-// Guards against a change that is heard of late once a call has failed, in whichever way, by one relay or by any of many;
-// and against retries that overbook discovery: where calls fail, no more than a third of a large fleet asks in a second,
-// and a fifth in the mean, little over a quarter where it is surely not congestion. A small fleet asks twenty times a second
-// for each relay at most. That nothing is sent by an old list meanwhile is shown by TestNoListIsActedOnTooLong.
+// Guards against a change that any relay receives late after failed calls, and against retries that overload discovery. While
+// calls fail, at most a third of a large fleet calls in any second, and in the mean a fifth, or little over a quarter if the
+// failure cannot be congestion. A small fleet makes at most twenty calls a second for each relay.
+// TestListIsNotUsedAfterNotification shows that no relay acts on an outdated list meanwhile.
 func TestChangesAreReceivedInTime(t *testing.T) {
 	for name, fail := range failures {
 		for _, fleetSize := range []int{1, 2, 12, 13, 20, 30, 300} {
@@ -196,7 +198,7 @@
 						followers.Wait()
 						for i, at := range receivedAt {
 							if at == 0 {
-								t.Fatalf("relay %d never hears of the change", i)
+								t.Fatalf("relay %d never receives the change", i)
 							}
 							latest = max(latest, at-discovery.failUntil)
 						}
@@ -211,15 +213,15 @@
 						}
 					})
 				}
-				t.Logf("heard of %v after discovery is back at the latest; calls a second at most %d, mean %.1f", latest.Round(10*time.Millisecond), mostCalls, meanCalls)
+				t.Logf("change received at the latest %v after discovery is back; calls a second: at most %d, mean %.1f", latest.Round(10*time.Millisecond), mostCalls, meanCalls)
 				if limit := receivedWithin(fleetSize, name); latest > limit {
-					t.Errorf("a change is heard of %v after discovery could be reached, want %v at most", latest, limit)
+					t.Errorf("the change is received %v after discovery could be reached, want at most %v", latest, limit)
 				}
 				if limit := max(20*float64(min(fleetSize, 12)), float64(fleetSize)/3); float64(mostCalls) > limit+5 {
-					t.Errorf("%d calls in a second, want about %.0f at most", mostCalls, limit)
+					t.Errorf("%d calls in a second, want at most about %.0f", mostCalls, limit)
 				}
 				if limit := maxMeanCallsPerSecond(fleetSize, name); polls(fleetSize) && name != "older" && meanCalls > limit {
-					t.Errorf("%.1f calls a second in the mean, want %.1f at most", meanCalls, limit)
+					t.Errorf("%.1f calls a second in the mean, want at most %.1f", meanCalls, limit)
 				}
 			})
 		}
--- a/internal/discovery/scale_test.go
+++ b/internal/discovery/scale_test.go
@@ -13,11 +13,11 @@
 	"time"
 )
 
-// Slopes of the follower of the list, for docs/CAPACITY.md. The largest sizes are left out with -short.
+// Benchmarks of how the cost of following the list grows with its size and the size of the fleet, for docs/CAPACITY.md:
 //
 //	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./internal/discovery
 
-// text is a whole list of so many endpoints, as discovery sends it.
+// listText returns a full list of so many endpoints, as discovery sends it.
 func listText(tb testing.TB, endpoints int) string {
 	list := List{Version: 7, Full: true, Servers: []Server{}}
 	for i := range endpoints {
@@ -31,16 +31,16 @@
 	return string(data)
 }
 
-// saying answers each call with a text.
+// fixedBody is a transport that answers each call with a text.
 type fixedBody string
 
 func (b fixedBody) RoundTrip(req *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(b))), Request: req}, nil
 }
 
-// BenchmarkScaleListByEndpoints is what a follower takes to read a whole list of so many endpoints, without the network: time,
-// bytes of the text, and what is allocated. The text may have 4 MiB at the most, so the largest size is near the last that
-// can be taken.
+// BenchmarkScaleListByEndpoints measures what reading a full list costs per endpoint, without the network: time, bytes of the
+// text and bytes allocated. The text may have at most 4 MiB (maxAnswerBytes), so the largest size is near the largest that is
+// accepted.
 func BenchmarkScaleListByEndpoints(b *testing.B) {
 	for _, n := range []int{100, 1_000, 10_000, 30_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// rate is how many calls for the list a fleet of so many relays makes in a second, in the mean, while all are answered.
+// callRate returns how many calls a fleet makes per second while all are answered, as the mean over a number of drawn pauses.
 func callRate(fleetSize, draws int) float64 {
 	p := pacer{rand: rand.New(rand.NewPCG(1, uint64(fleetSize)))}
 	var total time.Duration
@@ -73,8 +73,8 @@
 	return float64(fleetSize) * float64(draws) / total.Seconds()
 }
 
-// BenchmarkScaleCallsByFleet is how many calls for the list come to discovery from fleets of so many relays whose settings have
-// each ask within ten seconds. It is counted, not measured: by the pauses that the follower draws.
+// BenchmarkScaleCallsByFleet reports how many calls for the list fleets of several sizes make with a MaxPollInterval of ten
+// seconds. The rate is computed from the pauses that the pacer draws, not measured.
 func BenchmarkScaleCallsByFleet(b *testing.B) {
 	for _, n := range []int{20, 80, 300, 2_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -87,15 +87,16 @@
 	}
 }
 
-// Guards the benchmarks above: a list is read whole, and a fleet's calls are counted as they come.
+// Guards the benchmarks above against a setup that measures something else: the whole list is read, and the computed rate of calls
+// is the fleet's.
 func TestScaleBenchmarkSetup(t *testing.T) {
 	platform := &Platform{Client: &http.Client{Transport: fixedBody(listText(t, 100))}}
 	c := &call{fullList: true}
 	platform.fetch(context.Background(), context.Background(), "discovery", 1, c)
 	if c.err != nil || len(c.list.Servers) != 100 || c.list.Servers[99].Cell != 149 {
-		t.Errorf("%d endpoints, %v, want 100 of 50 destinations", len(c.list.Servers), c.err)
+		t.Errorf("%d endpoints, error %v, want 100 endpoints of 50 destinations", len(c.list.Servers), c.err)
 	}
 	if rate := callRate(20, 10_000); rate < 9 || rate > 12 {
-		t.Errorf("20 relays call %.1f times a second, want about ten", rate)
+		t.Errorf("20 relays make %.1f calls a second, want about ten", rate)
 	}
 }
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -11,11 +11,11 @@
 	"time"
 )
 
-// mute is a discovery whose first watch falls silent: it never answers, nor ends.
+// silentDiscovery is a discovery whose first watch falls silent: it is neither answered nor ended.
 type silentDiscovery struct {
 	mu          sync.Mutex
 	startedAt   time.Time
-	watchStarts []time.Duration // when they came
+	watchStarts []time.Duration // since startedAt
 }
 
 func (d *silentDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -37,8 +37,9 @@
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(body)), Header: http.Header{}, Request: req}, nil
 }
 
-// Guards against a relay that waits on a watch that has fallen silent: what it misses counts as told 6 s after that, or 2 s
-// after the wait of that call, so it must have asked anew by then. Lists may come indented.
+// Guards against a relay that keeps waiting on a watch that has fallen silent. A change that it misses counts as notified 6 s
+// later, or 2 s after the end of that watch's wait if that is later, so another call must have received it by then. The lists
+// here are indented, which discovery may do.
 func TestSilentWatchIsRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		discovery := &silentDiscovery{startedAt: time.Now()}
@@ -58,13 +59,13 @@
 		select {
 		case receivedAt = <-received:
 		case <-time.After(time.Minute):
-			t.Fatal("the change is never heard of")
+			t.Fatal("the change is never received")
 		}
 		discovery.mu.Lock()
 		silentSince := discovery.watchStarts[0]
 		discovery.mu.Unlock()
 		if limit := max(6*time.Second, watchWait+2*time.Second); receivedAt > silentSince+limit {
-			t.Errorf("a change that came as the watch fell silent is heard %v later, and counts as told after %v", receivedAt-silentSince, limit)
+			t.Errorf("a change made when the watch fell silent is received after %v, and counts as notified after %v", receivedAt-silentSince, limit)
 		}
 	})
 }
