--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,11 +23,13 @@
 	"larchrouter/internal/settings"
 )
 
+// rawSettings returns settings with a number of attempts and a relay's index.
 func rawSettings(maxAttempts, index int) json.RawMessage {
 	return fmt.Appendf(nil, `{"bounds":{"max-attempts":%d,"most-held":10},"classes":[{"name":"order","aim":1,"give-up":4,"effect":"idempotent","group":"all","worth":1}],
 		"family-info":{"workers":4,"per-call":[1]},"fleet-size":3,"index":%d,"rules":{"cold":4,"fall":2},"skus":["x"],"tick":0.005,"zone":1,"zones":["a"]}`, maxAttempts, index)
 }
 
+// testFile returns a relay's own file with a number of attempts.
 func testFile(t testing.TB, maxAttempts int) File {
 	t.Helper()
 	set, err := settings.Parse(rawSettings(maxAttempts, 7))
@@ -37,11 +39,12 @@
 	return File{rawSettings(maxAttempts, 7), set}
 }
 
+// testGeneration returns a generation whose settings have a number of attempts.
 func testGeneration(number uint64, maxAttempts int) *api.Generation {
 	return &api.Generation{Number: number, Doc: fmt.Appendf(nil, `{"settings":%s}`, rawSettings(maxAttempts, 0))}
 }
 
-// acts looks, and tells the mode and the number of attempts by which a relay acts.
+// refresh calls Refresh, and returns the mode and the number of attempts by which the relay acts then.
 func refresh(m *Member, now time.Duration) string {
 	set, _ := m.Refresh(now)
 	return fmt.Sprintf("%s %d", m.Status().Mode, set.MaxAttempts)
@@ -54,8 +57,8 @@
 	}
 }
 
-// Guards against a relay that acts by what it may not: through both steps of a change, past the end of its lease, and
-// in the next process.
+// Guards against a relay that acts by other settings than it may: in both steps of a change, after the end of its lease, and in
+// the next process.
 func TestMemberFollowsChangesAndLease(t *testing.T) {
 	dir := t.TempDir()
 	m := Open(dir, "one", testFile(t, 5))
@@ -69,37 +72,37 @@
 		}
 		return reply
 	}
-	checkText(t, "before any word", refresh(m, 0), "own 5")
+	checkText(t, "before any answer", refresh(m, 0), "own 5")
 	reply := receive(2*time.Second, api.Standing{Turn: 1, Next: testGeneration(1, 8)})
-	checkText(t, "the first one prepared", refresh(m, 2*time.Second), "joined 5")
+	checkText(t, "the first generation prepared", refresh(m, 2*time.Second), "joined 5")
 	checkText(t, "confirms", fmt.Sprint(reply.Confirm), "1")
 	reply = receive(3*time.Second, api.Standing{Turn: 2, Force: &api.Generation{Number: 1}}) // its document is known
-	checkText(t, "in force", refresh(m, 3*time.Second), "alone 8")
+	checkText(t, "in effect", refresh(m, 3*time.Second), "alone 8")
 	checkText(t, "confirms", fmt.Sprint(reply.Confirm), "2")
 	if set, _ := m.Refresh(3 * time.Second); set.Index != 7 {
-		t.Errorf("index %d, want the relay's own", set.Index)
+		t.Errorf("index %d, want 7 from the relay's own file", set.Index)
 	}
-	checkText(t, "told again", fmt.Sprint(receive(4*time.Second, api.Standing{Turn: 2, Force: &api.Generation{Number: 1}, Confirmed: 2})), fmt.Sprint(Reply{}))
+	checkText(t, "the same answer again", fmt.Sprint(receive(4*time.Second, api.Standing{Turn: 2, Force: &api.Generation{Number: 1}, Confirmed: 2})), fmt.Sprint(Reply{}))
 	receive(5*time.Second, api.Standing{Turn: 3, Force: &api.Generation{Number: 1}, Next: testGeneration(2, 3)})
-	checkText(t, "the second prepared", refresh(m, 5*time.Second), "joined 3")
+	checkText(t, "the second generation prepared", refresh(m, 5*time.Second), "joined 3")
 	checkText(t, "just before its lease ends", refresh(m, 14*time.Second-1), "joined 3")
 	checkText(t, "as its lease ends", refresh(m, 14*time.Second), "fallback 3")
 	if _, err := m.Receive(15*time.Second, 14*time.Second, api.Standing{Turn: 2, LeaseMS: leaseMS, Force: &api.Generation{Number: 1}}); err == nil {
-		t.Error("an older turn is taken")
+		t.Error("an older revision is accepted")
 	}
 	receive(16*time.Second, api.Standing{Turn: 4, Force: &api.Generation{Number: 2}})
-	checkText(t, "heard again", refresh(m, 16*time.Second), "alone 3")
+	checkText(t, "after another answer", refresh(m, 16*time.Second), "alone 3")
 
 	next := Open(dir, "two", testFile(t, 2))
 	checkText(t, "the next process", refresh(next, 0), "fallback 2")
-	checkText(t, "takes over from", next.PreviousInstance, "one")
+	checkText(t, "the previous process", next.PreviousInstance, "one")
 	next = Open(dir, "two", testFile(t, 6))
 	checkText(t, "the next process, with a wider file", refresh(next, 0), "fallback 3")
 	next.SetFile(testFile(t, 1))
-	checkText(t, "with a narrower one", refresh(next, time.Second), "fallback 1")
+	checkText(t, "the next process, with a narrower file", refresh(next, time.Second), "fallback 1")
 }
 
-// Guards against a generation that is taken by half, or that takes away what is held.
+// Guards against an unusable generation that is applied in part, or that removes the one in effect.
 func TestUnusableGenerationIsRejected(t *testing.T) {
 	m := Open(t.TempDir(), "one", testFile(t, 5))
 	if _, err := m.Receive(2*time.Second, time.Second, api.Standing{Turn: 1, LeaseMS: 10000, Force: testGeneration(1, 4)}); err != nil {
@@ -107,12 +110,12 @@
 	}
 	otherClass := strings.Replace(string(rawSettings(3, 0)), `"order"`, `"other"`, 1)
 	for name, document := range map[string]string{
-		"no JSON":             `{"settings":`,
-		"no settings":         `{}`,
-		"an effect of no use": `{"settings":` + strings.Replace(string(rawSettings(3, 0)), "idempotent", "odd", 1) + `}`,
-		"what the file has":   `{"settings":` + strings.Replace(string(rawSettings(3, 0)), `"tick":0.005,`, "", 1) + `}`,
-		"no class in common":  `{"settings":` + otherClass + `}`,
-		"too long":            `{"settings":{"x":"` + strings.Repeat("x", maxDocumentBytes) + `"}}`,
+		"no JSON":                   `{"settings":`,
+		"no settings":               `{}`,
+		"an unknown effect":         `{"settings":` + strings.Replace(string(rawSettings(3, 0)), "idempotent", "odd", 1) + `}`,
+		"a missing key of the file": `{"settings":` + strings.Replace(string(rawSettings(3, 0)), `"tick":0.005,`, "", 1) + `}`,
+		"no class in common":        `{"settings":` + otherClass + `}`,
+		"too long":                  `{"settings":{"x":"` + strings.Repeat("x", maxDocumentBytes) + `"}}`,
 	} {
 		reply, err := m.Receive(3*time.Second, 2*time.Second, api.Standing{Turn: 2, LeaseMS: 10000, Force: &api.Generation{Number: 1}, Next: &api.Generation{Number: 2, Doc: json.RawMessage(document)}})
 		if err == nil || reply.Reject != 2 || reply.Confirm != 0 || reply.Reason == "" {
@@ -122,13 +125,13 @@
 	}
 	reply, err := m.Receive(4*time.Second, 3*time.Second, api.Standing{Turn: 3, LeaseMS: 10000, Force: &api.Generation{Number: 3, Doc: json.RawMessage(`{}`)}})
 	if err == nil || !reply.Leave {
-		t.Errorf("%+v, %v: want to leave, for it cannot act by what is in force", reply, err)
+		t.Errorf("%+v, %v: want Leave, as the relay cannot act on the generation in effect", reply, err)
 	}
 	checkText(t, "until its lease ends", refresh(m, 4*time.Second), "alone 4")
 	checkText(t, "after it", refresh(m, 11*time.Second), "fallback 4")
 }
 
-// Guards against a damaged file that is acted by, and one that stops a relay.
+// Guards against a relay that acts on damaged stored state, or that cannot start with it.
 func TestDamagedStateIsIgnored(t *testing.T) {
 	dir := t.TempDir()
 	m := Open(dir, "one", testFile(t, 5))
@@ -151,16 +154,16 @@
 			rt.Fatal(err)
 		}
 		if got := refresh(Open(dir, "two", testFile(t, 5)), 0); got != "own 5" {
-			rt.Fatalf("a damaged file: acts by %s", got)
+			rt.Fatalf("with a damaged file it acts by %s", got)
 		}
 	})
 }
 
-// keepers answers the calls of sessions as a test says.
+// fakeKeepers answers the calls of sessions as a test determines.
 type fakeKeepers struct {
 	mu            sync.Mutex
-	answer        func(path string, body []byte) (status int, out any) // status 0: the answer is lost
-	callsBySecond map[int]int                                          // by second
+	answer        func(path string, body []byte) (status int, out any) // with status 0 the answer is lost
+	callsBySecond map[int]int                                          // by the second after startedAt
 	startedAt     time.Time
 }
 
@@ -179,7 +182,7 @@
 	if status == 0 {
 		return nil, io.ErrUnexpectedEOF
 	}
-	if req.URL.Path == api.SessionPath && status == 200 { // it waits for news
+	if req.URL.Path == api.SessionPath && status == 200 { // it waits for a change
 		select {
 		case <-time.After(time.Second):
 		case <-req.Context().Done():
@@ -193,13 +196,14 @@
 	return &http.Response{StatusCode: status, Body: io.NopCloser(bytes.NewReader(data))}, nil
 }
 
+// newSession returns a session of one relay of a fleet with the keepers.
 func newSession(keepers *fakeKeepers, seed uint64, fleetSize int, handleAnswer func(Answer) ([]uint64, Reply, bool)) *Session {
 	startedAt := time.Now()
 	return &Session{Client: &api.Client{HTTP: &http.Client{Transport: keepers}, Keepers: []string{"a:1", "b:1", "c:1"}}, Name: "relay", Seed: seed,
 		FleetSize: func() int { return fleetSize }, Now: func() time.Duration { return time.Since(startedAt) }, HandleAnswer: handleAnswer, Instance: "one"}
 }
 
-// Guards against a word that is lost for good, and one that is told after a newer one.
+// Guards against a reply that is lost for good, and one that is sent after a newer one.
 func TestReplyIsSentUntilReceived(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		random := rand.New(rand.NewPCG(1, 1))
@@ -220,7 +224,7 @@
 				confirmed = append(confirmed, message.Turn)
 				return 204, nil
 			}
-			t.Errorf("a call of %s", path)
+			t.Errorf("unexpected call of %s", path)
 			return 404, nil
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -228,18 +232,18 @@
 		s := newSession(keepers, 1, 3, func(answer Answer) ([]uint64, Reply, bool) { return nil, Reply{Confirm: answer.Standing.Turn}, true })
 		s.Run(ctx)
 		if len(confirmed) < 20 {
-			t.Errorf("%d turns confirmed in a minute", len(confirmed))
+			t.Errorf("%d revisions confirmed in a minute, want at least 20", len(confirmed))
 		}
 		for i := range confirmed[1:] {
 			if confirmed[i+1] < confirmed[i] {
-				t.Errorf("turn %d confirmed after %d", confirmed[i+1], confirmed[i])
+				t.Errorf("revision %d confirmed after %d", confirmed[i+1], confirmed[i])
 			}
 		}
 	})
 }
 
-// Guards against a crowd: a fleet that starts together, and keepers that come back, are asked spread out, and steadily
-// no more often than leases want.
+// Guards against calls that arrive together after the start of a whole fleet or the return of the keepers, and against more calls
+// than the leases need.
 func TestFleetSpreadsItsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const fleetSize = 300
@@ -266,16 +270,16 @@
 		mostCalls := 0
 		for second, n := range keepers.callsBySecond {
 			if mostCalls = max(mostCalls, n); n > 450 {
-				t.Errorf("%d calls in second %d", n, second)
+				t.Errorf("%d calls in second %d, want at most 450", n, second)
 			}
 		}
 		if mostCalls < 100 {
-			t.Errorf("at most %d calls a second: leases of 10 s cannot be kept by 300 so", mostCalls)
+			t.Errorf("at most %d calls a second: too few to renew 300 leases of 10 s", mostCalls)
 		}
 	})
 }
 
-// Guards against an answer or a file that makes a relay panic, or act by what it cannot know.
+// Guards against an answer or a stored state that makes a relay panic, or act on a generation that it could not check.
 func FuzzReceive(f *testing.F) {
 	f.Add([]byte(`{"lease_ms":1000,"turn":1,"force":{"number":1,"doc":{"settings":{}}}}`))
 	f.Add([]byte(`{"lease_ms":1000,"turn":3,"next":{"number":2}}`))
@@ -292,7 +296,7 @@
 			t.Errorf("%+v is confirmed after %v", reply, err)
 		}
 		if status := m.Status(); err != nil && status.Mode != hold.OwnFile {
-			t.Errorf("acts by %+v after %v", status, err)
+			t.Errorf("it acts on %+v after %v", status, err)
 		}
 	})
 }
--- a/internal/fleet/hold/hold_test.go
+++ b/internal/fleet/hold/lease_test.go
@@ -10,18 +10,19 @@
 
 const testDuration = 10 * time.Second
 
+// grant returns an answer of the keepers with a lease of testDuration.
 func grant(requestedAt time.Duration, revision, current, next uint64) Grant {
 	return Grant{RequestedAt: requestedAt, Duration: testDuration, Revision: revision, Current: current, Next: next}
 }
 
-// Guards against a relay that acts by what it must not: before its loop has taken a turn up, by an earlier turn, or
-// beyond its lease, which counts from the question and not from the answer.
+// Guards against a relay that acts on a revision before its loop has adopted it, on an earlier revision, or after the end of its
+// lease, which counts from the request and not from the answer.
 func TestLease(t *testing.T) {
 	var l Lease
 	checkStatus := func(now time.Duration, mode Mode, revision uint64) {
 		t.Helper()
 		if status := l.Status(now); status.Mode != mode || status.Revision != revision {
-			t.Fatalf("at %v it acts %v by turn %d, want %v by %d", now, status.Mode, status.Revision, mode, revision)
+			t.Fatalf("at %v the mode is %v and the revision %d, want %v and %d", now, status.Mode, status.Revision, mode, revision)
 		}
 	}
 	renew := func(now time.Duration, answer Grant, want error) {
@@ -36,7 +37,7 @@
 	renew(3*time.Second, grant(2*time.Second, 1, 0, 1), nil)
 	checkStatus(3*time.Second, OwnFile, 0)
 	if pending, ok := l.Pending(); !ok || pending.Revision != 1 {
-		t.Fatalf("due %+v, %v", pending, ok)
+		t.Fatalf("pending %+v, %v", pending, ok)
 	}
 	if err := l.Adopt(1); err != nil {
 		t.Fatal(err)
@@ -52,7 +53,7 @@
 	}
 	checkStatus(14*time.Second-1, Single, 2)
 	checkStatus(14*time.Second, Fallback, 2)
-	checkStatus(13*time.Second, Fallback, 2) // whatever the clock says afterwards
+	checkStatus(13*time.Second, Fallback, 2) // a clock that runs backwards does not restore the lease
 	renew(20*time.Second, grant(19*time.Second, 2, 1, 0), nil)
 	checkStatus(20*time.Second, Single, 2)
 	for _, invalid := range []Grant{grant(21*time.Second, 3, 1, 2), grant(-1, 3, 1, 2), {RequestedAt: 1, Revision: 3, Current: 1}, grant(19*time.Second, 3, 2, 2),
@@ -61,12 +62,12 @@
 	}
 	renew(20*time.Second, grant(19*time.Second, 3, 0, 2), ErrStale) // a keeper with an older state
 	if remaining := l.Remaining(25 * time.Second); remaining != 4*time.Second {
-		t.Errorf("%v left, want 4s", remaining)
+		t.Errorf("%v remaining, want 4s", remaining)
 	}
 }
 
-// Answers that come late, twice and out of order, pauses of any length: the turn never goes back, the lease never ends
-// later than the last answer that counts allows, and nothing is acted by that was not heard of.
+// Guards against answers that arrive late, twice or out of order, and pauses of any length: the adopted revision never decreases,
+// the lease never outlasts the accepted answers, and the relay never acts on a revision that the keepers have not made.
 func TestAnswersInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var l Lease
@@ -75,21 +76,21 @@
 		var inTransit []Grant
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
 			switch rapid.IntRange(0, 5).Draw(t, "what") {
-			case 0: // time passes, also while the process is stopped
+			case 0: // time passes, as it does while the process is stopped
 				now += time.Duration(rapid.IntRange(0, 12000).Draw(t, "ms")) * time.Millisecond
-			case 1: // the keepers go on
+			case 1: // the keepers make another revision
 				revision++
 				switch {
-				case next != 0 && rapid.Bool().Draw(t, "in force"):
+				case next != 0 && rapid.Bool().Draw(t, "in effect"):
 					current, next = next, 0
 				case next != 0:
 					next = 0
 				default:
 					next = current + uint64(rapid.IntRange(1, 3).Draw(t, "number"))
 				}
-			case 2: // an answer is on its way
+			case 2: // the keepers send an answer
 				inTransit = append(inTransit, grant(now, revision, current, next))
-			case 3: // one of those comes, and perhaps comes again
+			case 3: // one of the answers arrives, and may arrive again
 				if len(inTransit) == 0 {
 					continue
 				}
@@ -109,14 +110,14 @@
 			}
 			status := l.Status(now)
 			if status.Revision < lastRevision || status.Revision > revision {
-				t.Fatalf("it acts by turn %d after %d, of %d", status.Revision, lastRevision, revision)
+				t.Fatalf("it acts on revision %d after %d, and the newest is %d", status.Revision, lastRevision, revision)
 			}
 			lastRevision = status.Revision
 			if (status.Mode == Single || status.Mode == Joined) && now >= expires {
-				t.Fatalf("at %v it acts %v, its lease ended at %v", now, status.Mode, expires)
+				t.Fatalf("at %v the mode is %v, but the lease ended at %v", now, status.Mode, expires)
 			}
 			if status.Mode == Joined && status.Next <= status.Current {
-				t.Fatalf("it joins %d and %d", status.Current, status.Next)
+				t.Fatalf("it joins generations %d and %d", status.Current, status.Next)
 			}
 		}
 	})
--- a/internal/fleet/kept.go
+++ b/internal/fleet/member.go
@@ -1,6 +1,6 @@
-// Package fleet is a relay's part of what the fleet agrees on: its session with the keepers, the generations that it
-// holds by lease, and by which settings it acts now. What the relay's loop owns (Kept) and what waits for the network
-// (Session) are apart.
+// Package fleet is a relay's membership in a fleet: its session with the keepers, the generations of the configuration that it
+// may act on under a lease, and the settings by which it acts now. The state that belongs to the relay's loop (Member) is
+// separate from the code that waits for the network (Session).
 package fleet
 
 import (
@@ -15,44 +15,46 @@
 	"larchrouter/internal/settings"
 )
 
-// docMost bounds a generation's document at a relay, whose disk is small: two are kept, and a copy as they change.
+// maxDocumentBytes is the maximum size of a generation's document. A relay's disk is small, and it stores two documents, and a
+// second copy of both while they are replaced.
 const maxDocumentBytes = 48 << 10
 
-// StateMost is how much of the folder that lasts a Kept takes at most, in bytes.
+// MaxStateBytes is the most that the stored state of a Member takes in the persistent folder, in bytes.
 const MaxStateBytes = 6*maxDocumentBytes + 8<<10
 
-// generation is one whose document has been checked, with this relay's own keys in it.
+// generation is a generation whose document has been checked. The settings have this relay's own keys.
 type generation struct {
 	document json.RawMessage
 	settings settings.Settings
 }
 
-// File is the relay's own settings.
+// File is the settings from the relay's own file, as text and parsed.
 type File struct {
 	Raw      json.RawMessage
 	Settings settings.Settings
 }
 
-// Kept is what the loop holds. It is not safe for concurrent use.
+// Member is a relay's state as a member of the fleet, which belongs to the relay's loop. It is not safe for concurrent use.
 type Member struct {
-	Instance         string // of this process
-	PreviousInstance string // of the one that kept what this one found; empty for none
+	Instance         string // identifies this process
+	PreviousInstance string // identifies the process that stored the state found by Open; empty if there was none
 
 	path        string
 	file        File
 	lease       hold.Lease
 	generations map[uint64]generation
 	status      hold.Status
-	settings    settings.Settings // by which the relay acts
+	settings    settings.Settings // by which the relay acts now
 }
 
-// Open takes up what an earlier process kept, if it can be read: its lease is over, for no clock has been running
-// since, so the relay acts by the fallback until it hears from the keepers.
+// Open returns a Member with the state that an earlier process stored in dir, or with none if that state is absent or cannot be
+// read. The stored lease counts as expired, as no clock has measured the time since. The relay therefore acts by the fallback
+// until the keepers answer.
 func Open(dir, instance string, file File) *Member {
 	m := &Member{Instance: instance, path: statePath(dir), file: file, generations: map[uint64]generation{}, settings: file.Settings}
 	state, err := readState(m.path)
 	if err != nil {
-		slog.Warn("what was agreed on is not taken up", "err", err)
+		slog.Warn("stored fleet state cannot be read and is ignored", "err", err)
 		return m
 	}
 	if state == nil {
@@ -61,7 +63,7 @@
 	m.PreviousInstance = state.Instance
 	for _, g := range state.Generations {
 		if err := m.addGeneration(&g); err != nil {
-			slog.Warn("what was agreed on is not taken up", "generation", g.Number, "err", err)
+			slog.Warn("stored generation cannot be used; the stored fleet state is ignored", "generation", g.Number, "err", err)
 			return m
 		}
 	}
@@ -69,14 +71,14 @@
 	return m
 }
 
-// Sign notes in the folder that this process is the relay's now, so that the next one can say from whom it takes over: else
-// the keepers take it for another of that name until a lease is over.
+// RecordInstance stores this process's Instance with the state, so that the next process can name the one that it takes over
+// from. Otherwise the keepers would take it for another relay of the same name until a lease has expired.
 func (m *Member) RecordInstance() error {
 	status := m.lease.Status(0)
 	return m.save(hold.Grant{Revision: status.Revision, Current: status.Current, Next: status.Next})
 }
 
-// learn checks a document as a reload checks a file, and keeps it.
+// addGeneration checks a document as a reload checks a file, and retains it. The text of its errors is sent to the keepers.
 func (m *Member) addGeneration(g *api.Generation) error {
 	if _, known := m.generations[g.Number]; known || g.Doc == nil {
 		return nil
@@ -105,7 +107,8 @@
 	return nil
 }
 
-// by is the settings that a way of acting means.
+// settingsFor returns the settings by which a relay of that status acts. It returns an error, and the settings of the relay's own
+// file, if a document is missing or two generations cannot be joined.
 func (m *Member) settingsFor(status hold.Status) (settings.Settings, error) {
 	own := m.file.Settings
 	if status.Mode == hold.OwnFile {
@@ -135,16 +138,16 @@
 	return set, nil
 }
 
-// Look tells by which settings the relay acts now, and whether that has changed since it looked last. The loop looks
-// before it does anything, so one that was stopped for longer than its lease acts by the fallback when it goes on.
+// Refresh returns the settings by which the relay acts now, and whether they may have changed since the last call. The loop calls
+// it before any other work, so a process that was stopped for longer than its lease acts by the fallback when it resumes.
 func (m *Member) Refresh(now time.Duration) (set settings.Settings, changed bool) {
 	status := m.lease.Status(now)
 	if status == m.status {
 		return m.settings, false
 	}
 	set, err := m.settingsFor(status)
-	if err != nil { // of what it held it cannot say what it allows: its own file is left
-		slog.Error("acts by its own file", "mode", status.Mode.String(), "generation", status.Current, "err", err)
+	if err != nil { // what the generations allow is unknown, so only the relay's own file remains
+		slog.Error("cannot act by the fleet's settings; acting by the relay's own file", "mode", status.Mode.String(), "generation", status.Current, "err", err)
 		set = m.file.Settings
 	}
 	slog.Info("acts", "mode", status.Mode.String(), "turn", status.Revision, "generation", status.Current, "next", status.Next)
@@ -152,36 +155,39 @@
 	return set, true
 }
 
-// Left is how much of the lease there is; 0 once the relay acts by the fallback, or never held one.
+// LeaseRemaining returns the rest of the lease; 0 if it has expired, or there never was one.
 func (m *Member) LeaseRemaining(now time.Duration) time.Duration { return m.lease.Remaining(now) }
 
-// Acting is by what the relay acts since it looked last, in words for logs and figures.
+// Status returns what the relay has acted on since the last Refresh, for logs and metrics.
 func (m *Member) Status() hold.Status { return m.status }
 
-// SetFile takes another file of the relay's own up.
+// SetFile replaces the relay's own file. It takes effect with the next Refresh. A generation that cannot be used together with
+// the new file keeps the settings that it had with the old one.
 func (m *Member) SetFile(f File) {
 	m.file = f
-	for number, g := range m.generations { // with the relay's own keys as the file has them now
+	for number, g := range m.generations { // parse again with the relay's own keys from the new file
 		delete(m.generations, number)
 		if err := m.addGeneration(&api.Generation{Number: number, Doc: g.document}); err != nil {
-			slog.Warn("the file does not go with what was agreed on", "generation", number, "err", err)
+			slog.Warn("generation cannot be used with the relay's new file; its settings stay as they were", "generation", number, "err", err)
 			m.generations[number] = g
 		}
 	}
-	m.status = hold.Status{Mode: -1} // what it means may have changed
+	m.status = hold.Status{Mode: -1} // no real mode, so that the next Refresh determines the settings anew
 }
 
-// Word is what the keepers are to be told of an answer of theirs.
+// Reply is what the relay has to send to the keepers after an answer of theirs. The zero value means nothing.
 type Reply struct {
-	Confirm uint64 // a turn that the relay acts by; 0 for none
-	Reject  uint64 // a generation that it cannot act by; 0 for none
-	Reason  string
-	// Leave says that it cannot act by what is in force: it has no part in the fleet until it can.
+	Confirm uint64 // revision that the relay acts on; 0 for none
+	Reject  uint64 // generation that the relay cannot act on; 0 for none
+	Reason  string // of Reject or Leave
+	// Leave says that the relay cannot act on the generation in effect, and leaves the fleet until it can.
 	Leave bool
 }
 
-// Hear takes an answer in, and says what is to be told in turn. Confirm may be told only once the loop has looked
-// again and acts by the settings that Look says.
+// Receive processes an answer of the keepers to a request that was sent at requestedAt, and returns the reply to it. Both times
+// are by the relay's clock. The reply must not be sent before the loop has called Refresh and acts by the settings that it
+// returned, as Confirm says that it does. A generation that cannot be used is reported as *UnusableGeneration, together with a
+// reply.
 func (m *Member) Receive(now, requestedAt time.Duration, standing api.Standing) (Reply, error) {
 	grant := hold.Grant{RequestedAt: requestedAt, Duration: time.Duration(standing.LeaseMS) * time.Millisecond, Revision: standing.Turn}
 	if standing.Force != nil {
@@ -210,9 +216,9 @@
 		if standing.Confirmed == grant.Revision {
 			return Reply{}, nil
 		}
-		return Reply{Confirm: grant.Revision}, nil // once more: the word of it was lost, or the session is another
+		return Reply{Confirm: grant.Revision}, nil // confirm again: the confirmation was lost, or there is a new session
 	}
-	// On disk first: a process that dies now goes on from the newer turn, never from the older.
+	// Store before adopting: if the process dies now, the next one starts from the newer revision, never from the older.
 	if err := m.save(pending); err != nil {
 		return Reply{}, err
 	}
@@ -227,7 +233,7 @@
 	return Reply{Confirm: pending.Revision}, nil
 }
 
-// Have are the generations whose documents are known.
+// KnownGenerations returns the numbers of the generations whose documents the relay has, in ascending order.
 func (m *Member) KnownGenerations() (numbers []uint64) {
 	for number := range m.generations {
 		numbers = append(numbers, number)
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -12,56 +12,59 @@
 	"larchrouter/internal/keeper/api"
 )
 
-// Heard is an answer of the keepers, for the loop.
+// Answer is an answer of the keepers to a session call.
 type Answer struct {
-	RequestedAt time.Duration // when the call went out, by the relay's clock
+	RequestedAt time.Duration // when the call was sent, by the relay's clock
 	Standing    api.Standing
 }
 
-// Session keeps up a relay's session with the keepers. It shares nothing with the loop: what it hears it hands over,
-// and what the loop has to say it is told.
+// Session maintains a relay's session with the keepers. It shares no state with the relay's loop: it passes each answer to
+// HandleAnswer and sends the reply that this returns. The exported fields must be set before Run.
 type Session struct {
 	Client    *api.Client
 	Name      string
 	Zone      string
 	Version   string
 	Seed      uint64
-	FleetSize func() int           // relays
+	FleetSize func() int           // number of relays
 	Now       func() time.Duration // the relay's clock
-	// Hear hands an answer to the loop, and returns once that has taken it in.
+	// HandleAnswer passes an answer to the loop and returns once the loop has processed it: the generations whose documents the
+	// relay has, the reply to send, and whether the answer was accepted.
 	HandleAnswer func(Answer) (have []uint64, w Reply, ok bool)
 
-	Instance, PreviousInstance string // as Kept has them
-	// Addr and Folder are where the relay takes copies of estates, and Owned marks the list of those that it owns as it knows
-	// it; empty and nil for a relay that takes none.
+	Instance, PreviousInstance string // as in Member
+	// Addr and Folder are the address and the folder in which the relay receives copies of replication groups' records. Owned
+	// returns a mark that identifies the list of the groups that the relay owns, as it knows it. They are empty and nil for a
+	// relay that receives no copies.
 	Addr, Folder string
 	Owned        func() string
 
 	mu            sync.Mutex
-	reply         Reply         // that has yet to be told; a newer one takes its place
-	replyReady    chan struct{} // there is one
-	leaseDuration time.Duration // as last told
+	reply         Reply         // to be sent; a newer one replaces it
+	replyReady    chan struct{} // signals that reply was replaced
+	leaseDuration time.Duration // as last granted by the keepers
 }
 
-// The times of a session. Pauses are by chance and longer in a larger fleet, so that a mass restart, or keepers that
-// come back, meet no crowd.
+// The times of a session. Pauses are random, and longer in a larger fleet, so that the calls of all relays do not arrive together
+// after a mass restart or when keepers return.
 const (
-	callTimeout  = 5 * time.Second // beyond what a call may wait
+	callTimeout  = 5 * time.Second // in addition to the time that a call may wait for a change
 	initialPause = 50 * time.Millisecond
-	initialLease = 4 * time.Second // assumed until it is told
+	initialLease = 4 * time.Second // assumed until the keepers grant one
 )
 
-// pause is the time before a call is made again after one that failed, so many in a row.
+// retryPause returns a random pause before a failed call is repeated, which doubles with each failure in a row up to a quarter
+// of the lease.
 func retryPause(random *rand.Rand, failures, fleetSize int, leaseDuration time.Duration) time.Duration {
 	mean := initialPause << min(failures, 10)
 	if share := 2 * initialPause * time.Duration(fleetSize); mean < share {
-		mean = share // all relays together ask no more often than ten times a second
+		mean = share // all relays together call at most ten times a second
 	}
 	return time.Duration((0.5 + random.Float64()) * float64(min(mean, leaseDuration/4)))
 }
 
-// Run keeps the session up until the context ends. It does not say goodbye: whether another process goes on under
-// the same name, it cannot know.
+// Run maintains the session until ctx ends. It does not end the session at the keepers, as it cannot know whether another process
+// continues it under the same name.
 func (s *Session) Run(ctx context.Context) {
 	s.replyReady, s.leaseDuration = make(chan struct{}, 1), initialLease
 	s.Client.Start(int(s.Seed % 1024))
@@ -96,9 +99,9 @@
 			}
 			var refused *api.Refused
 			if errors.As(err, &refused) && refused.Status == http.StatusGone {
-				revision = 0 // it begins anew, and is told all again
+				revision = 0 // the keepers no longer know the session: begin a new one, whose first answer has the whole state
 			}
-			slog.Warn("keepers do not answer", "err", err, "in_a_row", failures+1)
+			slog.Warn("session call to the keepers failed", "err", err, "in_a_row", failures+1)
 			sleep(retryPause(random, failures, s.FleetSize(), s.leaseDuration))
 			failures++
 			continue
@@ -122,7 +125,7 @@
 	}
 }
 
-// say has a word be told. It takes the place of an older one.
+// setReply has a reply sent, in place of an older one that has not been sent yet.
 func (s *Session) setReply(reply Reply) {
 	s.mu.Lock()
 	s.reply = reply
@@ -133,7 +136,8 @@
 	}
 }
 
-// tell tells the keepers what the loop has to say, until they have heard it or there is a newer word.
+// sendReplies sends each reply to the keepers, and repeats it until they have answered or there is a newer one. It returns when ctx
+// ends.
 func (s *Session) sendReplies(ctx context.Context) {
 	random := rand.New(rand.NewPCG(s.Seed, 8))
 	for failures := 0; ; {
@@ -171,9 +175,9 @@
 		switch {
 		case err == nil:
 			failures = 0
-		case errors.As(err, &refused): // of a turn that is over: the next answer tells what holds
+		case errors.As(err, &refused): // the reply is to an earlier revision: the next answer of the session has the present one
 			failures = 0
-			slog.Info("the keepers do not take the word", "err", err)
+			slog.Info("the keepers rejected a reply", "err", err)
 		default:
 			failures++
 		}
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -13,7 +13,7 @@
 	"larchrouter/internal/keeper/api"
 )
 
-// kept is what a relay leaves to its next process.
+// persistedState is the state that a relay stores for its next process.
 type persistedState struct {
 	Instance    string           `json:"instance"`
 	Revision    uint64           `json:"turn"`
@@ -24,8 +24,8 @@
 
 func statePath(dir string) string { return filepath.Join(dir, "fleet") }
 
-// save puts what the relay is about to act by on disk, whole. As with the journal, what write(2) has taken outlasts
-// the process.
+// save stores the grant that the relay is about to act on, with its documents, replacing the file as a whole. It does not sync the
+// file: as with the journal, data that write(2) has accepted outlives the process.
 func (m *Member) save(grant hold.Grant) error {
 	state := persistedState{Instance: m.Instance, Revision: grant.Revision, Current: grant.Current, Next: grant.Next}
 	for _, number := range []uint64{grant.Current, grant.Next} {
@@ -47,9 +47,9 @@
 	return nil
 }
 
-// readState reads what was kept; nil where nothing was.
+// readState reads the stored state; nil if there is none.
 func readState(path string) (*persistedState, error) {
-	// A copy that a kill cut short is of no use, and takes room.
+	// A temporary copy left by a killed process is useless and takes space.
 	if err := os.Remove(path + ".tmp"); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
@@ -63,11 +63,11 @@
 	return parseState(data)
 }
 
-// parseState reads the text of the file, whole or not at all.
+// parseState parses the text of the file. It returns an error unless the whole text is intact.
 func parseState(data []byte) (*persistedState, error) {
 	sum, text, ok := strings.Cut(strings.TrimSuffix(string(data), "\n"), " ")
 	if !ok || sum != fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(text))) {
-		return nil, errors.New("fleet: the checksum differs")
+		return nil, errors.New("fleet: the checksum of the stored state does not match")
 	}
 	var state persistedState
 	if err := json.Unmarshal([]byte(text), &state); err != nil {
