--- a/cmd/larchrouter/main.go
+++ b/cmd/larchrouter/main.go
@@ -16,7 +16,7 @@
 )
 
 // lastLines is for the end of the log to be written as the process ends.
-const lastLines = 100 * time.Millisecond
+const logFlushTimeout = 100 * time.Millisecond
 
 // logLevelVariable names the environment variable with the least level of what is logged: debug, info, warn or error. Debug
 // has a line for each request that goes out, each call for the list and each change of the list's lease.
@@ -32,14 +32,14 @@
 }
 
 func main() {
-	lines := logqueue.New(os.Stderr)
+	logWriter := logqueue.New(os.Stderr)
 	options := &slog.HandlerOptions{Level: logLevel(os.Getenv(logLevelVariable))}
-	slog.SetDefault(slog.New(slog.NewTextHandler(lines, options)))
+	slog.SetDefault(slog.New(slog.NewTextHandler(logWriter, options)))
 	err := run()
 	if err != nil {
 		slog.Error("cannot start", "err", err, "remedy", remedy.Of(err))
 	}
-	lines.Flush(lastLines)
+	logWriter.Flush(logFlushTimeout)
 	if err != nil {
 		os.Exit(1)
 	}
--- a/internal/estate/serve.go
+++ b/internal/estate/serve.go
@@ -22,7 +22,7 @@
 	handle(h, mux, DropPath, h.drop)
 	h.tcp = l
 	h.server = &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10}
-	go h.server.Serve(listen.Lasting(l))
+	go h.server.Serve(listen.Retrying(l))
 }
 
 // handle reads a call of bounded size, and writes its answer.
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	if err := settings.Complete(m.file.Raw, adapted); err != nil {
+	if err := settings.CheckComplete(m.file.Raw, adapted); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	set, err := settings.Parse(adapted)
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -100,7 +100,7 @@
 		}
 	}
 	k.server = &http.Server{Handler: k.handler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
-	k.done.Go(func() { k.server.Serve(listen.Lasting(k.http)) })
+	k.done.Go(func() { k.server.Serve(listen.Retrying(k.http)) })
 	k.done.Go(k.arrive)
 	slog.Info("keeper up", "name", conf.Name, "http", k.http.Addr(), "raft", k.wire.TCPListener.Addr(), "peers", len(conf.peers()), "known", known)
 	return k, nil
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -15,19 +15,19 @@
 
 // The pauses after tries that failed: they double, and begin anew once one succeeds.
 const (
-	firstPause = 5 * time.Millisecond
-	longPause  = 200 * time.Millisecond
+	minPause = 5 * time.Millisecond
+	maxPause = 200 * time.Millisecond
 )
 
 // startFor is how long TCP tries while the machine lacks what a socket takes.
-const startFor = 3 * time.Second
+const retryTimeout = 3 * time.Second
 
 // TCP listens at an address. Where the machine has no descriptor or memory for a socket, it tries again for a moment.
 func TCP(addr string) (net.Listener, error) {
 	var backoff Backoff
-	for begin := time.Now(); ; {
+	for startedAt := time.Now(); ; {
 		l, err := net.Listen("tcp", addr)
-		if err == nil || !lacking(err) || time.Since(begin) > startFor {
+		if err == nil || !isResourceShortage(err) || time.Since(startedAt) > retryTimeout {
 			return l, err
 		}
 		backoff.Wait(nil, err)
@@ -35,9 +35,9 @@
 }
 
 // lacking tells whether the machine had no descriptor or memory for a socket.
-func lacking(err error) bool {
-	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
-		if errors.Is(err, e) {
+func isResourceShortage(err error) bool {
+	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
+		if errors.Is(err, shortage) {
 			return true
 		}
 	}
@@ -45,41 +45,41 @@
 }
 
 // Passes tells whether an error of Accept passes: all but the end of the listener and of a deadline that was set on it.
-func Passes(err error) bool {
+func IsTransient(err error) bool {
 	return err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // Backoff spaces tries to accept that fail. The zero value is ready; it is not safe for use by several goroutines.
-type Backoff struct{ next time.Duration }
+type Backoff struct{ pause time.Duration }
 
 // Wait pauses after a try that failed. The first one in a row is logged.
 func (b *Backoff) Wait(addr net.Addr, err error) {
-	if b.next == 0 {
-		b.next = firstPause
+	if b.pause == 0 {
+		b.pause = minPause
 		slog.Warn("a listener's call failed; trying again", "addr", addr, "err", err)
 	}
-	time.Sleep(b.next)
-	b.next = min(2*b.next, longPause)
+	time.Sleep(b.pause)
+	b.pause = min(2*b.pause, maxPause)
 }
 
 // Done takes in a try that succeeded.
-func (b *Backoff) Done() { b.next = 0 }
+func (b *Backoff) Reset() { b.pause = 0 }
 
 // Lasting returns a listener whose Accept tries again after errors that pass.
-func Lasting(l net.Listener) net.Listener { return &lasting{Listener: l} }
+func Retrying(l net.Listener) net.Listener { return &retryingListener{Listener: l} }
 
-type lasting struct {
+type retryingListener struct {
 	net.Listener
 	mu      sync.Mutex // Accept may be called by several goroutines
 	backoff Backoff
 }
 
-func (l *lasting) Accept() (net.Conn, error) {
+func (l *retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
-		if !Passes(err) {
+		if !IsTransient(err) {
 			l.mu.Lock()
-			l.backoff.Done()
+			l.backoff.Reset()
 			l.mu.Unlock()
 			return conn, err
 		}
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -10,43 +10,43 @@
 )
 
 // scripted fails as it is told, and then has no connection but the end.
-type scripted struct {
+type scriptedListener struct {
 	net.Listener
 	errs []error
 }
 
-func (s *scripted) Accept() (net.Conn, error) {
+func (s *scriptedListener) Accept() (net.Conn, error) {
 	err := s.errs[0]
 	s.errs = s.errs[1:]
 	return nil, err
 }
 
-func (s *scripted) Addr() net.Addr { return &net.TCPAddr{} }
+func (s *scriptedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // Errors that pass are tried again; the end of the listener, and of a deadline, are told to the caller.
-func TestOnlyTheEndEndsAListener(t *testing.T) {
+func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for _, end := range []error{net.ErrClosed, os.ErrDeadlineExceeded} {
-		s := &scripted{errs: []error{syscall.ENOBUFS, syscall.EPROTO, syscall.ECONNABORTED, syscall.EMFILE, &net.OpError{Op: "accept", Err: end}}}
-		if _, err := Lasting(s).Accept(); !errors.Is(err, end) || len(s.errs) > 0 {
+		s := &scriptedListener{errs: []error{syscall.ENOBUFS, syscall.EPROTO, syscall.ECONNABORTED, syscall.EMFILE, &net.OpError{Op: "accept", Err: end}}}
+		if _, err := Retrying(s).Accept(); !errors.Is(err, end) || len(s.errs) > 0 {
 			t.Errorf("%v is told with %d errors left, want %v", err, len(s.errs), end)
 		}
 	}
 }
 
 // A machine that has no descriptor for a moment holds a start up, and does not fail it.
-func TestAStartWaitsForADescriptor(t *testing.T) {
+func TestListenWaitsForDescriptor(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
 		t.Fatal(err)
 	}
-	none := limit
-	none.Cur = 1
-	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &none); err != nil {
+	noDescriptors := limit
+	noDescriptors.Cur = 1
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &noDescriptors); err != nil {
 		t.Fatal(err)
 	}
-	back := time.AfterFunc(50*time.Millisecond, func() { syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) })
+	restore := time.AfterFunc(50*time.Millisecond, func() { syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit) })
 	l, err := TCP("127.0.0.1:0")
-	back.Stop()
+	restore.Stop()
 	if limitErr := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &limit); limitErr != nil {
 		t.Fatal(limitErr)
 	}
@@ -54,7 +54,7 @@
 		t.Fatal(err)
 	}
 	l.Close()
-	if _, err := TCP("192.0.2.1:1"); err == nil || lacking(err) {
+	if _, err := TCP("192.0.2.1:1"); err == nil || isResourceShortage(err) {
 		t.Errorf("an address that is not this machine's: %v", err)
 	}
 }
--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -11,7 +11,7 @@
 )
 
 // queued is how many lines wait at most for a writer that is slow; further lines are dropped and counted.
-const queued = 1024
+const maxQueuedLines = 1024
 
 // Writer passes lines on to another writer, in order, from a goroutine of its own. It is safe for concurrent use.
 type Writer struct {
@@ -22,7 +22,7 @@
 
 // New returns a Writer that passes lines on to out.
 func New(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queued)}
+	w := &Writer{lines: make(chan []byte, maxQueuedLines)}
 	go w.run(out)
 	return w
 }
@@ -41,7 +41,7 @@
 
 // Flush waits until all that was queued has been written, for a limited time.
 func (w *Writer) Flush(limit time.Duration) {
-	for end := time.Now().Add(limit); w.pending.Load() > 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(limit); w.pending.Load() > 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/relay/bequeath.go
+++ b/internal/relay/bequeath.go
@@ -31,7 +31,7 @@
 	l.SetUnlinkOnClose(false) // by then the name is that of the next process
 	r.heirs = l
 	go func() {
-		for asking := listen.Lasting(l); ; {
+		for asking := listen.Retrying(l); ; {
 			accepted, err := asking.Accept()
 			if err != nil {
 				return
--- a/internal/relay/calls.go
+++ b/internal/relay/calls.go
@@ -35,7 +35,7 @@
 		// A host may get all of the slots at once; the library's 2 would close the rest after each call.
 		MaxIdleConnsPerHost: set.Workers,
 		// Hosts end idle connections; a request that crosses that is lost as a reset.
-		IdleConnTimeout:    set.IdleConn - min(500*time.Millisecond, set.IdleConn/4),
+		IdleConnTimeout:    set.ConnIdleTimeout - min(500*time.Millisecond, set.ConnIdleTimeout/4),
 		DisableCompression: true,
 		// The library's 10 MB for each call would put the relay's memory in the hands of its hosts.
 		MaxResponseHeaderBytes: 16 << 10,
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -21,7 +21,7 @@
 
 func caller() *Relay {
 	r := &Relay{began: time.Now()}
-	set := settings.Settings{DialTimeout: time.Second, IdleConn: time.Minute}
+	set := settings.Settings{DialTimeout: time.Second, ConnIdleTimeout: time.Minute}
 	set.Workers = 7
 	r.hostSide.Store(newTransport(&set, 64, dialer(nil, set.DialTimeout).DialContext))
 	r.set.Store(&standing{})
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -66,7 +66,7 @@
 const journalLeast = 1
 
 // smallFiles is what the steady clock and the list's lease take of the disk.
-const smallFiles = 2 * smallfile.Most
+const smallFiles = 2 * smallfile.MaxBytes
 
 // journalBytes is what the journal has of the disk.
 func (c *Config) journalBytes() int64 {
@@ -177,7 +177,7 @@
 	if err != nil {
 		return nil, "", set, err
 	}
-	if err = settings.Complete(running, data); err != nil {
+	if err = settings.CheckComplete(running, data); err != nil {
 		return nil, "", set, &BadConfig{path, err}
 	}
 	if err = sameBacklog(running, f.Backlog); err != nil {
--- a/internal/relay/peers.go
+++ b/internal/relay/peers.go
@@ -76,7 +76,7 @@
 			p.short(err)
 			continue
 		}
-		if listen.Passes(err) {
+		if listen.IsTransient(err) {
 			backoff.Wait(p.Addr(), err)
 			continue
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -80,7 +80,7 @@
 	set := conf.Settings
 	r = &Relay{conf: conf, platformAt: discovery.NewAddress(conf.Discovery), began: time.Now(), inbox: make(chan func(), 1024),
 		books:     books{held: map[string]*message{}},
-		endpoints: endpoints{zones: set.Zones, hosts: map[string]*host{}, dests: map[int]*waiting{}},
+		endpoints: endpoints{zones: set.ZoneNames, hosts: map[string]*host{}, dests: map[int]*waiting{}},
 		quit:      make(chan struct{}), halted: make(chan struct{}), wake: time.NewTimer(time.Hour)}
 	clients, kept := conf.parts(set.Workers)
 	r.hostSide.Store(newTransport(&set, kept, r.dial(set.DialTimeout)))
@@ -90,7 +90,7 @@
 		LeaseChanged: r.leaseRenewed,
 		Fleet: func() discovery.Fleet {
 			set := r.set.Load()
-			return discovery.Fleet{Size: set.Fleet, MaxPollInterval: set.AskWithin}
+			return discovery.Fleet{Size: set.Fleet, MaxPollInterval: set.MaxPollInterval}
 		}}
 	r.list = list
 	r.calls, r.endCalls = context.WithCancelCause(context.Background())
--- a/internal/relay/reload.go
+++ b/internal/relay/reload.go
@@ -113,7 +113,7 @@
 	was := r.set.Load()
 	next := was.succeed(set, r.now())
 	r.set.Store(next)
-	if set.DialTimeout != was.DialTimeout || set.IdleConn != was.IdleConn || set.Workers != was.Workers {
+	if set.DialTimeout != was.DialTimeout || set.ConnIdleTimeout != was.ConnIdleTimeout || set.Workers != was.Workers {
 		_, kept := r.conf.parts(set.Workers)
 		old := r.hostSide.Swap(newTransport(&set, kept, r.dial(set.DialTimeout)))
 		old.CloseIdleConnections() // those in use end when they have been idle for the old time
--- a/internal/remedy/remedy.go
+++ b/internal/remedy/remedy.go
@@ -6,9 +6,9 @@
 
 // Of is what an operator can do about an error: the word of the outermost one that has any; empty for none.
 func Of(err error) string {
-	var r interface{ Remedy() string }
-	if errors.As(err, &r) {
-		return r.Remedy()
+	var adviser interface{ Remedy() string }
+	if errors.As(err, &adviser) {
+		return adviser.Remedy()
 	}
 	return ""
 }
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -6,21 +6,21 @@
 )
 
 // BadKey is a key of the settings whose value a relay cannot act by.
-type BadKey struct {
-	Key string // as the file has it, from the settings object on
-	Why string
+type KeyError struct {
+	Key    string // as the file has it, from the settings object on
+	Reason string
 }
 
-func (b *BadKey) Error() string { return b.Key + " " + b.Why }
+func (e *KeyError) Error() string { return e.Key + " " + e.Reason }
 
 // Remedy says what an operator can do.
-func (b *BadKey) Remedy() string {
-	return "correct " + b.Key + " in the settings; a relay that runs goes on by those before, whole"
+func (e *KeyError) Remedy() string {
+	return "correct " + e.Key + " in the settings; a relay that runs goes on by those before, whole"
 }
 
 // check finds the first key that is out of its range or contradicts another.
 func (c *config) check() error {
-	bad := func(key, why string, args ...any) error { return &BadKey{key, fmt.Sprintf(why, args...)} }
+	keyError := func(key, why string, args ...any) error { return &KeyError{key, fmt.Sprintf(why, args...)} }
 	for _, k := range []struct {
 		key   string
 		value float64
@@ -35,45 +35,45 @@
 		{"rules/order-settle", c.Rules.OrderSettle, false},
 	} {
 		if k.value < 0 || k.above && k.value == 0 {
-			return bad(k.key, "is %g, must be %s 0", k.value, map[bool]string{true: "above", false: "at least"}[k.above])
+			return keyError(k.key, "is %g, must be %s 0", k.value, map[bool]string{true: "above", false: "at least"}[k.above])
 		}
 	}
 	if c.Rules.ColdFrom > 1 {
-		return bad("rules/cold-from", "is %g, must be at most 1", c.Rules.ColdFrom)
+		return keyError("rules/cold-from", "is %g, must be at most 1", c.Rules.ColdFrom)
 	}
 	if len(c.Classes) == 0 {
-		return bad("classes", "is empty, must hold at least one")
+		return keyError("classes", "is empty, must hold at least one")
 	}
-	names := map[string]bool{}
+	classNames := map[string]bool{}
 	for i, k := range c.Classes {
-		at := func(key string) string { return fmt.Sprintf("classes[%d]/%s", i, key) }
+		classKey := func(key string) string { return fmt.Sprintf("classes[%d]/%s", i, key) }
 		switch {
-		case k.Name == "" || names[k.Name]:
-			return bad(at("name"), "is %q, which is empty or stands twice", k.Name)
+		case k.Name == "" || classNames[k.Name]:
+			return keyError(classKey("name"), "is %q, which is empty or stands twice", k.Name)
 		case !slices.Contains([]string{"idempotent", "deduplicated", "at_most_once"}, k.Effect):
-			return bad(at("effect"), "is %q, which is no effect", k.Effect)
+			return keyError(classKey("effect"), "is %q, which is no effect", k.Effect)
 		case k.Aim <= 0:
-			return bad(at("aim"), "is %g, must be above 0", k.Aim)
+			return keyError(classKey("aim"), "is %g, must be above 0", k.Aim)
 		case k.GiveUp < k.Aim:
-			return bad(at("give-up"), "is %g, must be at least the aim, %g", k.GiveUp, k.Aim)
+			return keyError(classKey("give-up"), "is %g, must be at least the aim, %g", k.GiveUp, k.Aim)
 		case k.Effect == "deduplicated" && k.Window <= 0:
-			return bad(at("window"), "is %g, must be above 0 where repeats are dropped", k.Window)
+			return keyError(classKey("window"), "is %g, must be above 0 where repeats are dropped", k.Window)
 		case k.Worth < 0:
-			return bad(at("worth"), "is %g, must be at least 0", k.Worth)
+			return keyError(classKey("worth"), "is %g, must be at least 0", k.Worth)
 		case k.LateShare < 0 || k.LateShare > 1:
-			return bad(at("late-share"), "is %g, must be within 0 and 1", k.LateShare)
+			return keyError(classKey("late-share"), "is %g, must be within 0 and 1", k.LateShare)
 		}
-		names[k.Name] = true
+		classNames[k.Name] = true
 	}
-	tenants := map[string]bool{}
+	tenantNames := map[string]bool{}
 	for i, t := range c.Tenants {
-		if t.Name == "" || tenants[t.Name] {
-			return bad(fmt.Sprintf("tenants[%d]/name", i), "is %q, which is empty or stands twice", t.Name)
+		if t.Name == "" || tenantNames[t.Name] {
+			return keyError(fmt.Sprintf("tenants[%d]/name", i), "is %q, which is empty or stands twice", t.Name)
 		}
 		if t.Quota < 0 {
-			return bad(fmt.Sprintf("tenants[%d]/quota-per-s", i), "is %g, must be at least 0", t.Quota)
+			return keyError(fmt.Sprintf("tenants[%d]/quota-per-s", i), "is %g, must be at least 0", t.Quota)
 		}
-		tenants[t.Name] = true
+		tenantNames[t.Name] = true
 	}
 	return nil
 }
--- a/internal/settings/join.go
+++ b/internal/settings/join.go
@@ -9,34 +9,34 @@
 )
 
 // own are the keys that each relay has by itself, whatever all agree on.
-var own = []string{"index", "zone"}
+var ownKeys = []string{"index", "zone"}
 
 // Adapt puts a relay's own keys into settings that are meant for all.
-func Adapt(all, file json.RawMessage) (json.RawMessage, error) {
-	var a, f map[string]json.RawMessage
-	if err := json.Unmarshal(all, &a); err != nil {
+func Adapt(shared, file json.RawMessage) (json.RawMessage, error) {
+	var adapted, own map[string]json.RawMessage
+	if err := json.Unmarshal(shared, &adapted); err != nil {
 		return nil, err
 	}
-	if err := json.Unmarshal(file, &f); err != nil {
+	if err := json.Unmarshal(file, &own); err != nil {
 		return nil, err
 	}
-	if a == nil {
+	if adapted == nil {
 		return nil, fmt.Errorf("the settings are no object")
 	}
-	for _, key := range own {
-		if v, ok := f[key]; ok {
-			a[key] = v
+	for _, key := range ownKeys {
+		if value, ok := own[key]; ok {
+			adapted[key] = value
 		} else {
-			delete(a, key)
+			delete(adapted, key)
 		}
 	}
-	return json.Marshal(a)
+	return json.Marshal(adapted)
 }
 
 // Join is what both settings allow. Kinds and tenants that the first does not know are as the second has them; those
 // that only the first knows are left out, and so are classes that only one has.
 func Join(a, b Settings) (Settings, error) {
-	j := b
+	joined := b
 	// The decisions know kinds and tenants by their places, which are the second's.
 	kinds, tenants := slices.Clone(b.Kinds), slices.Clone(b.Tenants)
 	for i, name := range b.KindNames {
@@ -50,11 +50,11 @@
 		}
 	}
 	a.Kinds, a.Tenants = kinds, tenants
-	j.Settings = choice.Join(a.Settings, b.Settings)
-	j.IdleConn, j.DialTimeout = min(a.IdleConn, b.IdleConn), min(a.DialTimeout, b.DialTimeout)
-	j.MaxRetryAfter, j.AskWithin = min(a.MaxRetryAfter, b.MaxRetryAfter), min(a.AskWithin, b.AskWithin)
-	if err := j.Check(); err != nil {
-		return j, fmt.Errorf("no settings are allowed by both: %w", err)
+	joined.Settings = choice.Join(a.Settings, b.Settings)
+	joined.ConnIdleTimeout, joined.DialTimeout = min(a.ConnIdleTimeout, b.ConnIdleTimeout), min(a.DialTimeout, b.DialTimeout)
+	joined.MaxRetryAfter, joined.MaxPollInterval = min(a.MaxRetryAfter, b.MaxRetryAfter), min(a.MaxPollInterval, b.MaxPollInterval)
+	if err := joined.Check(); err != nil {
+		return joined, fmt.Errorf("no settings are allowed by both: %w", err)
 	}
-	return j, nil
+	return joined, nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -16,14 +16,14 @@
 // Settings are the figures for the decisions, and what only a real relay uses.
 type Settings struct {
 	choice.Settings
-	Zones         []string      // names, in the order of Host.Zone
-	KindNames     []string      // in the order of Host.Kind
-	IdleConn      time.Duration // hosts close a connection that stood idle for so long
-	DialTimeout   time.Duration // a connection that is not up by then has failed
-	MaxRetryAfter time.Duration // clients heed no longer advice
-	AskWithin     time.Duration // a relay that has not asked for the list for so long counts as told
-	TenantNames   []string      // in the order of Arrival.Tenant
-	ReportFields  []string      // of the load report in each answer; none where there is none
+	ZoneNames       []string      // names, in the order of Host.Zone
+	KindNames       []string      // in the order of Host.Kind
+	ConnIdleTimeout time.Duration // hosts close a connection that stood idle for so long
+	DialTimeout     time.Duration // a connection that is not up by then has failed
+	MaxRetryAfter   time.Duration // clients heed no longer advice
+	MaxPollInterval time.Duration // a relay that has not asked for the list for so long counts as told
+	TenantNames     []string      // in the order of Arrival.Tenant
+	ReportFields    []string      // of the load report in each answer; none where there is none
 }
 
 func seconds(f float64) time.Duration { return time.Duration(math.Round(f*1e6)) * time.Microsecond }
@@ -86,41 +86,41 @@
 
 // Complete tells what a configuration lacks that the running one has: whoever replaced it left it
 // unfinished. Of the objects in a list each must have what all have in the running one.
-func Complete(running, next json.RawMessage) error {
-	var a, b any
-	if err := json.Unmarshal(running, &a); err != nil {
+func CheckComplete(running, next json.RawMessage) error {
+	var runningValue, nextValue any
+	if err := json.Unmarshal(running, &runningValue); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(next, &b); err != nil {
+	if err := json.Unmarshal(next, &nextValue); err != nil {
 		return err
 	}
-	return lacks(a, b, "")
+	return checkKeys(runningValue, nextValue, "")
 }
 
-func lacks(running, next any, path string) error {
-	switch a := running.(type) {
+func checkKeys(running, next any, path string) error {
+	switch runningValue := running.(type) {
 	case map[string]any:
-		b, ok := next.(map[string]any)
+		nextValue, ok := next.(map[string]any)
 		if !ok {
 			return fmt.Errorf("%s is no object", path)
 		}
-		for name, v := range a {
-			w, ok := b[name]
+		for name, v := range runningValue {
+			w, ok := nextValue[name]
 			if !ok {
 				return fmt.Errorf("%s/%s is missing", path, name)
 			}
-			if err := lacks(v, w, path+"/"+name); err != nil {
+			if err := checkKeys(v, w, path+"/"+name); err != nil {
 				return err
 			}
 		}
 	case []any:
-		b, ok := next.([]any)
+		nextValue, ok := next.([]any)
 		if !ok {
 			return fmt.Errorf("%s is no list", path)
 		}
-		for i, v := range b {
-			for _, name := range common(a) {
-				if o, ok := v.(map[string]any); !ok || o[name] == nil {
+		for i, v := range nextValue {
+			for _, name := range commonKeys(runningValue) {
+				if object, ok := v.(map[string]any); !ok || object[name] == nil {
 					return fmt.Errorf("%s[%d]/%s is missing", path, i, name)
 				}
 			}
@@ -130,13 +130,13 @@
 }
 
 // common has the names that all objects of a list have; none if it holds anything else.
-func common(list []any) (names []string) {
-	for i, v := range list {
-		o, _ := v.(map[string]any)
+func commonKeys(list []any) (names []string) {
+	for i, value := range list {
+		object, _ := value.(map[string]any)
 		if i == 0 {
-			names = slices.Collect(maps.Keys(o))
+			names = slices.Collect(maps.Keys(object))
 		}
-		names = slices.DeleteFunc(names, func(name string) bool { return o[name] == nil })
+		names = slices.DeleteFunc(names, func(name string) bool { return object[name] == nil })
 	}
 	return names
 }
@@ -150,9 +150,9 @@
 	if err := c.check(); err != nil {
 		return Settings{}, err
 	}
-	s := Settings{Zones: c.Zones, KindNames: c.Skus, IdleConn: seconds(c.Bounds.ConnIdle),
+	s := Settings{ZoneNames: c.Zones, KindNames: c.Skus, ConnIdleTimeout: seconds(c.Bounds.ConnIdle),
 		DialTimeout: seconds(c.Bounds.DialTimeout), MaxRetryAfter: seconds(c.Bounds.MaxRetryAfter),
-		AskWithin: seconds(c.Rules.AskWithin)}
+		MaxPollInterval: seconds(c.Rules.AskWithin)}
 	s.Settings = choice.Settings{
 		Index: c.Index, Fleet: c.FleetSize, Workers: c.Family.Workers, MaxHeld: c.Bounds.MostHeld,
 		MaxAttempts: c.Bounds.MaxAttempts, Tick: seconds(c.Tick), ZoneFee: c.Family.ZoneFee,
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -66,7 +66,7 @@
 }
 
 // settingsOf writes the settings object of a site as its relays are given it.
-func settingsOf(t *testing.T, s site) []byte {
+func siteSettings(t *testing.T, s site) []byte {
 	t.Helper()
 	tier, classes, tenants := s.Tier[0], []any{}, []any{}
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "at_most_once"}
@@ -74,8 +74,8 @@
 		classes = append(classes, map[string]any{"name": k.Name, "effect": effects[k.Effect], "group": k.Group, "aim": k.Aim / 1000,
 			"give-up": k.Deadline / 1000, "window": k.Window / 1000, "worth": k.Worth, "late-share": k.LateWorth})
 	}
-	for _, n := range s.Tenant {
-		tenants = append(tenants, map[string]any{"name": n.Name, "quota-per-s": 50 * n.Share, "fraction": n.Share})
+	for _, tenant := range s.Tenant {
+		tenants = append(tenants, map[string]any{"name": tenant.Name, "quota-per-s": 50 * tenant.Share, "fraction": tenant.Share})
 	}
 	names, calls := []string{}, []int{}
 	for i, k := range tier.Kind {
@@ -101,7 +101,7 @@
 
 // Guards against a relay that cannot be run for another deployment, or takes a file that is cut or contradicts itself
 // without a word on the key.
-func TestSitesAreRead(t *testing.T) {
+func TestSiteSettingsAreParsed(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(paths) < 2 {
 		t.Fatalf("sites %v, error %v", paths, err)
@@ -116,21 +116,21 @@
 			if err := toml.Unmarshal(data, &s); err != nil {
 				t.Fatal(err)
 			}
-			whole := settingsOf(t, s)
-			set, err := Parse(whole)
+			text := siteSettings(t, s)
+			parsed, err := Parse(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if len(set.Classes) != len(s.Class) || len(set.Tenants) != len(s.Tenant) || len(set.Kinds) != len(s.Tier[0].Kind) {
-				t.Errorf("%d classes, %d tenants, %d kinds", len(set.Classes), len(set.Tenants), len(set.Kinds))
+			if len(parsed.Classes) != len(s.Class) || len(parsed.Tenants) != len(s.Tenant) || len(parsed.Kinds) != len(s.Tier[0].Kind) {
+				t.Errorf("%d classes, %d tenants, %d kinds", len(parsed.Classes), len(parsed.Tenants), len(parsed.Kinds))
 			}
-			for i, k := range set.Classes {
+			for i, k := range parsed.Classes {
 				if k.Name != s.Class[i].Name || k.Deadline.Seconds()*1000 != s.Class[i].Deadline || k.SameZone != (s.Class[i].Group != "all") {
 					t.Errorf("class %d is %+v", i, k)
 				}
 			}
-			for i := range whole { // cut at any byte
-				if _, err := Parse(whole[:i]); err == nil {
+			for i := range text { // cut at any byte
+				if _, err := Parse(text[:i]); err == nil {
 					t.Fatalf("taken, though cut after %d bytes", i)
 				}
 			}
@@ -143,21 +143,21 @@
 				"tick":                  func(m map[string]any) { m["tick"] = 0 },
 				"fleet-size":            func(m map[string]any) { delete(m, "fleet-size") },
 				"classes":               func(m map[string]any) { m["classes"] = []any{} },
-				"classes[0]/effect":     func(m map[string]any) { classOf(m, 0)["effect"] = "often" },
-				"classes[0]/give-up":    func(m map[string]any) { classOf(m, 0)["give-up"] = 0.1 },
-				"classes[0]/late-share": func(m map[string]any) { classOf(m, 0)["late-share"] = 1.5 },
-				"classes[1]/name":       func(m map[string]any) { classOf(m, 1)["name"] = classOf(m, 0)["name"] },
-				"classes[1]/aim":        func(m map[string]any) { delete(classOf(m, 1), "aim") },
+				"classes[0]/effect":     func(m map[string]any) { classAt(m, 0)["effect"] = "often" },
+				"classes[0]/give-up":    func(m map[string]any) { classAt(m, 0)["give-up"] = 0.1 },
+				"classes[0]/late-share": func(m map[string]any) { classAt(m, 0)["late-share"] = 1.5 },
+				"classes[1]/name":       func(m map[string]any) { classAt(m, 1)["name"] = classAt(m, 0)["name"] },
+				"classes[1]/aim":        func(m map[string]any) { delete(classAt(m, 1), "aim") },
 			} {
 				var m map[string]any
-				if err := json.Unmarshal(whole, &m); err != nil {
+				if err := json.Unmarshal(text, &m); err != nil {
 					t.Fatal(err)
 				}
 				m = maps.Clone(m)
 				change(m)
 				data, _ := json.Marshal(m)
 				_, err := Parse(data)
-				if bad := (*BadKey)(nil); !errors.As(err, &bad) || bad.Key != key || !strings.Contains(bad.Remedy(), key) {
+				if keyErr := (*KeyError)(nil); !errors.As(err, &keyErr) || keyErr.Key != key || !strings.Contains(keyErr.Remedy(), key) {
 					t.Errorf("%s: error is %v", key, err)
 				}
 			}
@@ -165,4 +165,4 @@
 	}
 }
 
-func classOf(m map[string]any, i int) map[string]any { return m["classes"].([]any)[i].(map[string]any) }
+func classAt(m map[string]any, i int) map[string]any { return m["classes"].([]any)[i].(map[string]any) }
--- a/internal/smallfile/smallfile.go
+++ b/internal/smallfile/smallfile.go
@@ -8,21 +8,21 @@
 
 // Most is how many bytes of a disk a file takes at the most, with the one that is about to replace it, as long as its value
 // takes a block of 512 bytes.
-const Most = 2 * 512
+const MaxBytes = 2 * 512
 
 // Failure says that a value could not be kept. The file has the value of before, or none.
-type Failure struct {
+type WriteError struct {
 	Op, Path string
 	Err      error
 }
 
-func (f *Failure) Error() string { return f.Op + " " + f.Path + ": " + f.Err.Error() }
+func (e *WriteError) Error() string { return e.Op + " " + e.Path + ": " + e.Err.Error() }
 
 // Unwrap is the cause.
-func (f *Failure) Unwrap() error { return f.Err }
+func (e *WriteError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
-func (f *Failure) Remedy() string {
+func (e *WriteError) Remedy() string {
 	return "Make the folder that lasts writable, and see that its disk has room."
 }
 
@@ -36,16 +36,16 @@
 func Write(path string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
-		return &Failure{"encode", path, err}
+		return &WriteError{"encode", path, err}
 	}
-	next := path + ".next"
-	if err := os.WriteFile(next, data, 0o644); err != nil {
-		os.Remove(next)
-		return &Failure{"write", next, err}
+	tempPath := path + ".next"
+	if err := os.WriteFile(tempPath, data, 0o644); err != nil {
+		os.Remove(tempPath)
+		return &WriteError{"write", tempPath, err}
 	}
-	if err := os.Rename(next, path); err != nil {
-		os.Remove(next)
-		return &Failure{"rename", next, err}
+	if err := os.Rename(tempPath, path); err != nil {
+		os.Remove(tempPath)
+		return &WriteError{"rename", tempPath, err}
 	}
 	return nil
 }
--- a/internal/smallfile/smallfile_test.go
+++ b/internal/smallfile/smallfile_test.go
@@ -7,17 +7,17 @@
 	"testing"
 )
 
-type value struct{ N int }
+type testValue struct{ N int }
 
 // A value is there whole or not at all: before the first one, after a damaged one, and where a new one cannot be written.
-func TestAValueIsWholeOrAbsent(t *testing.T) {
+func TestValueIsCompleteOrAbsent(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "value")
-	var v value
+	var v testValue
 	if Read(path, &v) {
 		t.Error("an absent file has a value")
 	}
-	if err := Write(path, value{7}); err != nil || !Read(path, &v) || v.N != 7 {
+	if err := Write(path, testValue{7}); err != nil || !Read(path, &v) || v.N != 7 {
 		t.Errorf("%v, %v read after 7 was written", err, v)
 	}
 	if err := os.Mkdir(path+".next", 0o755); err != nil { // so the next value cannot be written
@@ -26,8 +26,8 @@
 	if err := os.WriteFile(filepath.Join(path+".next", "x"), nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	var f *Failure
-	if err := Write(path, value{8}); !errors.As(err, &f) || f.Remedy() == "" || !Read(path, &v) || v.N != 7 {
+	var fileErr *WriteError
+	if err := Write(path, testValue{8}); !errors.As(err, &fileErr) || fileErr.Remedy() == "" || !Read(path, &v) || v.N != 7 {
 		t.Errorf("%v, and %v is kept, want 7", err, v)
 	}
 	if err := os.WriteFile(path, []byte(`{"N":`), 0o644); err != nil || Read(path, &v) {
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -49,25 +49,25 @@
 const fileName = "clock"
 
 // kept is what the file holds.
-type kept struct {
+type storedAnchor struct {
 	Boot   string        `json:"boot"`
 	Offset time.Duration `json:"offset_ns"` // steady Unix time less CLOCK_MONOTONIC
 }
 
 // Failure says that the steady time of a folder cannot be kept. The process has one all the same; the next one may begin
 // another, which differs from it by what the wall clock was stepped meanwhile.
-type Failure struct {
+type ClockError struct {
 	Op  string
 	Err error
 }
 
-func (f *Failure) Error() string { return "steady clock: " + f.Op + ": " + f.Err.Error() }
+func (e *ClockError) Error() string { return "steady clock: " + e.Op + ": " + e.Err.Error() }
 
 // Unwrap is the cause.
-func (f *Failure) Unwrap() error { return f.Err }
+func (e *ClockError) Unwrap() error { return e.Err }
 
 // Remedy is what an operator can do.
-func (f *Failure) Remedy() string {
+func (e *ClockError) Remedy() string {
 	return "Make the folder that lasts writable; until then keep the wall clock from being stepped while the program restarts."
 }
 
@@ -76,33 +76,33 @@
 func Anchor(dir string) error {
 	boot, err := bootID()
 	if err != nil {
-		return &Failure{"boot id", err}
+		return &ClockError{"boot id", err}
 	}
-	now, monotonic, err := clocks()
+	now, monotonic, err := readClocks()
 	if err != nil {
-		return &Failure{"monotonic clock", err}
+		return &ClockError{"monotonic clock", err}
 	}
 	path := filepath.Join(dir, fileName)
-	var k kept
-	if smallfile.Read(path, &k) && k.Boot == boot {
-		current.Store(&anchor{process: now, steady: time.Unix(0, int64(monotonic+k.Offset))})
+	var stored storedAnchor
+	if smallfile.Read(path, &stored) && stored.Boot == boot {
+		current.Store(&anchor{process: now, steady: time.Unix(0, int64(monotonic+stored.Offset))})
 		return nil
 	}
 	offset := time.Duration(Now().UnixNano()) - monotonic
-	if err := smallfile.Write(path, kept{Boot: boot, Offset: offset}); err != nil {
-		return &Failure{"keep", err}
+	if err := smallfile.Write(path, storedAnchor{Boot: boot, Offset: offset}); err != nil {
+		return &ClockError{"keep", err}
 	}
 	return nil
 }
 
 // clocks reads the process's clock and CLOCK_MONOTONIC at one moment.
-func clocks() (now time.Time, monotonic time.Duration, err error) {
-	var t unix.Timespec
+func readClocks() (now time.Time, monotonic time.Duration, err error) {
+	var ts unix.Timespec
 	now = time.Now()
-	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &t); err != nil {
+	if err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &ts); err != nil {
 		return now, 0, err
 	}
-	return now, time.Duration(t.Nano()), nil
+	return now, time.Duration(ts.Nano()), nil
 }
 
 // bootID tells boots of the machine apart: CLOCK_MONOTONIC begins anew with each.
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -10,14 +10,14 @@
 )
 
 // restore has later tests go on by the clock of before.
-func restore(t *testing.T) {
+func restoreClock(t *testing.T) {
 	before := current.Load()
 	t.Cleanup(func() { current.Store(before) })
 }
 
 // A process that starts after the wall clock was stepped goes on with the time of the one before.
-func TestAStepBetweenProcessesMovesNothing(t *testing.T) {
-	restore(t)
+func TestWallClockStepBetweenProcesses(t *testing.T) {
+	restoreClock(t)
 	dir := t.TempDir()
 	if err := Anchor(dir); err != nil {
 		t.Fatal(err)
@@ -36,10 +36,10 @@
 }
 
 // After a boot the monotonic clock tells nothing of before, and a damaged file is none: the wall clock begins another time.
-func TestAnotherBootBeginsAnew(t *testing.T) {
+func TestUnusableAnchorIsReplaced(t *testing.T) {
 	for name, text := range map[string]string{"another boot": `{"boot":"other","offset_ns":5}`, "cut": `{"boot":"oth`, "empty": ``, "no object": `7`} {
 		t.Run(name, func(t *testing.T) {
-			restore(t)
+			restoreClock(t)
 			path := filepath.Join(t.TempDir(), fileName)
 			if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 				t.Fatal(err)
@@ -47,12 +47,12 @@
 			if err := Anchor(filepath.Dir(path)); err != nil {
 				t.Fatal(err)
 			}
-			if off := Now().Sub(time.Now()).Abs(); off > time.Second {
-				t.Errorf("the time is %v off the wall clock's", off)
+			if deviation := Now().Sub(time.Now()).Abs(); deviation > time.Second {
+				t.Errorf("the time is %v off the wall clock's", deviation)
 			}
 			data, err := os.ReadFile(path)
-			var k kept
-			if err != nil || json.Unmarshal(data, &k) != nil || k.Boot == "other" {
+			var stored storedAnchor
+			if err != nil || json.Unmarshal(data, &stored) != nil || stored.Boot == "other" {
 				t.Errorf("the file has %q: %v", data, err)
 			}
 		})
@@ -60,14 +60,14 @@
 }
 
 // A folder that cannot be written leaves the process with its time, and says what to do.
-func TestAFolderThatCannotBeWritten(t *testing.T) {
-	restore(t)
+func TestAnchorInUnwritableFolder(t *testing.T) {
+	restoreClock(t)
 	err := Anchor(filepath.Join(t.TempDir(), "absent"))
-	var f *Failure
-	if !errors.As(err, &f) || f.Remedy() == "" {
+	var clockErr *ClockError
+	if !errors.As(err, &clockErr) || clockErr.Remedy() == "" {
 		t.Errorf("%v is no failure with a remedy", err)
 	}
-	if off := Now().Sub(time.Now()).Abs(); off > time.Second {
-		t.Errorf("the time is %v off the wall clock's", off)
+	if deviation := Now().Sub(time.Now()).Abs(); deviation > time.Second {
+		t.Errorf("the time is %v off the wall clock's", deviation)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func (l *line) text(field string) string {
+func (l *line) required(field string) string {
 	v := l.fields[field]
 	if v == "" {
 		l.fail(field, "missing")
@@ -68,7 +68,7 @@
 	return v
 }
 
-func (l *line) number64(field string, required bool) float64 {
+func (l *line) float(field string, required bool) float64 {
 	v, ok := l.fields[field]
 	if !ok || v == "" {
 		if required || ok {
@@ -85,7 +85,7 @@
 }
 
 func (l *line) seconds(field string, required bool) time.Duration {
-	f := l.number64(field, required)
+	f := l.float(field, required)
 	if math.Abs(f) > 1e9 {
 		l.fail(field, fmt.Sprintf("%g seconds is out of range", f))
 		return 0
@@ -93,7 +93,7 @@
 	return seconds(f)
 }
 
-func (l *line) whole(field string, required bool) int {
+func (l *line) integer(field string, required bool) int {
 	v, ok := l.fields[field]
 	if !ok && !required {
 		return 0
@@ -110,14 +110,14 @@
 }
 
 func (l *line) outcome(field string) choice.Outcome {
-	o, ok := outcomes[l.text(field)]
+	o, ok := outcomes[l.required(field)]
 	if !ok {
 		l.fail(field, fmt.Sprintf("%q is no outcome", l.fields[field]))
 	}
 	return o
 }
 
-func (l *line) row(field string) []float64 {
+func (l *line) floats(field string) []float64 {
 	v := l.fields[field]
 	if v == "" || v == "-" {
 		return nil
@@ -141,33 +141,33 @@
 	name    string
 	chooser *choice.Chooser
 	events  []choice.Event
-	due     bool // among those with an event in this batch
+	queued  bool // among those with an event in this batch
 }
 
 type server struct {
-	in     *bufio.Reader
-	out    *bufio.Writer
-	number int
-	fields map[string]string // of the line read last
-	sheets map[int][]choice.Host
-	insts  map[string]*instance
-	turn   []*instance // instances with an event in this batch, by first event
+	in         *bufio.Reader
+	out        *bufio.Writer
+	lineNumber int
+	fields     map[string]string // of the line read last
+	sheets     map[int][]choice.Host
+	instances  map[string]*instance
+	queue      []*instance // instances with an event in this batch, by first event
 }
 
 // Serve answers batches until the input ends.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
-		fields: map[string]string{}, sheets: map[int][]choice.Host{}, insts: map[string]*instance{}}
+		fields: map[string]string{}, sheets: map[int][]choice.Host{}, instances: map[string]*instance{}}
 	for {
 		l, err := s.read()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err == nil {
-			err = s.batch(l)
+			err = s.handleBatch(l)
 		}
 		if errors.Is(err, io.EOF) {
-			return fmt.Errorf("line %d: batch ends without YOUR_TURN", s.number)
+			return fmt.Errorf("line %d: batch ends without YOUR_TURN", s.lineNumber)
 		}
 		if err != nil {
 			return err
@@ -182,14 +182,14 @@
 		if err != nil && (text == "" || !errors.Is(err, io.EOF)) {
 			return nil, err
 		}
-		s.number++
+		s.lineNumber++
 		if text = strings.TrimRight(text, "\r\n"); text != "" {
-			return parse(s.number, text, s.fields)
+			return parse(s.lineNumber, text, s.fields)
 		}
 	}
 }
 
-func (s *server) batch(l *line) error {
+func (s *server) handleBatch(l *line) error {
 	if l.name != "BATCH" {
 		return fmt.Errorf("line %d: %s where BATCH was due", l.number, l.name)
 	}
@@ -197,7 +197,7 @@
 	if l.err != nil {
 		return l.err
 	}
-	s.turn = s.turn[:0]
+	s.queue = s.queue[:0]
 	for {
 		l, err := s.read()
 		if err != nil {
@@ -207,17 +207,17 @@
 			break
 		}
 		if l.name == "CATALOG" {
-			err = s.catalog(l)
+			err = s.readCatalog(l)
 		} else {
-			err = s.event(l)
+			err = s.handleEvent(l)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	for _, in := range s.turn {
-		if s.insts[in.name] == in {
-			s.step(clock, in)
+	for _, inst := range s.queue {
+		if s.instances[inst.name] == inst {
+			s.step(clock, inst)
 		}
 	}
 	s.out.WriteString("DONE\n")
@@ -225,142 +225,142 @@
 }
 
 // step runs one chooser and prints what it answers; a panic becomes the fault line.
-func (s *server) step(clock time.Duration, in *instance) {
+func (s *server) step(clock time.Duration, inst *instance) {
 	defer func() {
 		if p := recover(); p != nil {
 			text := strings.NewReplacer("\n", " ", "\t", " ").Replace(fmt.Sprint(p))
-			fmt.Fprintf(s.out, "BUG\trelay-id=%s\tnote-text=%s\n", in.name, text)
+			fmt.Fprintf(s.out, "BUG\trelay-id=%s\tnote-text=%s\n", inst.name, text)
 		}
 	}()
-	events := in.events
-	in.events, in.due = nil, false
-	for _, a := range in.chooser.Step(clock, events) {
-		s.print(in.name, a)
+	events := inst.events
+	inst.events, inst.queued = nil, false
+	for _, a := range inst.chooser.Step(clock, events) {
+		s.print(inst.name, a)
 	}
 }
 
-func (s *server) catalog(l *line) error {
-	sheet, n := l.whole("sheet", true), l.whole("records", true)
+func (s *server) readCatalog(l *line) error {
+	sheet, records := l.integer("sheet", true), l.integer("records", true)
 	if l.err != nil {
 		return l.err
 	}
 	hosts := []choice.Host{}
-	for range n {
-		e, err := s.read()
+	for range records {
+		entry, err := s.read()
 		if err != nil {
 			return err
 		}
-		if e.name != "HOST" {
-			return fmt.Errorf("line %d: %s where HOST was due", e.number, e.name)
+		if entry.name != "HOST" {
+			return fmt.Errorf("line %d: %s where HOST was due", entry.number, entry.name)
 		}
-		h := choice.Host{Addr: e.text("host"), Dest: e.whole("cell", true), Kind: e.whole("kind", false),
-			Zone: e.whole("rack-zone", false), Rate: e.number64("size", false)}
-		switch state := e.whole("condition", false); state {
+		host := choice.Host{Addr: entry.required("host"), Dest: entry.integer("cell", true), Kind: entry.integer("kind", false),
+			Zone: entry.integer("rack-zone", false), Rate: entry.float("size", false)}
+		switch state := entry.integer("condition", false); state {
 		case 0:
-			h.State = choice.Gone
+			host.State = choice.Gone
 		case 1:
-			h.State = choice.Ready
+			host.State = choice.Ready
 		case 2:
-			h.State = choice.Draining
+			host.State = choice.Draining
 		default:
-			e.fail("condition", fmt.Sprintf("%d is no state", state))
+			entry.fail("condition", fmt.Sprintf("%d is no state", state))
 		}
-		if e.err != nil {
-			return e.err
+		if entry.err != nil {
+			return entry.err
 		}
-		hosts = append(hosts, h)
+		hosts = append(hosts, host)
 	}
 	s.sheets[sheet] = hosts
 	return nil
 }
 
-func (s *server) event(l *line) error {
-	name := l.text("relay-id")
+func (s *server) handleEvent(l *line) error {
+	name := l.required("relay-id")
 	if l.err != nil {
 		return l.err
 	}
-	in := s.insts[name]
+	inst := s.instances[name]
 	switch l.name {
 	case "CONFIGURE":
 		return s.configure(l, name)
 	case "DETACH":
-		delete(s.insts, name)
+		delete(s.instances, name)
 		return nil
 	}
-	e, err := s.translate(l)
+	e, err := s.event(l)
 	if err == nil {
 		err = l.err
 	}
-	if err == nil && in == nil {
+	if err == nil && inst == nil {
 		err = fmt.Errorf("line %d: %s: field relay-id: %s was never configured", l.number, l.name, name)
 	}
 	if err != nil {
 		return err
 	}
-	if !in.due {
-		in.due = true
-		s.turn = append(s.turn, in)
+	if !inst.queued {
+		inst.queued = true
+		s.queue = append(s.queue, inst)
 	}
 	if e != nil {
-		in.events = append(in.events, e)
+		inst.events = append(inst.events, e)
 	}
 	return nil
 }
 
 func (s *server) configure(l *line, name string) error {
-	seed, err := strconv.ParseUint(l.text("entropy"), 10, 64)
+	seed, err := strconv.ParseUint(l.required("entropy"), 10, 64)
 	if err != nil {
 		l.fail("entropy", "no whole number")
 	}
-	text := l.text("config")
+	text := l.required("config")
 	if l.err != nil {
 		return l.err
 	}
-	set, err := settings.Parse([]byte(text))
+	parsed, err := settings.Parse([]byte(text))
 	if err != nil {
 		return fmt.Errorf("line %d: CONFIGURE: field config: %w", l.number, err)
 	}
-	c, err := choice.New(set.Settings, seed)
+	chooser, err := choice.New(parsed.Settings, seed)
 	if err != nil {
 		return fmt.Errorf("line %d: CONFIGURE: field config: %w", l.number, err)
 	}
-	in := &instance{name: name, chooser: c, due: true}
-	s.insts[name] = in
-	s.turn = append(s.turn, in)
+	inst := &instance{name: name, chooser: chooser, queued: true}
+	s.instances[name] = inst
+	s.queue = append(s.queue, inst)
 	return nil
 }
 
 // translate maps one event line; the event is nil where choice has no use for it.
-func (s *server) translate(l *line) (choice.Event, error) {
+func (s *server) event(l *line) (choice.Event, error) {
 	switch l.name {
 	case "ACCEPT":
-		return choice.Arrival{ID: l.text("op-id"), Class: l.whole("priority", false), Dest: l.whole("far-end", true),
-			Left: l.seconds("left", true), Key: l.fields["subject"], Tenant: l.whole("tenant", false)}, nil
+		return choice.Arrival{ID: l.required("op-id"), Class: l.integer("priority", false), Dest: l.integer("far-end", true),
+			Left: l.seconds("left", true), Key: l.fields["subject"], Tenant: l.integer("tenant", false)}, nil
 	case "ATTEMPT_END":
-		return choice.Result{ID: l.text("op-id"), Host: l.text("host"), Attempt: l.whole("try", false),
-			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.whole("over", false) == 1,
-			Wait: time.Duration(l.whole("remark-ms", false)) * time.Millisecond, Report: l.row("feedback")}, nil
+		return choice.Result{ID: l.required("op-id"), Host: l.required("host"), Attempt: l.integer("try", false),
+			Outcome: l.outcome("how"), Took: l.seconds("cost-time", false), Done: l.integer("over", false) == 1,
+			Wait: time.Duration(l.integer("remark-ms", false)) * time.Millisecond, Report: l.floats("feedback")}, nil
 	case "UPDATE":
-		scope := l.whole("scope", false)
+		scope := l.integer("scope", false)
 		if scope < 0 || scope > 3 {
 			l.fail("scope", fmt.Sprintf("%d is no scope", scope))
 		}
 		if scope == 3 {
 			return choice.Listing{Failed: true}, nil
 		}
-		sheet := l.whole("sheet", false)
+		sheet := l.integer("sheet", false)
 		hosts, ok := s.sheets[sheet]
 		if !ok {
 			l.fail("sheet", fmt.Sprintf("no CATALOG %d was given", sheet))
 		}
 		return choice.Listing{Whole: scope != 0, Hosts: hosts}, nil
 	case "CLIENT_GONE":
-		return choice.Withdrawn{ID: l.text("op-id")}, nil
+		return choice.Withdrawn{ID: l.required("op-id")}, nil
 	case "FIRED":
-		l.whole("tag", false)
+		l.integer("tag", false)
 		return choice.Woken{}, nil
 	case "PROBE_DONE":
-		l.text("host")
+		l.required("host")
 		l.outcome("how")
 		return nil, nil // no probe is ever sent
 	case "FROM_PEER":
@@ -371,28 +371,28 @@
 		}
 		return nil, nil
 	case "FIRST_BYTE":
-		l.text("op-id")
+		l.required("op-id")
 		return nil, nil
 	}
 	return nil, fmt.Errorf("line %d: unknown message %q", l.number, l.name)
 }
 
-func (s *server) print(inst string, a choice.Action) {
-	sec := func(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
+func (s *server) print(name string, a choice.Action) {
+	seconds := func(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
 	switch a := a.(type) {
 	case choice.Send:
-		fmt.Fprintf(s.out, "PLACE\trelay-id=%s\top-id=%s\thost=%s\tmax-wait=%s\n", inst, a.ID, a.Host, sec(a.Timeout))
+		fmt.Fprintf(s.out, "PLACE\trelay-id=%s\top-id=%s\thost=%s\tmax-wait=%s\n", name, a.ID, a.Host, seconds(a.Timeout))
 	case choice.Refuse:
-		fmt.Fprintf(s.out, "DENY\trelay-id=%s\top-id=%s\tnot-before-for=%s\n", inst, a.ID, sec(a.After))
+		fmt.Fprintf(s.out, "DENY\trelay-id=%s\top-id=%s\tnot-before-for=%s\n", name, a.ID, seconds(a.After))
 	case choice.Fail:
-		fmt.Fprintf(s.out, "SURRENDER\trelay-id=%s\top-id=%s\n", inst, a.ID)
+		fmt.Fprintf(s.out, "SURRENDER\trelay-id=%s\top-id=%s\n", name, a.ID)
 	case choice.Cancel:
-		fmt.Fprintf(s.out, "REVOKE\trelay-id=%s\top-id=%s\ttry=%d\n", inst, a.ID, a.Attempt)
+		fmt.Fprintf(s.out, "REVOKE\trelay-id=%s\top-id=%s\ttry=%d\n", name, a.ID, a.Attempt)
 	case choice.Wake:
-		fmt.Fprintf(s.out, "ARM\trelay-id=%s\twait=%s\ttag=0\n", inst, sec(a.After))
+		fmt.Fprintf(s.out, "ARM\trelay-id=%s\twait=%s\ttag=0\n", name, seconds(a.After))
 	case choice.Subscribe:
-		fmt.Fprintf(s.out, "OBSERVE\trelay-id=%s\twant=1\n", inst)
+		fmt.Fprintf(s.out, "OBSERVE\trelay-id=%s\twant=1\n", name)
 	case choice.Log:
-		fmt.Fprintf(s.out, "EMIT\trelay-id=%s\tnote-text=%s\n", inst, a.Text)
+		fmt.Fprintf(s.out, "EMIT\trelay-id=%s\tnote-text=%s\n", name, a.Text)
 	}
 }
