--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,5 +1,4 @@
-// Command adapter hosts choosers behind the simulator's wire on standard
-// input and output.
+// Command adapter runs choosers for the simulator, which it serves by the simulator's line protocol on standard input and output.
 package main
 
 import (
--- a/cmd/larchrouter/main.go
+++ b/cmd/larchrouter/main.go
@@ -1,4 +1,5 @@
-// Command larchrouter is one relay on real sockets.
+// Command larchrouter runs one relay. It reads its configuration from the environment and the file that this names, reloads it on
+// SIGHUP, and drains and exits on SIGTERM or SIGINT.
 package main
 
 import (
@@ -15,14 +16,14 @@
 	"larchrouter/internal/remedy"
 )
 
-// lastLines is for the end of the log to be written as the process ends.
+// logFlushTimeout bounds the wait for the last lines of the log to be written when the process ends.
 const logFlushTimeout = 100 * time.Millisecond
 
-// logLevelVariable names the environment variable with the least level of what is logged: debug, info, warn or error. Debug
-// has a line for each request that goes out, each call for the list and each change of the list's lease.
+// logLevelVariable is the environment variable with the minimum level of logged messages: debug, info, warn or error. At level
+// debug each request to an endpoint, each call for the list and each change of the list's lease is logged.
 const logLevelVariable = "LARCHROUTER_LOG"
 
-// logLevel is the least level of what is logged; info where nothing readable is set.
+// logLevel returns the log level of that name; info if the name is empty or unknown.
 func logLevel(name string) slog.Level {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(name)); err != nil {
@@ -45,6 +46,7 @@
 	}
 }
 
+// run serves until the relay has stopped. It returns an error if the relay cannot start.
 func run() error {
 	conf, err := relay.ReadConfig(os.Getenv)
 	if err != nil {
@@ -52,7 +54,7 @@
 	}
 	runtime.GOMAXPROCS(max(1, int(conf.Cores)))
 	if conf.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(conf.MemoryMB*0.6) << 20) // files count as well, and the runtime is not exact
+		debug.SetMemoryLimit(int64(conf.MemoryMB*0.6) << 20) // the rest is for files, which count towards the memory as well, and for the runtime, whose limit is not exact
 	}
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
@@ -70,10 +72,10 @@
 	go func() {
 		for range reload {
 			if err := r.Reload(os.Getenv); err != nil {
-				slog.Error("configuration not taken up", "err", err, "remedy", remedy.Of(err))
+				slog.Error("new configuration rejected; the previous one stays in effect", "err", err, "remedy", remedy.Of(err))
 				continue
 			}
-			slog.Info("configuration taken up")
+			slog.Info("new configuration applied")
 		}
 	}()
 	slog.Info("serving", "addr", r.Addr())
--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,6 +1,6 @@
-// Package listen keeps a listener in service while its system calls fail. accept(2) may return errors of the network, of the
-// connection that it was about to return, or for want of memory or descriptors; all of them pass, and none says that the
-// listener is lost.
+// Package listen keeps a listener in service while its system calls fail. accept(2) may return errors of the network or of the
+// connection that it was about to return, or errors for lack of memory or descriptors. All of them are transient, and none means
+// that the listener is lost.
 package listen
 
 import (
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// The pauses after tries that failed: they double, and begin anew once one succeeds.
+// The bounds of the pauses after failed calls. A pause doubles with each failure in a row.
 const (
 	minPause = 5 * time.Millisecond
 	maxPause = 200 * time.Millisecond
 )
 
-// startFor is how long TCP tries while the machine lacks what a socket takes.
+// retryTimeout is how long TCP retries while the machine has no descriptor or memory for a socket.
 const retryTimeout = 3 * time.Second
 
-// TCP listens at an address. Where the machine has no descriptor or memory for a socket, it tries again for a moment.
+// TCP listens on a TCP address. It retries for a few seconds while the machine has no descriptor or memory for a socket.
 func TCP(addr string) (net.Listener, error) {
 	var backoff Backoff
 	for startedAt := time.Now(); ; {
@@ -34,7 +34,8 @@
 	}
 }
 
-// lacking tells whether the machine had no descriptor or memory for a socket.
+// isResourceShortage reports whether a call failed because the machine had no descriptor or memory for a socket, or because it was
+// interrupted.
 func isResourceShortage(err error) bool {
 	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
 		if errors.Is(err, shortage) {
@@ -44,28 +45,30 @@
 	return false
 }
 
-// Passes tells whether an error of Accept passes: all but the end of the listener and of a deadline that was set on it.
+// IsTransient reports whether Accept may succeed after err. That holds for all errors except the closing of the listener and the
+// end of a deadline that was set on it.
 func IsTransient(err error) bool {
 	return err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Backoff spaces tries to accept that fail. The zero value is ready; it is not safe for use by several goroutines.
+// Backoff determines the pauses between failed calls of a listener. The zero value is ready for use. It is not safe for concurrent
+// use.
 type Backoff struct{ pause time.Duration }
 
-// Wait pauses after a try that failed. The first one in a row is logged.
+// Wait pauses after a failed call. It logs the first failure in a row.
 func (b *Backoff) Wait(addr net.Addr, err error) {
 	if b.pause == 0 {
 		b.pause = minPause
-		slog.Warn("a listener's call failed; trying again", "addr", addr, "err", err)
+		slog.Warn("listener call failed; retrying", "addr", addr, "err", err)
 	}
 	time.Sleep(b.pause)
 	b.pause = min(2*b.pause, maxPause)
 }
 
-// Done takes in a try that succeeded.
+// Reset records a call that succeeded.
 func (b *Backoff) Reset() { b.pause = 0 }
 
-// Lasting returns a listener whose Accept tries again after errors that pass.
+// Retrying returns a listener whose Accept retries after transient errors.
 func Retrying(l net.Listener) net.Listener { return &retryingListener{Listener: l} }
 
 type retryingListener struct {
--- a/internal/listen/listen_test.go
+++ b/internal/listen/listen_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// scripted fails as it is told, and then has no connection but the end.
+// scriptedListener returns the given errors from Accept, one per call.
 type scriptedListener struct {
 	net.Listener
 	errs []error
@@ -23,17 +23,17 @@
 
 func (s *scriptedListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Errors that pass are tried again; the end of the listener, and of a deadline, are told to the caller.
+// Guards against a listener that stops at a transient error, or that retries after it was closed or its deadline ended.
 func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for _, end := range []error{net.ErrClosed, os.ErrDeadlineExceeded} {
 		s := &scriptedListener{errs: []error{syscall.ENOBUFS, syscall.EPROTO, syscall.ECONNABORTED, syscall.EMFILE, &net.OpError{Op: "accept", Err: end}}}
 		if _, err := Retrying(s).Accept(); !errors.Is(err, end) || len(s.errs) > 0 {
-			t.Errorf("%v is told with %d errors left, want %v", err, len(s.errs), end)
+			t.Errorf("%v is returned with %d errors left, want %v", err, len(s.errs), end)
 		}
 	}
 }
 
-// A machine that has no descriptor for a moment holds a start up, and does not fail it.
+// Guards against a start that fails because the machine has no descriptor for a moment.
 func TestListenWaitsForDescriptor(t *testing.T) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
@@ -55,6 +55,6 @@
 	}
 	l.Close()
 	if _, err := TCP("192.0.2.1:1"); err == nil || isResourceShortage(err) {
-		t.Errorf("an address that is not this machine's: %v", err)
+		t.Errorf("listening on an address of another machine: %v", err)
 	}
 }
--- a/internal/logqueue/logqueue_test.go
+++ b/internal/logqueue/logqueue_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// gate is a writer that takes nothing until it is opened.
+// blockedWriter is a writer that blocks until open is closed.
 type blockedWriter struct {
 	open chan struct{}
 	bytes.Buffer
@@ -20,20 +20,20 @@
 	return w.Buffer.Write(p)
 }
 
-// Guards against a process that stops with the reader of its log.
+// Guards against a process that blocks when the reader of its log stops reading.
 func TestWriteNeverWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := &blockedWriter{open: make(chan struct{})}
 		w := New(out)
 		const lines = maxQueuedLines + 500
 		fmt.Fprintln(w, "line 0")
-		synctest.Wait() // it is being written
+		synctest.Wait() // the first line is being written
 		for n := 1; n < lines; n++ {
 			fmt.Fprintf(w, "line %d\n", n)
 		}
 		startedAt := time.Now()
 		if w.Flush(time.Second); time.Since(startedAt) < time.Second {
-			t.Error("flushed though nothing was written")
+			t.Error("Flush returned before its time though nothing was written")
 		}
 		close(out.open)
 		synctest.Wait()
@@ -49,10 +49,10 @@
 			}
 		}
 		if written != maxQueuedLines+1 {
-			t.Errorf("%d lines kept, want %d and the one that was being written", written, maxQueuedLines)
+			t.Errorf("%d lines written, want %d and the one that was being written", written, maxQueuedLines)
 		}
 		if want := fmt.Sprintf("lines=%d", lines-written); !strings.Contains(out.String(), want) {
-			t.Errorf("no line tells of %s dropped", want)
+			t.Errorf("no line reports the dropped lines as %s", want)
 		}
 		close(w.lines)
 	})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// BadKey is a key of the settings whose value a relay cannot act by.
+// KeyError reports a key of the settings whose value is invalid.
 type KeyError struct {
-	Key    string // as the file has it, from the settings object on
+	Key    string // path of the key in the settings object, as the file has it
 	Reason string
 }
 
 func (e *KeyError) Error() string { return e.Key + " " + e.Reason }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *KeyError) Remedy() string {
 	return "correct " + e.Key + " in the settings; a relay that runs goes on by those before, whole"
 }
 
-// check finds the first key that is out of its range or contradicts another.
+// check returns a *KeyError for the first key found that is out of its range or contradicts another; nil if there is none.
 func (c *config) check() error {
 	keyError := func(key, why string, args ...any) error { return &KeyError{key, fmt.Sprintf(why, args...)} }
 	for _, k := range []struct {
-		key   string
-		value float64
-		above bool // 0 is out of its range, too
+		key      string
+		value    float64
+		positive bool // the value 0 is out of the range as well
 	}{
 		{"bounds/max-attempts", float64(c.Bounds.MaxAttempts), true}, {"bounds/most-held", float64(c.Bounds.MostHeld), false},
 		{"bounds/conn-idle", c.Bounds.ConnIdle, false}, {"bounds/dial-timeout", c.Bounds.DialTimeout, false},
@@ -34,8 +34,8 @@
 		{"rules/drain-grace", c.Rules.DrainGrace, false}, {"rules/overload-factor", c.Rules.OverloadFactor, false},
 		{"rules/order-settle", c.Rules.OrderSettle, false},
 	} {
-		if k.value < 0 || k.above && k.value == 0 {
-			return keyError(k.key, "is %g, must be %s 0", k.value, map[bool]string{true: "above", false: "at least"}[k.above])
+		if k.value < 0 || k.positive && k.value == 0 {
+			return keyError(k.key, "is %g, must be %s 0", k.value, map[bool]string{true: "above", false: "at least"}[k.positive])
 		}
 	}
 	if c.Rules.ColdFrom > 1 {
--- a/internal/settings/join.go
+++ b/internal/settings/join.go
@@ -8,10 +8,10 @@
 	"larchrouter/choice"
 )
 
-// own are the keys that each relay has by itself, whatever all agree on.
+// ownKeys are the keys that each relay sets in its own file, whatever the settings of the fleet are.
 var ownKeys = []string{"index", "zone"}
 
-// Adapt puts a relay's own keys into settings that are meant for all.
+// Adapt returns the settings that are shared by a fleet, with a relay's own keys taken from its file.
 func Adapt(shared, file json.RawMessage) (json.RawMessage, error) {
 	var adapted, own map[string]json.RawMessage
 	if err := json.Unmarshal(shared, &adapted); err != nil {
@@ -33,11 +33,12 @@
 	return json.Marshal(adapted)
 }
 
-// Join is what both settings allow. Kinds and tenants that the first does not know are as the second has them; those
-// that only the first knows are left out, and so are classes that only one has.
+// Join returns settings that allow only what both a and b allow. Kinds and tenants that are only in b are as b has them. Kinds and
+// tenants that are only in a are left out, and so are classes that are only in one. Join returns an error if the result is
+// invalid, as when no class is in both.
 func Join(a, b Settings) (Settings, error) {
 	joined := b
-	// The decisions know kinds and tenants by their places, which are the second's.
+	// Package choice refers to kinds and tenants by their index, which is that in b.
 	kinds, tenants := slices.Clone(b.Kinds), slices.Clone(b.Tenants)
 	for i, name := range b.KindNames {
 		if k := slices.Index(a.KindNames, name); k >= 0 {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that an instance is given, on the
-// simulator's wire and in a real relay's configuration alike.
+// Package settings parses and checks the settings object of a relay, which the simulator's protocol and a real relay's
+// configuration have in common.
 package settings
 
 import (
@@ -13,22 +13,23 @@
 	"larchrouter/choice"
 )
 
-// Settings are the figures for the decisions, and what only a real relay uses.
+// Settings are the parsed settings: those of package choice, and those that only a real relay uses.
 type Settings struct {
 	choice.Settings
-	ZoneNames       []string      // names, in the order of Host.Zone
-	KindNames       []string      // in the order of Host.Kind
-	ConnIdleTimeout time.Duration // hosts close a connection that stood idle for so long
-	DialTimeout     time.Duration // a connection that is not up by then has failed
-	MaxRetryAfter   time.Duration // clients heed no longer advice
-	MaxPollInterval time.Duration // a relay that has not asked for the list for so long counts as told
-	TenantNames     []string      // in the order of Arrival.Tenant
-	ReportFields    []string      // of the load report in each answer; none where there is none
+	ZoneNames       []string      // indexed by Host.Zone
+	KindNames       []string      // indexed by Host.Kind
+	ConnIdleTimeout time.Duration // endpoints close a connection that has been idle for this long
+	DialTimeout     time.Duration // a connection that is not established by then has failed
+	MaxRetryAfter   time.Duration // the longest Retry-After that clients heed
+	MaxPollInterval time.Duration // a relay that has not called for the list for this long counts as notified of its changes
+	TenantNames     []string      // indexed by Arrival.Tenant
+	ReportFields    []string      // columns of the load report in each answer; empty if answers have none
 }
 
+// seconds converts a number of seconds to a duration, rounded to microseconds.
 func seconds(f float64) time.Duration { return time.Duration(math.Round(f*1e6)) * time.Microsecond }
 
-// config is the part of the settings object that is read.
+// config is the part of the settings object that is used. Times are in seconds.
 type config struct {
 	Bounds struct {
 		Cancel        bool    `json:"cancel"`
@@ -84,8 +85,8 @@
 	Zones     []string `json:"zones"`
 }
 
-// Complete tells what a configuration lacks that the running one has: whoever replaced it left it
-// unfinished. Of the objects in a list each must have what all have in the running one.
+// CheckComplete returns an error if a configuration lacks a key that the running one has, as a file does that was replaced in part
+// only. Each object in a list must have the keys that all objects of that list have in the running configuration.
 func CheckComplete(running, next json.RawMessage) error {
 	var runningValue, nextValue any
 	if err := json.Unmarshal(running, &runningValue); err != nil {
@@ -97,6 +98,7 @@
 	return checkKeys(runningValue, nextValue, "")
 }
 
+// checkKeys returns an error for the first key found that next lacks; path is where both are in the configuration.
 func checkKeys(running, next any, path string) error {
 	switch runningValue := running.(type) {
 	case map[string]any:
@@ -129,7 +131,7 @@
 	return nil
 }
 
-// common has the names that all objects of a list have; none if it holds anything else.
+// commonKeys returns the keys that all objects of a list have; none if the list has an element that is not an object.
 func commonKeys(list []any) (names []string) {
 	for i, value := range list {
 		object, _ := value.(map[string]any)
@@ -141,7 +143,7 @@
 	return names
 }
 
-// Parse reads the settings object.
+// Parse parses and checks the settings object. The error for an invalid value is a *KeyError.
 func Parse(data []byte) (Settings, error) {
 	var c config
 	if err := json.Unmarshal(data, &c); err != nil {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,7 +8,7 @@
 const completeConfig = `{"listen":"a:1","known":{"servers":[]},"settings":{"bounds":{"max-attempts":8},
 "classes":[{"name":"a","give-up":1},{"name":"b","give-up":2,"keep-order":true}],"skus":["x"]}}`
 
-// Guards against a configuration that is taken though it was left unfinished.
+// Guards against a configuration that is accepted though a part of it is missing.
 func TestCheckCompleteReportsMissingKeys(t *testing.T) {
 	for next, want := range map[string]string{
 		completeConfig: "",
@@ -38,7 +38,7 @@
 "group":"all","late-share":0.3,"name":"one","window":15,"worth":1}],"family-info":{"workers":7},"fleet-size":3,
 "rules":{"cold":13,"cold-from":0.2,"fall":2,"overload-factor":2},"tick":0.005}`
 
-// Guards against settings that are read though a figure is out of its range.
+// Guards against settings that are accepted though a value is out of its range.
 func TestParseRejectsInvalidSettings(t *testing.T) {
 	if _, err := Parse([]byte(sampleSettings)); err != nil {
 		t.Fatal(err)
@@ -61,7 +61,7 @@
 			t.Fatalf("%s changes nothing", name)
 		}
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%s: read without an error", name)
+			t.Errorf("%s: parsed without an error", name)
 		}
 	}
 }
--- a/internal/settings/sites_test.go
+++ b/internal/settings/sites_test.go
@@ -12,7 +12,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// site is what a site file says of the settings that its relays get.
+// site is the part of a site file that determines the settings of its relays.
 type site struct {
 	Name string
 	Net  struct{ Zones []string }
@@ -65,7 +65,7 @@
 	}
 }
 
-// settingsOf writes the settings object of a site as its relays are given it.
+// siteSettings returns the settings object that the relays of a site are given.
 func siteSettings(t *testing.T, s site) []byte {
 	t.Helper()
 	tier, classes, tenants := s.Tier[0], []any{}, []any{}
@@ -99,8 +99,8 @@
 	return data
 }
 
-// Guards against a relay that cannot be run for another deployment, or takes a file that is cut or contradicts itself
-// without a word on the key.
+// Guards against settings of a deployment that a relay cannot use, and against a truncated or contradictory file that is accepted
+// or rejected without naming the key.
 func TestSiteSettingsAreParsed(t *testing.T) {
 	paths, err := filepath.Glob("../../deploy/sites/*.toml")
 	if err != nil || len(paths) < 2 {
@@ -129,9 +129,9 @@
 					t.Errorf("class %d is %+v", i, k)
 				}
 			}
-			for i := range text { // cut at any byte
+			for i := range text { // truncated at any byte
 				if _, err := Parse(text[:i]); err == nil {
-					t.Fatalf("taken, though cut after %d bytes", i)
+					t.Fatalf("accepted, though truncated after %d bytes", i)
 				}
 			}
 			for key, change := range map[string]func(m map[string]any){
--- a/internal/smallfile/smallfile_test.go
+++ b/internal/smallfile/smallfile_test.go
@@ -9,7 +9,8 @@
 
 type testValue struct{ N int }
 
-// A value is there whole or not at all: before the first one, after a damaged one, and where a new one cannot be written.
+// Guards against a value that is read in part, or lost, before the first write, after damage to the file, and where a new value
+// cannot be written.
 func TestValueIsCompleteOrAbsent(t *testing.T) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, "value")
@@ -20,7 +21,7 @@
 	if err := Write(path, testValue{7}); err != nil || !Read(path, &v) || v.N != 7 {
 		t.Errorf("%v, %v read after 7 was written", err, v)
 	}
-	if err := os.Mkdir(path+".next", 0o755); err != nil { // so the next value cannot be written
+	if err := os.Mkdir(path+".next", 0o755); err != nil { // so that the next value cannot be written
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(filepath.Join(path+".next", "x"), nil, 0o644); err != nil {
@@ -28,9 +29,9 @@
 	}
 	var fileErr *WriteError
 	if err := Write(path, testValue{8}); !errors.As(err, &fileErr) || fileErr.Remedy() == "" || !Read(path, &v) || v.N != 7 {
-		t.Errorf("%v, and %v is kept, want 7", err, v)
+		t.Errorf("error %v, and the stored value is %v, want 7", err, v)
 	}
 	if err := os.WriteFile(path, []byte(`{"N":`), 0o644); err != nil || Read(path, &v) {
-		t.Errorf("%v; a damaged file has a value", err)
+		t.Errorf("error %v, and a damaged file has a value", err)
 	}
 }
--- a/internal/steady/steady.go
+++ b/internal/steady/steady.go
@@ -1,7 +1,6 @@
-// Package steady tells a time that steps of the wall clock do not move, neither within a process nor from one process to the
-// next on the same machine. It reads as Unix time, so that what is written by it stays comparable across a boot, and advances
-// with CLOCK_MONOTONIC. The difference of the two is fixed by the first process that uses a folder after a boot, and kept
-// there.
+// Package steady provides a clock that steps of the wall clock do not affect, neither within a process nor from one process to the
+// next on the same machine. It reads as Unix time, so that stored times stay comparable across a boot, and advances with
+// CLOCK_MONOTONIC. The first process that uses a folder after a boot determines the difference of the two and stores it there.
 package steady
 
 import (
@@ -17,7 +16,7 @@
 	"larchrouter/internal/smallfile"
 )
 
-// anchor is a moment on both clocks: the process's own and the steady time.
+// anchor is one moment as read on the process's clock and on the steady clock.
 type anchor struct {
 	process time.Time // with its monotonic reading
 	steady  time.Time
@@ -30,32 +29,32 @@
 	current.Store(&anchor{process: now, steady: now.Round(0)})
 }
 
-// Now is the steady time.
+// Now returns the steady time.
 func Now() time.Time {
 	a := current.Load()
 	return a.steady.Add(time.Since(a.process))
 }
 
-// UnixMilli is the steady time in milliseconds, as records keep it.
+// UnixMilli returns the steady time in Unix milliseconds, as it is stored in records.
 func UnixMilli() int64 { return Now().UnixMilli() }
 
-// Since is how long ago a time in steady milliseconds was.
+// Since returns the time elapsed since a steady time in Unix milliseconds.
 func Since(milli int64) time.Duration { return Now().Sub(time.UnixMilli(milli)) }
 
-// Until is how long it is to a time in steady milliseconds.
+// Until returns the time until a steady time in Unix milliseconds.
 func Until(milli int64) time.Duration { return time.UnixMilli(milli).Sub(Now()) }
 
-// fileName is the anchor's file in a folder that lasts.
+// fileName is the name of the anchor's file in the persistent folder.
 const fileName = "clock"
 
-// kept is what the file holds.
+// storedAnchor is the content of the anchor's file.
 type storedAnchor struct {
 	Boot   string        `json:"boot"`
-	Offset time.Duration `json:"offset_ns"` // steady Unix time less CLOCK_MONOTONIC
+	Offset time.Duration `json:"offset_ns"` // steady Unix time minus CLOCK_MONOTONIC
 }
 
-// Failure says that the steady time of a folder cannot be kept. The process has one all the same; the next one may begin
-// another, which differs from it by what the wall clock was stepped meanwhile.
+// ClockError reports that the steady time of a folder cannot be read or stored. The process has a steady time all the same. The next
+// process may start another one, which differs by the steps of the wall clock in between.
 type ClockError struct {
 	Op  string
 	Err error
@@ -63,16 +62,16 @@
 
 func (e *ClockError) Error() string { return "steady clock: " + e.Op + ": " + e.Err.Error() }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *ClockError) Unwrap() error { return e.Err }
 
-// Remedy is what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (e *ClockError) Remedy() string {
 	return "Make the folder that lasts writable; until then keep the wall clock from being stepped while the program restarts."
 }
 
-// Anchor has the process go on with the steady time of a folder, or begins one there. It is called before any time is read from
-// records of that folder.
+// Anchor makes the process continue the steady time of a folder, or start one there. It must be called before any time from
+// records of that folder is used. Its errors are of type *ClockError.
 func Anchor(dir string) error {
 	boot, err := bootID()
 	if err != nil {
@@ -95,7 +94,7 @@
 	return nil
 }
 
-// clocks reads the process's clock and CLOCK_MONOTONIC at one moment.
+// readClocks reads the process's clock and CLOCK_MONOTONIC at the same moment.
 func readClocks() (now time.Time, monotonic time.Duration, err error) {
 	var ts unix.Timespec
 	now = time.Now()
@@ -105,7 +104,7 @@
 	return now, time.Duration(ts.Nano()), nil
 }
 
-// bootID tells boots of the machine apart: CLOCK_MONOTONIC begins anew with each.
+// bootID returns the identifier of the machine's present boot. CLOCK_MONOTONIC starts anew with each boot.
 func bootID() (string, error) {
 	data, err := os.ReadFile("/proc/sys/kernel/random/boot_id")
 	if err != nil {
@@ -113,7 +112,7 @@
 	}
 	id := strings.TrimSpace(string(data))
 	if id == "" {
-		return "", errors.New("it is empty")
+		return "", errors.New("boot id is empty")
 	}
 	return id, nil
 }
--- a/internal/steady/steady_test.go
+++ b/internal/steady/steady_test.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// restore has later tests go on by the clock of before.
+// restoreClock restores the present clock when the test ends.
 func restoreClock(t *testing.T) {
 	before := current.Load()
 	t.Cleanup(func() { current.Store(before) })
 }
 
-// A process that starts after the wall clock was stepped goes on with the time of the one before.
+// Guards against a steady time that changes if the wall clock is stepped between two processes.
 func TestWallClockStepBetweenProcesses(t *testing.T) {
 	restoreClock(t)
 	dir := t.TempDir()
@@ -25,17 +25,18 @@
 	written := UnixMilli()
 	for _, step := range []time.Duration{time.Hour, -time.Hour, 3 * time.Second} {
 		now := time.Now()
-		current.Store(&anchor{process: now, steady: now.Round(0).Add(step)}) // as a new process reads the wall clock
+		current.Store(&anchor{process: now, steady: now.Round(0).Add(step)}) // as in a new process, which reads the stepped wall clock
 		if err := Anchor(dir); err != nil {
 			t.Fatal(err)
 		}
 		if ago := Since(written); ago < -time.Millisecond || ago > 10*time.Second {
-			t.Errorf("after a step by %v what was written just now is %v ago", step, ago)
+			t.Errorf("after a step by %v, a time written just now is %v ago", step, ago)
 		}
 	}
 }
 
-// After a boot the monotonic clock tells nothing of before, and a damaged file is none: the wall clock begins another time.
+// Guards against an anchor of an earlier boot, whose monotonic clock was another, or a damaged one that is used: the steady time has
+// to start from the wall clock.
 func TestUnusableAnchorIsReplaced(t *testing.T) {
 	for name, text := range map[string]string{"another boot": `{"boot":"other","offset_ns":5}`, "cut": `{"boot":"oth`, "empty": ``, "no object": `7`} {
 		t.Run(name, func(t *testing.T) {
@@ -59,13 +60,13 @@
 	}
 }
 
-// A folder that cannot be written leaves the process with its time, and says what to do.
+// Guards against a process without a usable time, or an error without a remedy, where the folder cannot be written.
 func TestAnchorInUnwritableFolder(t *testing.T) {
 	restoreClock(t)
 	err := Anchor(filepath.Join(t.TempDir(), "absent"))
 	var clockErr *ClockError
 	if !errors.As(err, &clockErr) || clockErr.Remedy() == "" {
-		t.Errorf("%v is no failure with a remedy", err)
+		t.Errorf("%v is not an *ClockError with a remedy", err)
 	}
 	if deviation := Now().Sub(time.Now()).Abs(); deviation > time.Second {
 		t.Errorf("the time is %v off the wall clock's", deviation)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire speaks the simulator's line protocol and maps it to package
-// choice. It decides nothing.
+// Package wire translates between the simulator's line protocol and the events and actions of package choice. It makes no
+// decisions of its own.
 package wire
 
 import (
@@ -17,13 +17,14 @@
 	"larchrouter/internal/settings"
 )
 
+// outcomes maps the protocol's names of outcomes.
 var outcomes = map[string]choice.Outcome{
 	"served": choice.Served, "server_error": choice.Error, "turned_away": choice.Refused,
 	"no_answer": choice.Timeout, "no_connection": choice.NoConnection, "connection_lost": choice.Reset,
 	"called_off": choice.Cancelled, "not_sent": choice.NotSent,
 }
 
-// line is one parsed line; the first fault met while reading fields stays.
+// line is one parsed line. Its methods that read fields record the first error in err.
 type line struct {
 	number int
 	name   string
@@ -31,7 +32,7 @@
 	err    error
 }
 
-// parse fills the given map, which is emptied first.
+// parse parses a line into its name and fields. It clears fields and uses it for the result.
 func parse(number int, text string, fields map[string]string) (*line, error) {
 	clear(fields)
 	l := &line{number: number, fields: fields}
@@ -54,12 +55,14 @@
 	return l, nil
 }
 
+// fail records an error of a field, unless there is one already.
 func (l *line) fail(field, what string) {
 	if l.err == nil {
 		l.err = fmt.Errorf("line %d: %s: field %s: %s", l.number, l.name, field, what)
 	}
 }
 
+// required returns the text of a field that must not be empty.
 func (l *line) required(field string) string {
 	v := l.fields[field]
 	if v == "" {
@@ -68,6 +71,7 @@
 	return v
 }
 
+// float returns the number in a field; 0 if an optional field is absent.
 func (l *line) float(field string, required bool) float64 {
 	v, ok := l.fields[field]
 	if !ok || v == "" {
@@ -84,6 +88,7 @@
 	return f
 }
 
+// seconds returns the duration in a field that has a number of seconds; 0 if an optional field is absent.
 func (l *line) seconds(field string, required bool) time.Duration {
 	f := l.float(field, required)
 	if math.Abs(f) > 1e9 {
@@ -93,6 +98,7 @@
 	return seconds(f)
 }
 
+// integer returns the whole number in a field; 0 if an optional field is absent.
 func (l *line) integer(field string, required bool) int {
 	v, ok := l.fields[field]
 	if !ok && !required {
@@ -109,6 +115,7 @@
 	return int(n)
 }
 
+// outcome returns the outcome that a required field names.
 func (l *line) outcome(field string) choice.Outcome {
 	o, ok := outcomes[l.required(field)]
 	if !ok {
@@ -117,6 +124,7 @@
 	return o
 }
 
+// floats returns the numbers in a field, which are separated by commas; none if the field is absent, empty or "-".
 func (l *line) floats(field string) []float64 {
 	v := l.fields[field]
 	if v == "" || v == "-" {
@@ -134,27 +142,30 @@
 	return row
 }
 
+// seconds converts a number of seconds to a duration, rounded to microseconds.
 func seconds(f float64) time.Duration { return time.Duration(math.Round(f*1e6)) * time.Microsecond }
 
-// instance is one chooser with the events that a batch holds for it.
+// instance is one chooser with the events of the present batch for it.
 type instance struct {
 	name    string
 	chooser *choice.Chooser
 	events  []choice.Event
-	queued  bool // among those with an event in this batch
+	queued  bool // it is in the server's queue
 }
 
+// server is the state of Serve.
 type server struct {
 	in         *bufio.Reader
 	out        *bufio.Writer
 	lineNumber int
-	fields     map[string]string // of the line read last
+	fields     map[string]string // of the last line read
 	sheets     map[int][]choice.Host
 	instances  map[string]*instance
-	queue      []*instance // instances with an event in this batch, by first event
+	queue      []*instance // instances with an event in this batch, in the order of their first event
 }
 
-// Serve answers batches until the input ends.
+// Serve reads batches of events from r and writes the resulting actions to w, until the input ends. It returns an error for input
+// that is malformed or ends within a batch.
 func Serve(r io.Reader, w io.Writer) error {
 	s := &server{in: bufio.NewReaderSize(r, 1<<16), out: bufio.NewWriterSize(w, 1<<16),
 		fields: map[string]string{}, sheets: map[int][]choice.Host{}, instances: map[string]*instance{}}
@@ -175,7 +186,7 @@
 	}
 }
 
-// read returns the next line that is not empty.
+// read parses the next line that is not empty. The line is valid until the next call.
 func (s *server) read() (*line, error) {
 	for {
 		text, err := s.in.ReadString('\n')
@@ -189,6 +200,7 @@
 	}
 }
 
+// handleBatch reads the rest of a batch, and steps each instance that has an event in it.
 func (s *server) handleBatch(l *line) error {
 	if l.name != "BATCH" {
 		return fmt.Errorf("line %d: %s where BATCH was due", l.number, l.name)
@@ -224,7 +236,7 @@
 	return s.out.Flush()
 }
 
-// step runs one chooser and prints what it answers; a panic becomes the fault line.
+// step passes the events of an instance to its chooser and writes the resulting actions. A panic is reported as a BUG line.
 func (s *server) step(clock time.Duration, inst *instance) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -239,6 +251,7 @@
 	}
 }
 
+// readCatalog reads the hosts of a CATALOG, which later UPDATE lines refer to.
 func (s *server) readCatalog(l *line) error {
 	sheet, records := l.integer("sheet", true), l.integer("records", true)
 	if l.err != nil {
@@ -274,6 +287,7 @@
 	return nil
 }
 
+// handleEvent processes a line for one instance: it adds or removes the instance, or queues the event for it.
 func (s *server) handleEvent(l *line) error {
 	name := l.required("relay-id")
 	if l.err != nil {
@@ -307,6 +321,7 @@
 	return nil
 }
 
+// configure creates an instance, in place of an earlier one of that name.
 func (s *server) configure(l *line, name string) error {
 	seed, err := strconv.ParseUint(l.required("entropy"), 10, 64)
 	if err != nil {
@@ -330,7 +345,7 @@
 	return nil
 }
 
-// translate maps one event line; the event is nil where choice has no use for it.
+// event returns the event for a line; nil for a line that package choice does not use.
 func (s *server) event(l *line) (choice.Event, error) {
 	switch l.name {
 	case "ACCEPT":
@@ -362,7 +377,7 @@
 	case "PROBE_DONE":
 		l.required("host")
 		l.outcome("how")
-		return nil, nil // no probe is ever sent
+		return nil, nil // the adapter never sends a probe
 	case "FROM_PEER":
 		if b := l.fields["bytes"]; b != "" && b != "-" {
 			if _, err := base64.StdEncoding.DecodeString(b); err != nil {
@@ -377,6 +392,7 @@
 	return nil, fmt.Errorf("line %d: unknown message %q", l.number, l.name)
 }
 
+// print writes the line for an action of an instance.
 func (s *server) print(name string, a choice.Action) {
 	seconds := func(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', -1, 64) }
 	switch a := a.(type) {
