--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -78,35 +78,35 @@
 	watches       int // calls for changes
 }
 
-func (c *countingDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.callsBySecond[int(time.Since(c.startedAt)/time.Second)]++
+func (d *countingDiscovery) RoundTrip(req *http.Request) (*http.Response, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.callsBySecond[int(time.Since(d.startedAt)/time.Second)]++
 	if req.URL.Query().Has("since") {
-		c.watches++
+		d.watches++
 	}
 	status := http.StatusOK
-	if c.body == "" {
+	if d.body == "" {
 		status = http.StatusServiceUnavailable
 	}
-	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(c.body))}, nil
+	return &http.Response{StatusCode: status, Body: io.NopCloser(strings.NewReader(d.body))}, nil
 }
 
 // followAll runs the followers of a fleet that start together against one discovery for a duration. It returns how many lists
 // all of them applied.
-func followAll(c *countingDiscovery, fleetSize int, duration time.Duration) (applied int) {
-	c.startedAt, c.callsBySecond = time.Now(), map[int]int{}
+func followAll(discovery *countingDiscovery, fleetSize int, duration time.Duration) (applied int) {
+	discovery.startedAt, discovery.callsBySecond = time.Now(), map[int]int{}
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	var relays sync.WaitGroup
 	for i := range fleetSize {
-		platform := &Platform{Client: &http.Client{Transport: c}, Address: NewAddress("discovery:1"), Seed: uint64(i), HasList: true,
+		platform := &Platform{Client: &http.Client{Transport: discovery}, Address: NewAddress("discovery:1"), Seed: uint64(i), HasList: true,
 			Fleet: func() Fleet { return Fleet{fleetSize, 10 * time.Second} }}
 		relays.Go(func() {
 			lists := 0
 			platform.Follow(ctx, func(List) { lists++ })
-			c.mu.Lock()
-			defer c.mu.Unlock()
+			discovery.mu.Lock()
+			defer discovery.mu.Unlock()
 			applied += lists
 		})
 	}
@@ -121,13 +121,13 @@
 	for name, body := range map[string]string{"overbooked": "", "well": `{"version":3,"full":true,"servers":[]}`} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := &countingDiscovery{body: body}
-				applied := followAll(c, 80, 30*time.Second)
+				discovery := &countingDiscovery{body: body}
+				applied := followAll(discovery, 80, 30*time.Second)
 				limit, total := 25, 0
 				if body == "" {
 					limit = 80 * 2 / 5
 				}
-				for second, n := range c.callsBySecond {
+				for second, n := range discovery.callsBySecond {
 					if total += n; n > limit {
 						t.Errorf("%d calls in second %d, want at most %d", n, second, limit)
 					}
@@ -136,12 +136,12 @@
 					t.Errorf("%d calls in 30 seconds, want at most %d", total, 30*80/4+80)
 				}
 				for second := range 27 {
-					if c.callsBySecond[second]+c.callsBySecond[second+1]+c.callsBySecond[second+2] == 0 {
+					if discovery.callsBySecond[second]+discovery.callsBySecond[second+1]+discovery.callsBySecond[second+2] == 0 {
 						t.Errorf("no calls in the three seconds from second %d on: no relay receives a change", second)
 					}
 				}
-				if c.watches > 0 {
-					t.Errorf("%d watches, which so large a fleet cannot renew in time", c.watches)
+				if discovery.watches > 0 {
+					t.Errorf("%d watches, which so large a fleet cannot renew in time", discovery.watches)
 				}
 				if body != "" && applied != 80 {
 					t.Errorf("the same list was applied %d times by 80 relays, want once by each", applied)
@@ -154,11 +154,11 @@
 // Guards against a small fleet that receives changes late: it has to watch, and to renew each watch at once.
 func TestSmallFleetRenewsWatchesAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := &countingDiscovery{body: `{"version":3,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`}
+		discovery := &countingDiscovery{body: `{"version":3,"full":false,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`}
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c.startedAt, c.callsBySecond = time.Now(), map[int]int{}
-		platform := &Platform{Client: &http.Client{Transport: c}, Address: NewAddress("discovery:1"), Fleet: func() Fleet { return Fleet{2, 10 * time.Second} }}
+		discovery.startedAt, discovery.callsBySecond = time.Now(), map[int]int{}
+		platform := &Platform{Client: &http.Client{Transport: discovery}, Address: NewAddress("discovery:1"), Fleet: func() Fleet { return Fleet{2, 10 * time.Second} }}
 		lists := make(chan List)
 		go platform.Follow(ctx, func(l List) {
 			select {
@@ -169,10 +169,10 @@
 		for range 100 { // the clock of synctest advances only if the follower pauses
 			<-lists
 		}
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if elapsed := time.Since(c.startedAt); elapsed > 100*time.Millisecond || c.watches < 99 {
-			t.Errorf("100 changes took %v and %d watches, want each watch renewed at once", elapsed, c.watches)
+		discovery.mu.Lock()
+		defer discovery.mu.Unlock()
+		if elapsed := time.Since(discovery.startedAt); elapsed > 100*time.Millisecond || discovery.watches < 99 {
+			t.Errorf("100 changes took %v and %d watches, want each watch renewed at once", elapsed, discovery.watches)
 		}
 	})
 }
--- a/internal/discovery/expiry_test.go
+++ b/internal/discovery/expiry_test.go
@@ -32,6 +32,7 @@
 	}
 }
 
+// renew records another lease of the list.
 func (u *listUse) renew(l Lease) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -39,6 +40,7 @@
 	u.expires = l.Expires
 }
 
+// receiveChange records that the relay has received the change.
 func (u *listUse) receiveChange() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -23,10 +23,10 @@
 // leaseState is the state from which a Lease is computed. It reads no clock; each method takes the times that it needs.
 type leaseState struct {
 	confirmed time.Time
-	// expiryLimit is the earliest time from which a change that the list lacks counts as notified for a reason other than
+	// cap is the earliest time from which a change that the list lacks counts as notified for a reason other than
 	// the list's age; zero for none.
-	expiryLimit time.Time
-	failures    int
+	cap      time.Time
+	failures int
 }
 
 // newLeaseState returns the state at the start of a process, before any answer: that of the previous process's lease, or, if
@@ -35,7 +35,7 @@
 	if previous == nil {
 		return leaseState{confirmed: now}
 	}
-	return leaseState{confirmed: previous.Confirmed, expiryLimit: previous.Expires, failures: previous.Failures}
+	return leaseState{confirmed: previous.Confirmed, cap: previous.Expires, failures: previous.Failures}
 }
 
 // confirm records a complete answer, which had every change that discovery had at the given time.
@@ -65,10 +65,10 @@
 // recordMove records that discovery has another address.
 func (l *leaseState) recordMove(now time.Time) { l.limitExpiry(now.Add(notifiedAfterMove)) }
 
-// limitExpiry lowers expiryLimit to a time, if that is earlier.
+// limitExpiry lowers cap to a time, if that is earlier.
 func (l *leaseState) limitExpiry(at time.Time) {
-	if l.expiryLimit.IsZero() || at.Before(l.expiryLimit) {
-		l.expiryLimit = at
+	if l.cap.IsZero() || at.Before(l.cap) {
+		l.cap = at
 	}
 }
 
@@ -86,8 +86,8 @@
 // snapshot returns the lease of a list that may be acted on for the given duration after it was confirmed.
 func (l *leaseState) snapshot(duration time.Duration) Lease {
 	expires := l.confirmed.Add(duration)
-	if !l.expiryLimit.IsZero() && l.expiryLimit.Before(expires) {
-		expires = l.expiryLimit
+	if !l.cap.IsZero() && l.cap.Before(expires) {
+		expires = l.cap
 	}
 	return Lease{Confirmed: l.confirmed, Expires: expires, Failures: l.failures}
 }
--- a/internal/discovery/overload_test.go
+++ b/internal/discovery/overload_test.go
@@ -62,6 +62,7 @@
 	expired    time.Duration
 }
 
+// newLeaseGaps returns a count for a fleet of that size, which starts at a time.
 func newLeaseGaps(fleetSize int, from time.Time) *leaseGaps {
 	g := &leaseGaps{countFrom: from, leases: make([]Lease, fleetSize), leaseSince: make([]time.Time, fleetSize)}
 	for i := range g.leaseSince {
@@ -70,6 +71,7 @@
 	return g
 }
 
+// renew records that a relay has another lease, and adds the gap before it.
 func (g *leaseGaps) renew(relay int, lease Lease) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -100,10 +102,10 @@
 // bound applies to the time beyond that.
 func TestFleetGetsOverCongestion(t *testing.T) {
 	for _, test := range []struct {
-		fleet     int
-		perSecond float64 // calls that discovery can handle
-		outage    time.Duration
-		most      float64 // part of the time without a list, beyond what discovery's capacity makes unavoidable
+		fleet          int
+		callsPerSecond float64 // calls that discovery can handle
+		outage         time.Duration
+		maxPart        float64 // part of the time without a list, beyond what discovery's capacity makes unavoidable
 	}{
 		{273, 30, 0, 0.13},
 		{273, 30, 8 * time.Second, 0.13},
@@ -114,12 +116,12 @@
 		{30, 5, 8 * time.Second, 0.12},
 		{30, 3.3, 0, 0.25},
 	} {
-		t.Run(fmt.Sprintf("%d relays, %g calls a second, %v away", test.fleet, test.perSecond, test.outage), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%d relays, %g calls a second, %v away", test.fleet, test.callsPerSecond, test.outage), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				startedAt := time.Now()
 				outageStart := startedAt.Add(10 * time.Second)
 				outageEnd := outageStart.Add(test.outage)
-				discovery := &queueingDiscovery{callCost: time.Duration(float64(time.Second) / test.perSecond),
+				discovery := &queueingDiscovery{callCost: time.Duration(float64(time.Second) / test.callsPerSecond),
 					down: func(now time.Time) bool { return now.After(outageStart) && now.Before(outageEnd) }}
 				gaps := newLeaseGaps(test.fleet, outageEnd.Add(20*time.Second))
 				ctx, cancel := context.WithDeadline(context.Background(), gaps.countFrom.Add(time.Minute))
@@ -132,11 +134,11 @@
 					followers.Go(func() { platform.Follow(ctx, func(List) {}) })
 				}
 				followers.Wait()
-				unanswered := max(0, 1-(NotifiedAfter+sendGrace).Seconds()*test.perSecond/float64(test.fleet))
+				unanswered := max(0, 1-(NotifiedAfter+sendGrace).Seconds()*test.callsPerSecond/float64(test.fleet))
 				part := gaps.expiredPart() - unanswered
 				t.Logf("without a list for %.3f of the time beyond %.3f", part, unanswered)
-				if part > test.most {
-					t.Errorf("without a list for %.3f of the time beyond %.3f, want at most %.2f", part, unanswered, test.most)
+				if part > test.maxPart {
+					t.Errorf("without a list for %.3f of the time beyond %.3f, want at most %.2f", part, unanswered, test.maxPart)
 				}
 			})
 		})
--- a/internal/discovery/pacer.go
+++ b/internal/discovery/pacer.go
@@ -104,8 +104,8 @@
 // fleet are spread over evenInterval, or longest if that is shorter. Where many processes start at once it matters more that
 // discovery can answer them than that each lease is renewed before it expires: calls that arrive too fast leave most relays
 // without an answer for a long time.
-func (p *pacer) initialPause(f Fleet, longest time.Duration) time.Duration {
-	return time.Duration(p.rand.Float64() * float64(min(evenInterval(f.Size), longest)))
+func (p *pacer) initialPause(fleet Fleet, longest time.Duration) time.Duration {
+	return time.Duration(p.rand.Float64() * float64(min(evenInterval(fleet.Size), longest)))
 }
 
 // jitter returns a random duration that is below or above the mean by at most the given part of it.
@@ -116,21 +116,21 @@
 // pauseAfterAnswer returns the time until the next call after an answered one; in a large fleet it counts from the start of the
 // answered call. That call took duration, of which it was queued and handled at discovery for serverTime. The settings bound the
 // pause, as a relay that has not called for MaxPollInterval counts as notified of every change.
-func (p *pacer) pauseAfterAnswer(f Fleet, duration, serverTime time.Duration) time.Duration {
+func (p *pacer) pauseAfterAnswer(fleet Fleet, duration, serverTime time.Duration) time.Duration {
 	p.backoffLevel = max(0, p.backoffLevel-1)
-	if !polls(f.Size) {
-		return p.jitter(min(evenInterval(f.Size)<<p.backoffLevel, f.renewInterval()), 0.25)
+	if !polls(fleet.Size) {
+		return p.jitter(min(evenInterval(fleet.Size)<<p.backoffLevel, fleet.renewInterval()), 0.25)
 	}
 	p.consecutiveFailures = 0
 	switch {
 	case p.interval == 0:
-		p.interval = f.initialInterval(serverTime)
+		p.interval = fleet.initialInterval(serverTime)
 	case duration > promptAnswer:
-		p.lengthenInterval(f, slowFactor, f.maxInterval())
-	case duration < quickAnswer || p.interval > f.usualInterval():
-		p.interval = max(f.minInterval(), scale(p.interval, promptFactor))
+		p.lengthenInterval(fleet, slowFactor, fleet.maxInterval())
+	case duration < quickAnswer || p.interval > fleet.usualInterval():
+		p.interval = max(fleet.minInterval(), scale(p.interval, promptFactor))
 	}
-	if p.interval > f.renewInterval() {
+	if p.interval > fleet.renewInterval() {
 		return p.jitter(p.interval, largeJitter)
 	}
 	return p.jitter(p.interval, smallJitter)
@@ -138,8 +138,8 @@
 
 // lengthenInterval multiplies the interval by a factor after a sign of congestion, up to longest. An interval that is longer than
 // that already stays unchanged.
-func (p *pacer) lengthenInterval(f Fleet, factor float64, longest time.Duration) {
-	p.interval = max(p.interval, min(scale(max(p.interval, f.minInterval()), factor), longest))
+func (p *pacer) lengthenInterval(fleet Fleet, factor float64, longest time.Duration) {
+	p.interval = max(p.interval, min(scale(max(p.interval, fleet.minInterval()), factor), longest))
 }
 
 // scale returns a duration multiplied by a factor.
@@ -147,9 +147,9 @@
 
 // pauseAfterFailure returns the pause after a call that took duration and failed for a reason other than congestion. The pause is
 // short enough that a change is received within NotifiedAfter from the next call, if that one is answered.
-func (p *pacer) pauseAfterFailure(f Fleet, duration time.Duration) time.Duration {
+func (p *pacer) pauseAfterFailure(fleet Fleet, duration time.Duration) time.Duration {
 	longest := NotifiedAfter - maxAnswerTime - duration
-	mean := min(evenInterval(f.Size)*(maxPause/minPause), evenInterval(f.Size)<<p.backoffLevel)
+	mean := min(evenInterval(fleet.Size)*(maxPause/minPause), evenInterval(fleet.Size)<<p.backoffLevel)
 	if mean < longest {
 		p.backoffLevel++
 	}
@@ -158,12 +158,12 @@
 
 // pauseAfterCongestion returns the pause after a call that took duration and failed at discovery, which may be overloaded. In a
 // large fleet the pause doubles with each such call in a row.
-func (p *pacer) pauseAfterCongestion(f Fleet, duration time.Duration) time.Duration {
-	if !polls(f.Size) {
-		return p.pauseAfterFailure(f, duration)
+func (p *pacer) pauseAfterCongestion(fleet Fleet, duration time.Duration) time.Duration {
+	if !polls(fleet.Size) {
+		return p.pauseAfterFailure(fleet, duration)
 	}
-	pause := p.jitter(min(evenInterval(f.Size), NotifiedAfter-duration), 0.25) << min(p.consecutiveFailures, maxDoublings)
+	pause := p.jitter(min(evenInterval(fleet.Size), NotifiedAfter-duration), 0.25) << min(p.consecutiveFailures, maxDoublings)
 	p.consecutiveFailures++
-	p.lengthenInterval(f, failureFactor, f.maxCongestedInterval())
-	return min(pause, p.jitter(f.maxCongestedInterval(), 0.25)-duration)
+	p.lengthenInterval(fleet, failureFactor, fleet.maxCongestedInterval())
+	return min(pause, p.jitter(fleet.maxCongestedInterval(), 0.25)-duration)
 }
--- a/internal/discovery/recovery_test.go
+++ b/internal/discovery/recovery_test.go
@@ -26,10 +26,12 @@
 	callsBySecond map[int]int // by the second after startedAt
 }
 
+// response returns an answer with a status and a body.
 func response(req *http.Request, status int, body io.Reader) *http.Response {
 	return &http.Response{StatusCode: status, Body: io.NopCloser(body), Header: http.Header{}, Request: req}
 }
 
+// listJSON returns a full list of one endpoint, with the given version.
 func listJSON(version int) string {
 	return fmt.Sprintf(`{"version":%d,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:1","state":"active"}]}`, version)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -32,11 +32,11 @@
 // testFile returns a relay's own file with a number of attempts.
 func testFile(t testing.TB, maxAttempts int) File {
 	t.Helper()
-	set, err := settings.Parse(rawSettings(maxAttempts, 7))
+	parsed, err := settings.Parse(rawSettings(maxAttempts, 7))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return File{rawSettings(maxAttempts, 7), set}
+	return File{rawSettings(maxAttempts, 7), parsed}
 }
 
 // testGeneration returns a generation whose settings have a number of attempts.
@@ -46,8 +46,8 @@
 
 // refresh calls Refresh, and returns the mode and the number of attempts by which the relay acts then.
 func refresh(m *Member, now time.Duration) string {
-	set, _ := m.Refresh(now)
-	return fmt.Sprintf("%s %d", m.Status().Mode, set.MaxAttempts)
+	applied, _ := m.Refresh(now)
+	return fmt.Sprintf("%s %d", m.Status().Mode, applied.MaxAttempts)
 }
 
 func checkText(t *testing.T, what, got, want string) {
@@ -79,8 +79,8 @@
 	reply = receive(3*time.Second, api.Standing{Turn: 2, Force: &api.Generation{Number: 1}}) // its document is known
 	checkText(t, "in effect", refresh(m, 3*time.Second), "alone 8")
 	checkText(t, "confirms", fmt.Sprint(reply.Confirm), "2")
-	if set, _ := m.Refresh(3 * time.Second); set.Index != 7 {
-		t.Errorf("index %d, want 7 from the relay's own file", set.Index)
+	if applied, _ := m.Refresh(3 * time.Second); applied.Index != 7 {
+		t.Errorf("index %d, want 7 from the relay's own file", applied.Index)
 	}
 	checkText(t, "the same answer again", fmt.Sprint(receive(4*time.Second, api.Standing{Turn: 2, Force: &api.Generation{Number: 1}, Confirmed: 2})), fmt.Sprint(Reply{}))
 	receive(5*time.Second, api.Standing{Turn: 3, Force: &api.Generation{Number: 1}, Next: testGeneration(2, 3)})
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -79,17 +79,17 @@
 }
 
 // addGeneration checks a document as a reload checks a file, and retains it. The text of its errors is sent to the keepers.
-func (m *Member) addGeneration(g *api.Generation) error {
-	if _, known := m.generations[g.Number]; known || g.Doc == nil {
+func (m *Member) addGeneration(received *api.Generation) error {
+	if _, known := m.generations[received.Number]; known || received.Doc == nil {
 		return nil
 	}
-	if len(g.Doc) > maxDocumentBytes {
-		return fmt.Errorf("the document has %d bytes, of %d", len(g.Doc), maxDocumentBytes)
+	if len(received.Doc) > maxDocumentBytes {
+		return fmt.Errorf("the document has %d bytes, of %d", len(received.Doc), maxDocumentBytes)
 	}
 	var document struct {
 		Settings json.RawMessage `json:"settings"`
 	}
-	if err := json.Unmarshal(g.Doc, &document); err != nil {
+	if err := json.Unmarshal(received.Doc, &document); err != nil {
 		return err
 	}
 	adapted, err := settings.Adapt(document.Settings, m.file.Raw)
@@ -99,60 +99,60 @@
 	if err := settings.CheckComplete(m.file.Raw, adapted); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	set, err := settings.Parse(adapted)
+	parsed, err := settings.Parse(adapted)
 	if err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
-	m.generations[g.Number] = generation{slices.Clone(g.Doc), set}
+	m.generations[received.Number] = generation{slices.Clone(received.Doc), parsed}
 	return nil
 }
 
 // settingsFor returns the settings by which a relay of that status acts. It returns an error, and the settings of the relay's own
 // file, if a document is missing or two generations cannot be joined.
 func (m *Member) settingsFor(status hold.Status) (settings.Settings, error) {
-	own := m.file.Settings
+	ownSettings := m.file.Settings
 	if status.Mode == hold.OwnFile {
-		return own, nil
+		return ownSettings, nil
 	}
-	set := own
+	allowed := ownSettings
 	if status.Current != 0 {
 		g, ok := m.generations[status.Current]
 		if !ok {
-			return own, fmt.Errorf("the document of generation %d is missing", status.Current)
+			return ownSettings, fmt.Errorf("the document of generation %d is missing", status.Current)
 		}
-		set = g.settings
+		allowed = g.settings
 	}
 	if status.Next != 0 {
 		g, ok := m.generations[status.Next]
 		if !ok {
-			return own, fmt.Errorf("the document of generation %d is missing", status.Next)
+			return ownSettings, fmt.Errorf("the document of generation %d is missing", status.Next)
 		}
 		var err error
-		if set, err = settings.Join(set, g.settings); err != nil {
-			return own, err
+		if allowed, err = settings.Join(allowed, g.settings); err != nil {
+			return ownSettings, err
 		}
 	}
 	if status.Mode == hold.Fallback {
-		return settings.Join(set, own)
+		return settings.Join(allowed, ownSettings)
 	}
-	return set, nil
+	return allowed, nil
 }
 
 // Refresh returns the settings by which the relay acts now, and whether they may have changed since the last call. The loop calls
 // it before any other work, so a process that was stopped for longer than its lease acts by the fallback when it resumes.
-func (m *Member) Refresh(now time.Duration) (set settings.Settings, changed bool) {
+func (m *Member) Refresh(now time.Duration) (applied settings.Settings, changed bool) {
 	status := m.lease.Status(now)
 	if status == m.status {
 		return m.settings, false
 	}
-	set, err := m.settingsFor(status)
+	applied, err := m.settingsFor(status)
 	if err != nil { // what the generations allow is unknown, so only the relay's own file remains
 		slog.Error("cannot act by the fleet's settings; acting by the relay's own file", "mode", status.Mode.String(), "generation", status.Current, "err", err)
-		set = m.file.Settings
+		applied = m.file.Settings
 	}
 	slog.Info("acts", "mode", status.Mode.String(), "turn", status.Revision, "generation", status.Current, "next", status.Next)
-	m.status, m.settings = status, set
-	return set, true
+	m.status, m.settings = status, applied
+	return applied, true
 }
 
 // LeaseRemaining returns the rest of the lease; 0 if it has expired, or there never was one.
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -30,7 +30,7 @@
 	Now       func() time.Duration // the relay's clock
 	// HandleAnswer passes an answer to the loop and returns once the loop has processed it: the generations whose documents the
 	// relay has, the reply to send, and whether the answer was accepted.
-	HandleAnswer func(Answer) (have []uint64, w Reply, ok bool)
+	HandleAnswer func(Answer) (known []uint64, reply Reply, ok bool)
 
 	Instance, PreviousInstance string // as in Member
 	// Addr and Folder are the address and the folder in which the relay receives copies of replication groups' records. Owned
