--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -18,7 +18,7 @@
 
 	"pgregory.net/rapid"
 
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 	"larchrouter/internal/keeper/api"
 	"larchrouter/internal/settings"
 )
@@ -295,7 +295,7 @@
 		if err != nil && reply.Confirm != 0 {
 			t.Errorf("%+v is confirmed after %v", reply, err)
 		}
-		if status := m.Status(); err != nil && status.Mode != hold.OwnFile {
+		if status := m.Status(); err != nil && status.Mode != lease.OwnFile {
 			t.Errorf("it acts on %+v after %v", status, err)
 		}
 	})
--- a/internal/fleet/hold/lease.go
+++ b/internal/fleet/lease/lease.go
@@ -5,7 +5,7 @@
 // A revision is the keepers' number of a state of the configuration: which generation is in effect, and which one is prepared. A
 // relay adopts revisions in their order and never returns to an earlier one, even if answers arrive late, twice or out of order.
 // When its lease has expired, it acts by the fallback of the generations that it acted on last, until an answer renews the lease.
-package hold
+package lease
 
 import (
 	"errors"
--- a/internal/fleet/hold/lease_test.go
+++ b/internal/fleet/lease/lease_test.go
@@ -1,4 +1,4 @@
-package hold
+package lease
 
 import (
 	"errors"
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 	"larchrouter/internal/keeper/api"
 	"larchrouter/internal/settings"
 )
@@ -41,9 +41,9 @@
 
 	path        string
 	file        File
-	lease       hold.Lease
+	lease       lease.Lease
 	generations map[uint64]generation
-	status      hold.Status
+	status      lease.Status
 	settings    settings.Settings // by which the relay acts now
 }
 
@@ -67,7 +67,7 @@
 			return m
 		}
 	}
-	m.lease.Resume(hold.Grant{Revision: state.Revision, Current: state.Current, Next: state.Next})
+	m.lease.Resume(lease.Grant{Revision: state.Revision, Current: state.Current, Next: state.Next})
 	return m
 }
 
@@ -75,7 +75,7 @@
 // from. Otherwise the keepers would take it for another relay of the same name until a lease has expired.
 func (m *Member) RecordInstance() error {
 	status := m.lease.Status(0)
-	return m.save(hold.Grant{Revision: status.Revision, Current: status.Current, Next: status.Next})
+	return m.save(lease.Grant{Revision: status.Revision, Current: status.Current, Next: status.Next})
 }
 
 // addGeneration checks a document as a reload checks a file, and retains it. The text of its errors is sent to the keepers.
@@ -109,9 +109,9 @@
 
 // settingsFor returns the settings by which a relay of that status acts. It returns an error, and the settings of the relay's own
 // file, if a document is missing or two generations cannot be joined.
-func (m *Member) settingsFor(status hold.Status) (settings.Settings, error) {
+func (m *Member) settingsFor(status lease.Status) (settings.Settings, error) {
 	ownSettings := m.file.Settings
-	if status.Mode == hold.OwnFile {
+	if status.Mode == lease.OwnFile {
 		return ownSettings, nil
 	}
 	allowed := ownSettings
@@ -132,7 +132,7 @@
 			return ownSettings, err
 		}
 	}
-	if status.Mode == hold.Fallback {
+	if status.Mode == lease.Fallback {
 		return settings.Join(allowed, ownSettings)
 	}
 	return allowed, nil
@@ -159,7 +159,7 @@
 func (m *Member) LeaseRemaining(now time.Duration) time.Duration { return m.lease.Remaining(now) }
 
 // Status returns what the relay has acted on since the last Refresh, for logs and metrics.
-func (m *Member) Status() hold.Status { return m.status }
+func (m *Member) Status() lease.Status { return m.status }
 
 // SetFile replaces the relay's own file. It takes effect with the next Refresh. A generation that cannot be used together with
 // the new file keeps the settings that it had with the old one.
@@ -172,7 +172,7 @@
 			m.generations[number] = g
 		}
 	}
-	m.status = hold.Status{Mode: -1} // no real mode, so that the next Refresh determines the settings anew
+	m.status = lease.Status{Mode: -1} // no real mode, so that the next Refresh determines the settings anew
 }
 
 // Reply is what the relay has to send to the keepers after an answer of theirs. The zero value means nothing.
@@ -189,7 +189,7 @@
 // returned, as Confirm says that it does. A generation that cannot be used is reported as *UnusableGeneration, together with a
 // reply.
 func (m *Member) Receive(now, requestedAt time.Duration, standing api.Standing) (Reply, error) {
-	grant := hold.Grant{RequestedAt: requestedAt, Duration: time.Duration(standing.LeaseMS) * time.Millisecond, Revision: standing.Turn}
+	grant := lease.Grant{RequestedAt: requestedAt, Duration: time.Duration(standing.LeaseMS) * time.Millisecond, Revision: standing.Turn}
 	if standing.Force != nil {
 		grant.Current = standing.Force.Number
 		if err := m.addGeneration(standing.Force); err != nil {
@@ -202,7 +202,7 @@
 			return Reply{Reject: grant.Next, Reason: err.Error()}, &UnusableGeneration{grant.Next, false, err}
 		}
 	}
-	if _, err := m.settingsFor(hold.Status{Mode: hold.Joined, Current: grant.Current, Next: grant.Next}); err != nil && grant.Next != 0 {
+	if _, err := m.settingsFor(lease.Status{Mode: lease.Joined, Current: grant.Current, Next: grant.Next}); err != nil && grant.Next != 0 {
 		delete(m.generations, grant.Next)
 		return Reply{Reject: grant.Next, Reason: err.Error()}, &UnusableGeneration{grant.Next, false, err}
 	} else if err != nil {
--- a/internal/fleet/state.go
+++ b/internal/fleet/state.go
@@ -9,7 +9,7 @@
 	"path/filepath"
 	"strings"
 
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 	"larchrouter/internal/keeper/api"
 )
 
@@ -26,7 +26,7 @@
 
 // save stores the grant that the relay is about to act on, with its documents, replacing the file as a whole. It does not sync the
 // file: as with the journal, data that write(2) has accepted outlives the process.
-func (m *Member) save(grant hold.Grant) error {
+func (m *Member) save(grant lease.Grant) error {
 	state := persistedState{Instance: m.Instance, Revision: grant.Revision, Current: grant.Current, Next: grant.Next}
 	for _, number := range []uint64{grant.Current, grant.Next} {
 		if g, ok := m.generations[number]; ok {
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 )
 
 var (
@@ -195,7 +195,7 @@
 		}
 		parts = append(parts, p.play(name, r, do))
 	}
-	if !p.until(time.Minute, func(a Act) bool { return a.Mode == hold.Single && a.Force == p.last }) {
+	if !p.until(time.Minute, func(a Act) bool { return a.Mode == lease.Single && a.Force == p.last }) {
 		t.Errorf("not all act by change %d alone: %v", p.last, p.modes())
 	}
 	time.Sleep(3 * reportEvery)
--- a/internal/hollow/judge.go
+++ b/internal/hollow/judge.go
@@ -7,23 +7,23 @@
 	"slices"
 	"time"
 
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 )
 
 // Gone is the mode of a member that has no process.
-const Gone hold.Mode = -1
+const Gone lease.Mode = -1
 
 // Act is by what a member acts from a time on.
 type Act struct {
 	At     time.Duration // by the machine's monotonic clock, which all processes share
 	Member int
-	Mode   hold.Mode
+	Mode   lease.Mode
 	Force  uint64
 	Next   uint64 // 0 unless two are joined
 }
 
 // leased tells whether it is by a generation, under a lease that has not run out.
-func (a Act) leased() bool { return a.Mode == hold.Single || a.Mode == hold.Joined }
+func (a Act) leased() bool { return a.Mode == lease.Single || a.Mode == lease.Joined }
 
 // Asked is a change that operators asked for.
 type Asked struct {
@@ -75,7 +75,7 @@
 	}
 	s.reached(asked, returns, end)
 	for _, a := range s.now {
-		if a.Mode == hold.Fallback {
+		if a.Mode == lease.Fallback {
 			s.verdict.Out += end - a.At
 		}
 	}
@@ -91,7 +91,7 @@
 func (s *sweep) take(a Act) {
 	key := func(a Act) Act { return Act{Mode: a.Mode, Force: a.Force, Next: a.Next} }
 	if old, ok := s.now[a.Member]; ok {
-		if old.Mode == hold.Fallback {
+		if old.Mode == lease.Fallback {
 			s.verdict.Out += a.At - old.At
 		}
 		if old.leased() {
--- a/internal/hollow/judge_test.go
+++ b/internal/hollow/judge_test.go
@@ -5,22 +5,22 @@
 	"testing"
 	"time"
 
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 )
 
 func alone(at time.Duration, member int, force uint64) Act {
-	return Act{At: at * time.Second, Member: member, Mode: hold.Single, Force: force}
+	return Act{At: at * time.Second, Member: member, Mode: lease.Single, Force: force}
 }
 
 func joined(at time.Duration, member int, force, next uint64) Act {
-	return Act{At: at * time.Second, Member: member, Mode: hold.Joined, Force: force, Next: next}
+	return Act{At: at * time.Second, Member: member, Mode: lease.Joined, Force: force, Next: next}
 }
 
 // What a history of two members shows: how long they contradicted each other, how many generations were in use, when a change
 // was in force everywhere and who was back when.
 func TestJudge(t *testing.T) {
 	out := func(at time.Duration, member int, force uint64) Act {
-		return Act{At: at * time.Second, Member: member, Mode: hold.Fallback, Force: force}
+		return Act{At: at * time.Second, Member: member, Mode: lease.Fallback, Force: force}
 	}
 	gone := func(at time.Duration, member int) Act { return Act{At: at * time.Second, Member: member, Mode: Gone} }
 	asked := []Asked{{Number: 2, At: 3 * time.Second}}
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -13,7 +13,7 @@
 
 	"larchrouter/internal/discovery"
 	"larchrouter/internal/fleet"
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 	"larchrouter/internal/keeper/api"
 )
 
@@ -38,7 +38,7 @@
 
 	mu   sync.Mutex // in place of the relay's loop
 	kept *fleet.Member
-	last hold.Status
+	last lease.Status
 	end  time.Duration // of the lease
 	wake *time.Timer   // at that time
 	stop context.CancelFunc
@@ -65,7 +65,7 @@
 	s := &fleet.Session{Client: c, Name: fmt.Sprintf("relay/%d", m.number), Zone: fmt.Sprintf("region-%d", m.region), Seed: uint64(m.number),
 		Instance: k.Instance, PreviousInstance: k.PreviousInstance, FleetSize: func() int { return m.fleet }, Now: Clock}
 	s.HandleAnswer = func(h fleet.Answer) (have []uint64, w fleet.Reply, ok bool) { return m.hear(k, h) }
-	m.kept, m.last, m.end = k, hold.Status{Mode: Gone}, 0
+	m.kept, m.last, m.end = k, lease.Status{Mode: Gone}, 0
 	ctx, stop := context.WithCancel(context.Background())
 	m.stop, m.done = stop, make(chan struct{})
 	m.look()
@@ -118,7 +118,7 @@
 	_, changed := m.kept.Refresh(now)
 	if acts := m.kept.Status(); changed || m.last.Mode == Gone {
 		at := now
-		if acts.Mode == hold.Fallback && m.end > 0 { // nothing has gone out by the lease since it ended
+		if acts.Mode == lease.Fallback && m.end > 0 { // nothing has gone out by the lease since it ended
 			at = min(at, m.end)
 		}
 		m.last = acts
--- a/internal/hollow/player_test.go
+++ b/internal/hollow/player_test.go
@@ -15,7 +15,7 @@
 	"time"
 
 	"larchrouter/internal/discovery"
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 	"larchrouter/internal/keeper/api"
 	"larchrouter/internal/lab/proc"
 )
@@ -239,10 +239,10 @@
 }
 
 // modes counts the members by what they act by.
-func (p *player) modes() map[hold.Mode]int {
+func (p *player) modes() map[lease.Mode]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	by := map[hold.Mode]int{}
+	by := map[lease.Mode]int{}
 	for _, a := range p.now {
 		by[a.Mode]++
 	}
--- a/internal/relay/agreed.go
+++ b/internal/relay/agreed.go
@@ -12,7 +12,7 @@
 	"crypto/rand"
 
 	"larchrouter/internal/fleet"
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 	"larchrouter/internal/keeper/api"
 	"larchrouter/internal/remedy"
 )
@@ -103,7 +103,7 @@
 	}
 	left := r.kept.LeaseRemaining(now)
 	end := int64(math.MaxInt64) // the fallback has no end
-	if mode := r.kept.Status().Mode; mode == hold.Single || mode == hold.Joined {
+	if mode := r.kept.Status().Mode; mode == lease.Single || mode == lease.Joined {
 		end = int64(now + left)
 	}
 	if a.end.Swap(end) != end && left > 0 {
--- a/internal/relay/figures.go
+++ b/internal/relay/figures.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"larchrouter/internal/discovery"
-	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/fleet/lease"
 )
 
 // ending is how a message ended, as the figures tell it.
@@ -36,7 +36,7 @@
 	reloadsOK, reloadsFailed int
 	list                     discovery.Lease
 	listExpired              bool
-	agreed                   *hold.Status // by what the relay acts; nil for one that shares nothing
+	agreed                   *lease.Status // by what the relay acts; nil for one that shares nothing
 	copies                   copiesFigures
 	backlog                  backlogFigures
 }
@@ -114,7 +114,7 @@
 }
 
 // agree tells by what the relay acts now.
-func (f *figures) agree(a hold.Status) {
+func (f *figures) agree(a lease.Status) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.agreed = &a
