--- a/internal/logqueue/logqueue.go
+++ b/internal/logqueue/logqueue.go
@@ -50,7 +50,7 @@
 func (w *Writer) run(out io.Writer) {
 	for line := range w.lines {
 		if n := w.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(out, "level=WARN msg=\"log lines dropped: nobody reads them in time\" lines=%d\n", n)
+			fmt.Fprintf(out, "level=WARN msg=\"log lines dropped: the log is not read fast enough\" lines=%d\n", n)
 		}
 		out.Write(line)
 		w.pending.Add(-1)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -48,7 +48,7 @@
 			value, rest, _ = strings.Cut(value, "\t")
 		}
 		if _, twice := l.fields[name]; twice {
-			return nil, fmt.Errorf("line %d: %s: field %s stands twice", number, l.name, name)
+			return nil, fmt.Errorf("line %d: %s: field %s is repeated", number, l.name, name)
 		}
 		l.fields[name] = value
 	}
