--- a/internal/journal/estates_test.go
+++ b/internal/journal/estates_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	estates "larchrouter/internal/estate/state"
+	estates "larchrouter/internal/replication/state"
 )
 
 func inEstate(id string, estate uint64, body int) Record {
@@ -18,7 +18,7 @@
 }
 
 func mark(estate, next uint64) Record {
-	return Record{Op: OpMark, Mark: &Mark{Estate: estate, Name: "r", Copy: estates.Copy{Epoch: 3, Writer: "w", From: "w", Have: 3, Next: next}}}
+	return Record{Op: OpMark, Mark: &Mark{Estate: estate, Name: "r", Copy: estates.Copy{Epoch: 3, Writer: "w", ContentWriter: "w", ContentEpoch: 3, Next: next}}}
 }
 
 func reopen(t testing.TB, dir string, j *Journal) *Journal {
@@ -47,7 +47,7 @@
 	for range 2 {
 		j = reopen(t, dir, j)
 		m, ok := j.Mark(7)
-		if !ok || m.Next != 4 || m.Epoch != 3 || m.From != "w" || len(j.Marks()) != 2 {
+		if !ok || m.Next != 4 || m.Epoch != 3 || m.ContentWriter != "w" || len(j.Marks()) != 2 {
 			t.Fatalf("estate 7 stands at %+v, %v", m, ok)
 		}
 		whole := j.Whole(7)
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -7,7 +7,7 @@
 	"hash/crc32"
 
 	"larchrouter/choice"
-	estates "larchrouter/internal/estate/state"
+	estates "larchrouter/internal/replication/state"
 )
 
 // Entry is all that is needed to send a message again, or to end it.
@@ -71,12 +71,12 @@
 // Mark is what is kept of an estate beside its messages, by its owner or by a holder.
 type Mark struct {
 	estates.Copy
-	Estate uint64        `json:"estate"`
-	Name   string        `json:"name,omitempty"`
-	Main   bool          `json:"main,omitempty"`
-	Copies int           `json:"copies,omitempty"`
-	Sets   []estates.Set `json:"sets,omitempty"` // that may have what counts
-	Over   bool          `json:"over,omitempty"` // nothing is kept of it any more
+	Estate uint64               `json:"estate"`
+	Name   string               `json:"name,omitempty"`
+	Main   bool                 `json:"main,omitempty"`
+	Copies int                  `json:"copies,omitempty"`
+	Sets   []estates.ReplicaSet `json:"sets,omitempty"` // that may have what counts
+	Over   bool                 `json:"over,omitempty"` // nothing is kept of it any more
 }
 
 func frame(buf []byte, r Record) []byte {
--- a/internal/keeper/api/api.go
+++ b/internal/keeper/api/api.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"net/url"
 
-	estates "larchrouter/internal/estate/state"
+	estates "larchrouter/internal/replication/state"
 )
 
 // The paths. All but those with GET go to the keeper that leads; another answers 421 with where that is.
@@ -53,7 +53,7 @@
 	// Confirmed is the turn by which the keepers hold the member to act; 0 for none in this session.
 	Confirmed uint64 `json:"confirmed,omitempty"`
 	// Owned are the estates that the member owns, if it told of such.
-	Owned []*estates.Estate `json:"owned,omitempty"`
+	Owned []*estates.Group `json:"owned,omitempty"`
 }
 
 // Generation is one numbered document.
--- a/internal/keeper/estates.go
+++ b/internal/keeper/estates.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	estates "larchrouter/internal/estate/state"
 	"larchrouter/internal/keeper/state"
+	estates "larchrouter/internal/replication/state"
 )
 
 // Estates: what relays ask of them, and who is held to be lost.
@@ -21,9 +21,9 @@
 const massLeases = 3
 
 // owned are copies of the estates of a relay. The lock is held.
-func owned(s *state.State, name string) []*estates.Estate {
-	all := []*estates.Estate{}
-	for _, e := range s.Estates.Owned(name) {
+func owned(s *state.State, name string) []*estates.Group {
+	all := []*estates.Group{}
+	for _, e := range s.Estates.OwnedBy(name) {
 		c := *e
 		all = append(all, &c)
 	}
@@ -31,14 +31,14 @@
 }
 
 // estates are all of them, or those of one relay. One that does not lead may be behind.
-func (k *Keeper) estates(name string) (all []*estates.Estate, err error) {
+func (k *Keeper) estates(name string) (all []*estates.Group, err error) {
 	k.machine.read(func(s *state.State) {
 		if name != "" {
 			all = owned(s, name)
 			return
 		}
-		all = []*estates.Estate{}
-		for _, e := range s.Estates.Estates {
+		all = []*estates.Group{}
+		for _, e := range s.Estates.Groups {
 			c := *e
 			all = append(all, &c)
 		}
@@ -53,9 +53,9 @@
 	}
 	ids := []uint64{}
 	k.machine.read(func(s *state.State) {
-		for _, e := range s.Estates.Estates {
-			if slices.ContainsFunc(e.Sets(), func(set estates.Set) bool {
-				return slices.ContainsFunc(set.Holders, func(h estates.Holder) bool { return h.Name == holder })
+		for _, e := range s.Estates.Groups {
+			if slices.ContainsFunc(e.ReplicaSets(), func(set estates.ReplicaSet) bool {
+				return slices.ContainsFunc(set.Replicas, func(h estates.Replica) bool { return h.Name == holder })
 			}) {
 				ids = append(ids, e.ID)
 			}
@@ -70,7 +70,7 @@
 	if err := decode(body, &e); err != nil {
 		return nil, err
 	}
-	if e.Inherit != nil {
+	if e.TakeOver != nil {
 		return nil, refuse(http.StatusBadRequest, "who inherits is for the keepers to say")
 	}
 	name := ""
@@ -80,8 +80,8 @@
 			name = e.Open.Name
 		case e.Replace != nil:
 			name = ownerOf(s, e.Replace.ID)
-		case e.Filled != nil:
-			name = ownerOf(s, e.Filled.ID)
+		case e.SetComplete != nil:
+			name = ownerOf(s, e.SetComplete.ID)
 		case e.Close != nil:
 			name = ownerOf(s, e.Close.ID)
 		}
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	if name == "" {
-		return []*estates.Estate{}, nil
+		return []*estates.Group{}, nil
 	}
 	return k.estates(name)
 }
@@ -141,11 +141,11 @@
 		clear(a.since)
 		return
 	}
-	owners, of := map[string]bool{}, map[string][]estates.Inherit{}
+	owners, of := map[string]bool{}, map[string][]estates.TakeOver{}
 	k.machine.read(func(s *state.State) {
-		for _, e := range s.Estates.Estates {
+		for _, e := range s.Estates.Groups {
 			owners[e.Owner] = false
-			of[e.Owner] = append(of[e.Owner], estates.Inherit{ID: e.ID, Epoch: e.Epoch})
+			of[e.Owner] = append(of[e.Owner], estates.TakeOver{ID: e.ID, Epoch: e.Epoch})
 		}
 		for _, m := range s.Members {
 			if _, ok := owners[m.Name]; ok {
@@ -155,7 +155,7 @@
 	})
 	for _, name := range a.look(owners, time.Duration(k.conf.Lease), now) {
 		for _, n := range of[name] {
-			_, err := k.apply(state.Event{Estate: &estates.Event{Inherit: &n}})
+			_, err := k.apply(state.Event{Estate: &estates.Event{TakeOver: &n}})
 			slog.Info("owner is lost", "relay", name, "estate", n.ID, "err", err)
 			if err != nil {
 				return // the next look goes on, if this keeper still leads
--- a/internal/keeper/estates_test.go
+++ b/internal/keeper/estates_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	estates "larchrouter/internal/estate/state"
 	"larchrouter/internal/keeper/api"
+	estates "larchrouter/internal/replication/state"
 )
 
 // Guards against an heir for one that only restarts, for one that is back, and for most of a fleet at once.
@@ -70,18 +70,18 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	var own []*estates.Estate
+	var own []*estates.Group
 	open := estates.Event{Open: &estates.Open{Name: "a", Instance: "a-1", Copies: 1}}
-	if err := c.Call(ctx, http.MethodPost, api.EstatesPath, open, &own); err != nil || len(own) != 1 || len(own[0].Holders) != 2 {
+	if err := c.Call(ctx, http.MethodPost, api.EstatesPath, open, &own); err != nil || len(own) != 1 || len(own[0].Replicas) != 2 {
 		t.Fatalf("opened: %v, %v", own, err)
 	}
 	var no *api.Refused
-	err = c.Call(ctx, http.MethodPost, api.EstatesPath, estates.Event{Inherit: &estates.Inherit{ID: own[0].ID, Epoch: own[0].Epoch}}, nil)
+	err = c.Call(ctx, http.MethodPost, api.EstatesPath, estates.Event{TakeOver: &estates.TakeOver{ID: own[0].ID, Epoch: own[0].Epoch}}, nil)
 	if !errors.As(err, &no) {
 		t.Errorf("a relay says who inherits: %v, want refused", err)
 	}
-	err = c.Call(ctx, http.MethodPost, api.EstatesPath, estates.Event{Filled: &estates.Word{ID: own[0].ID, Epoch: 9, Instance: "a-1"}}, nil)
-	if !errors.As(err, &no) || no.Remedy() != estates.ErrOver.Advice {
+	err = c.Call(ctx, http.MethodPost, api.EstatesPath, estates.Event{SetComplete: &estates.GroupEpoch{ID: own[0].ID, Epoch: 9, Instance: "a-1"}}, nil)
+	if !errors.As(err, &no) || no.Remedy() != estates.ErrStaleEpoch.Advice {
 		t.Errorf("a word on another epoch: %v, want refused with what to do", err)
 	}
 	var held []uint64
@@ -91,7 +91,7 @@
 	for range 3 { // a relay that copies nothing knows of no estates, and waits for news as any other
 		asked := time.Now()
 		var s api.Standing
-		call := api.Session{Name: "c", Instance: "c-1", Addr: "c:1", Folder: "c", Estates: estates.Mark(nil), WaitMS: 60}
+		call := api.Session{Name: "c", Instance: "c-1", Addr: "c:1", Folder: "c", Estates: estates.Fingerprint(nil), WaitMS: 60}
 		if err := c.Call(ctx, http.MethodPost, api.SessionPath, call, &s); err != nil || time.Since(asked) < 50*time.Millisecond {
 			t.Fatalf("answered after %v of 60 ms though there is no news, %v", time.Since(asked), err)
 		}
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -6,9 +6,9 @@
 	"slices"
 	"time"
 
-	estates "larchrouter/internal/estate/state"
 	"larchrouter/internal/keeper/api"
 	"larchrouter/internal/keeper/state"
+	estates "larchrouter/internal/replication/state"
 )
 
 // session begins or renews a member's, and waits for news.
@@ -45,7 +45,7 @@
 		turned := k.machine.turned()
 		news := false
 		k.machine.read(func(st *state.State) {
-			news = st.Turn != c.Turn || c.Estates != "" && estates.Mark(st.Estates.Owned(c.Name)) != c.Estates
+			news = st.Turn != c.Turn || c.Estates != "" && estates.Fingerprint(st.Estates.OwnedBy(c.Name)) != c.Estates
 		})
 		if news {
 			break
--- a/internal/keeper/state/events.go
+++ b/internal/keeper/state/events.go
@@ -3,7 +3,7 @@
 import (
 	"encoding/json"
 
-	estates "larchrouter/internal/estate/state"
+	estates "larchrouter/internal/replication/state"
 )
 
 // An Event is one entry of the log. Exactly one field is set.
@@ -69,14 +69,14 @@
 
 // What an event is refused with. The log has it all the same; the state is as before.
 var (
-	ErrUnknown  = &Refusal{What: "no such member, or another process of that name", Advice: "nothing: the relay begins another session"}
-	ErrTaken    = &Refusal{What: "another process has the session of that name", Advice: "see whether two relays have the same name; after a restart it ends by itself with the lease"}
-	ErrBase     = &Refusal{What: "another generation is in force than the one that was to be changed", Advice: "look at what is in force by now, and make the change to that"}
-	ErrFull     = &Refusal{What: "too many changes wait already", Advice: "give up those that are not wanted any more, or see which relays the first one waits for"}
-	ErrMembers  = &Refusal{What: "too many members", Advice: "see which relays are there that should not be"}
-	ErrDoc      = &Refusal{What: "the document is empty, too long or no JSON", Advice: "correct the file"}
-	ErrStage    = &Refusal{What: "the generation is not where that could be done", Advice: "look at where it stands with larchctl status"}
-	ErrBadEvent = &Refusal{What: "the event is none", Advice: "see whether keepers and callers are of neighbouring versions"}
+	ErrUnknown  = &Refusal{Reason: "no such member, or another process of that name", Advice: "nothing: the relay begins another session"}
+	ErrTaken    = &Refusal{Reason: "another process has the session of that name", Advice: "see whether two relays have the same name; after a restart it ends by itself with the lease"}
+	ErrBase     = &Refusal{Reason: "another generation is in force than the one that was to be changed", Advice: "look at what is in force by now, and make the change to that"}
+	ErrFull     = &Refusal{Reason: "too many changes wait already", Advice: "give up those that are not wanted any more, or see which relays the first one waits for"}
+	ErrMembers  = &Refusal{Reason: "too many members", Advice: "see which relays are there that should not be"}
+	ErrDoc      = &Refusal{Reason: "the document is empty, too long or no JSON", Advice: "correct the file"}
+	ErrStage    = &Refusal{Reason: "the generation is not where that could be done", Advice: "look at where it stands with larchctl status"}
+	ErrBadEvent = &Refusal{Reason: "the event is none", Advice: "see whether keepers and callers are of neighbouring versions"}
 )
 
 // Refusal is why an event changed nothing, with what an operator can do.
--- a/internal/keeper/state/generations.go
+++ b/internal/keeper/state/generations.go
@@ -183,8 +183,8 @@
 	if s.Force != nil && s.Force.Stage != InForce || s.Next != nil && s.Next.Stage != Prepared {
 		return errors.New("snapshot: a generation is not where its stage says")
 	}
-	for i, e := range s.Estates.Estates {
-		if e == nil || e.ID > s.Estates.Last || i > 0 && s.Estates.Estates[i-1].ID >= e.ID {
+	for i, e := range s.Estates.Groups {
+		if e == nil || e.ID > s.Estates.LastID || i > 0 && s.Estates.Groups[i-1].ID >= e.ID {
 			return errors.New("snapshot: an estate is missing or out of order")
 		}
 	}
--- a/internal/keeper/state/state.go
+++ b/internal/keeper/state/state.go
@@ -18,7 +18,7 @@
 	"fmt"
 	"slices"
 
-	estates "larchrouter/internal/estate/state"
+	estates "larchrouter/internal/replication/state"
 )
 
 // Bounds of what is held, so that no sequence of events makes the state grow for ever.
--- a/internal/relay/bequeath.go
+++ b/internal/relay/bequeath.go
@@ -231,7 +231,7 @@
 	}
 	for _, s := range c.streams {
 		s.Close()
-		s.gates.Forget()
+		s.gates.Discard()
 	}
 	if h := c.holder.Load(); h != nil {
 		h.Close()
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -7,11 +7,11 @@
 	"net/http"
 	"time"
 
-	"larchrouter/internal/estate"
-	"larchrouter/internal/estate/state"
 	"larchrouter/internal/fleet"
 	"larchrouter/internal/keeper/api"
 	"larchrouter/internal/remedy"
+	"larchrouter/internal/replication"
+	"larchrouter/internal/replication/state"
 )
 
 // carry takes copies of others, and keeps up with this relay's own, until the context ends. Without a holder's address it only
@@ -40,13 +40,13 @@
 	}
 	h.Serve(l)
 	defer h.Close()
-	s.Addr, s.Folder, s.Owned = conf.Address, h.Folder, func() string { return state.Mark(nil) }
+	s.Addr, s.Folder, s.Owned = conf.Address, h.Folder, func() string { return state.Fingerprint(nil) }
 	if s.Addr == "" {
 		s.Addr = l.Addr().String()
 	}
 	if c := r.copies; c != nil {
 		c.holder.Store(h)
-		s.Owned = c.owner.Marked
+		s.Owned = c.owner.Fingerprint
 		go c.owner.Run(ctx)
 	}
 	go r.sweep(ctx, s.Client, h)
@@ -54,7 +54,7 @@
 }
 
 // openHolder opens the folder of copies and the fleet address, once the process before this one has left them.
-func (r *Relay) openHolder(ctx context.Context) (h *estate.Holder, l net.Listener, err error) {
+func (r *Relay) openHolder(ctx context.Context) (h *replication.ReplicaServer, l net.Listener, err error) {
 	for end := time.Now().Add(bindIn); ; {
 		if l, err = net.Listen("tcp", r.conf.Fleet.Listen); err == nil {
 			break
@@ -64,7 +64,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	if h, err = estate.OpenHolder(r.conf.State, int64(r.conf.DiskMB*copiesPart*1e6)); err != nil {
+	if h, err = replication.OpenReplicaServer(r.conf.State, int64(r.conf.DiskMB*copiesPart*1e6)); err != nil {
 		l.Close()
 		return nil, nil, err
 	}
@@ -75,7 +75,7 @@
 const sweepEvery = 10 * time.Second
 
 // sweep drops copies that the keepers' log has no use for any more.
-func (r *Relay) sweep(ctx context.Context, client *api.Client, h *estate.Holder) {
+func (r *Relay) sweep(ctx context.Context, client *api.Client, h *replication.ReplicaServer) {
 	for tick := time.NewTicker(sweepEvery); ; {
 		select {
 		case <-ctx.Done():
@@ -132,8 +132,8 @@
 	c.client = &http.Client{Transport: conns}
 	keepers := &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn,
 		DialContext: dialer(r.conf.Source, time.Second).DialContext, MaxIdleConnsPerHost: 1}}, Keepers: r.conf.Fleet.Keepers}
-	c.owner = &estate.Owner{Name: r.conf.Name, Instance: r.kept.Instance, Adopted: c.adopted, Copies: c.conf.Copies, Client: c.client, Books: (*ownBooks)(r),
-		Say: func(ctx context.Context, e state.Event) (all []*state.Estate, err error) {
+	c.owner = &replication.Owner{Name: r.conf.Name, Instance: r.kept.Instance, AdoptedWriter: c.adopted, Copies: c.conf.Copies, Client: c.client, Records: (*ownBooks)(r),
+		SendEvent: func(ctx context.Context, e state.Event) (all []*state.Group, err error) {
 			err = keepers.Call(ctx, http.MethodPost, api.EstatesPath, e, &all)
 			return all, err
 		}}
--- a/internal/relay/copies.go
+++ b/internal/relay/copies.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"larchrouter/choice"
-	"larchrouter/internal/estate"
-	"larchrouter/internal/estate/state"
 	"larchrouter/internal/fleet"
 	"larchrouter/internal/journal"
+	"larchrouter/internal/replication"
+	"larchrouter/internal/replication/state"
 )
 
 // What the relay holds for others is copied to further relays, and what binds it counts only once it is there: the relay's
@@ -30,7 +30,7 @@
 // copying is the part of the books that is copied. It belongs to the loop; nil in a relay that copies nothing.
 type copying struct {
 	conf    fleet.Config
-	owner   *estate.Owner
+	owner   *replication.Owner
 	client  *http.Client
 	main    uint64 // estate that takes on new messages; 0 for none yet
 	streams map[uint64]*stream
@@ -40,15 +40,15 @@
 	// uncounted are notices that wait for their records to count.
 	uncounted []*uncountedNotices
 	adopted   string // writer that the process before this one was, in an upgrade
-	holder    atomic.Pointer[estate.Holder]
+	holder    atomic.Pointer[replication.ReplicaServer]
 	begun     chan struct{} // closed once new messages can be copied
 }
 
 // stream is one estate that this relay writes.
 type stream struct {
-	*estate.Stream
-	estate state.Estate
-	gates  estate.Gates
+	*replication.Stream
+	estate state.Group
+	gates  replication.CommitWaiters
 	short  time.Duration // since when too few holders have a copy; 0 while they do
 }
 
@@ -139,9 +139,9 @@
 func (r *Relay) counted() {
 	waits := false
 	for _, s := range r.copies.streams {
-		st, now := s.Standing(), r.now()
+		st, now := s.Status(), r.now()
 		switch {
-		case !st.Short:
+		case !st.UnderReplicated:
 			if s.short > 0 {
 				slog.Info("enough holders take copies", "estate", s.ID, "epoch", st.Epoch, "after", now-s.short)
 			}
@@ -151,10 +151,10 @@
 			}
 		case s.short == 0:
 			s.short = now
-			slog.Warn("too few holders take copies", "estate", s.ID, "epoch", st.Epoch, "holders", st.States)
+			slog.Warn("too few holders take copies", "estate", s.ID, "epoch", st.Epoch, "holders", st.ReplicaStates)
 		}
 		risk := r.copies.conf.Short == fleet.OwnDisk && s.short > 0 && now-s.short >= countIn/2
-		s.gates.Pass(st.Counted, risk, now)
+		s.gates.Release(st.Committed, risk, now)
 		waits = waits || s.gates.Len() > 0 || s.short > 0
 	}
 	r.tellDue()
--- a/internal/relay/copies_room.go
+++ b/internal/relay/copies_room.go
@@ -4,14 +4,16 @@
 	"fmt"
 	"slices"
 
-	"larchrouter/internal/estate"
 	"larchrouter/internal/fleet"
 	"larchrouter/internal/journal"
+	"larchrouter/internal/replication"
 )
 
 // copyBudget is what a copy may take of a holder's disk, in bytes. Holders are taken to have as much disk as this relay: one that
 // has less refuses what does not fit, and is replaced.
-func (c *Config) copyBudget() int64 { return estate.CopyBudget(int64(c.DiskMB * copiesPart * 1e6)) }
+func (c *Config) copyBudget() int64 {
+	return replication.CopyBudget(int64(c.DiskMB * copiesPart * 1e6))
+}
 
 // holdersHaveRoom tells whether a new message fits into the copies of what is held, and counts it if so.
 func (r *Relay) holdersHaveRoom(e *journal.Entry) bool {
--- a/internal/relay/copies_room_test.go
+++ b/internal/relay/copies_room_test.go
@@ -10,10 +10,10 @@
 	"time"
 
 	"larchrouter/choice"
-	"larchrouter/internal/estate"
-	"larchrouter/internal/estate/state"
 	"larchrouter/internal/fleet"
 	"larchrouter/internal/journal"
+	"larchrouter/internal/replication"
+	"larchrouter/internal/replication/state"
 )
 
 // The story of these tests: a relay that kept its machine told six ends 0.2 to 1.5 s too late while it was short of holders for
@@ -36,9 +36,9 @@
 	r.dests = map[int]*waiting{7: {}}
 	r.set.Store(&standing{})
 	t.Cleanup(func() { close(r.quit) })
-	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: holders - 1}
+	e := state.Group{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: holders - 1}
 	for i := range holders {
-		h, err := estate.OpenHolder(t.TempDir(), int64(diskMB*copiesPart*1e6))
+		h, err := replication.OpenReplicaServer(t.TempDir(), int64(diskMB*copiesPart*1e6))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -48,13 +48,13 @@
 		}
 		h.Serve(l)
 		t.Cleanup(h.Close)
-		e.Holders = append(e.Holders, state.Holder{Name: fmt.Sprint("holder-", i), Addr: l.Addr().String(), Folder: h.Folder})
+		e.Replicas = append(e.Replicas, state.Replica{Name: fmt.Sprint("holder-", i), Addr: l.Addr().String(), Folder: h.Folder})
 	}
 	if err := r.markEstate(e, 1); err != nil {
 		t.Fatal(err)
 	}
 	s := r.newStream(e, 1)
-	s.Set(e.Epoch, e.Copies, e.Holders)
+	s.SetReplicas(e.Epoch, e.Copies, e.Replicas)
 	t.Cleanup(s.Close)
 	return r, s
 }
@@ -114,7 +114,7 @@
 				}
 				r.flush()
 				end := s.Next()
-				r.turns(t, "the ends count", func() bool { return s.Standing().Counted >= end })
+				r.turns(t, "the ends count", func() bool { return s.Status().Committed >= end })
 			}
 		})
 	}
--- a/internal/relay/copies_test.go
+++ b/internal/relay/copies_test.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"larchrouter/choice"
-	"larchrouter/internal/estate/state"
 	"larchrouter/internal/fleet"
 	"larchrouter/internal/journal"
+	"larchrouter/internal/replication/state"
 )
 
 // copier is a relay that copies to holders of whom none answers.
@@ -20,12 +20,12 @@
 			copies: &copying{conf: fleet.Config{Copies: 1, Short: short}, streams: map[uint64]*stream{}, begun: make(chan struct{}), client: http.DefaultClient}}}
 	r.kept = fleet.Open(t.TempDir(), "w", fleet.File{})
 	t.Cleanup(func() { close(r.quit) })
-	e := state.Estate{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Holders: []state.Holder{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
+	e := state.Group{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Replicas: []state.Replica{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
 	if err := r.markEstate(e, 1); err != nil {
 		t.Fatal(err)
 	}
 	s := r.newStream(e, 1)
-	s.Set(e.Epoch, e.Copies, e.Holders)
+	s.SetReplicas(e.Epoch, e.Copies, e.Replicas)
 	t.Cleanup(s.Close)
 	return r, s
 }
@@ -116,7 +116,7 @@
 			}
 		}
 	}()
-	(*ownBooks)(r).Lost(s.ID)
+	(*ownBooks)(r).OwnershipLost(s.ID)
 	over := make(chan struct{})
 	r.post(func() {
 		defer close(over)
@@ -159,7 +159,7 @@
 			t.Fatal(err)
 		}
 		r.conf.Name = "r"
-		begun, err := r.beginEstate(state.Estate{ID: 1, Name: name, Epoch: 2, Owner: "r", Writer: "w2", Main: true, Copies: 1}, nil)
+		begun, err := r.beginEstate(state.Group{ID: 1, Name: name, Epoch: 2, Owner: "r", Writer: "w2", Main: true, Copies: 1}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/estates.go
+++ b/internal/relay/estates.go
@@ -7,9 +7,9 @@
 	"slices"
 
 	"larchrouter/choice"
-	"larchrouter/internal/estate"
-	"larchrouter/internal/estate/state"
 	"larchrouter/internal/journal"
+	"larchrouter/internal/replication"
+	"larchrouter/internal/replication/state"
 )
 
 // ownBooks is the relay as estate.Owner sees it: each call is done by the loop.
@@ -29,12 +29,12 @@
 }
 
 // Known are the estates that the folder tells of.
-func (b *ownBooks) Known() (all []state.Estate) {
+func (b *ownBooks) StoredGroups() (all []state.Group) {
 	b.done(func(r *Relay) {
 		for _, m := range r.journal.Marks() {
-			e := state.Estate{ID: m.Estate, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: m.Writer, Main: m.Main, Copies: m.Copies}
+			e := state.Group{ID: m.Estate, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: m.Writer, Main: m.Main, Copies: m.Copies}
 			if len(m.Sets) > 0 {
-				e.Holders, e.Before = m.Sets[0].Holders, m.Sets[1:]
+				e.Replicas, e.EarlierSets = m.Sets[0].Replicas, m.Sets[1:]
 			}
 			if r.copies.streams[m.Estate] == nil {
 				all = append(all, e)
@@ -45,7 +45,7 @@
 }
 
 // Mark notes an estate's sets of holders.
-func (b *ownBooks) Mark(e state.Estate) (ok bool) {
+func (b *ownBooks) RecordReplicas(e state.Group) (ok bool) {
 	b.done(func(r *Relay) {
 		s := r.copies.streams[e.ID]
 		if s == nil || r.heir != nil {
@@ -60,13 +60,13 @@
 	return ok
 }
 
-func (r *Relay) markEstate(e state.Estate, next uint64) error {
-	return r.journal.Append(journal.Record{Op: journal.OpMark, Mark: &journal.Mark{Estate: e.ID, Name: e.Name, Main: e.Main, Copies: e.Copies, Sets: e.Sets(),
-		Copy: state.Copy{Epoch: e.Epoch, Writer: e.Writer, From: e.Writer, Have: e.Epoch, Next: next}}})
+func (r *Relay) markEstate(e state.Group, next uint64) error {
+	return r.journal.Append(journal.Record{Op: journal.OpMark, Mark: &journal.Mark{Estate: e.ID, Name: e.Name, Main: e.Main, Copies: e.Copies, Sets: e.ReplicaSets(),
+		Copy: state.Copy{Epoch: e.Epoch, Writer: e.Writer, ContentWriter: e.Writer, ContentEpoch: e.Epoch, Next: next}}})
 }
 
 // Begin has an estate written by this process.
-func (b *ownBooks) Begin(e state.Estate, found *estate.Found) (s *estate.Stream) {
+func (b *ownBooks) StartWriting(e state.Group, found *replication.FoundCopy) (s *replication.Stream) {
 	b.done(func(r *Relay) {
 		if r.heir != nil || r.stopped || r.copies.streams[e.ID] != nil {
 			return
@@ -81,7 +81,7 @@
 }
 
 // beginEstate takes up the folder's word on an estate, or what was found at holders if that is newer.
-func (r *Relay) beginEstate(e state.Estate, found *estate.Found) (*estate.Stream, error) {
+func (r *Relay) beginEstate(e state.Group, found *replication.FoundCopy) (*replication.Stream, error) {
 	own, known := r.journal.Mark(e.ID)
 	next := max(own.Next, 1)
 	theirs := found != nil && (!known || r.journal.Damaged() || found.Newer(own.Copy))
@@ -117,21 +117,21 @@
 	}
 	from := "its folder"
 	if theirs {
-		from = found.Holder
+		from = found.Replica
 	}
 	slog.Info("estate taken up", "estate", e.ID, "of", e.Name, "epoch", e.Epoch, "inherited", heir, "from", from, "messages", n)
 	return s.Stream, nil
 }
 
 // newStream has an estate's records go to its holders from now on.
-func (r *Relay) newStream(e state.Estate, next uint64) *stream {
+func (r *Relay) newStream(e state.Group, next uint64) *stream {
 	c := r.copies
 	s := &stream{estate: e, short: max(1, r.now())}
-	s.Stream = estate.NewStream(e.ID, e.Writer, next, c.client, func(ctx context.Context) (recs []journal.Record, next uint64, ok bool) {
+	s.Stream = replication.NewStream(e.ID, e.Writer, next, c.client, func(ctx context.Context) (recs []journal.Record, next uint64, ok bool) {
 		ok = (*ownBooks)(r).done(func(r *Relay) { recs, next = r.journal.Whole(e.ID), s.Next() })
 		return recs, next, ok && ctx.Err() == nil
-	}, r.news, func(*state.Sealed) { c.owner.Seal(e.ID) })
-	s.BatchMost = min(s.BatchMost, int(journal.CopyBatch(r.conf.copyBudget())))
+	}, r.news, func(*state.FencedError) { c.owner.Fence(e.ID) })
+	s.MaxBatchBytes = min(s.MaxBatchBytes, int(journal.CopyBatch(r.conf.copyBudget())))
 	c.streams[e.ID] = s
 	if e.Main {
 		c.main = e.ID
@@ -141,7 +141,7 @@
 }
 
 // Lost has an estate be another's.
-func (b *ownBooks) Lost(id uint64) {
+func (b *ownBooks) OwnershipLost(id uint64) {
 	b.done(func(r *Relay) {
 		c := r.copies
 		s := c.streams[id]
@@ -176,7 +176,7 @@
 		r.untold = slices.DeleteFunc(r.untold, func(n notice) bool { return ids[n.ID] })
 		r.owed -= old - len(r.untold)
 		if s != nil {
-			s.gates.Drop()
+			s.gates.Abort()
 		}
 		if err := r.journal.Append(r.journal.Forget(id)...); err != nil {
 			slog.Error("what is another's stays in the folder", "estate", id, "err", err)
@@ -187,7 +187,7 @@
 }
 
 // Empty tells whether nothing is left of an estate.
-func (b *ownBooks) Empty(id uint64) (empty bool) {
+func (b *ownBooks) IsEmpty(id uint64) (empty bool) {
 	b.done(func(r *Relay) {
 		s := r.copies.streams[id]
 		empty = s != nil && s.gates.Len() == 0 && len(r.records) == 0
@@ -207,12 +207,12 @@
 		if writer == "" || m.Writer != writer {
 			continue
 		}
-		e := state.Estate{ID: id, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: writer, Main: m.Main, Copies: m.Copies}
+		e := state.Group{ID: id, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: writer, Main: m.Main, Copies: m.Copies}
 		if len(m.Sets) > 0 {
-			e.Holders, e.Before = m.Sets[0].Holders, m.Sets[1:]
+			e.Replicas, e.EarlierSets = m.Sets[0].Replicas, m.Sets[1:]
 		}
 		s := r.newStream(e, max(1, m.Next))
-		s.Set(e.Epoch, e.Copies, e.Holders)
-		c.owner.Adopt(s.Stream)
+		s.SetReplicas(e.Epoch, e.Copies, e.Replicas)
+		c.owner.AdoptStream(s.Stream)
 	}
 }
--- a/internal/estate/gates_test.go
+++ b/internal/replication/commit_waiters_test.go
@@ -1,4 +1,4 @@
-package estate
+package replication
 
 import (
 	"fmt"
@@ -7,14 +7,14 @@
 )
 
 // Guards against something done before its records count, twice, out of order, or never; also where what is done adds more.
-func TestGates(t *testing.T) {
-	var g Gates
+func TestCommitWaiters(t *testing.T) {
+	var waiters CommitWaiters
 	var done []string
-	add := func(name string, next uint64, at, most time.Duration) {
-		g.Add(next, at, most, func(counts bool) {
-			done = append(done, fmt.Sprint(name, counts))
+	add := func(name string, next uint64, writtenAt, timeout time.Duration) {
+		waiters.Add(next, writtenAt, timeout, func(committed bool) {
+			done = append(done, fmt.Sprint(name, committed))
 			if name == "adds" {
-				g.Add(9, at, 0, func(counts bool) { done = append(done, fmt.Sprint("added", counts)) })
+				waiters.Add(9, writtenAt, 0, func(committed bool) { done = append(done, fmt.Sprint("added", committed)) })
 			}
 		})
 	}
@@ -23,11 +23,11 @@
 	add("late", 5, 0, time.Second)
 	add("ever", 6, 0, 0)
 	for _, c := range []struct {
-		counted uint64
-		all     bool
-		now     time.Duration
-		want    string
-		left    int
+		committed uint64
+		all       bool
+		now       time.Duration
+		want      string
+		left      int
 	}{
 		{1, false, 0, "[]", 4},
 		{3, false, 0, "[atrue addstrue]", 3},
@@ -36,16 +36,16 @@
 		{8, false, time.Hour, "[atrue addstrue latefalse evertrue]", 1},
 		{0, true, time.Hour, "[atrue addstrue latefalse evertrue addedtrue]", 0},
 	} {
-		g.Pass(c.counted, c.all, c.now)
-		if fmt.Sprint(done) != c.want || g.Len() != c.left {
-			t.Fatalf("with %d counted at %v: %v and %d left, want %s and %d", c.counted, c.now, done, g.Len(), c.want, c.left)
+		waiters.Release(c.committed, c.all, c.now)
+		if fmt.Sprint(done) != c.want || waiters.Len() != c.left {
+			t.Fatalf("with %d counted at %v: %v and %d left, want %s and %d", c.committed, c.now, done, waiters.Len(), c.want, c.left)
 		}
 	}
 	add("dropped", 1, 0, 0)
-	g.Drop()
+	waiters.Abort()
 	add("forgotten", 1, 0, 0)
-	g.Forget()
-	if got := fmt.Sprint(done[len(done)-1]); got != "droppedfalse" || g.Len() != 0 {
-		t.Errorf("at last %s, %d left", got, g.Len())
+	waiters.Discard()
+	if got := fmt.Sprint(done[len(done)-1]); got != "droppedfalse" || waiters.Len() != 0 {
+		t.Errorf("at last %s, %d left", got, waiters.Len())
 	}
 }
--- /dev/null
+++ b/internal/replication/serve.go
@@ -0,0 +1,65 @@
+package replication
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"time"
+
+	"larchrouter/internal/journal"
+	"larchrouter/internal/listen"
+	"larchrouter/internal/remedy"
+)
+
+// Serve answers at a listener until Close.
+func (s *ReplicaServer) Serve(listener net.Listener) {
+	mux := http.NewServeMux()
+	handle(s, mux, CopyPath, s.acceptBatch)
+	handle(s, mux, PromisePath, s.promise)
+	handle(s, mux, DropPath, s.drop)
+	s.listener = listener
+	s.server = &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, WriteTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 8 << 10}
+	go s.server.Serve(listen.Lasting(listener))
+}
+
+// handle reads a call of bounded size, and writes its answer.
+func handle[T any](s *ReplicaServer, mux *http.ServeMux, path string, serve func(context.Context, T) (any, error)) {
+	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, req *http.Request) {
+		var request T
+		body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBodyBytes))
+		if err == nil {
+			err = json.Unmarshal(body, &request)
+		}
+		status, answer := http.StatusOK, any(nil)
+		if err != nil {
+			status, answer = http.StatusBadRequest, Problem{Error: "the call cannot be read: " + err.Error(), Stamp: s.stamp()}
+		} else if answer, err = serve(req.Context(), request); err != nil {
+			status, answer = s.problemFor(err)
+		}
+		data, err := json.Marshal(answer)
+		if err != nil {
+			w.WriteHeader(http.StatusInternalServerError)
+			return
+		}
+		w.Header().Set("Content-Type", "application/json")
+		w.WriteHeader(status)
+		w.Write(data)
+	})
+}
+
+func (s *ReplicaServer) problemFor(err error) (status int, problem Problem) {
+	problem = Problem{Error: err.Error(), Remedy: remedy.Of(err), Stamp: s.stamp()}
+	var refused *RefusedError
+	switch {
+	case errors.As(err, &problem.Fenced), errors.As(err, &problem.MissingRecords):
+		return http.StatusConflict, problem
+	case errors.As(err, &refused):
+		return refused.Status, problem
+	case errors.Is(err, journal.ErrFull):
+		return http.StatusInsufficientStorage, problem
+	}
+	return http.StatusInternalServerError, problem
+}
