--- a/internal/replication/benchmark_test.go
+++ b/internal/replication/benchmark_test.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/replication/state"
 )
 
-// holders are so many that run, in folders of their own.
+// startReplicas starts n replica servers, each in a folder of its own.
 func startReplicas(b *testing.B, n int) (replicas []state.Replica) {
 	for i := range n {
 		dir := filepath.Join(b.TempDir(), fmt.Sprint("h", i))
@@ -25,8 +25,8 @@
 	return replicas
 }
 
-// BenchmarkTakeOver is what an heir does between its naming and its first own record: promises of two holders of three, the
-// newest copy, and the whole to two of its holders.
+// BenchmarkTakeOver measures what a successor does between its assignment and its first own record: it collects promises of two
+// replicas of three, reads the newest copy, and sends a whole copy to two of its replicas.
 func BenchmarkTakeOver(b *testing.B) {
 	for _, n := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// BenchmarkStream is records that count at two holders of three, one after the other and as many as come.
+// BenchmarkStream measures records that are committed at two replicas of three, with one message or many at a time.
 func BenchmarkStream(b *testing.B) {
 	for _, perBatch := range []int{1, 100} {
 		b.Run(fmt.Sprint(perBatch), func(b *testing.B) {
--- a/internal/replication/cleanup.go
+++ b/internal/replication/cleanup.go
@@ -9,9 +9,9 @@
 	"strconv"
 )
 
-// Copies that are of no more use.
+// Removal of copies that are no longer needed.
 
-// drop forgets a copy of an estate that has run out.
+// drop removes the copy of a group that was closed.
 func (s *ReplicaServer) drop(_ context.Context, request PromiseRequest) (any, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,8 +30,9 @@
 	return BatchResponse{Stamp: s.stamp()}, nil
 }
 
-// Sweep drops copies of estates that are not among those that this relay is on record for, now and when it looked last:
-// the keepers may know of one before its writer's first call, and not the reverse.
+// Sweep removes the copies of groups that are missing in listed, the groups that the keepers list this relay as a replica of,
+// in this sweep and in the last one. The keepers list a group before its writer makes its first call, so a list that is newer
+// than the copy names it; the first of two lists may be older than the copy.
 func (s *ReplicaServer) Sweep(listed []uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,14 +42,14 @@
 			c.sweepsUnlisted = 0
 		} else if c.sweepsUnlisted++; c.sweepsUnlisted > 1 {
 			if err := s.remove(id, c); err != nil {
-				slog.Error("a copy of no use stays", "estate", id, "err", err)
+				slog.Error("a copy that is no longer needed cannot be removed", "estate", id, "err", err)
 			}
 		}
 		c.mu.Unlock()
 	}
 }
 
-// remove ends a copy, and takes it off the disk. Both locks are held.
+// remove closes a copy and deletes it from the disk. The caller holds the locks of s and c.
 func (s *ReplicaServer) remove(id uint64, c *storedCopy) error {
 	c.closed = true
 	c.journal.Close()
--- a/internal/replication/commit_waiters_test.go
+++ b/internal/replication/commit_waiters_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Guards against something done before its records count, twice, out of order, or never; also where what is done adds more.
+// Guards against functions that run before their records are committed, twice, out of order or never; also when a function adds
+// another one.
 func TestCommitWaiters(t *testing.T) {
 	var waiters CommitWaiters
 	var done []string
@@ -38,7 +39,7 @@
 	} {
 		waiters.Release(c.committed, c.all, c.now)
 		if fmt.Sprint(done) != c.want || waiters.Len() != c.left {
-			t.Fatalf("with %d counted at %v: %v and %d left, want %s and %d", c.committed, c.now, done, waiters.Len(), c.want, c.left)
+			t.Fatalf("with %d committed at %v: %v and %d left, want %s and %d", c.committed, c.now, done, waiters.Len(), c.want, c.left)
 		}
 	}
 	add("dropped", 1, 0, 0)
@@ -46,6 +47,6 @@
 	add("forgotten", 1, 0, 0)
 	waiters.Discard()
 	if got := fmt.Sprint(done[len(done)-1]); got != "droppedfalse" || waiters.Len() != 0 {
-		t.Errorf("at last %s, %d left", got, waiters.Len())
+		t.Errorf("after Abort and Discard the last call is %s, %d left", got, waiters.Len())
 	}
 }
--- a/internal/replication/find.go
+++ b/internal/replication/find.go
@@ -14,16 +14,16 @@
 	"larchrouter/internal/replication/state"
 )
 
-// Found is the newest copy of an estate, with its stamps by the clock of whoever asked.
+// FoundCopy is the newest copy of a group, with its times converted to the clock of the relay that asked.
 type FoundCopy struct {
 	state.Copy
 	Records []journal.Record
 	Replica string
 }
 
-// Find has a process promised to at as many holders of each set as it takes, so that no writer before it finds as many as
-// make a record count, and returns the newest copy among them; nil if none has any. It asks until it has as many, or is
-// told that another writer has come later (*state.Sealed), or the context ends.
+// FindNewestCopy collects promises for a writer from enough replicas of each set that no earlier writer can commit a record
+// any more, and returns the newest copy among them, nil if none has a copy. It asks until it has enough promises. It
+// fails with *state.FencedError if a replica has promised itself to a later writer, and with *QuorumError if the context ends.
 func FindNewestCopy(ctx context.Context, client *http.Client, request PromiseRequest, sets []state.ReplicaSet) (*FoundCopy, error) {
 	request.WantCopy = true
 	promised := map[state.Replica]bool{}
@@ -36,7 +36,7 @@
 		toAsk := map[state.Replica]bool{}
 		for _, set := range sets {
 			for _, replica := range set.Replicas {
-				toAsk[replica] = !promised[replica] // before any answers: answers write to said
+				toAsk[replica] = !promised[replica] // set before the calls begin, as their answers write to promised
 			}
 		}
 		for replica, ask := range toAsk {
@@ -58,7 +58,7 @@
 					return
 				}
 				newest = &FoundCopy{answer.Copy, answer.Records, replica.Name}
-				// Its clock showed this after the call began here, so what it has is that much earlier at the latest.
+				// The replica read its clock after the call was sent, so this shift makes the times at most too early, never too late.
 				for i := range newest.Records {
 					newest.Records[i] = newest.Records[i].Shifted(sentAt - answer.Clock)
 				}
@@ -73,13 +73,13 @@
 		} else if ctx.Err() != nil {
 			return nil, &QuorumError{missing, lastErr}
 		} else {
-			slog.Debug("holders are asked again", "estate", request.Group, "for", missing, "err", lastErr)
+			slog.Debug("too few replicas have promised; asking again", "estate", request.Group, "for", missing, "err", lastErr)
 		}
 		sleep(ctx, pause)
 	}
 }
 
-// missing tells of the sets of which too few holders have answered.
+// describeMissing names the sets of which too few replicas have promised; it returns an empty text if there are none.
 func describeMissing(sets []state.ReplicaSet, promised map[state.Replica]bool) (text string) {
 	for _, set := range sets {
 		count := 0
@@ -95,24 +95,24 @@
 	return text
 }
 
-// Unfound is that too few holders have answered to know what counts.
+// QuorumError says that too few replicas have answered to know which records are committed.
 type QuorumError struct {
 	Missing string
 	LastErr error
 }
 
 func (q *QuorumError) Error() string {
-	return fmt.Sprintf("holders have not answered: %s(the last: %v)", q.Missing, q.LastErr)
+	return fmt.Sprintf("too few replicas have answered: %s(last error: %v)", q.Missing, q.LastErr)
 }
 
 func (q *QuorumError) Unwrap() error { return q.LastErr }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (q *QuorumError) Remedy() string {
 	return "bring one of these relays back with its folder; what they alone have is not taken up before"
 }
 
-// Drop tells holders that an estate has run out.
+// DropCopies asks the replicas of a closed group to delete their copies. Failures are logged only.
 func DropCopies(ctx context.Context, client *http.Client, request PromiseRequest, sets []state.ReplicaSet) {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
@@ -122,7 +122,7 @@
 			calls.Go(func() {
 				var answer BatchResponse
 				if _, _, err := call(ctx, client, replica, DropPath, request, &answer, unixMilli); err != nil {
-					slog.Warn("a copy is left at a holder", "estate", request.Group, "holder", replica.Name, "err", err, "remedy", remedy.Of(err))
+					slog.Warn("a replica did not delete its copy of a closed replication group", "estate", request.Group, "holder", replica.Name, "err", err, "remedy", remedy.Of(err))
 				}
 			})
 		}
@@ -130,5 +130,5 @@
 	calls.Wait()
 }
 
-// roundIn is how often an owner looks at its estates.
+// roundInterval is how often an Owner checks its groups.
 const roundInterval = 100 * time.Millisecond
--- a/internal/replication/follower.go
+++ b/internal/replication/follower.go
@@ -11,24 +11,24 @@
 	"larchrouter/internal/steady"
 )
 
-// tie is what one holder's goroutine knows beside the Follower: what was sent to it, and its clock.
+// followerSession is the state of the goroutine that sends to one replica: what was sent, and the replica's clock.
 type followerSession struct {
 	stream       *Stream
 	follower     *state.Follower
-	nextToSend   uint64 // first record not sent yet
-	restart      bool   // something failed: go on from what it has
-	clockKnown   bool   // it has answered, so something is known of its clock
-	clockAheadMs int64  // by which its clock shows more than this one, milliseconds, at the least
+	nextToSend   uint64 // number of the first record that was not sent yet
+	restart      bool   // a call failed: continue after the last record that the replica confirmed
+	clockKnown   bool   // the replica has answered, so clockAheadMs is valid
+	clockAheadMs int64  // lower bound of how far its clock is ahead of this one
 	clockReadAt  time.Time
-	slots        chan struct{}
+	slots        chan struct{} // one element for each batch in flight
 }
 
-// follow keeps one holder up to date until it is none any more.
+// follow keeps one replica up to date until the context ends, which it does when the replica leaves the set.
 func (s *Stream) follow(ctx context.Context, follower *state.Follower) {
 	session := &followerSession{stream: s, follower: follower, slots: make(chan struct{}, maxBatchesInFlight)}
 	for pause := minRetryPause; ctx.Err() == nil; {
 		s.mu.Lock()
-		if follower.HasCopy && follower.Acked < s.queueFirst { // what it lacks is no longer kept
+		if follower.HasCopy && follower.Acked < s.queueFirst { // the records that it lacks are no longer queued
 			follower.HasCopy = false
 		}
 		hasCopy, restart, wake := follower.HasCopy, session.restart, s.wake
@@ -64,7 +64,7 @@
 	}
 }
 
-// drain waits until nothing is on its way.
+// drain waits until no batch is in flight.
 func (s *followerSession) drain() {
 	for range maxBatchesInFlight {
 		s.slots <- struct{}{}
@@ -74,7 +74,7 @@
 	}
 }
 
-// next sends the records that follow, and tells whether there were any.
+// sendNext starts sending the next batch. It returns false if there is nothing to send.
 func (s *followerSession) sendNext(ctx context.Context) bool {
 	stream := s.stream
 	stream.mu.Lock()
@@ -106,7 +106,7 @@
 	return true
 }
 
-// fill sends all that there is.
+// sendWhole sends a whole copy, and reports success. It learns the replica's clock first, as the copy's times depend on it.
 func (s *followerSession) sendWhole(ctx context.Context) bool {
 	stream := s.stream
 	if !s.clockKnown {
@@ -137,8 +137,8 @@
 
 func unixMilli() int64 { return steady.UnixMilli() }
 
-// learn takes in what a holder's clock showed: at the latest then it was as late there as as it shows, so it is ahead by so
-// much at the least.
+// learnClock updates clockAheadMs from a time that a replica's clock showed. The replica read its clock before the answer was
+// received here, so the difference between the two is a lower bound of how far its clock is ahead.
 func (s *followerSession) learnClock(_, receivedAt, clock int64) {
 	s.stream.mu.Lock()
 	defer s.stream.mu.Unlock()
@@ -147,7 +147,7 @@
 	}
 }
 
-// send makes one call, and takes its answer in.
+// send sends one batch, records the answer, and reports success.
 func (s *followerSession) send(ctx context.Context, batch Batch) bool {
 	var answer BatchResponse
 	sentAt, receivedAt, err := call(ctx, s.stream.client, s.follower.Replica, CopyPath, batch, &answer, unixMilli)
@@ -165,7 +165,7 @@
 	return true
 }
 
-// failed takes in that a holder did not take what it was sent.
+// handleFailure records that a replica did not accept what it was sent.
 func (s *followerSession) handleFailure(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -179,7 +179,7 @@
 	s.restart = true
 	switch {
 	case errors.As(err, &fenced) && fenced.Writer == stream.writerName:
-		// It was on its way as the epoch became another: it goes once more.
+		// The batch was in flight while the epoch changed: it is sent again.
 		stream.mu.Unlock()
 		return
 	case errors.As(err, &missing):
@@ -191,7 +191,7 @@
 	closed := stream.closed
 	stream.mu.Unlock()
 	if firstFailure {
-		slog.Warn("a holder takes no records", "estate", stream.ID, "holder", s.follower.Name, "err", err, "remedy", remedy.Of(err))
+		slog.Warn("a replica accepts no records", "estate", stream.ID, "holder", s.follower.Name, "err", err, "remedy", remedy.Of(err))
 	}
 	stream.onProgress()
 	if fenced != nil && !closed {
--- a/internal/replication/owner.go
+++ b/internal/replication/owner.go
@@ -15,49 +15,50 @@
 	"larchrouter/internal/replication/state"
 )
 
-// Books are what whoever owns the journal does for its estates. Each call may wait until that has been done.
+// Records is what the owner of the journal does for its replication groups. Each call may block until it has been done.
 type Records interface {
-	// Begin has an estate written from now on. Found is what holders have; nil if they have nothing. It returns the stream,
-	// or nil if the estate cannot be taken up now.
+	// StartWriting makes this process the group's writer. found is the newest copy at the replicas, nil if they have none.
+	// It returns the group's stream, or nil if the group cannot be taken over now.
 	StartWriting(group state.Group, found *FoundCopy) *Stream
-	// Mark notes an estate's present sets of holders, before its records go to them.
+	// RecordReplicas stores the group's current replica sets before its records are sent to them, and reports success.
 	RecordReplicas(group state.Group) bool
-	// Lost has an estate be another's: nothing of it is sent, ended or told any more.
+	// OwnershipLost says that another process writes the group: no message of it is sent, ended or reported any more.
 	OwnershipLost(id uint64)
-	// Empty tells whether nothing is left of an inherited estate; the caller ends it then.
+	// IsEmpty reports whether a group that was taken over has no pending messages left; the caller closes it then.
 	IsEmpty(id uint64) bool
-	// Known are the estates that the folder tells of, from an earlier process.
+	// StoredGroups returns the groups that an earlier process stored in the folder.
 	StoredGroups() []state.Group
 }
 
-// Owner keeps up with which estates a relay owns, has them taken up, and has holders replaced that do not take copies.
+// Owner follows which replication groups a relay owns according to the keepers, starts to write them, and asks the keepers
+// to replace replicas that do not accept copies. Its methods are safe for concurrent use.
 type Owner struct {
-	Name          string
-	Instance      string
-	AdoptedWriter string // the writer that this process goes on as, after a hand-over; empty for none
-	Copies        int
+	Name          string // name of the relay
+	Instance      string // name of this process
+	AdoptedWriter string // the writer name that this process continues after a hand-over; empty for none
+	Copies        int    // number of replicas that must have a record for it to be committed
 	Client        *http.Client
 	Records       Records
-	// Say brings a word to the keepers, and returns what the relay owns then.
+	// SendEvent sends an event to the keepers, and returns the groups that the relay owns after it.
 	SendEvent func(context.Context, state.Event) ([]*state.Group, error)
 
 	mu          sync.Mutex
-	owned       map[uint64]*state.Group // as the keepers say; nil until they have
+	owned       map[uint64]*state.Group // by id, as the keepers reported them; nil until they have
 	streams     map[uint64]*Stream
-	starting    map[uint64]uint64 // epochs that are being taken up
+	starting    map[uint64]uint64 // by group id: the epoch that is being started
 	opened      bool
 	lastRequest time.Time
 	wake        chan struct{}
 	background  sync.WaitGroup
 }
 
-// aloneAfter is how long a relay that starts waits for the keepers before it goes on by what its folder says.
+// keeperTimeout is how long a starting relay waits for the keepers before it resumes the groups that its folder names.
 const keeperTimeout = 1500 * time.Millisecond
 
-// askEvery bounds how often holders are replaced.
+// requestInterval is the least time between two requests to the keepers to open groups or to replace replicas.
 const requestInterval = 500 * time.Millisecond
 
-// Run keeps up until the context ends.
+// Run maintains the owned groups until the context ends, then closes their streams.
 func (o *Owner) Run(ctx context.Context) {
 	o.mu.Lock()
 	o.init()
@@ -75,7 +76,7 @@
 			o.mu.Lock()
 			noAnswer := o.owned == nil
 			o.mu.Unlock()
-			if noAnswer { // none answers: holders can tell whether the folder's word still holds
+			if noAnswer { // No keeper answers: the replicas' promises show whether the folder's information is still valid.
 				for i := range storedGroups {
 					o.startGroup(ctx, &storedGroups[i], storedGroups[i].Writer)
 				}
@@ -90,14 +91,14 @@
 	}
 }
 
-// init makes what the zero value lacks. The lock is held.
+// init makes the maps and channels that the zero value lacks. The caller holds the lock.
 func (o *Owner) init() {
 	if o.streams == nil {
 		o.streams, o.starting, o.wake = map[uint64]*Stream{}, map[uint64]uint64{}, make(chan struct{}, 1)
 	}
 }
 
-// Adopt goes on with a stream that the process before this one wrote.
+// AdoptStream continues a stream that the previous process of this relay wrote.
 func (o *Owner) AdoptStream(stream *Stream) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -105,7 +106,7 @@
 	o.streams[stream.ID] = stream
 }
 
-// writes tells whether this process is the writer of an estate.
+// isWriter reports whether this process is the writer of a group.
 func (o *Owner) isWriter(group *state.Group) bool {
 	return group.Writer == o.Instance || o.AdoptedWriter != "" && group.Writer == o.AdoptedWriter
 }
@@ -118,7 +119,7 @@
 	}
 }
 
-// Hear takes in what the keepers say that the relay owns.
+// UpdateOwned sets the groups that the relay owns according to the keepers.
 func (o *Owner) UpdateOwned(groups []*state.Group) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -128,7 +129,7 @@
 			continue
 		}
 		if previous := o.owned[group.ID]; previous != nil && previous.Epoch > group.Epoch {
-			group = previous // an answer that was overtaken
+			group = previous // a newer answer arrived before this one
 		}
 		owned[group.ID] = group
 	}
@@ -141,7 +142,7 @@
 	}
 }
 
-// Marked is the mark of what was heard last.
+// Fingerprint returns the fingerprint of the owned groups that the keepers reported last; see state.Fingerprint.
 func (o *Owner) Fingerprint() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -152,13 +153,13 @@
 	return state.Fingerprint(groups)
 }
 
-// round does what is due.
+// runRound starts, maintains or gives up each group according to the keepers' last report.
 func (o *Owner) runRound(ctx context.Context) {
 	o.mu.Lock()
 	owned, streams := maps.Clone(o.owned), maps.Clone(o.streams)
 	opened := o.opened
 	o.mu.Unlock()
-	writesMain := false // there is a main estate that this process writes
+	writesMain := false // there is a main group that this process writes
 	for _, group := range owned {
 		writesMain = writesMain || group.Main && o.isWriter(group)
 	}
@@ -184,7 +185,7 @@
 	}
 }
 
-// due bounds how often the keepers are asked.
+// mayRequest reports whether requestInterval has passed since the last request, and if so starts the next interval.
 func (o *Owner) mayRequest() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -195,7 +196,7 @@
 	return true
 }
 
-// say brings a word to the keepers and hears their answer.
+// sendEvent sends an event to the keepers, applies their answer, and reports success.
 func (o *Owner) sendEvent(ctx context.Context, event state.Event) bool {
 	ctx, cancel := context.WithTimeout(ctx, 2*callTimeout)
 	defer cancel()
@@ -203,9 +204,9 @@
 	if err != nil {
 		var refused *api.Refused
 		if !errors.As(err, &refused) || refused.Status != http.StatusConflict {
-			slog.Warn("the keepers do not take a word on estates", "err", err, "remedy", remedy.Of(err))
+			slog.Warn("the keepers did not accept an event on a replication group", "err", err, "remedy", remedy.Of(err))
 		} else {
-			slog.Info("the keepers refuse a word on estates", "err", err)
+			slog.Info("the keepers refused an event on a replication group", "err", err)
 		}
 		return false
 	}
--- a/internal/replication/protocol.go
+++ b/internal/replication/protocol.go
@@ -1,6 +1,8 @@
-// Package estate carries what a relay holds to further relays, and back to an heir: the holder's side (Holder), the
-// writer's (Stream), and how who begins to write finds what has counted (Find). What is decided is in package state;
-// docs/estates.md has the design. Without copies in its configuration a relay uses none of this.
+// Package replication copies the record stream of a relay, its replication group, to further relays (replicas), and lets a
+// successor take the group over when its owner is lost. ReplicaServer is the replica's side, Stream the writer's, and
+// FindNewestCopy lets a new writer find the committed records. Owner starts and maintains the groups that a relay owns.
+// The decisions are in package state; docs/estates.md has the design. A relay without copies in its configuration uses
+// none of this.
 package replication
 
 import (
@@ -16,26 +18,27 @@
 	"larchrouter/internal/replication/state"
 )
 
-// The paths at a relay's fleet address. Bodies are JSON.
+// The HTTP paths at a relay's fleet address. Bodies are JSON.
 const (
-	CopyPath    = "/v1/copies"         // POST Batch: records for a copy, or the whole; Taken
-	PromisePath = "/v1/copies/promise" // POST Promise: take records of this writer only; Promised
-	DropPath    = "/v1/copies/drop"    // POST Promise: the estate has run out; Taken
+	CopyPath    = "/v1/copies"         // POST Batch: further records of a copy, or a whole copy; BatchResponse
+	PromisePath = "/v1/copies/promise" // POST PromiseRequest: accept records of this writer only; PromiseResponse
+	DropPath    = "/v1/copies/drop"    // POST PromiseRequest: delete the copy of a group that was closed; BatchResponse
 )
 
-// Bounds of what goes between relays.
+// Limits of the calls between relays.
 const (
 	maxBatchBytes = 256 << 10 // bytes of records in a batch; one record may be larger
-	maxBodyBytes  = 8 << 20   // bytes of a call or an answer: a whole copy
+	maxBodyBytes  = 8 << 20   // bytes of a request or response body; a whole copy must fit
 	callTimeout   = time.Second
 	maxNameBytes  = 200
 )
 
-// CopyBudget is what one copy may take of a holder's disk for copies, in bytes.
+// CopyBudget returns the bytes that one copy may occupy on a replica that has diskBytes of disk for copies.
 func CopyBudget(diskBytes int64) int64 { return diskBytes / maxStoredCopies }
 
-// Batch is records of an estate, from number First on. Whole says that they are all that there is of it, and that the next
-// record has the number First. Stamps are by the holder's clock.
+// Batch carries records of a group, numbered from First on. If Whole is set, the records are the entire content of the
+// group, they replace the stored copy, and First is the number of the record that follows them. Times in the records are
+// by the replica's clock.
 type Batch struct {
 	Group   uint64           `json:"estate"`
 	Epoch   uint64           `json:"epoch"`
@@ -45,13 +48,13 @@
 	Records []journal.Record `json:"records"`
 }
 
-// Taken is a holder's answer. Clock is its time in Unix milliseconds.
+// BatchResponse is a replica's answer to a Batch.
 type BatchResponse struct {
-	Next uint64 `json:"next"` // it has all records before this one
+	Next uint64 `json:"next"` // the replica has all records before this number
 	Stamp
 }
 
-// Stamp is in every answer: the holder's time in Unix milliseconds, and the folder that it keeps copies in.
+// Stamp is part of every answer: the replica's time in Unix milliseconds, and the name of the folder that it stores copies in.
 type Stamp struct {
 	Clock  int64  `json:"clock"`
 	Folder string `json:"folder"`
@@ -59,23 +62,23 @@
 
 func (s Stamp) stamp() Stamp { return s }
 
-// Promise asks a holder to take records of a writer, and of none before it any more.
+// PromiseRequest asks a replica to accept records of Writer only, and none of earlier writers any more.
 type PromiseRequest struct {
 	Group       uint64 `json:"estate"`
 	Epoch       uint64 `json:"epoch"`
 	Writer      string `json:"writer"`
-	Predecessor string `json:"before,omitempty"` // the writer that it takes over from in the same epoch
-	WantCopy    bool   `json:"want,omitempty"`   // the copy itself, if there is one
+	Predecessor string `json:"before,omitempty"` // the writer that Writer takes over from in the same epoch
+	WantCopy    bool   `json:"want,omitempty"`   // the response is to contain the copy, if there is one
 }
 
-// Promised is a holder's word, and what it has. Stamps are by its clock.
+// PromiseResponse confirms a promise and describes the copy that the replica has. Times in the records are by its clock.
 type PromiseResponse struct {
 	state.Copy
 	Records []journal.Record `json:"records,omitempty"`
 	Stamp
 }
 
-// Problem is the body of every answer but 200.
+// Problem is the body of every answer with a status other than 200.
 type Problem struct {
 	Error          string                     `json:"error"`
 	Remedy         string                     `json:"remedy,omitempty"`
@@ -84,19 +87,20 @@
 	Stamp
 }
 
-// Forgot is the answer of a holder that has lost the folder that it was chosen for: what it has is no word on what counted.
+// FolderLostError says that a replica has another folder than the one it was chosen with. Its disk was lost or replaced, so
+// what it has now says nothing about which records were committed.
 type FolderLostError struct{ Replica string }
 
 func (f *FolderLostError) Error() string {
-	return f.Replica + " has lost the folder in which it had copies"
+	return f.Replica + " no longer has the folder in which it stored copies"
 }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (f *FolderLostError) Remedy() string {
 	return "nothing if its machine was set up anew: it is chosen again, under its new folder; else see what happened to its disk"
 }
 
-// Refused is an answer of a holder that says no for a reason of its own, such as a disk that is full.
+// RefusedError says that a replica refused a call for a reason of its own, such as a full disk.
 type RefusedError struct {
 	Replica string
 	Status  int
@@ -108,7 +112,7 @@
 	return fmt.Sprintf("%s refuses (%d): %s", r.Replica, r.Status, r.Reason)
 }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (r *RefusedError) Remedy() string {
 	if r.Advice != "" {
 		return r.Advice
@@ -116,7 +120,7 @@
 	return "see that relay's log; it is replaced as a holder if it goes on"
 }
 
-// Silent is that no answer came.
+// UnreachableError says that a replica did not answer a call.
 type UnreachableError struct {
 	Replica string
 	Err     error
@@ -127,12 +131,14 @@
 }
 func (u *UnreachableError) Unwrap() error { return u.Err }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (u *UnreachableError) Remedy() string {
 	return "see whether that relay runs and its fleet address can be reached; it is replaced as a holder if it goes on"
 }
 
-// call makes one call at a holder. Asked and back are by the caller's clock, in Unix milliseconds.
+// call sends payload to a replica and decodes its answer. The times sentAt and receivedAt are by the caller's clock, in Unix
+// milliseconds. The errors are of the types UnreachableError, FolderLostError, RefusedError, state.FencedError and
+// state.MissingRecordsError.
 func call(ctx context.Context, client *http.Client, replica state.Replica, path string, payload any, answer interface{ stamp() Stamp }, clock func() int64) (sentAt, receivedAt int64, err error) {
 	data, err := json.Marshal(payload)
 	if err != nil {
@@ -158,7 +164,7 @@
 	receivedAt = clock()
 	if resp.StatusCode == http.StatusOK {
 		if err := json.Unmarshal(body, answer); err != nil {
-			return 0, 0, &RefusedError{replica.Name, resp.StatusCode, "its answer cannot be read: " + err.Error(), ""}
+			return 0, 0, &RefusedError{replica.Name, resp.StatusCode, "its answer cannot be decoded: " + err.Error(), ""}
 		}
 		if answer.stamp().Folder != replica.Folder {
 			return 0, 0, &FolderLostError{replica.Name}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -21,15 +21,16 @@
 	"larchrouter/internal/steady"
 )
 
-// partsOf is into how many parts a holder's disk is divided: it takes no more copies than that.
+// maxStoredCopies is the number of copies that a replica stores at most; its disk is divided into as many equal parts.
 const maxStoredCopies = 8
 
-// orderIn is for records that came before those that they follow: several batches are under way at a time.
+// reorderWait is how long a batch waits for the records before it: several batches are in flight at a time and may be reordered.
 const reorderWait = 100 * time.Millisecond
 
-// Holder keeps copies of other relays' estates in a folder, and answers at the fleet address. It is safe for concurrent use.
+// ReplicaServer stores copies of other relays' replication groups in a folder, and answers calls at the fleet address. It is
+// safe for concurrent use.
 type ReplicaServer struct {
-	// Folder names the folder: one that lost its disk has another.
+	// Folder is the random name of the folder: a relay that lost its disk has another one.
 	Folder       string
 	dir          string
 	maxCopyBytes int64 // bytes of disk that one copy may take
@@ -40,18 +41,19 @@
 	listener net.Listener
 }
 
-// copied is one copy.
+// storedCopy is the copy of one group.
 type storedCopy struct {
 	mu      sync.Mutex
 	journal *journal.Journal
 	state   state.Copy
-	changed chan struct{} // closed with each batch
+	changed chan struct{} // closed and replaced with each accepted batch
 	closed  bool
-	// unheld counts the looks since this relay is no longer on record for it.
+	// sweepsUnlisted counts the sweeps in a row in which the keepers did not list this relay as a replica of the group.
 	sweepsUnlisted int
 }
 
-// OpenHolder takes up the copies that an earlier process kept. One that cannot be read is none: who asks for it is told so.
+// OpenReplicaServer opens the copies that an earlier process stored under dir; diskBytes is the space for all copies. A copy
+// that cannot be read is logged and left out, so that the relay answers as one that has no copy. The error is a *DiskError.
 func OpenReplicaServer(dir string, diskBytes int64) (*ReplicaServer, error) {
 	server := &ReplicaServer{dir: filepath.Join(dir, "copies"), maxCopyBytes: CopyBudget(diskBytes), copies: map[uint64]*storedCopy{}}
 	if err := os.MkdirAll(server.dir, 0o700); err != nil {
@@ -64,7 +66,7 @@
 		err = os.WriteFile(name, text, 0o600)
 	}
 	if server.Folder = string(text); err != nil || server.Folder == "" || len(server.Folder) > maxNameBytes {
-		return nil, &DiskError{name, errors.Join(err, errors.New("no name of the folder"))}
+		return nil, &DiskError{name, errors.Join(err, errors.New("the name of the folder is missing or too long"))}
 	}
 	entries, err := os.ReadDir(server.dir)
 	if err != nil {
@@ -76,13 +78,13 @@
 			continue
 		}
 		if _, err := server.openCopy(id); err != nil {
-			slog.Error("a copy is not taken up", "estate", id, "err", err, "remedy", remedy.Of(err))
+			slog.Error("a stored copy cannot be opened", "estate", id, "err", err, "remedy", remedy.Of(err))
 		}
 	}
 	return server, nil
 }
 
-// Disk is a folder that cannot be used.
+// DiskError says that a file or folder cannot be used.
 type DiskError struct {
 	Path string
 	Err  error
@@ -91,12 +93,12 @@
 func (d *DiskError) Error() string { return fmt.Sprintf("%s: %v", d.Path, d.Err) }
 func (d *DiskError) Unwrap() error { return d.Err }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (d *DiskError) Remedy() string {
 	return "see whether the folder that lasts can be written and has room"
 }
 
-// open opens a copy's file. The lock is held, or nobody else has the holder yet.
+// openCopy returns a group's copy, opening or creating its files. The caller holds the lock, or has the only reference to s.
 func (s *ReplicaServer) openCopy(id uint64) (*storedCopy, error) {
 	if c := s.copies[id]; c != nil {
 		return c, nil
@@ -116,15 +118,15 @@
 	if mark, ok := j.Mark(id); ok {
 		c.state = mark.Copy
 	}
-	if j.Damaged() { // what has counted may be lost from it: it says so rather than pass for whole
-		slog.Error("a copy is damaged", "estate", id)
+	if j.Damaged() { // committed records may be lost: the copy is reported as absent, not as complete
+		slog.Error("a stored copy is damaged and treated as absent", "estate", id)
 		c.state.ContentWriter, c.state.ContentEpoch, c.state.Next = "", 0, 0
 	}
 	s.copies[id] = c
 	return c, nil
 }
 
-// Close ends it. What was answered is on disk.
+// Close stops the server and closes the copies. Everything that was confirmed is on disk.
 func (s *ReplicaServer) Close() {
 	if s.server != nil {
 		s.server.Close()
@@ -140,15 +142,17 @@
 	s.copies = map[uint64]*storedCopy{}
 }
 
+// stamp returns the stamp of an answer that is sent now.
 func (s *ReplicaServer) stamp() Stamp { return Stamp{steady.UnixMilli(), s.Folder} }
 
-// Len is how many copies it has.
+// Len returns the number of stored copies.
 func (s *ReplicaServer) Len() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.copies)
 }
 
+// copy returns the copy of a group, and opens or creates it if needed. names are those of a call, the writer first.
 func (s *ReplicaServer) copy(id uint64, names ...string) (*storedCopy, error) {
 	for _, name := range names {
 		if len(name) > maxNameBytes {
@@ -163,7 +167,7 @@
 	return s.openCopy(id)
 }
 
-// take takes records, or the whole.
+// acceptBatch stores the records of a batch. A batch that arrives before the one that precedes it waits up to reorderWait.
 func (s *ReplicaServer) acceptBatch(ctx context.Context, batch Batch) (any, error) {
 	c, err := s.copy(batch.Group, batch.Writer)
 	if err != nil {
@@ -181,7 +185,7 @@
 			return BatchResponse{next, s.stamp()}, err
 		}
 		select {
-		case <-changed: // what comes before may be among it
+		case <-changed: // the missing records may have arrived
 		case <-time.After(time.Until(deadline)):
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -189,6 +193,8 @@
 	}
 }
 
+// accept stores the records of a batch. It returns the number of the record that the copy needs next, and a channel that is
+// closed when the copy changes.
 func (c *storedCopy) accept(batch Batch) (next uint64, changed chan struct{}, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -223,7 +229,7 @@
 	return updated.Next, c.changed, nil
 }
 
-// promise has this holder take records of a writer, and of none before it.
+// promise makes this replica accept records of a writer, and none of earlier writers.
 func (s *ReplicaServer) promise(_ context.Context, request PromiseRequest) (any, error) {
 	c, err := s.copy(request.Group, request.Writer, request.Predecessor)
 	if err != nil {
--- a/internal/replication/replica_test.go
+++ b/internal/replication/replica_test.go
@@ -20,7 +20,7 @@
 	"larchrouter/internal/replication/state"
 )
 
-// serving is a holder that runs, as the keepers would name it.
+// startReplica starts a replica server, and returns it with the Replica that the keepers would list.
 func startReplica(t testing.TB, dir string, diskBytes int64) (*ReplicaServer, state.Replica) {
 	t.Helper()
 	server, err := OpenReplicaServer(dir, diskBytes)
@@ -44,7 +44,7 @@
 	t.Helper()
 	stamped, ok := answer.(interface{ stamp() Stamp })
 	if !ok {
-		t.Fatalf("%T is no answer", answer)
+		t.Fatalf("%T is not an answer type", answer)
 	}
 	_, _, err := call(context.Background(), http.DefaultClient, replica, path, payload, stamped, unixMilli)
 	return err
@@ -59,19 +59,19 @@
 	return ids
 }
 
-// Guards against a holder that forgets what it confirmed or whom it promised itself to, across its own processes, and against
-// one that takes records of a writer that another has followed.
+// Guards against a replica that loses confirmed records or its promise over a restart, and against one that accepts records of a
+// writer after it has promised itself to a later one.
 func TestReplicaKeepsConfirmedStateAcrossRestarts(t *testing.T) {
 	dir := t.TempDir()
 	server, replica := startReplica(t, dir, 1<<23)
 	var got BatchResponse
 	if err := post(t, replica, CopyPath, Batch{Group: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{acceptedRecord("m1", 5)}}, &got); !errors.As(err, new(*state.MissingRecordsError)) {
-		t.Errorf("records before the whole: %v, want that it lacks what comes before", err)
+		t.Errorf("records before a whole copy: %v, want that earlier records are missing", err)
 	}
 	if err := post(t, replica, CopyPath, Batch{Group: 1, Epoch: 1, Writer: "a", First: 1, Whole: true, Records: []journal.Record{acceptedRecord("m0", 5)}}, &got); err != nil {
 		t.Fatal(err)
 	}
-	for range 2 { // what comes twice counts once
+	for range 2 { // a repeated batch is stored once
 		batch := Batch{Group: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{acceptedRecord("m1", 5), {Op: journal.OpTry, ID: "m1", Wait: 50}}}
 		if err := post(t, replica, CopyPath, batch, &got); err != nil || got.Next != 3 {
 			t.Fatalf("next %d, %v, want 3", got.Next, err)
@@ -85,24 +85,24 @@
 	err := post(t, replica, CopyPath, Batch{Group: 1, Epoch: 1, Writer: "a", First: 3, Records: []journal.Record{acceptedRecord("m2", 5)}}, &got)
 	var fenced *state.FencedError
 	if !errors.As(err, &fenced) || fenced.Writer != "b" {
-		t.Errorf("the writer before, after a restart: %v, want sealed by b", err)
+		t.Errorf("the earlier writer, after a restart: %v, want fenced by b", err)
 	}
 	var promised PromiseResponse
 	if err := post(t, replica, PromisePath, PromiseRequest{Group: 1, Epoch: 2, Writer: "b", WantCopy: true}, &promised); err != nil {
 		t.Fatal(err)
 	}
 	if got := entryIDs(promised.Records); promised.Next != 3 || promised.ContentWriter != "a" || fmt.Sprint(got) != "[m0 m1]" || promised.Records[1].Entry.Tries != 1 {
-		t.Errorf("it has %v up to %d by %s", got, promised.Next, promised.ContentWriter)
+		t.Errorf("the replica has %v up to %d by %s", got, promised.Next, promised.ContentWriter)
 	}
 	other := replica
 	other.Folder = "another"
 	if err := post(t, other, PromisePath, PromiseRequest{Group: 1, Epoch: 2, Writer: "b", WantCopy: true}, &promised); !errors.As(err, new(*FolderLostError)) {
-		t.Errorf("a holder whose folder is another: %v, want that it has forgotten", err)
+		t.Errorf("a replica with another folder: %v, want that its folder is lost", err)
 	}
 }
 
-// Guards against input that ends a holder or changes what it has: calls cut at any byte, of another shape, too long, and
-// records that are none of an estate.
+// Guards against malformed calls that stop a replica or change its copies: bodies cut at any byte, of another JSON type or too
+// long, and records that do not belong to the group.
 func TestReplicaRejectsMalformedCalls(t *testing.T) {
 	server, replica := startReplica(t, t.TempDir(), 1<<23)
 	if err := post(t, replica, CopyPath, Batch{Group: 1, Epoch: 1, Writer: "a", First: 1, Whole: true, Records: []journal.Record{acceptedRecord("m0", 5)}}, &BatchResponse{}); err != nil {
@@ -139,14 +139,14 @@
 	}
 	var promised PromiseResponse
 	if err := post(t, replica, PromisePath, PromiseRequest{Group: 1, Epoch: 1, Writer: "a", WantCopy: true}, &promised); err != nil || promised.Next != 1 || len(promised.Records) != 1 {
-		t.Errorf("after all that it has %d records up to %d, %v", len(promised.Records), promised.Next, err)
+		t.Errorf("after malformed calls it has %d records up to %d, %v", len(promised.Records), promised.Next, err)
 	}
 	if n := server.Len(); n > 2 {
-		t.Errorf("%d copies came about", n)
+		t.Errorf("%d copies were created, want at most 2", n)
 	}
 }
 
-// Guards against a holder that confirms what it could not write, and one that passes a damaged copy on as whole.
+// Guards against a replica that confirms records that it could not write, and one that returns a damaged copy as complete.
 func TestReplicaReportsFullAndDamagedDisk(t *testing.T) {
 	dir := t.TempDir()
 	server, replica := startReplica(t, dir, maxStoredCopies*(200<<10))
@@ -181,11 +181,11 @@
 	_, replica = startReplica(t, dir, maxStoredCopies*(200<<10))
 	promised = PromiseResponse{}
 	if err := post(t, replica, PromisePath, PromiseRequest{Group: 1, Epoch: 1, Writer: "a", WantCopy: true}, &promised); err != nil || promised.ContentWriter != "" {
-		t.Errorf("a damaged copy passes for one by %q up to %d, %v", promised.ContentWriter, promised.Next, err)
+		t.Errorf("a damaged copy is returned as one by %q up to %d, %v", promised.ContentWriter, promised.Next, err)
 	}
 }
 
-// Guards against copies that stay for ever, and against one that goes as its writer begins.
+// Guards against copies that are never removed, and against a copy that is removed just after its writer has started.
 func TestUnusedCopiesAreRemoved(t *testing.T) {
 	server, replica := startReplica(t, t.TempDir(), 1<<23)
 	for id := range uint64(maxStoredCopies) {
@@ -194,23 +194,23 @@
 		}
 	}
 	if err := post(t, replica, CopyPath, Batch{Group: 99, Epoch: 1, Writer: "a", First: 1, Whole: true}, &BatchResponse{}); err == nil {
-		t.Error("it takes more copies than its disk is for")
+		t.Error("the replica accepts more copies than its disk is divided into")
 	}
 	server.Sweep([]uint64{1, 2})
 	if n := server.Len(); n != maxStoredCopies {
-		t.Errorf("%d copies after one look, want all %d", n, maxStoredCopies)
+		t.Errorf("%d copies after one sweep, want all %d", n, maxStoredCopies)
 	}
 	server.Sweep([]uint64{1, 2})
 	if n := server.Len(); n != 2 {
-		t.Errorf("%d copies after two looks, want the 2 on record", n)
+		t.Errorf("%d copies after two sweeps, want the 2 that are listed", n)
 	}
 	if err := post(t, replica, DropPath, PromiseRequest{Group: 1, Epoch: 1, Writer: "a"}, &BatchResponse{}); err != nil || server.Len() != 1 {
 		t.Errorf("dropped by its writer: %v, %d copies", err, server.Len())
 	}
 }
 
-// Guards against a record that counts before it is at as many holders as are asked for, against a slow holder that delays
-// what counts, and against stamps that are taken for another clock's.
+// Guards against a record that is committed before the required number of replicas has it, against a slow replica that delays
+// commits, and against times that are read as those of another clock.
 func TestRecordsCommitAtEnoughReplicas(t *testing.T) {
 	unblock := make(chan struct{})
 	var blocked atomic.Bool
@@ -223,7 +223,7 @@
 		_, replica := startReplica(t, dir, 1<<23)
 		replicas = append(replicas, replica)
 	}
-	behindProxy := func(replica state.Replica, delay func() bool) state.Replica { // a network that holds calls up
+	behindProxy := func(replica state.Replica, delay func() bool) state.Replica { // a proxy that blocks calls for which delay returns true
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -256,7 +256,7 @@
 		case progress <- struct{}{}:
 		default:
 		}
-	}, func(*state.FencedError) { t.Error("sealed") })
+	}, func(*state.FencedError) { t.Error("fenced") })
 	defer stream.Close()
 	defer close(unblock)
 	stream.SetReplicas(1, 2, set)
@@ -266,26 +266,26 @@
 			select {
 			case <-progress:
 			case <-end:
-				t.Fatalf("%s does not come about: %+v", what, stream.Status())
+				t.Fatalf("timed out waiting for %s: %+v", what, stream.Status())
 			}
 		}
 	}
-	waitFor("enough holders", func(status Status) bool { return !status.UnderReplicated })
+	waitFor("enough replicas", func(status Status) bool { return !status.UnderReplicated })
 	for i := range 50 {
 		records = append(records, acceptedRecord(fmt.Sprint("m", i), 100))
 	}
 	next := stream.Append(true, records...)
-	waitFor("that records count though one holder is silent", func(status Status) bool { return status.Committed == next })
+	waitFor("records to be committed though one replica does not answer", func(status Status) bool { return status.Committed == next })
 	blocked.Store(true)
 	delay := stream.Append(true, acceptedRecord("late", 100))
 	time.Sleep(50 * time.Millisecond)
 	if status := stream.Status(); status.Committed >= delay {
-		t.Errorf("a record counts that one holder of three has, where two are asked for: %+v", status)
+		t.Errorf("a record is committed that one replica of three has, where two are required: %+v", status)
 	}
 }
 
-// Guards against a take-over that goes on with less than what counted: it asks until as many have answered as it takes, and
-// takes the newest copy of them.
+// Guards against a takeover that continues without some committed records: it asks until enough replicas have promised, and uses
+// the newest of their copies.
 func TestFindWaitsForQuorum(t *testing.T) {
 	var replicas []state.Replica
 	for i := range 3 {
@@ -310,14 +310,14 @@
 	_, err = FindNewestCopy(ctx, http.DefaultClient, PromiseRequest{Group: 1, Epoch: 3, Writer: "c"}, []state.ReplicaSet{{Copies: 1, Replicas: []state.Replica{replicas[0], unreachable}}})
 	var quorum *QuorumError
 	if !errors.As(err, &quorum) || !strings.Contains(quorum.Error(), "gone") || quorum.Remedy() == "" {
-		t.Errorf("with one of two silent: %v, want who is missing", err)
+		t.Errorf("with one of two unreachable: %v, want the name of the missing one", err)
 	}
 	if _, err = FindNewestCopy(context.Background(), http.DefaultClient, PromiseRequest{Group: 1, Epoch: 1, Writer: "a"}, sets); !errors.As(err, new(*state.FencedError)) {
-		t.Errorf("a writer that another has followed: %v, want sealed", err)
+		t.Errorf("a writer that was succeeded by another: %v, want fenced", err)
 	}
 }
 
-// FuzzHolder has any bytes come as a call.
+// FuzzReplicaServer sends arbitrary bytes as the body of each call.
 func FuzzReplicaServer(f *testing.F) {
 	for _, s := range []string{`{}`, `{"estate":1,"epoch":1,"writer":"a","first":1,"whole":true,"records":[{"op":"taken","e":{"id":"m","estate":1}}]}`, `{"estate":1,"epoch":18446744073709551615,"writer":"a","first":18446744073709551615,"records":[{"op":"try","i":"m"}]}`} {
 		f.Add([]byte(s))
--- a/internal/replication/scale_test.go
+++ b/internal/replication/scale_test.go
@@ -16,12 +16,12 @@
 	"larchrouter/internal/replication/state"
 )
 
-// Slopes of the copies, for docs/CAPACITY.md: what a message of 300 bytes takes on its way to holders, what a whole copy does
-// that is made again, and what an heir does before it goes on.
+// Costs of replication per message, for docs/CAPACITY.md: for a message of 300 bytes on its way to replicas, for a whole copy that
+// is sent again, and for what a successor does before it continues.
 //
-//	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./internal/estate
+//	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./internal/replication
 
-// meter is a client that counts the bytes of its connections, both ways.
+// meter counts the bytes of the connections of its client, in both directions.
 type meter struct{ bytes atomic.Int64 }
 
 type metered struct {
@@ -51,7 +51,7 @@
 	}}}
 }
 
-// copying is one estate with two copies at three holders, each with room for so many bytes.
+// benchmarkGroup is one group with two required copies at three replicas.
 type benchmarkGroup struct {
 	tb       testing.TB
 	replicas []state.Replica
@@ -75,11 +75,11 @@
 	return g
 }
 
-// stream begins a writer's stream whose whole copy is what is given, and waits until enough holders have it.
+// startStream starts a writer's stream with the given whole copy, and waits until enough replicas have it.
 func (g *benchmarkGroup) startStream(epoch, next uint64, wholeCopy []journal.Record) *Stream {
 	var s *Stream
 	s = NewStream(1, fmt.Sprint("w", epoch), next, g.client, func(context.Context) ([]journal.Record, uint64, bool) {
-		return append([]journal.Record(nil), wholeCopy...), s.Next(), true // what passes leaves nothing behind
+		return append([]journal.Record(nil), wholeCopy...), s.Next(), true // messages that were committed have ended, and are not part of it
 	}, func() {
 		select {
 		case g.progress <- struct{}{}:
@@ -93,7 +93,7 @@
 	return s
 }
 
-// end waits until all holders have what the stream has, and ends it: none writes to its folder any more.
+// closeStream waits until all replicas have all records, so that none writes to its folder any more, and closes the stream.
 func (g *benchmarkGroup) closeStream(stream *Stream) {
 	behind := func() bool {
 		stream.mu.Lock()
@@ -106,7 +106,7 @@
 	stream.Close()
 }
 
-// messages are records of so many messages that are held.
+// pendingRecords returns the records of n pending messages.
 func pendingRecords(n int) (records []journal.Record) {
 	for i := range n {
 		records = append(records, acceptedRecord(fmt.Sprintf("m%08d", i), 300))
@@ -114,7 +114,7 @@
 	return records
 }
 
-// pass has so many messages come together, be tried and end, and waits until all of that counts.
+// commitMessages appends the records of n messages that are accepted, tried and ended, and waits until they are committed.
 func (g *benchmarkGroup) commitMessages(stream *Stream, from, n int) {
 	var records []journal.Record
 	for i := range n {
@@ -126,7 +126,7 @@
 	}
 }
 
-// BenchmarkScaleCopyByTogether is what a message takes on its way to three holders, and its bytes, with so many at a time.
+// BenchmarkScaleCopyByTogether measures time and bytes per message on its way to three replicas, with so many at a time.
 func BenchmarkScaleCopyByTogether(b *testing.B) {
 	for _, n := range []int{1, 10, 100, 1_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -144,8 +144,9 @@
 	}
 }
 
-// BenchmarkScaleTakeUpByHeld is what an heir does between its naming and its first own record: promises of two holders of
-// three, the newest copy, and the whole to two of its holders. The bytes are both ways, and those of the third too.
+// BenchmarkScaleTakeUpByHeld measures what a successor does between its assignment and its first own record: it collects promises
+// of two replicas of three, reads the newest copy, and sends a whole copy to two of its replicas. The bytes are those of
+// both directions, and include those of the third replica.
 func BenchmarkScaleTakeUpByHeld(b *testing.B) {
 	for _, n := range []int{100, 1_000, 4_000, 10_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -175,7 +176,7 @@
 	return g.startStream(epoch, found.Next, found.Records)
 }
 
-// Guards the benchmarks above: what is copied counts, an heir finds all of it, and the bytes are counted.
+// Guards the benchmarks above: copied records are committed, a successor finds all of them, and the bytes are counted.
 func TestScaleSetUps(t *testing.T) {
 	group := newBenchmarkGroup(t, 4<<20)
 	stream := group.startStream(1, 101, pendingRecords(100))
@@ -186,7 +187,7 @@
 	group.commitMessages(stream, 0, 10)
 	group.closeStream(stream)
 	if n := group.meter.bytes.Load() - before; n < 2*10*400 {
-		t.Errorf("%d bytes for 10 messages to two holders, want 8,000 at least", n)
+		t.Errorf("%d bytes for 10 messages to two replicas, want 8,000 at least", n)
 	}
-	group.closeStream(group.takeOver(2, 100)) // those that have ended are not found again
+	group.closeStream(group.takeOver(2, 100)) // ended messages are not found again
 }
--- a/internal/replication/serve.go
+++ b/internal/replication/serve.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/remedy"
 )
 
-// Serve answers at a listener until Close.
+// Serve starts to answer calls at a listener, until Close. It returns at once.
 func (s *ReplicaServer) Serve(listener net.Listener) {
 	mux := http.NewServeMux()
 	handle(s, mux, CopyPath, s.acceptBatch)
@@ -25,7 +25,7 @@
 	go s.server.Serve(listen.Lasting(listener))
 }
 
-// handle reads a call of bounded size, and writes its answer.
+// handle registers a handler that decodes a request of at most maxBodyBytes, calls serve, and writes the answer as JSON.
 func handle[T any](s *ReplicaServer, mux *http.ServeMux, path string, serve func(context.Context, T) (any, error)) {
 	mux.HandleFunc("POST "+path, func(w http.ResponseWriter, req *http.Request) {
 		var request T
@@ -50,6 +50,7 @@
 	})
 }
 
+// problemFor returns the HTTP status and the body that report an error.
 func (s *ReplicaServer) problemFor(err error) (status int, problem Problem) {
 	problem = Problem{Error: err.Error(), Remedy: remedy.Of(err), Stamp: s.stamp()}
 	var refused *RefusedError
--- a/internal/replication/state/events.go
+++ b/internal/replication/state/events.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// An Event changes the registry. Exactly one field is set.
+// Event is a change of the registry. Exactly one field is set.
 type Event struct {
 	Open        *Open       `json:"open,omitempty"`
 	Replace     *Replace    `json:"replace,omitempty"`
@@ -11,45 +11,45 @@
 	TakeOver    *TakeOver   `json:"inherit,omitempty"`
 }
 
-// Open has a process write the estates of its relay, and gives it a main one if it has none.
+// Open makes a process the writer of its relay's groups, and creates a main group if the relay has none.
 type Open struct {
 	Name     string `json:"name"`
 	Instance string `json:"instance"`
 	Copies   int    `json:"copies"`
 }
 
-// Replace asks for other holders in place of some that do not take copies, or for those that are missing.
+// Replace asks for other replicas in place of those that failed to accept copies, or for missing ones.
 type Replace struct {
 	GroupEpoch
 	Failed []string `json:"gone,omitempty"`
 }
 
-// Word is a writer's on one of its estates: Filled says that the present holders have the whole, Close that an inherited
-// one has run out.
+// GroupEpoch identifies a group, an epoch and the process that writes it. As Event.SetComplete it says that the current replicas
+// have a complete copy, as Event.Close that a group that was taken over has no pending messages left.
 type GroupEpoch struct {
 	ID       uint64 `json:"id"`
 	Epoch    uint64 `json:"epoch"`
 	Instance string `json:"instance"`
 }
 
-// Inherit names an heir for an estate whose owner is lost. The one that leads asks for it once it knows that.
+// TakeOver assigns a successor to a group whose owner is lost. The leading keeper proposes it once it knows of the loss.
 type TakeOver struct {
 	ID    uint64 `json:"id"`
 	Epoch uint64 `json:"epoch"`
 }
 
-// Refusal is an event that changed nothing.
+// Refusal is the error of an event that was refused.
 type Refusal struct {
-	Reason string // refused, in words
+	Reason string // why it was refused
 	Advice string // what an operator can do
 }
 
 func (r *Refusal) Error() string { return r.Reason }
 
-// Remedy says what an operator can do.
+// Remedy returns what an operator can do about the error.
 func (r *Refusal) Remedy() string { return r.Advice }
 
-// Why an event is refused.
+// The reasons for which an event is refused.
 var (
 	ErrStaleEpoch    = &Refusal{"the estate has another epoch or writer by now", "nothing: the relay hears of the present one by itself"}
 	ErrUnknownMember = &Refusal{"no such member, or another process of that name", "see whether two relays have the same name or folder"}
--- a/internal/replication/state/placement.go
+++ b/internal/replication/state/placement.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Where copies go, and who inherits.
+// The choice of replicas and successors.
 
-// loads are how many copies each member has, and how many estates that are not its own.
+// countByMember returns, by member name, the number of copies stored and the number of groups taken over from other relays.
 func (r *Registry) countByMember() (copies, takenOver map[string]int) {
 	copies, takenOver = map[string]int{}, map[string]int{}
 	for _, group := range r.Groups {
@@ -21,10 +21,11 @@
 	return copies, takenOver
 }
 
-// place chooses the holders of an estate: those it has, less those that have gone or have no session, and further ones
-// until there are one more than make a record count. They follow its owner on a ring of all members by the hash of their
-// names, so that few distinct sets come about: the loss of several machines at once seldom is that of a whole set. Other
-// zones come first, and members with more than their even part of copies last.
+// chooseReplicas returns the replicas of a group: the current ones, except those that failed or have no session, and further
+// members until there is one more than a commit requires. Members are taken in the order in which they follow the owner on
+// a ring of all members by the hash of their names. This yields few distinct sets, so the loss of several machines at once
+// seldom is the loss of a whole set. Members of other zones are preferred to those of the owner's zone, and members that
+// have more than a fair share of the copies come last.
 func (r *Registry) chooseReplicas(members []Member, group *Group, failed []string) []Replica {
 	wanted := group.Copies + 1
 	var ring []Member
@@ -39,7 +40,7 @@
 	}
 	copies, _ := r.countByMember()
 	fairShare := (len(r.Groups)*wanted+len(ring))/max(1, len(ring)) + 1
-	currentFolders := map[string]string{} // folders
+	currentFolders := map[string]string{} // by replica name
 	for _, replica := range group.Replicas {
 		currentFolders[replica.Name] = replica.Folder
 	}
@@ -61,13 +62,13 @@
 	for _, m := range ring[:min(wanted, len(ring))] {
 		replicas = append(replicas, Replica{m.Name, m.Addr, m.Folder})
 	}
-	// In one order, so that the same set is known for the same.
+	// Sorted, so that equal sets compare as equal.
 	slices.SortFunc(replicas, func(a, b Replica) int { return cmp.Compare(a.Name, b.Name) })
 	return replicas
 }
 
-// heir is the member with the fewest estates that are not its own, one that can hold copies and is not the lost owner; the
-// next on the ring among equals. Nil for none.
+// chooseSuccessor returns the member that takes a group over: of those that can store copies and are not the lost owner, the
+// one that has taken over the fewest groups, and among equals the next on the ring. It returns nil if there is none.
 func (r *Registry) chooseSuccessor(members []Member, group *Group) *Member {
 	_, takenOver := r.countByMember()
 	ownerPosition := ringPosition(group.Owner)
--- a/internal/replication/state/placement_test.go
+++ b/internal/replication/state/placement_test.go
@@ -19,8 +19,8 @@
 	return members
 }
 
-// Guards against copies that all lie with a few, in the zone of their owner where there is another, or in so many sets that
-// the loss of any few machines hits one.
+// Guards against copies that are concentrated on a few members or stored in the owner's zone where there is another, and
+// against so many distinct sets that the loss of any few machines is that of a whole set.
 func TestCopiesAreSpread(t *testing.T) {
 	for _, n := range []int{4, 8, 30, 300} {
 		for copies := 1; copies <= 2; copies++ {
@@ -35,7 +35,7 @@
 			most, sets := 0, map[string]bool{}
 			for _, group := range registry.Groups {
 				if len(group.Replicas) != min(copies+1, n-1) {
-					t.Fatalf("%d relays, %d copies: %s has holders %v", n, copies, group.Name, group.Replicas)
+					t.Fatalf("%d relays, %d copies: %s has replicas %v", n, copies, group.Name, group.Replicas)
 				}
 				sets[fmt.Sprint(group.Replicas)] = true
 				inOtherZones := 0
@@ -46,18 +46,18 @@
 					}
 				}
 				if n >= 30 && inOtherZones < copies {
-					t.Errorf("%d relays: %s has %d holders in other zones, of %v", n, group.Name, inOtherZones, group.Replicas)
+					t.Errorf("%d relays: %s has %d replicas in other zones, of %v", n, group.Name, inOtherZones, group.Replicas)
 				}
 			}
 			if most > 2*(copies+1)+2 || len(sets) > n || len(takenOver) != 0 {
-				t.Errorf("%d relays, %d copies: one holds %d, %d sets, %d inherited", n, copies, most, len(sets), len(takenOver))
+				t.Errorf("%d relays, %d copies: one stores %d, %d sets, %d taken over", n, copies, most, len(sets), len(takenOver))
 			}
 		}
 	}
 }
 
-// Guards against heirs that get more than their part, among them those that are lost themselves, and against an estate that
-// is given away while its owner is there.
+// Guards against successors that get more than their share or are lost themselves, and against a group that is taken over while
+// its owner has a session.
 func TestSuccessorsShareGroups(t *testing.T) {
 	var registry Registry
 	members := testMembers(30, 2)
@@ -67,7 +67,7 @@
 		}
 	}
 	if err := registry.Apply(members, Event{TakeOver: &TakeOver{1, registry.Groups[0].Epoch}}); !errors.Is(err, ErrOwnerPresent) {
-		t.Errorf("an estate whose owner has a session: %v, want %v", err, ErrOwnerPresent)
+		t.Errorf("a group whose owner has a session: %v, want %v", err, ErrOwnerPresent)
 	}
 	remaining := members[6:]
 	for _, group := range registry.Groups[:6] {
@@ -76,33 +76,34 @@
 			t.Fatal(err)
 		}
 		if err := registry.Apply(remaining, Event{TakeOver: &TakeOver{group.ID, epoch}}); !errors.Is(err, ErrStaleEpoch) {
-			t.Errorf("named twice: %v, want %v", err, ErrStaleEpoch)
+			t.Errorf("taken over twice: %v, want %v", err, ErrStaleEpoch)
 		}
 		if group.Main || findMember(remaining, group.Owner) == nil || len(registry.OwnedBy(group.Owner)) != 2 {
-			t.Errorf("estate of %s: main %v, owner %s with %d estates", group.Name, group.Main, group.Owner, len(registry.OwnedBy(group.Owner)))
+			t.Errorf("group of %s: main %v, owner %s with %d groups", group.Name, group.Main, group.Owner, len(registry.OwnedBy(group.Owner)))
 		}
 		for _, replica := range group.Replicas {
 			if findMember(remaining, replica.Name) == nil || replica.Name == group.Owner {
-				t.Errorf("estate of %s, now of %s, is held by %s", group.Name, group.Owner, replica.Name)
+				t.Errorf("group of %s, now of %s, is stored by %s", group.Name, group.Owner, replica.Name)
 			}
 		}
 	}
-	// One that comes back gets another estate; the heir goes on with the old one.
+	// A lost owner that returns gets a new group; the successor continues the old one.
 	if err := registry.Apply(members, Event{Open: &Open{"relay/0", "p0", 2}}); err != nil || len(registry.OwnedBy("relay/0")) != 1 || registry.OwnedBy("relay/0")[0].ID == 1 {
-		t.Errorf("back again: %v, owns %v", err, registry.OwnedBy("relay/0"))
+		t.Errorf("after its return: %v, owns %v", err, registry.OwnedBy("relay/0"))
 	}
 	group := registry.Groups[0]
 	if err := registry.Apply(members, Event{Close: &GroupEpoch{group.ID, group.Epoch, group.Writer}}); err != nil || registry.Find(group.ID) != nil {
-		t.Errorf("an estate that has run out: %v, found %v", err, registry.Find(group.ID))
+		t.Errorf("a group that was closed: %v, found %v", err, registry.Find(group.ID))
 	}
 	main := registry.OwnedBy("relay/9")[0]
 	if err := registry.Apply(members, Event{Close: &GroupEpoch{main.ID, main.Epoch, main.Writer}}); !errors.Is(err, ErrStaleEpoch) {
-		t.Errorf("a main estate was closed: %v", err)
+		t.Errorf("a main group was closed: %v", err)
 	}
 }
 
-// Guards against a registry that some sequence of events breaks, and one that a snapshot and the rest of the log lead
-// elsewhere: whatever comes, estates stand in order, have writers and holders that make sense, and equal what a copy gets.
+// Guards against a sequence of events that makes the registry inconsistent, and against a snapshot with the rest of the log that
+// yields another registry: after any events the groups are sorted, have valid writers and replicas, and equal those of a
+// registry that was restored from a snapshot.
 func TestRegistryStaysConsistentUnderAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var registry, restored Registry
@@ -148,7 +149,7 @@
 				}
 				lastID = e.ID
 				if slices.ContainsFunc(e.Replicas, func(h Replica) bool { return h.Name == e.Owner }) {
-					t.Fatalf("%s holds its own copy", e.Owner)
+					t.Fatalf("%s stores a copy of its own group", e.Owner)
 				}
 			}
 		}
@@ -160,8 +161,8 @@
 	})
 }
 
-// Guards against a holder that is replaced for a moment's silence, or kept though it takes nothing, and against one that
-// delays what counts.
+// Guards against a replica that is replaced after a short failure, or not replaced though it accepts nothing, and against a slow
+// replica that delays commits.
 func TestSlowAndFailedReplicas(t *testing.T) {
 	writer := Writer{Next: 1}
 	writer.SetReplicas(1, 1, []Replica{{"a", "a", "f"}, {"b", "b", "f"}})
@@ -171,22 +172,22 @@
 	writer.Next = 11
 	writer.RecordAck(a, 11, false, time.Second)
 	if writer.Committed() != 11 || writer.UnderReplicated() {
-		t.Errorf("with one of two behind %d counts, short %v, want 11 and not short", writer.Committed(), writer.UnderReplicated())
+		t.Errorf("with one of two lagging %d is committed, under-replicated %v, want 11 and false", writer.Committed(), writer.UnderReplicated())
 	}
 	writer.RecordFailure(b, 2*time.Second, false)
 	for now, want := range map[time.Duration]int{3 * time.Second: 0, 4*time.Second + time.Millisecond: 1} {
 		if got := len(writer.ToReplace(now)); got != want {
-			t.Errorf("%v after it fails: %d gone, want %d", now-2*time.Second, got, want)
+			t.Errorf("%v after it fails: %d to replace, want %d", now-2*time.Second, got, want)
 		}
 	}
 	writer.RecordAck(b, 5, false, 5*time.Second)
 	writer.RecordAck(b, 6, false, 11*time.Second)
 	if got := writer.ToReplace(11 * time.Second); len(got) != 1 {
-		t.Errorf("one that has been behind for 6 s: gone %v", got)
+		t.Errorf("one that has lagged for 6 s: to replace %v", got)
 	}
 	writer.RecordAck(b, 11, false, 12*time.Second)
 	writer.RecordFailure(a, 12*time.Second, true)
 	if got := writer.ToReplace(12 * time.Second); !slices.Equal(got, []string{"a"}) || writer.Committed() != 11 {
-		t.Errorf("one that has lost its folder: gone %v, %d counts", got, writer.Committed())
+		t.Errorf("one that has lost its folder: to replace %v, %d committed", got, writer.Committed())
 	}
 }
--- a/internal/replication/state/registry.go
+++ b/internal/replication/state/registry.go
@@ -1,6 +1,7 @@
-// Package state is the decisions of estates as pure state machines: which relay owns one and who holds its copies
-// (Registry, in the keepers' log), what a holder takes from whom (Copy), and from when on a record counts (Writer). Nothing
-// here reads a clock, opens a file or goes through a map in an order of its own. docs/estates.md has the design.
+// Package state contains the decisions of replication as deterministic state machines: which relay owns a replication group and
+// which replicas store its copies (Registry, applied from the keepers' log), which records a replica accepts from which writer
+// (Copy), and from when on a record is committed (Writer). Nothing here reads a clock, opens a file or depends on the
+// iteration order of a map. docs/estates.md has the design.
 package state
 
 import (
@@ -11,64 +12,67 @@
 	"slices"
 )
 
-// Bounds of what the keepers hold of estates.
+// Limits of what the keepers store about replication groups.
 const (
-	maxCopies      = 4
-	maxEarlierSets = 8     // sets that an estate may have on record beside the one that is written to
-	maxGroups      = 32768 // twice the members
+	maxCopies      = 4     // copies that a group may require to commit a record
+	maxEarlierSets = 8     // earlier replica sets that a group may have beside the current one
+	maxGroups      = 32768 // twice the maximum number of members
 )
 
-// Member is a relay that has a session, as far as estates need to know it.
+// Member is a relay that has a session with the keepers, with what replication needs to know about it.
 type Member struct {
 	Name, Instance, Zone string
-	Addr                 string // where it takes copies; empty for one that holds none
-	Folder               string // names the folder that it keeps them in: one that lost its disk has another
+	Addr                 string // where it accepts copies; empty for a relay that stores none
+	Folder               string // name of the folder that it stores them in: a relay that lost its disk has another one
 }
 
-// Holder is a relay that has a copy.
+// Replica is a relay that stores a copy of a group.
 type Replica struct {
 	Name   string `json:"name"`
 	Addr   string `json:"addr"`
-	Folder string `json:"folder"` // in which it keeps it: without that it has forgotten what it had
+	Folder string `json:"folder"` // name of the folder with the copy: without that folder it has lost the copy
 }
 
-// Estate is one as the keepers have it.
+// Group is a replication group, the record stream of a relay, as the keepers store it.
 type Group struct {
 	ID     uint64 `json:"id"`
-	Name   string `json:"name"`  // of the relay that took on what is in it
-	Epoch  uint64 `json:"epoch"` // grows with each change of writer or holders
+	Name   string `json:"name"`  // of the relay that accepted the messages in it
+	Epoch  uint64 `json:"epoch"` // increases with each change of the writer or the replicas
 	Owner  string `json:"owner"`
-	Writer string `json:"writer"` // the owner's process
-	// Main says that its owner takes on new messages in it; one that was inherited only runs out.
+	Writer string `json:"writer"` // instance name of the owner's process
+	// Main says that the owner accepts new messages into the group. A group that was taken over only delivers what is pending.
 	Main     bool      `json:"main"`
-	Copies   int       `json:"copies"` // holders that make a record count
+	Copies   int       `json:"copies"` // number of replicas that must have a record for it to be committed
 	Replicas []Replica `json:"holders"`
-	// Before are earlier sets, of which each may have what counted then: until the present one has the whole.
+	// EarlierSets are earlier replica sets, newest first. Each may have records that were committed to it, and is listed until
+	// the current set has a complete copy.
 	EarlierSets []ReplicaSet `json:"before,omitempty"`
 }
 
-// Set is holders, of which so many made a record count.
+// ReplicaSet is a set of replicas, of which Copies must have a record for it to be committed.
 type ReplicaSet struct {
 	Copies   int       `json:"copies"`
 	Replicas []Replica `json:"holders"`
 }
 
-// Need is how many of a set have to promise themselves to a writer: then no older one finds as many as it takes, and one of
-// them has whatever counted. None are needed where nothing can have counted.
+// PromisesNeeded returns how many replicas of the set must promise themselves to a new writer. After that, too few are left for
+// an older writer to commit a record, and at least one of those that promised has each committed record. It is 0 if the set
+// is too small to commit any record.
 func (s ReplicaSet) PromisesNeeded() int { return max(0, len(s.Replicas)-s.Copies+1) }
 
-// Sets are all sets of holders that may have what counts.
+// ReplicaSets returns the current and earlier replica sets, that is all that may have committed records.
 func (g *Group) ReplicaSets() []ReplicaSet {
 	return append([]ReplicaSet{{g.Copies, g.Replicas}}, g.EarlierSets...)
 }
 
-// Registry is all estates. Its fields are exported for snapshots; only Apply changes them.
+// Registry contains all replication groups, sorted by id. Its fields are exported for snapshots; only Apply changes them.
 type Registry struct {
-	LastID uint64   `json:"last"` // id given last; none is used twice
+	LastID uint64   `json:"last"` // id that was assigned last; ids are not reused
 	Groups []*Group `json:"estates"`
 }
 
-// Apply takes in the next event of the log. Members are those with a session, by name.
+// Apply applies the next event of the log. members are the relays that have a session, sorted by name. It
+// returns a *Refusal if the event is refused.
 func (r *Registry) Apply(members []Member, event Event) error {
 	switch {
 	case event.Open != nil:
@@ -97,7 +101,7 @@
 	return ErrUnknownEvent
 }
 
-// Find is an estate by its number; nil for none.
+// Find returns the group with an id, or nil if there is none.
 func (r *Registry) Find(id uint64) *Group {
 	i, ok := slices.BinarySearchFunc(r.Groups, id, func(group *Group, id uint64) int { return cmp.Compare(group.ID, id) })
 	if !ok {
@@ -106,7 +110,7 @@
 	return r.Groups[i]
 }
 
-// Owned are the estates of a relay, by number.
+// OwnedBy returns the groups that a relay owns, sorted by id.
 func (r *Registry) OwnedBy(name string) (groups []*Group) {
 	for _, group := range r.Groups {
 		if group.Owner == name {
@@ -116,7 +120,7 @@
 	return groups
 }
 
-// Mark tells two lists of estates apart: it changes with each epoch, set and owner.
+// Fingerprint returns a hash of a list of groups, to detect changes. It changes with each epoch, replica set and writer.
 func Fingerprint(groups []*Group) string {
 	digest := fnv.New64a()
 	for _, group := range groups {
@@ -125,7 +129,7 @@
 	return fmt.Sprintf("%x", digest.Sum64())
 }
 
-// written is the estate that a writer speaks of, if it still is its writer.
+// currentGroup returns the group that a writer refers to, or ErrStaleEpoch if it is no longer the writer in that epoch.
 func (r *Registry) currentGroup(current GroupEpoch) (*Group, error) {
 	group := r.Find(current.ID)
 	if group == nil || group.Epoch != current.Epoch || group.Writer != current.Instance {
@@ -205,8 +209,8 @@
 	return nil
 }
 
-// next begins another epoch of an estate, with a set of holders without those that have gone. The set before stays on
-// record until this one has the whole.
+// beginEpoch starts a group's next epoch, with a new replica set that excludes the failed members. The previous set is
+// recorded in EarlierSets until the new one has a complete copy.
 func (r *Registry) beginEpoch(members []Member, group *Group, copies int, failed []string) {
 	group.Epoch++
 	previous := ReplicaSet{group.Copies, group.Replicas}
@@ -220,11 +224,11 @@
 	}
 }
 
-// hash places a name on the ring.
+// ringPosition returns the position of a name on the hash ring.
 func ringPosition(name string) uint64 {
 	digest := fnv.New64a()
 	digest.Write([]byte(name))
-	// One more round: names that differ in their last byte only lie side by side otherwise.
+	// A second round of hashing, as names that differ only in their last byte would be neighbours on the ring otherwise.
 	first := binary.LittleEndian.AppendUint64(nil, digest.Sum64())
 	digest.Write(first)
 	return digest.Sum64()
--- a/internal/replication/state/simulation_test.go
+++ b/internal/replication/state/simulation_test.go
@@ -10,17 +10,17 @@
 	"pgregory.net/rapid"
 )
 
-// world is one estate with writers, holders and a network that loses, repeats and reorders. Records are numbers; a holder's
-// copy is the list of those it was given.
+// simulation is one group with writers, replicas and a network that loses, repeats and reorders calls. Records are numbers; a
+// replica's copy is the list of those that it accepted.
 type simulation struct {
 	t            *rapid.T
 	registry     Registry
 	members      []Member
 	copies       int
-	stored       map[string]*storedCopy // by folder
+	stored       map[string]*storedCopy // by folder name
 	writers      []*writerProcess
-	pendingCalls []func()       // that may arrive, in any order, or never
-	committedIn  map[int]uint64 // by the epoch for whose writer
+	pendingCalls []func()       // calls and answers in flight: they may arrive in any order, or never
+	committedIn  map[int]uint64 // by record: the epoch whose writer committed it
 	lastRecord   int
 	diskLost     bool
 	ownerChanges int
@@ -32,7 +32,7 @@
 	records []int
 }
 
-// writing is a process that writes the estate, or asks holders whether it may.
+// writerProcess is a process that writes the group, or collects the promises to do so.
 type writerProcess struct {
 	sim         *simulation
 	name        string
@@ -42,9 +42,9 @@
 	promised    map[Replica]bool
 	found       storedCopy
 	started     bool
-	fenced      bool // told that another writes
+	fenced      bool // a replica reported another writer
 	state       Writer
-	firstNumber uint64 // number of the first record in tail
+	firstNumber uint64 // number of the first record in appended
 	adopted     []int
 	appended    []int
 }
@@ -70,7 +70,7 @@
 	return err == nil
 }
 
-// enter has whoever is the writer by the registry begin, in a process of its own.
+// startWriter starts a process for the writer that the registry names.
 func (s *simulation) startWriter() {
 	group := s.registry.Groups[0]
 	s.writers = append(s.writers, &writerProcess{sim: s, name: group.Owner, instance: group.Writer, epoch: group.Epoch, sets: group.ReplicaSets(), promised: map[Replica]bool{}})
@@ -78,11 +78,11 @@
 
 func (s *simulation) enqueue(call func()) { s.pendingCalls = append(s.pendingCalls, call) }
 
-// ask sends the question that a writer begins with.
+// ask requests a promise from a replica.
 func (p *writerProcess) ask(replica Replica) {
 	p.sim.enqueue(func() {
 		stored := p.sim.stored[replica.Folder]
-		if stored == nil { // its disk is gone
+		if stored == nil { // its disk was lost
 			return
 		}
 		err := stored.Promise(p.epoch, p.instance, "")
@@ -116,9 +116,9 @@
 }
 
 func (p *writerProcess) start() {
-	for id, epoch := range p.sim.committedIn { // one that is late, and finds less than a newer one did, gets nothing counted
+	for id, epoch := range p.sim.committedIn { // a process that is late may find less than a newer one, but then commits nothing
 		if epoch < p.epoch && !slices.Contains(p.found.records, id) {
-			p.sim.t.Fatalf("record %d, which counted in epoch %d, is not among what %s found in epoch %d: %v", id, epoch, p.instance, p.epoch, p.found.records)
+			p.sim.t.Fatalf("record %d, committed in epoch %d, is not among what %s found in epoch %d: %v", id, epoch, p.instance, p.epoch, p.found.records)
 		}
 	}
 	p.started = true
@@ -128,22 +128,22 @@
 	p.state.SetReplicas(p.epoch, p.sim.copies, p.sets[0].Replicas)
 }
 
-// heard looks what counts by now for a writer.
+// checkCommitted notes newly committed records, and fails if a later writer started without one of them.
 func (p *writerProcess) checkCommitted() {
 	for number := p.firstNumber; number < p.state.Committed(); number++ {
 		if id := p.appended[number-p.firstNumber]; p.sim.committedIn[id] == 0 {
 			p.sim.committedIn[id] = p.epoch
 			for _, other := range p.sim.writers {
-				// Its last answer may have been on its way when the other began, which then has it.
+				// The last answer may have been in flight when the later writer started, which then has the record.
 				if other.started && other.epoch > p.epoch && !slices.Contains(other.adopted, id) {
-					p.sim.t.Fatalf("record %d counts for %s of epoch %d, and %s of epoch %d began without it", id, p.instance, p.epoch, other.instance, other.epoch)
+					p.sim.t.Fatalf("record %d is committed for %s of epoch %d, and %s of epoch %d started without it", id, p.instance, p.epoch, other.instance, other.epoch)
 				}
 			}
 		}
 	}
 }
 
-// send has a holder be given what it lacks, or the whole.
+// send sends a replica at most so many of the records that it lacks, or a whole copy.
 func (p *writerProcess) send(follower *Follower, most int) {
 	sim, epoch := p.sim, p.state.Epoch
 	first := follower.Acked
@@ -192,10 +192,10 @@
 	})
 }
 
-// Guards the heart of it: whatever is lost, repeated, late or out of order, and whoever follows whom, what counted for one
-// writer is found by each that follows, and nothing more counts for one once another has begun.
+// Guards against the loss of committed records: whichever calls are lost, repeated, delayed or reordered, each later writer
+// finds what an earlier one committed, and an earlier one commits nothing more once a later one has started.
 func TestCommittedRecordsAreNeverLost(t *testing.T) {
-	for range 20 { // one world in a thousand shows what a wrong order of copies does
+	for range 20 { // a wrong order of copies shows in one simulation of a thousand
 		rapid.Check(t, runSimulation)
 	}
 }
@@ -207,7 +207,7 @@
 	for range steps {
 		sim.now += 100 * time.Millisecond
 		writer := sim.writers[len(sim.writers)-1]
-		if len(sim.writers) > 1 && draw(4, "which") == 0 { // those before do not know yet
+		if len(sim.writers) > 1 && draw(4, "which") == 0 { // an earlier writer that does not know of the later one
 			writer = sim.writers[draw(len(sim.writers), "writer")]
 		}
 		group := sim.registry.Groups[0]
@@ -217,7 +217,7 @@
 			call := sim.pendingCalls[i]
 			switch draw(12, "fate") {
 			case 0: // lost
-			case 1: // twice
+			case 1: // delivered twice
 				call()
 				call()
 			default:
@@ -235,7 +235,7 @@
 			sim.lastRecord++
 			writer.appended = append(writer.appended, sim.lastRecord)
 			writer.state.Next++
-		case choice == 17 && writer.started && !writer.fenced && writer.instance == group.Writer: // holders are replaced, or the set has the whole
+		case choice == 17 && writer.started && !writer.fenced && writer.instance == group.Writer: // replicas are replaced, or the set is complete
 			current := GroupEpoch{ID: group.ID, Epoch: group.Epoch, Instance: writer.instance}
 			if draw(2, "filled") == 0 && writer.state.Epoch == group.Epoch && writer.state.SetComplete() {
 				sim.apply(Event{SetComplete: &current})
@@ -254,10 +254,10 @@
 		case choice == 18 && draw(3, "change") == 0:
 			sim.ownerChanges++
 			i := slices.IndexFunc(sim.members, func(member Member) bool { return member.Name == group.Owner })
-			if draw(2, "heir") == 0 { // it starts again, with nothing
+			if draw(2, "heir") == 0 { // the owner restarts, with nothing
 				sim.members[i].Instance = fmt.Sprint(sim.members[i].Name, "-", sim.ownerChanges)
 				sim.apply(Event{Open: &Open{Name: group.Owner, Instance: sim.members[i].Instance, Copies: sim.copies}})
-			} else { // or is gone, and another inherits
+			} else { // or it is lost, and a successor takes over
 				failed := sim.members[i]
 				sim.members = slices.Delete(sim.members, i, i+1)
 				sim.apply(Event{TakeOver: &TakeOver{ID: group.ID, Epoch: group.Epoch}})
@@ -265,7 +265,7 @@
 				sim.members = append(sim.members, failed)
 			}
 			sim.startWriter()
-		case choice == 19 && sim.copies == 2 && !sim.diskLost && draw(4, "wipe") == 0: // one further machine loses its disk
+		case choice == 19 && sim.copies == 2 && !sim.diskLost && draw(4, "wipe") == 0: // a machine loses its disk, once per simulation
 			sim.diskLost = true
 			member := &sim.members[draw(len(sim.members), "member")]
 			delete(sim.stored, member.Folder)
--- a/internal/replication/state/writer.go
+++ b/internal/replication/state/writer.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Fine is the time of nothing wrong.
+// Never is the value of FailingSince and LaggingSince while the follower neither fails nor lags.
 const Never = time.Duration(math.MinInt64)
 
-// Follower is a holder as the writer sees it.
+// Follower is a replica as the writer sees it.
 type Follower struct {
 	Replica
-	HasCopy      bool          // it has a copy of this writer's
-	Acked        uint64        // it has all records before this one
-	FailingSince time.Duration // since when it takes nothing; Fine while it does
-	LaggingSince time.Duration // since when it is behind what counts; Fine while it is not
+	HasCopy      bool          // it has a copy from this writer
+	Acked        uint64        // it has all records before this number
+	FailingSince time.Duration // since when it accepts nothing; Never while it accepts records
+	LaggingSince time.Duration // since when it lacks committed records; Never while it has them
 }
 
-// String tells how a holder stands, for the log.
+// String describes the state of the replica, for the log.
 func (f *Follower) String() string {
 	switch {
 	case f.FailingSince != Never:
@@ -29,26 +29,26 @@
 	return f.Name + " has a copy"
 }
 
-// Writer knows from when on a record counts. Records have numbers from 1 on; times are spans since an epoch of the
-// caller's choosing.
+// Writer decides from when on a record is committed. Records are numbered from 1 on; times are durations since a start of
+// the caller's choice.
 type Writer struct {
 	Epoch          uint64
-	Copies         int    // holders that make a record count
+	Copies         int    // number of replicas that must have a record for it to be committed
 	Next           uint64 // number of the next record
 	Followers      []*Follower
 	committed      uint64
-	baseline       uint64 // what counted as the set became this one
-	baselineCopied bool   // as many as it takes have had all of that since
+	baseline       uint64 // value of committed when the current set was set
+	baselineCopied bool   // Copies replicas of the current set have had all records before baseline
 }
 
-// The spans after which another holder takes the place of one. They are longer than what a restart takes a relay, and than
-// a pause of its garbage collector or its machine: each change has the whole copied.
+// The durations after which a replica is replaced. They are longer than a restart of a relay, and than a pause of its garbage
+// collector or its machine, because each replacement requires a whole copy to be sent.
 const (
 	replaceFailedAfter  = 2 * time.Second
 	replaceLaggingAfter = 5 * time.Second
 )
 
-// Set has other holders follow. Those that stay keep what they have.
+// SetReplicas sets the replicas of an epoch. The state of those that stay is retained.
 func (w *Writer) SetReplicas(epoch uint64, copies int, replicas []Replica) {
 	previous := w.Followers
 	w.Epoch, w.Copies, w.Followers, w.baseline, w.baselineCopied = epoch, copies, nil, w.Committed(), false
@@ -62,7 +62,8 @@
 	}
 }
 
-// Counted is the number of the first record that does not count yet. It never goes back: what counted once was told.
+// Committed returns the number of the first record that is not committed yet. It never decreases, because commits were
+// reported to others.
 func (w *Writer) Committed() uint64 {
 	var acked []uint64
 	for _, f := range w.Followers {
@@ -78,7 +79,7 @@
 	return w.committed
 }
 
-// Short tells whether too few holders have a copy for a record to count.
+// UnderReplicated reports whether too few replicas accept records to commit any.
 func (w *Writer) UnderReplicated() bool {
 	n := 0
 	for _, f := range w.Followers {
@@ -89,11 +90,11 @@
 	return n < max(1, w.Copies)
 }
 
-// Filled tells whether the sets before this one are of no more use: as many as make a record count have had all that
-// counted before. A holder that stays from one set to the next may be behind that.
+// SetComplete reports whether the earlier sets are no longer needed: as many replicas as a commit requires have had all
+// records that were committed before the current set. A replica that stays from one set to the next may lack some of them.
 func (w *Writer) SetComplete() bool { w.Committed(); return w.baselineCopied }
 
-// Took notes what a holder has confirmed.
+// RecordAck records that a replica confirmed all records before next; wholeCopy says that it confirmed a whole copy.
 func (w *Writer) RecordAck(f *Follower, next uint64, wholeCopy bool, now time.Duration) {
 	f.FailingSince = Never
 	f.HasCopy = f.HasCopy || wholeCopy
@@ -105,17 +106,18 @@
 	}
 }
 
-// Failing notes that a holder did not take what it was sent; Lost that it has no copy any more.
+// RecordFailure records that a replica did not accept what it was sent; copyLost says that it no longer has its copy.
 func (w *Writer) RecordFailure(f *Follower, now time.Duration, copyLost bool) {
 	if f.FailingSince == Never {
 		f.FailingSince = now
 	}
-	if copyLost { // it will not come back with what it had
+	if copyLost { // it cannot recover the copy, so it is replaced without delay
 		f.HasCopy, f.Acked, f.FailingSince = false, 0, min(f.FailingSince, now-replaceFailedAfter)
 	}
 }
 
-// Gone names the holders in whose place others should come by now. Those that have only just failed are given time.
+// ToReplace returns the names of the replicas that others should replace: those that have failed for replaceFailedAfter or
+// lagged for replaceLaggingAfter.
 func (w *Writer) ToReplace(now time.Duration) (names []string) {
 	for _, f := range w.Followers {
 		if f.FailingSince != Never && now-f.FailingSince >= replaceFailedAfter || f.LaggingSince != Never && now-f.LaggingSince >= replaceLaggingAfter {
--- a/internal/replication/stream.go
+++ b/internal/replication/stream.go
@@ -10,29 +10,29 @@
 	"larchrouter/internal/replication/state"
 )
 
-// The bounds of a stream.
+// The limits and delays of a stream.
 const (
-	recordBytes        = 128                    // bytes of a record without a message, about
-	entryBytes         = 512                    // and what a message adds to that, without its body
-	maxQueueBytes      = 2 << 20                // bytes of records kept for holders that are behind; further back they get the whole
-	maxBatchesInFlight = 3                      // batches on their way to one holder
-	minRetryPause      = 20 * time.Millisecond  // after a call that failed
-	maxRetryPause      = 500 * time.Millisecond // at the most
-	batchDelay         = 20 * time.Millisecond  // for which records wait that nothing waits for
-	clockValidity      = 5 * time.Second        // for which what was learnt of another clock is held to be true
+	recordBytes        = 128                    // approximate bytes of a record without a message
+	entryBytes         = 512                    // approximate bytes that a message adds to that, without its body
+	maxQueueBytes      = 2 << 20                // bytes of records retained for lagging replicas; one that lags further gets a whole copy
+	maxBatchesInFlight = 3                      // batches in flight to one replica
+	minRetryPause      = 20 * time.Millisecond  // first pause after a failed call
+	maxRetryPause      = 500 * time.Millisecond // longest pause after failed calls
+	batchDelay         = 20 * time.Millisecond  // delay of records for whose commit nothing waits
+	clockValidity      = 5 * time.Second        // time for which a measured clock difference is used
 )
 
-// Stream carries one estate from its writer to its holders. It is safe for concurrent use.
+// Stream sends the records of one group from its writer to its replicas. It is safe for concurrent use.
 type Stream struct {
 	ID uint64
-	// BatchMost bounds the bytes of records in a batch; one record may be larger. It is set before the first holder follows.
+	// MaxBatchBytes limits the bytes of records in a batch; one record may be larger. It is set before SetReplicas.
 	MaxBatchBytes int
 	client        *http.Client
 	writerName    string
-	// whole asks whoever owns the journal for all of the estate, and the number of the record that follows it.
+	// wholeCopy asks the owner of the journal for all records of the group, and the number of the record that follows them.
 	wholeCopy  func(ctx context.Context) (records []journal.Record, next uint64, ok bool)
-	onProgress func()                   // more counts, or a holder's state is another
-	onFenced   func(*state.FencedError) // another process writes the estate
+	onProgress func()                   // called after records were committed or a replica's state changed
+	onFenced   func(*state.FencedError) // called when another process writes the group
 	startedAt  time.Time
 
 	mu            sync.Mutex
@@ -41,13 +41,15 @@
 	queue         []journal.Record
 	sizes         []int
 	queueBytes    int
-	wake          chan struct{} // closed with each record
+	wake          chan struct{} // closed when there are records to send
 	cancels       map[*state.Follower]context.CancelFunc
 	closed        bool
-	wakeScheduled bool // holders are to be sent what there is in a while
+	wakeScheduled bool // wakeFollowers will be called after batchDelay
 }
 
-// NewStream begins to write an estate, whose next record has a number.
+// NewStream returns a stream that writes a group as writer, starting with the record number next. The functions are called
+// without the stream's lock: wholeCopy returns all records of the group, the number after them and whether that succeeded;
+// onProgress is called after each change of Status; onFenced when another process writes the group.
 func NewStream(id uint64, writer string, next uint64, client *http.Client, wholeCopy func(context.Context) ([]journal.Record, uint64, bool), onProgress func(), onFenced func(*state.FencedError)) *Stream {
 	return &Stream{ID: id, MaxBatchBytes: maxBatchBytes, client: client, writerName: writer, wholeCopy: wholeCopy, onProgress: onProgress, onFenced: onFenced, startedAt: time.Now(),
 		progress: state.Writer{Next: next}, queueFirst: next, wake: make(chan struct{}), cancels: map[*state.Follower]context.CancelFunc{}}
@@ -55,7 +57,7 @@
 
 func (s *Stream) elapsed() time.Duration { return time.Since(s.startedAt) }
 
-// Set has an epoch's holders follow.
+// SetReplicas sends the stream to the replicas of an epoch, of which copies make a record committed. An older epoch is ignored.
 func (s *Stream) SetReplicas(epoch uint64, copies int, replicas []state.Replica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +82,7 @@
 	}
 }
 
-// Close ends it.
+// Close ends the stream; records in flight are abandoned.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,13 +93,13 @@
 	clear(s.cancels)
 }
 
-// Append has records follow, and returns the number after them: they count once Counted has come to it. Those that nothing
-// waits for go along with the next that something does, or in a while.
+// Append adds records to the stream, and returns the number after them: they are committed once Status.Committed reaches it.
+// Records that are not urgent, because nothing waits for their commit, are sent with the next urgent ones or after batchDelay.
 func (s *Stream) Append(urgent bool, records ...journal.Record) (next uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range records {
-		if r.Entry != nil { // the journal goes on to change its own
+		if r.Entry != nil { // a copy, as the journal continues to change its entry
 			entry := *r.Entry
 			r.Entry = &entry
 		}
@@ -123,14 +125,14 @@
 	return s.progress.Next
 }
 
-// rouse has holders be sent what there is. The lock is held.
+// wakeFollowers makes each follower send the queued records. The caller holds the lock.
 func (s *Stream) wakeFollowers() {
 	s.wakeScheduled = false
 	close(s.wake)
 	s.wake = make(chan struct{})
 }
 
-// trim drops records that all who follow have, and what goes beyond the bound. The lock is held.
+// trim drops queued records that all replicas with a copy have, and the oldest beyond maxQueueBytes. The caller holds the lock.
 func (s *Stream) trim() {
 	lowest := s.progress.Next
 	for _, f := range s.progress.Followers {
@@ -146,25 +148,25 @@
 	s.queue, s.sizes, s.queueFirst = s.queue[dropped:], s.sizes[dropped:], s.queueFirst+uint64(dropped)
 }
 
-// Next is the number of the next record.
+// Next returns the number of the next record.
 func (s *Stream) Next() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.progress.Next
 }
 
-// Standing is how a stream stands.
+// Status is the state of a stream.
 type Status struct {
 	Epoch           uint64
-	Committed       uint64 // the first record that does not count yet
-	UnderReplicated bool   // too few holders have a copy
-	SetComplete     bool   // earlier sets of holders are of no more use
-	ToReplace       []string
-	Replicas        int
-	ReplicaStates   []string // of the holders, for the log
+	Committed       uint64   // number of the first record that is not committed yet
+	UnderReplicated bool     // too few replicas have a copy to commit a record
+	SetComplete     bool     // the current replicas have all that was committed; earlier sets are no longer needed
+	ToReplace       []string // names of replicas that others should replace
+	Replicas        int      // number of replicas in the current set
+	ReplicaStates   []string // one text per replica, for the log
 }
 
-// Standing tells how it stands.
+// Status returns the current state of the stream.
 func (s *Stream) Status() Status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/replication/takeover.go
+++ b/internal/replication/takeover.go
@@ -9,7 +9,8 @@
 	"larchrouter/internal/replication/state"
 )
 
-// begin takes an estate up, in a goroutine of its own: its holders may take long to answer.
+// startGroup finds a group's newest copy and starts to write the group, in a goroutine of its own because replicas may take
+// long to answer. predecessor names the writer to take over from in the same epoch, empty for none.
 func (o *Owner) startGroup(ctx context.Context, group *state.Group, predecessor string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -24,7 +25,7 @@
 		found, err := FindNewestCopy(findCtx, o.Client, PromiseRequest{Group: started.ID, Epoch: started.Epoch, Writer: o.Instance, Predecessor: predecessor}, started.ReplicaSets())
 		var fenced *state.FencedError
 		if errors.As(err, &fenced) {
-			slog.Warn("an estate is another's", "estate", started.ID, "epoch", fenced.Epoch, "remedy", fenced.Remedy())
+			slog.Warn("another process writes the replication group", "estate", started.ID, "epoch", fenced.Epoch, "remedy", fenced.Remedy())
 			o.giveUp(started.ID)
 			return
 		}
@@ -35,7 +36,7 @@
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if stream == nil {
-			time.AfterFunc(requestInterval, func() { // no room, say: once more
+			time.AfterFunc(requestInterval, func() { // for lack of space, for example: it is tried again
 				o.mu.Lock()
 				defer o.mu.Unlock()
 				delete(o.starting, started.ID)
@@ -51,12 +52,13 @@
 	})
 }
 
-// mind keeps a stream's holders as the keepers have them, and asks for others where some fail.
+// maintain keeps a stream's replicas equal to those that the keepers have, and tells the keepers when the replica set is
+// complete, when a group that was taken over is empty, or when replicas are to be replaced.
 func (o *Owner) maintain(ctx context.Context, group *state.Group, stream *Stream) {
 	status := stream.Status()
 	if group.Epoch > status.Epoch {
 		if o.Records.RecordReplicas(*group) {
-			slog.Info("an estate has another epoch", "estate", group.ID, "epoch", group.Epoch, "holders", group.Replicas, "sets_before", len(group.EarlierSets))
+			slog.Info("the replication group has a new epoch", "estate", group.ID, "epoch", group.Epoch, "holders", group.Replicas, "sets_before", len(group.EarlierSets))
 			stream.SetReplicas(group.Epoch, group.Copies, group.Replicas)
 		}
 		return
@@ -72,12 +74,12 @@
 			o.giveUp(group.ID)
 		}
 	case (len(status.ToReplace) > 0 || status.Replicas <= group.Copies) && o.mayRequest():
-		slog.Info("other holders are asked for", "estate", group.ID, "epoch", group.Epoch, "gone", status.ToReplace, "holders", status.Replicas)
+		slog.Info("asking the keepers for other replicas", "estate", group.ID, "epoch", group.Epoch, "gone", status.ToReplace, "holders", status.Replicas)
 		o.sendEvent(ctx, state.Event{Replace: &state.Replace{GroupEpoch: current, Failed: status.ToReplace}})
 	}
 }
 
-// Seal takes in that another writes an estate.
+// Fence stops writing a group because another process writes it.
 func (o *Owner) Fence(id uint64) {
 	o.mu.Lock()
 	delete(o.owned, id)
@@ -85,7 +87,7 @@
 	o.giveUp(id)
 }
 
-// lose gives an estate up.
+// giveUp closes a group's stream and reports the loss to Records.
 func (o *Owner) giveUp(id uint64) {
 	o.mu.Lock()
 	stream := o.streams[id]
