--- a/cmd/larchkeeper/main.go
+++ b/cmd/larchkeeper/main.go
@@ -1,4 +1,4 @@
-// Command larchkeeper is one keeper: one of the few processes that agree on settings for all relays.
+// Command larchkeeper runs a keeper, one server of the small group that agrees on the configuration of all relays.
 package main
 
 import (
@@ -36,9 +36,9 @@
 		}
 		return c, err
 	}
-	c := &cobra.Command{Use: "larchkeeper", Short: "One keeper of the settings that all relays agree on", Args: cobra.NoArgs,
+	c := &cobra.Command{Use: "larchkeeper", Short: "A keeper of the configuration that all relays agree on", Args: cobra.NoArgs,
 		SilenceUsage: true, SilenceErrors: true,
-		Long: "One keeper of the settings that all relays agree on.\n\nWithout a file it stands alone, at " + keeper.Default().HTTP + ".",
+		Long: "A keeper of the configuration that all relays agree on.\n\nWithout a configuration file it runs as a single keeper, at " + keeper.Default().HTTP + ".",
 		RunE: func(*cobra.Command, []string) error {
 			conf, err := read()
 			if err != nil {
@@ -55,16 +55,16 @@
 			}
 			select {
 			case s := <-stop:
-				slog.Info("keeper ends", "signal", s.String())
+				slog.Info("stopping the keeper", "signal", s.String())
 				return k.Close()
 			case err := <-k.Failed():
 				return errors.Join(err, k.Close())
 			}
 		}}
-	c.PersistentFlags().StringVar(&file, "config", "", "file of the configuration (TOML)")
+	c.PersistentFlags().StringVar(&file, "config", "", "configuration file (TOML)")
 	c.PersistentFlags().StringVar(&dir, "dir", defaultDir(), "folder of log, votes and snapshots")
-	c.AddCommand(&cobra.Command{Use: "recover", Short: "Go on from one folder where most keepers are lost for good", Args: cobra.NoArgs,
-		Long: "Go on from one folder where most keepers are lost for good.\n\nThe keeper then stands with the peers that its file names now. What it had not heard of is lost. No keeper may run on the folder.",
+	c.AddCommand(&cobra.Command{Use: "recover", Short: "Recover from one folder when most keepers are permanently lost", Args: cobra.NoArgs,
+		Long: "Recover from one folder when most keepers are permanently lost.\n\nThe keeper then forms a cluster with the peers that its configuration file names now. Changes that it had not received are lost. No keeper may run on the folder.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			conf, err := read()
 			if err != nil {
@@ -79,7 +79,7 @@
 	return c
 }
 
-// defaultDir is where a keeper keeps what it has to unless it is told: nothing, where the system does not say.
+// defaultDir returns the folder that is used without the flag, or "" if the user has no state or home directory.
 func defaultDir() string {
 	if state := os.Getenv("XDG_STATE_HOME"); state != "" {
 		return filepath.Join(state, "larchkeeper")
--- a/internal/ctl/change.go
+++ b/internal/ctl/change.go
@@ -18,166 +18,170 @@
 	"larchrouter/internal/keeper/api"
 )
 
-// Changes.
+// This file has the commands that make changes.
 
-// document reads a file, or standard input for "-": the settings object, or a relay's configuration that holds one.
-func (t *tool) document(path string) (json.RawMessage, error) {
+// readDocument reads a document from a file, or from standard input for "-". The input is a settings object, or a relay's
+// configuration that contains one.
+func (cmd *command) readDocument(path string) (json.RawMessage, error) {
 	var data []byte
 	var err error
 	if path == "-" {
-		data, err = io.ReadAll(io.LimitReader(t.in, 8<<20))
+		data, err = io.ReadAll(io.LimitReader(cmd.in, 8<<20))
 	} else {
 		data, err = os.ReadFile(path)
 	}
 	if err != nil {
-		return nil, &exit{wrongUse, err}
+		return nil, &exitError{exitUsage, err}
 	}
 	var object map[string]json.RawMessage
 	if err := json.Unmarshal(data, &object); err != nil {
-		return nil, &exit{wrongUse, fmt.Errorf("%s: %w", path, err)}
+		return nil, &exitError{exitUsage, fmt.Errorf("%s: %w", path, err)}
 	}
 	if s, ok := object["settings"]; ok {
 		data = s
 	}
 	out, err := json.Marshal(map[string]json.RawMessage{"settings": data})
 	if err != nil {
-		return nil, &exit{wrongUse, fmt.Errorf("%s: %w", path, err)}
+		return nil, &exitError{exitUsage, fmt.Errorf("%s: %w", path, err)}
 	}
 	return out, nil
 }
 
-// newest is the generation that the next change builds on.
-func (t *tool) newest(ctx context.Context) (uint64, error) {
-	st, err := t.leader(ctx)
+// newestGeneration returns the number of the generation that the next change builds on; 0 if there is none.
+func (cmd *command) newestGeneration(ctx context.Context) (uint64, error) {
+	status, err := cmd.leader(ctx)
 	switch {
 	case err != nil:
 		return 0, err
-	case len(st.Queue) > 0:
-		return st.Queue[len(st.Queue)-1].Number, nil
-	case st.Next != nil:
-		return st.Next.Number, nil
-	case st.Force != nil:
-		return st.Force.Number, nil
+	case len(status.Queue) > 0:
+		return status.Queue[len(status.Queue)-1].Number, nil
+	case status.Prepared != nil:
+		return status.Prepared.Number, nil
+	case status.Effective != nil:
+		return status.Effective.Number, nil
 	}
 	return 0, nil
 }
 
-// change makes a change, and follows it if that is asked for.
-func (t *tool) change(ctx context.Context, p api.Proposal, wait time.Duration) error {
-	p.Op = rand.Text()
-	var made api.Made
-	if err := t.call(ctx, http.MethodPost, api.GenerationsPath, p, &made); err != nil {
+// change proposes a change and, if wait is not 0, follows it for at most that time.
+func (cmd *command) change(ctx context.Context, proposal api.Proposal, wait time.Duration) error {
+	proposal.OperationID = rand.Text()
+	var made api.ChangeResponse
+	if err := cmd.call(ctx, http.MethodPost, api.GenerationsPath, proposal, &made); err != nil {
 		return err
 	}
-	if p.DryRun {
-		return t.print(map[string]bool{"sound": true}, func(w io.Writer) { fmt.Fprintln(w, "the keepers would take it; nothing is changed") })
+	if proposal.DryRun {
+		return cmd.print(map[string]bool{"sound": true}, func(w io.Writer) { fmt.Fprintln(w, "the keepers would take it; nothing is changed") })
 	}
 	if wait == 0 {
-		return t.print(made, func(w io.Writer) { fmt.Fprintf(w, "generation %d is on its way\n", made.Number) })
+		return cmd.print(made, func(w io.Writer) { fmt.Fprintf(w, "generation %d is on its way\n", made.Number) })
 	}
-	g, pending, err := t.settle(ctx, made.Number, wait)
+	generation, pending, err := cmd.awaitGeneration(ctx, made.Number, wait)
 	if err != nil {
 		return err
 	}
-	if err := t.print(g, func(w io.Writer) { fmt.Fprintf(w, "generation %d: %s %s\n", g.Number, g.Stage, g.Reason) }); err != nil {
+	if err := cmd.print(generation, func(w io.Writer) {
+		fmt.Fprintf(w, "generation %d: %s %s\n", generation.Number, generation.Stage, generation.Reason)
+	}); err != nil {
 		return err
 	}
-	switch g.Stage {
+	switch generation.Stage {
 	case "in force", "past":
 		return nil
 	case "given up":
-		return &api.Refused{Status: http.StatusConflict, Text: g.Reason}
+		return &api.RefusedError{Status: http.StatusConflict, Text: generation.Reason}
 	}
-	return &exit{unreachable, fmt.Errorf("generation %d is still %s after %v: it waits for %s", g.Number, g.Stage, wait, strings.Join(pending, ", "))}
+	return &exitError{exitUnreachable, fmt.Errorf("generation %d is still %s after %v: it waits for %s", generation.Number, generation.Stage, wait, strings.Join(pending, ", "))}
 }
 
-// settle follows a generation until it is in force or given up, or the time is over.
-func (t *tool) settle(ctx context.Context, n uint64, wait time.Duration) (g *api.Generation, pending []string, err error) {
-	for end := time.Now().Add(wait); ; {
-		if g, err = t.generation(ctx, n); err != nil {
+// awaitGeneration follows a generation until it is in effect, superseded or given up, or the time is over. It also returns
+// the members that the leader waits for.
+func (cmd *command) awaitGeneration(ctx context.Context, number uint64, wait time.Duration) (generation *api.Generation, pending []string, err error) {
+	for deadline := time.Now().Add(wait); ; {
+		if generation, err = cmd.generation(ctx, number); err != nil {
 			return nil, nil, err
 		}
-		if g.Stage == "in force" || g.Stage == "past" || g.Stage == "given up" || time.Now().After(end) {
+		if generation.Stage == "in force" || generation.Stage == "past" || generation.Stage == "given up" || time.Now().After(deadline) {
 			break
 		}
 		select {
 		case <-ctx.Done():
-			return nil, nil, &exit{unreachable, ctx.Err()}
+			return nil, nil, &exitError{exitUnreachable, ctx.Err()}
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
-	if st, err := t.leader(ctx); err == nil {
-		pending = st.Pending
+	if status, err := cmd.leader(ctx); err == nil {
+		pending = status.Pending
 	}
-	return g, pending, nil
+	return generation, pending, nil
 }
 
-// who is the operator, for the history.
-func who() string {
+// currentUser returns the name of the operator for the history.
+func currentUser() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
 	}
 	return "unknown"
 }
 
-func (t *tool) put() *cobra.Command {
-	var p api.Proposal
+func (cmd *command) putCommand() *cobra.Command {
+	var proposal api.Proposal
 	var wait time.Duration
-	c := &cobra.Command{Use: "put FILE", Short: "Change the settings of all relays: a settings object, or a relay's file that holds one; - for standard input", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "put FILE", Short: "Change the settings of all relays: a file with a settings object, or a relay's configuration file; - for standard input", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) (err error) {
-			if p.Doc, err = t.document(args[0]); err != nil {
+			if proposal.Doc, err = cmd.readDocument(args[0]); err != nil {
 				return err
 			}
 			if !c.Flags().Changed("base") {
-				if p.Base, err = t.newest(c.Context()); err != nil {
+				if proposal.Base, err = cmd.newestGeneration(c.Context()); err != nil {
 					return err
 				}
 			}
-			return t.change(c.Context(), p, wait)
+			return cmd.change(c.Context(), proposal, wait)
 		}}
-	c.Flags().Uint64Var(&p.Base, "base", 0, "the generation that this changes: refused if another is the newest by then")
-	c.Flags().StringVar(&p.Why, "why", "", "for the history")
-	c.Flags().StringVar(&p.Who, "who", who(), "for the history")
-	c.Flags().BoolVar(&p.DryRun, "dry-run", false, "only have it checked")
-	c.Flags().DurationVar(&wait, "wait", 0, "follow it so long, until it is in force or given up")
+	c.Flags().Uint64Var(&proposal.Base, "base", 0, "number of the generation that this changes; refused if another is the newest by then")
+	c.Flags().StringVar(&proposal.Why, "why", "", "for the history")
+	c.Flags().StringVar(&proposal.Who, "who", currentUser(), "for the history")
+	c.Flags().BoolVar(&proposal.DryRun, "dry-run", false, "only check the document")
+	c.Flags().DurationVar(&wait, "wait", 0, "how long to follow the change, until it is in force or given up")
 	return c
 }
 
-func (t *tool) back() *cobra.Command {
-	var p api.Proposal
+func (cmd *command) backCommand() *cobra.Command {
+	var proposal api.Proposal
 	var wait time.Duration
-	c := &cobra.Command{Use: "back NUMBER", Short: "Go back to the settings of an earlier generation, as a change of its own", Args: cobra.ExactArgs(1),
+	c := &cobra.Command{Use: "back NUMBER", Short: "Return to the settings of an earlier generation, by a new change", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) (err error) {
-			if p.To, err = number(args[0]); err != nil {
+			if proposal.RestoreNumber, err = parseNumber(args[0]); err != nil {
 				return err
 			}
-			if p.Base, err = t.newest(c.Context()); err != nil {
+			if proposal.Base, err = cmd.newestGeneration(c.Context()); err != nil {
 				return err
 			}
-			p.Why = cmp.Or(p.Why, "back to generation "+args[0])
-			return t.change(c.Context(), p, wait)
+			proposal.Why = cmp.Or(proposal.Why, "back to generation "+args[0])
+			return cmd.change(c.Context(), proposal, wait)
 		}}
-	c.Flags().StringVar(&p.Why, "why", "", "for the history")
-	c.Flags().StringVar(&p.Who, "who", who(), "for the history")
-	c.Flags().DurationVar(&wait, "wait", 0, "follow it so long, until it is in force or given up")
+	c.Flags().StringVar(&proposal.Why, "why", "", "for the history")
+	c.Flags().StringVar(&proposal.Who, "who", currentUser(), "for the history")
+	c.Flags().DurationVar(&wait, "wait", 0, "how long to follow the change, until it is in force or given up")
 	return c
 }
 
-func (t *tool) giveUp() *cobra.Command {
-	var g api.Withdrawal
-	c := &cobra.Command{Use: "giveup NUMBER", Short: "End a change that is not in force yet, and those that build on it", Args: cobra.ExactArgs(1),
+func (cmd *command) giveUpCommand() *cobra.Command {
+	var giveUp api.GiveUp
+	c := &cobra.Command{Use: "giveup NUMBER", Short: "End a change that is not in force yet, and all changes that build on it", Args: cobra.ExactArgs(1),
 		RunE: func(c *cobra.Command, args []string) (err error) {
-			if g.Number, err = number(args[0]); err != nil {
+			if giveUp.Number, err = parseNumber(args[0]); err != nil {
 				return err
 			}
-			g.Op = rand.Text()
-			var made api.Made
-			if err := t.call(c.Context(), http.MethodPost, api.GiveUpPath, g, &made); err != nil {
+			giveUp.OperationID = rand.Text()
+			var made api.ChangeResponse
+			if err := cmd.call(c.Context(), http.MethodPost, api.GiveUpPath, giveUp, &made); err != nil {
 				return err
 			}
-			return t.print(made, func(w io.Writer) { fmt.Fprintf(w, "generation %d is given up\n", made.Number) })
+			return cmd.print(made, func(w io.Writer) { fmt.Fprintf(w, "generation %d is given up\n", made.Number) })
 		}}
-	c.Flags().StringVar(&g.Why, "why", "", "for the history")
-	c.Flags().StringVar(&g.Who, "who", who(), "for the history")
+	c.Flags().StringVar(&giveUp.Why, "why", "", "for the history")
+	c.Flags().StringVar(&giveUp.Who, "who", currentUser(), "for the history")
 	return c
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line to the keepers: what all relays agree on, who has a part in it, and how a
-// change of it goes.
+// Package ctl implements larchctl, the operators' command line to the keepers: the configuration of all relays, the members
+// that act by it, and the progress of a change.
 package ctl
 
 import (
@@ -26,23 +26,23 @@
 
 // The exit codes.
 const (
-	done        = 0
-	refused     = 1 // a keeper said no, and why
-	wrongUse    = 2 // the command line or a file is wrong; no keeper was asked
-	unreachable = 3 // no keeper that leads answered: whether a change was made is not known
+	exitDone        = 0
+	exitRefused     = 1 // a keeper refused the call
+	exitUsage       = 2 // the command line or a file is invalid; no keeper was called
+	exitUnreachable = 3 // no leader answered; whether a change was made is unknown
 )
 
-// exit carries an exit code with what went wrong.
-type exit struct {
+// exitError is an error with the exit code that it leads to.
+type exitError struct {
 	code int
 	err  error
 }
 
-func (e *exit) Error() string { return e.err.Error() }
-func (e *exit) Unwrap() error { return e.err }
+func (e *exitError) Error() string { return e.err.Error() }
+func (e *exitError) Unwrap() error { return e.err }
 
-// tool is one command's call.
-type tool struct {
+// command is one invocation of the command line.
+type command struct {
 	in      io.Reader
 	out     io.Writer
 	keepers []string
@@ -55,111 +55,111 @@
 func Main(args []string, in io.Reader, out, errs io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	t := &tool{in: in, out: out}
-	root := t.root()
+	cmd := &command{in: in, out: out}
+	root := cmd.rootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return done
+		return exitDone
 	}
 	fmt.Fprintln(errs, "larchctl:", err)
-	if what := remedy.Of(err); what != "" {
-		fmt.Fprintln(errs, "what to do:", what)
+	if advice := remedy.Of(err); advice != "" {
+		fmt.Fprintln(errs, "what to do:", advice)
 	}
-	var no *api.Refused
-	if e := (*exit)(nil); errors.As(err, &e) {
+	var refused *api.RefusedError
+	if e := (*exitError)(nil); errors.As(err, &e) {
 		return e.code
 	}
-	if errors.As(err, &no) {
-		return refused
+	if errors.As(err, &refused) {
+		return exitRefused
 	}
-	return wrongUse // cobra's own: an argument that is none
+	return exitUsage // an error of cobra: an invalid command or argument
 }
 
-// keepersEnv names the keepers where no flag does.
+// keepersEnv is the environment variable with the keepers' addresses, used without the flag.
 const keepersEnv = "LARCH_KEEPERS"
 
-func (t *tool) root() *cobra.Command {
-	root := &cobra.Command{Use: "larchctl", Short: "What all relays agree on, and how a change of it goes", SilenceUsage: true, SilenceErrors: true,
-		Long: "What all relays agree on, and how a change of it goes.\n\nExit code 0: done. 1: a keeper refused, and why. 2: the command line or a file is wrong.\n3: no keeper that leads answered.",
+func (cmd *command) rootCommand() *cobra.Command {
+	root := &cobra.Command{Use: "larchctl", Short: "The configuration that all relays agree on, and changes of it", SilenceUsage: true, SilenceErrors: true,
+		Long: "The configuration that all relays agree on, and changes of it.\n\nExit code 0: done. 1: a keeper refused the call. 2: the command line or a file is invalid.\n3: no leader answered.",
 		PersistentPreRun: func(*cobra.Command, []string) {
-			t.client = &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, Keepers: t.keepers}
+			cmd.client = &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}, Keepers: cmd.keepers}
 		}}
-	root.PersistentFlags().StringSliceVar(&t.keepers, "keepers", strings.Split(cmp.Or(os.Getenv(keepersEnv), "127.0.0.1:7400"), ","), "their addresses (else "+keepersEnv+")")
-	root.PersistentFlags().BoolVar(&t.json, "json", false, "for programs: JSON")
-	root.PersistentFlags().DurationVar(&t.timeout, "timeout", 10*time.Second, "how long to insist")
-	settings := &cobra.Command{Use: "settings", Short: "The settings that all relays agree on"}
-	settings.AddCommand(t.show(), t.diff(), t.put(), t.history(), t.back(), t.giveUp())
-	root.AddCommand(t.status(), t.members(), settings, t.watch())
+	root.PersistentFlags().StringSliceVar(&cmd.keepers, "keepers", strings.Split(cmp.Or(os.Getenv(keepersEnv), "127.0.0.1:7400"), ","), "addresses of the keepers (default: those in "+keepersEnv+")")
+	root.PersistentFlags().BoolVar(&cmd.json, "json", false, "JSON output")
+	root.PersistentFlags().DurationVar(&cmd.timeout, "timeout", 10*time.Second, "how long to retry until the leader answers")
+	settingsCommand := &cobra.Command{Use: "settings", Short: "The settings that all relays agree on"}
+	settingsCommand.AddCommand(cmd.showCommand(), cmd.diffCommand(), cmd.putCommand(), cmd.historyCommand(), cmd.backCommand(), cmd.giveUpCommand())
+	root.AddCommand(cmd.statusCommand(), cmd.membersCommand(), settingsCommand, cmd.watchCommand())
 	return root
 }
 
-// call asks the keeper that leads, and insists while none answers. A change bears an identity of its own, so that
-// asking again does not make it twice.
-func (t *tool) call(ctx context.Context, method, path string, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, t.timeout)
+// call calls the leader, and retries for the timeout while none answers. Each change has an operation ID, so that a
+// repeated call does not make it twice.
+func (cmd *command) call(ctx context.Context, method, path string, in, out any) error {
+	ctx, cancel := context.WithTimeout(ctx, cmd.timeout)
 	defer cancel()
 	for {
-		err := t.client.Call(ctx, method, path, in, out)
-		var no *api.Refused
-		if err == nil || errors.As(err, &no) {
+		err := cmd.client.Call(ctx, method, path, in, out)
+		var refused *api.RefusedError
+		if err == nil || errors.As(err, &refused) {
 			return err
 		}
 		select {
 		case <-ctx.Done():
-			return &exit{unreachable, fmt.Errorf("no keeper that leads answers within %v: %w", t.timeout, err)}
+			return &exitError{exitUnreachable, fmt.Errorf("no keeper that leads answers within %v: %w", cmd.timeout, err)}
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 }
 
-// leader is the status of the keeper that leads.
-func (t *tool) leader(ctx context.Context) (api.Status, error) {
-	ctx, cancel := context.WithTimeout(ctx, t.timeout)
+// leader returns the status of the leader.
+func (cmd *command) leader(ctx context.Context) (api.Status, error) {
+	ctx, cancel := context.WithTimeout(ctx, cmd.timeout)
 	defer cancel()
 	for {
 		var err error
-		for _, addr := range t.keepers {
-			one, stop := context.WithTimeout(ctx, 2*time.Second)
-			var st api.Status
-			if err = t.client.Ask(one, addr, http.MethodGet, api.StatusPath, nil, &st); err == nil && st.Leads {
+		for _, addr := range cmd.keepers {
+			callCtx, stop := context.WithTimeout(ctx, 2*time.Second)
+			var status api.Status
+			if err = cmd.client.CallKeeper(callCtx, addr, http.MethodGet, api.StatusPath, nil, &status); err == nil && status.IsLeader {
 				stop()
-				return st, nil
+				return status, nil
 			}
 			stop()
 		}
 		select {
 		case <-ctx.Done():
-			return api.Status{}, &exit{unreachable, errors.Join(fmt.Errorf("no keeper says within %v that it leads", t.timeout), err)}
+			return api.Status{}, &exitError{exitUnreachable, errors.Join(fmt.Errorf("no keeper says within %v that it leads", cmd.timeout), err)}
 		case <-time.After(100 * time.Millisecond):
 		}
 	}
 }
 
-// print writes a value as JSON, or has it written for people.
-func (t *tool) print(v any, people func(w io.Writer)) error {
-	if t.json {
-		enc := json.NewEncoder(t.out)
+// print writes a value as JSON if that was asked for, and otherwise calls writeText, whose tabs are aligned.
+func (cmd *command) print(v any, writeText func(w io.Writer)) error {
+	if cmd.json {
+		enc := json.NewEncoder(cmd.out)
 		enc.SetIndent("", " ")
 		return enc.Encode(v)
 	}
-	w := tabwriter.NewWriter(t.out, 0, 4, 2, ' ', 0)
-	people(w)
+	w := tabwriter.NewWriter(cmd.out, 0, 4, 2, ' ', 0)
+	writeText(w)
 	return w.Flush()
 }
 
-// named is a generation in a word.
-func named(g *api.Generation) string {
+// generationName returns the number of a generation as text, or "none".
+func generationName(g *api.Generation) string {
 	if g == nil {
 		return "none"
 	}
 	return strconv.FormatUint(g.Number, 10)
 }
 
-// one is what one keeper says, or why it says nothing.
-type one struct {
+// keeperAnswer is the status of one keeper, or the error of the call.
+type keeperAnswer struct {
 	Address string      `json:"address"`
 	Error   string      `json:"error,omitempty"`
 	Status  *api.Status `json:"status,omitempty"`
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -11,54 +11,55 @@
 // Change is one value that differs between two documents.
 type Change struct {
 	Path string `json:"path"`
-	From string `json:"from"` // as JSON; "-" where there is none
+	From string `json:"from"` // as JSON; "-" if there is no value
 	To   string `json:"to"`
 }
 
-// Diff tells what differs between two documents, by path. Objects in a list that have names are told apart by those, so
-// that one more does not make all behind it differ.
+// Diff returns the values that differ between two documents, sorted by path. Objects of a list are identified by their
+// names if they have any, so that an added object does not make all after it differ.
 func Diff(from, to json.RawMessage) []Change {
-	a, b := flat(from), flat(to)
+	fromValues, toValues := flattenDocument(from), flattenDocument(to)
 	changes := []Change{}
-	for _, path := range slices.Sorted(maps.Keys(a)) {
-		if v, ok := b[path]; !ok {
-			changes = append(changes, Change{path, a[path], "-"})
-		} else if v != a[path] {
-			changes = append(changes, Change{path, a[path], v})
+	for _, path := range slices.Sorted(maps.Keys(fromValues)) {
+		if v, ok := toValues[path]; !ok {
+			changes = append(changes, Change{path, fromValues[path], "-"})
+		} else if v != fromValues[path] {
+			changes = append(changes, Change{path, fromValues[path], v})
 		}
 	}
-	for _, path := range slices.Sorted(maps.Keys(b)) {
-		if _, ok := a[path]; !ok {
-			changes = append(changes, Change{path, "-", b[path]})
+	for _, path := range slices.Sorted(maps.Keys(toValues)) {
+		if _, ok := fromValues[path]; !ok {
+			changes = append(changes, Change{path, "-", toValues[path]})
 		}
 	}
 	sort.SliceStable(changes, func(i, k int) bool { return changes[i].Path < changes[k].Path })
 	return changes
 }
 
-// lines is a document as paths and values.
-func lines(doc json.RawMessage) (all []string) {
-	f := flat(doc)
-	for _, path := range slices.Sorted(maps.Keys(f)) {
-		all = append(all, path+"\t"+f[path])
+// documentLines returns a line with path, tab and value for each value of a document.
+func documentLines(doc json.RawMessage) (out []string) {
+	values := flattenDocument(doc)
+	for _, path := range slices.Sorted(maps.Keys(values)) {
+		out = append(out, path+"\t"+values[path])
 	}
-	return all
+	return out
 }
 
-// flat has each value of a document that is neither object nor list by its path. What cannot be read is one value.
-func flat(doc json.RawMessage) map[string]string {
-	all := map[string]string{}
+// flattenDocument returns the values of a document by path. Values are scalars, empty objects and empty lists. A document
+// that cannot be parsed is a single value.
+func flattenDocument(doc json.RawMessage) map[string]string {
+	values := map[string]string{}
 	var v any
 	if err := json.Unmarshal(doc, &v); err != nil {
-		all["document"] = string(doc)
-		return all
+		values["document"] = string(doc)
+		return values
 	}
-	flatten(all, "", v)
-	return all
+	flatten(values, "", v)
+	return values
 }
 
-func flatten(all map[string]string, path string, v any) {
-	at := func(key string) string {
+func flatten(values map[string]string, path string, v any) {
+	join := func(key string) string {
 		if path == "" {
 			return key
 		}
@@ -66,31 +67,31 @@
 	}
 	switch v := v.(type) {
 	case map[string]any:
-		for key, w := range v {
-			flatten(all, at(key), w)
+		for key, element := range v {
+			flatten(values, join(key), element)
 		}
 		if len(v) == 0 {
-			all[path] = "{}"
+			values[path] = "{}"
 		}
 	case []any:
 		seen := map[string]bool{}
-		for i, w := range v {
+		for i, element := range v {
 			key := fmt.Sprintf("[%d]", i)
-			if o, ok := w.(map[string]any); ok {
-				if name, ok := o["name"].(string); ok && !seen[name] {
+			if object, ok := element.(map[string]any); ok {
+				if name, ok := object["name"].(string); ok && !seen[name] {
 					key, seen[name] = "["+name+"]", true
 				}
 			}
-			flatten(all, path+key, w)
+			flatten(values, path+key, element)
 		}
 		if len(v) == 0 {
-			all[path] = "[]"
+			values[path] = "[]"
 		}
 	default:
 		data, err := json.Marshal(v)
 		if err != nil {
 			data = []byte(err.Error())
 		}
-		all[path] = string(data)
+		values[path] = string(data)
 	}
 }
--- a/internal/estate/owner.go
+++ b/internal/estate/owner.go
@@ -201,7 +201,7 @@
 	defer cancel()
 	all, err := o.Say(ctx, e)
 	if err != nil {
-		var no *api.Refused
+		var no *api.RefusedError
 		if !errors.As(err, &no) || no.Status != http.StatusConflict {
 			slog.Warn("the keepers do not take a word on estates", "err", err, "remedy", remedy.Of(err))
 		} else {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -60,7 +60,7 @@
 	dir := t.TempDir()
 	k := Open(dir, "one", file(t, 5))
 	const lease = 10000
-	hear := func(now time.Duration, s api.Standing) Word {
+	hear := func(now time.Duration, s api.SessionResponse) Word {
 		t.Helper()
 		s.LeaseMS = lease
 		w, err := k.Hear(now, now-time.Second, s)
@@ -70,24 +70,24 @@
 		return w
 	}
 	want(t, "before any word", acts(k, 0), "own 5")
-	w := hear(2*time.Second, api.Standing{Turn: 1, Next: gen(1, 8)})
+	w := hear(2*time.Second, api.SessionResponse{Revision: 1, Prepared: gen(1, 8)})
 	want(t, "the first one prepared", acts(k, 2*time.Second), "joined 5")
 	want(t, "confirms", fmt.Sprint(w.Confirm), "1")
-	w = hear(3*time.Second, api.Standing{Turn: 2, Force: &api.Generation{Number: 1}}) // its document is known
+	w = hear(3*time.Second, api.SessionResponse{Revision: 2, Effective: &api.Generation{Number: 1}}) // its document is known
 	want(t, "in force", acts(k, 3*time.Second), "alone 8")
 	want(t, "confirms", fmt.Sprint(w.Confirm), "2")
 	if set, _ := k.Look(3 * time.Second); set.Index != 7 {
 		t.Errorf("index %d, want the relay's own", set.Index)
 	}
-	want(t, "told again", fmt.Sprint(hear(4*time.Second, api.Standing{Turn: 2, Force: &api.Generation{Number: 1}, Confirmed: 2})), fmt.Sprint(Word{}))
-	hear(5*time.Second, api.Standing{Turn: 3, Force: &api.Generation{Number: 1}, Next: gen(2, 3)})
+	want(t, "told again", fmt.Sprint(hear(4*time.Second, api.SessionResponse{Revision: 2, Effective: &api.Generation{Number: 1}, ConfirmedRevision: 2})), fmt.Sprint(Word{}))
+	hear(5*time.Second, api.SessionResponse{Revision: 3, Effective: &api.Generation{Number: 1}, Prepared: gen(2, 3)})
 	want(t, "the second prepared", acts(k, 5*time.Second), "joined 3")
 	want(t, "just before its lease ends", acts(k, 14*time.Second-1), "joined 3")
 	want(t, "as its lease ends", acts(k, 14*time.Second), "fallback 3")
-	if _, err := k.Hear(15*time.Second, 14*time.Second, api.Standing{Turn: 2, LeaseMS: lease, Force: &api.Generation{Number: 1}}); err == nil {
+	if _, err := k.Hear(15*time.Second, 14*time.Second, api.SessionResponse{Revision: 2, LeaseMS: lease, Effective: &api.Generation{Number: 1}}); err == nil {
 		t.Error("an older turn is taken")
 	}
-	hear(16*time.Second, api.Standing{Turn: 4, Force: &api.Generation{Number: 2}})
+	hear(16*time.Second, api.SessionResponse{Revision: 4, Effective: &api.Generation{Number: 2}})
 	want(t, "heard again", acts(k, 16*time.Second), "alone 3")
 
 	next := Open(dir, "two", file(t, 2))
@@ -102,7 +102,7 @@
 // Guards against a generation that is taken by half, or that takes away what is held.
 func TestRejects(t *testing.T) {
 	k := Open(t.TempDir(), "one", file(t, 5))
-	if _, err := k.Hear(2*time.Second, time.Second, api.Standing{Turn: 1, LeaseMS: 10000, Force: gen(1, 4)}); err != nil {
+	if _, err := k.Hear(2*time.Second, time.Second, api.SessionResponse{Revision: 1, LeaseMS: 10000, Effective: gen(1, 4)}); err != nil {
 		t.Fatal(err)
 	}
 	other := strings.Replace(string(raw(3, 0)), `"order"`, `"other"`, 1)
@@ -114,13 +114,13 @@
 		"no class in common":  `{"settings":` + other + `}`,
 		"too long":            `{"settings":{"x":"` + strings.Repeat("x", docMost) + `"}}`,
 	} {
-		w, err := k.Hear(3*time.Second, 2*time.Second, api.Standing{Turn: 2, LeaseMS: 10000, Force: &api.Generation{Number: 1}, Next: &api.Generation{Number: 2, Doc: json.RawMessage(doc)}})
+		w, err := k.Hear(3*time.Second, 2*time.Second, api.SessionResponse{Revision: 2, LeaseMS: 10000, Effective: &api.Generation{Number: 1}, Prepared: &api.Generation{Number: 2, Doc: json.RawMessage(doc)}})
 		if err == nil || w.Reject != 2 || w.Confirm != 0 || w.Reason == "" {
 			t.Errorf("%s: %+v, %v", name, w, err)
 		}
 		want(t, name, acts(k, 3*time.Second), "alone 4")
 	}
-	w, err := k.Hear(4*time.Second, 3*time.Second, api.Standing{Turn: 3, LeaseMS: 10000, Force: &api.Generation{Number: 3, Doc: json.RawMessage(`{}`)}})
+	w, err := k.Hear(4*time.Second, 3*time.Second, api.SessionResponse{Revision: 3, LeaseMS: 10000, Effective: &api.Generation{Number: 3, Doc: json.RawMessage(`{}`)}})
 	if err == nil || !w.Leave {
 		t.Errorf("%+v, %v: want to leave, for it cannot act by what is in force", w, err)
 	}
@@ -132,7 +132,7 @@
 func TestDamagedState(t *testing.T) {
 	dir := t.TempDir()
 	k := Open(dir, "one", file(t, 5))
-	if _, err := k.Hear(2*time.Second, time.Second, api.Standing{Turn: 1, LeaseMS: 1000, Force: gen(1, 4)}); err != nil {
+	if _, err := k.Hear(2*time.Second, time.Second, api.SessionResponse{Revision: 1, LeaseMS: 1000, Effective: gen(1, 4)}); err != nil {
 		t.Fatal(err)
 	}
 	whole, err := os.ReadFile(filepath.Join(dir, "fleet"))
@@ -213,11 +213,11 @@
 			switch path {
 			case api.SessionPath:
 				turn++
-				return 200, api.Standing{LeaseMS: 4000, Turn: turn}
+				return 200, api.SessionResponse{LeaseMS: 4000, Revision: turn}
 			case api.ConfirmPath:
-				var w api.Word
+				var w api.MemberReport
 				json.Unmarshal(body, &w)
-				confirmed = append(confirmed, w.Turn)
+				confirmed = append(confirmed, w.Revision)
 				return 204, nil
 			}
 			t.Errorf("a call of %s", path)
@@ -225,7 +225,7 @@
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		s := session(k, 1, 3, func(h Heard) ([]uint64, Word, bool) { return nil, Word{Confirm: h.Standing.Turn}, true })
+		s := session(k, 1, 3, func(h Heard) ([]uint64, Word, bool) { return nil, Word{Confirm: h.Standing.Revision}, true })
 		s.Run(ctx)
 		if len(confirmed) < 20 {
 			t.Errorf("%d turns confirmed in a minute", len(confirmed))
@@ -248,7 +248,7 @@
 			if away {
 				return 0, nil
 			}
-			return 200, api.Standing{LeaseMS: 10000}
+			return 200, api.SessionResponse{LeaseMS: 10000}
 		}}
 		ctx, cancel := context.WithTimeout(t.Context(), 60*time.Second)
 		defer cancel()
@@ -281,7 +281,7 @@
 	f.Add([]byte(`{"lease_ms":1000,"turn":3,"next":{"number":2}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		parseState(data)
-		var s api.Standing
+		var s api.SessionResponse
 		if json.Unmarshal(data, &s) != nil {
 			return
 		}
--- a/internal/fleet/kept.go
+++ b/internal/fleet/kept.go
@@ -182,17 +182,17 @@
 
 // Hear takes an answer in, and says what is to be told in turn. Confirm may be told only once the loop has looked
 // again and acts by the settings that Look says.
-func (k *Kept) Hear(now, asked time.Duration, s api.Standing) (Word, error) {
-	t := hold.Told{Asked: asked, Lease: time.Duration(s.LeaseMS) * time.Millisecond, Turn: s.Turn}
-	if s.Force != nil {
-		t.Force = s.Force.Number
-		if err := k.learn(s.Force); err != nil {
+func (k *Kept) Hear(now, asked time.Duration, s api.SessionResponse) (Word, error) {
+	t := hold.Told{Asked: asked, Lease: time.Duration(s.LeaseMS) * time.Millisecond, Turn: s.Revision}
+	if s.Effective != nil {
+		t.Force = s.Effective.Number
+		if err := k.learn(s.Effective); err != nil {
 			return Word{Leave: true, Reason: err.Error()}, &Unfit{t.Force, true, err}
 		}
 	}
-	if s.Next != nil {
-		t.Next = s.Next.Number
-		if err := k.learn(s.Next); err != nil {
+	if s.Prepared != nil {
+		t.Next = s.Prepared.Number
+		if err := k.learn(s.Prepared); err != nil {
 			return Word{Reject: t.Next, Reason: err.Error()}, &Unfit{t.Next, false, err}
 		}
 	}
@@ -207,7 +207,7 @@
 	}
 	due, ok := k.hold.Due()
 	if !ok {
-		if s.Confirmed == t.Turn {
+		if s.ConfirmedRevision == t.Turn {
 			return Word{}, nil
 		}
 		return Word{Confirm: t.Turn}, nil // once more: the word of it was lost, or the session is another
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -15,7 +15,7 @@
 // Heard is an answer of the keepers, for the loop.
 type Heard struct {
 	Asked    time.Duration // when the call went out, by the relay's clock
-	Standing api.Standing
+	Standing api.SessionResponse
 }
 
 // Session keeps up a relay's session with the keepers. It shares nothing with the loop: what it hears it hands over,
@@ -64,7 +64,7 @@
 // the same name, it cannot know.
 func (s *Session) Run(ctx context.Context) {
 	s.told, s.lease = make(chan struct{}, 1), firstLease
-	s.Client.Start(int(s.Seed % 1024))
+	s.Client.StartAt(int(s.Seed % 1024))
 	var both sync.WaitGroup
 	defer both.Wait()
 	both.Go(func() { s.tell(ctx) })
@@ -80,21 +80,21 @@
 	rest(time.Duration(r.Float64() * float64(min(firstPause*time.Duration(s.Fleet()), s.lease/2))))
 	for failed := 0; ctx.Err() == nil; {
 		wait := s.lease / 4
-		call := api.Session{Name: s.Name, Instance: s.Instance, Before: s.Before, Zone: s.Zone, Version: s.Version, Turn: turn,
-			WaitMS: time.Duration((0.75 + r.Float64()/2) * float64(wait)).Milliseconds(), Have: have}
+		call := api.Session{Name: s.Name, Instance: s.Instance, Predecessor: s.Before, Zone: s.Zone, Version: s.Version, Revision: turn,
+			WaitMS: time.Duration((0.75 + r.Float64()/2) * float64(wait)).Milliseconds(), KnownGenerations: have}
 		if s.Owned != nil {
-			call.Addr, call.Folder, call.Estates = s.Addr, s.Folder, s.Owned()
+			call.Addr, call.Folder, call.GroupsMark = s.Addr, s.Folder, s.Owned()
 		}
 		cctx, cancel := context.WithTimeout(ctx, min(2*wait, wait+callIn))
 		asked := s.Now()
-		var standing api.Standing
+		var standing api.SessionResponse
 		err := s.Client.Call(cctx, http.MethodPost, api.SessionPath, call, &standing)
 		cancel()
 		if err != nil {
 			if ctx.Err() != nil {
 				return
 			}
-			var no *api.Refused
+			var no *api.RefusedError
 			if errors.As(err, &no) && no.Status == http.StatusGone {
 				turn = 0 // it begins anew, and is told all again
 			}
@@ -110,7 +110,7 @@
 		var w Word
 		var ok bool
 		if have, w, ok = s.Hear(Heard{asked, standing}); ok {
-			turn = standing.Turn
+			turn = standing.Revision
 		} else {
 			turn = 0
 			rest(pause(r, 1, s.Fleet(), s.lease))
@@ -151,7 +151,7 @@
 		s.mu.Lock()
 		w := s.word
 		s.mu.Unlock()
-		path, word := "", api.Word{Name: s.Name, Instance: s.Instance, Turn: w.Confirm, Number: w.Reject, Reason: w.Reason}
+		path, word := "", api.MemberReport{Name: s.Name, Instance: s.Instance, Revision: w.Confirm, Number: w.Reject, Reason: w.Reason}
 		switch {
 		case w.Leave:
 			path = api.LeavePath
@@ -167,7 +167,7 @@
 		cctx, cancel := context.WithTimeout(ctx, callIn)
 		err := s.Client.Call(cctx, http.MethodPost, path, word, nil)
 		cancel()
-		var no *api.Refused
+		var no *api.RefusedError
 		switch {
 		case err == nil:
 			failed = 0
--- a/internal/hollow/keepers_test.go
+++ b/internal/hollow/keepers_test.go
@@ -163,9 +163,9 @@
 		for i, a := range k.wan.Keepers {
 			var st api.Status
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			err := k.call.Ask(ctx, a.Front, http.MethodGet, api.StatusPath, nil, &st)
+			err := k.call.CallKeeper(ctx, a.Front, http.MethodGet, api.StatusPath, nil, &st)
 			cancel()
-			if err == nil && st.Leads {
+			if err == nil && st.IsLeader {
 				return i
 			}
 		}
--- a/internal/hollow/player_test.go
+++ b/internal/hollow/player_test.go
@@ -200,12 +200,12 @@
 	p.changes++
 	doc := fmt.Appendf(nil, `{"settings":%s}`, document(p.changes, docBytes))
 	for try, op := 0, 0; ; try++ {
-		var made api.Made
+		var made api.ChangeResponse
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		err := p.keepers.call.Call(ctx, http.MethodPost, api.GenerationsPath, api.Proposal{Op: fmt.Sprintf("op-%d-%d", p.changes, op), Base: p.last,
+		err := p.keepers.call.Call(ctx, http.MethodPost, api.GenerationsPath, api.Proposal{OperationID: fmt.Sprintf("op-%d-%d", p.changes, op), Base: p.last,
 			Doc: doc, Who: "operators", Why: "a play"}, &made)
 		cancel()
-		var no *api.Refused
+		var no *api.RefusedError
 		switch {
 		case err == nil:
 			p.mu.Lock()
@@ -228,7 +228,7 @@
 		for _, a := range p.keepers.wan.Keepers {
 			var g api.Generation
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			err := p.keepers.call.Ask(ctx, a.Front, http.MethodGet, fmt.Sprintf("%s/%d", api.GenerationsPath, p.last), nil, &g)
+			err := p.keepers.call.CallKeeper(ctx, a.Front, http.MethodGet, fmt.Sprintf("%s/%d", api.GenerationsPath, p.last), nil, &g)
 			cancel()
 			if err == nil && g.Stage == "in force" {
 				return true
--- a/internal/keeper/api/client.go
+++ b/internal/keeper/api/client.go
@@ -12,83 +12,85 @@
 	"sync"
 )
 
-// Refused is an answer that says no, as against none: the call reached a keeper, and asking another is of no use.
-type Refused struct {
+// RefusedError is a keeper's answer that refuses a call, in contrast to no answer: another keeper would answer the same.
+type RefusedError struct {
 	Status int
 	Text   string
 	Advice string
 }
 
-func (r *Refused) Error() string { return fmt.Sprintf("refused (%d): %s", r.Status, r.Text) }
+func (r *RefusedError) Error() string { return fmt.Sprintf("refused (%d): %s", r.Status, r.Text) }
 
-// Remedy says what an operator can do.
-func (r *Refused) Remedy() string {
+// Remedy returns advice to the operator.
+func (r *RefusedError) Remedy() string {
 	return cmp.Or(r.Advice, "see the keepers' logs, and whether they are of this version's neighbours")
 }
 
-// answerMost bounds what a keeper may answer: two documents of the largest size, as JSON.
-const answerMost = 40 << 20
+// maxAnswerBytes limits the body of a keeper's answer: two documents of the largest size, as JSON.
+const maxAnswerBytes = 40 << 20
 
-// Client calls whichever keeper leads. It is safe for concurrent use.
+// Client calls the leader of the keepers. It is safe for concurrent use.
 type Client struct {
 	HTTP    *http.Client
-	Keepers []string // HTTP addresses
+	Keepers []string // HTTP addresses of all keepers
 
-	mu   sync.Mutex
-	next int    // of Keepers, asked where no leader is known
-	last string // the one that led when it was last asked
+	mu         sync.Mutex
+	nextKeeper int    // index in Keepers, called while no leader is known; not reduced modulo their number
+	lastLeader string // address of the leader at the last call; empty if unknown
 }
 
-// Start says with which keeper to begin, so that a fleet does not begin with the same.
-func (c *Client) Start(n int) {
+// StartAt selects the keeper to call first, so that the relays of a fleet do not all begin with the same one.
+func (c *Client) StartAt(index int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.Keepers) > 0 {
-		c.next = n % len(c.Keepers)
+		c.nextKeeper = index % len(c.Keepers)
 	}
 }
 
-// at is the address to ask now.
-func (c *Client) at() string {
+// targetAddr returns the address to call now.
+func (c *Client) targetAddr() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.last != "" {
-		return c.last
+	if c.lastLeader != "" {
+		return c.lastLeader
 	}
-	return c.Keepers[c.next%len(c.Keepers)]
+	return c.Keepers[c.nextKeeper%len(c.Keepers)]
 }
 
-// led notes who leads; "" that the one asked does not, so that another is asked next.
-func (c *Client) led(asked, leader string) {
+// recordLeader records the address of the leader. An empty leader records that the keeper that was called is not the
+// leader, so that another one is called next.
+func (c *Client) recordLeader(addr, leader string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if leader != "" {
-		c.last = leader
+		c.lastLeader = leader
 		return
 	}
-	if c.last == asked || c.last == "" {
-		c.last = ""
-		c.next++
+	if c.lastLeader == addr || c.lastLeader == "" {
+		c.lastLeader = ""
+		c.nextKeeper++
 	}
 }
 
-// Call makes a call and reads its answer into out, unless that is nil. It is made once at each of two keepers at the most:
-// the one that is held to lead, and the one that this names. A *Refused is an answer; any other error none.
+// Call makes a call to the leader and decodes its answer into out, unless out is nil. It calls at most two keepers, each
+// once: the presumed leader, and the leader that this one names. A *RefusedError is an answer of a keeper; with any other
+// error there was no usable answer, and a later call goes to another keeper.
 func (c *Client) Call(ctx context.Context, method, path string, in, out any) error {
 	if len(c.Keepers) == 0 {
-		return errors.New("no keeper is named")
+		return errors.New("no keeper address is configured")
 	}
-	for hop := 0; ; hop++ {
-		asked := c.at()
-		leader, err := c.once(ctx, asked, method, path, in, out)
+	for redirects := 0; ; redirects++ {
+		addr := c.targetAddr()
+		leader, err := c.callOnce(ctx, addr, method, path, in, out)
 		switch {
-		case leader != "" && leader != asked && hop == 0:
-			c.led(asked, leader)
+		case leader != "" && leader != addr && redirects == 0:
+			c.recordLeader(addr, leader)
 			continue
 		case err != nil:
-			var r *Refused
-			if !errors.As(err, &r) {
-				c.led(asked, "")
+			var refused *RefusedError
+			if !errors.As(err, &refused) {
+				c.recordLeader(addr, "")
 			}
 			return err
 		}
@@ -96,13 +98,13 @@
 	}
 }
 
-// Ask calls one keeper, whether it leads or not.
-func (c *Client) Ask(ctx context.Context, keeper, method, path string, in, out any) error {
-	_, err := c.once(ctx, keeper, method, path, in, out)
+// CallKeeper calls one keeper, whether it is the leader or not.
+func (c *Client) CallKeeper(ctx context.Context, addr, method, path string, in, out any) error {
+	_, err := c.callOnce(ctx, addr, method, path, in, out)
 	return err
 }
 
-func (c *Client) once(ctx context.Context, addr, method, path string, in, out any) (leader string, err error) {
+func (c *Client) callOnce(ctx context.Context, addr, method, path string, in, out any) (leader string, err error) {
 	var body io.Reader
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -120,28 +122,28 @@
 		return "", err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
 		return "", err
 	}
 	if resp.StatusCode/100 != 2 {
-		var p Problem
-		if json.Unmarshal(data, &p) != nil || p.Error == "" {
-			p.Error = http.StatusText(resp.StatusCode)
+		var problem Problem
+		if json.Unmarshal(data, &problem) != nil || problem.Error == "" {
+			problem.Error = http.StatusText(resp.StatusCode)
 		}
 		switch resp.StatusCode {
 		case http.StatusMisdirectedRequest:
-			return p.Leader, fmt.Errorf("%s does not lead: %s", addr, p.Error)
+			return problem.Leader, fmt.Errorf("%s is not the leader: %s", addr, problem.Error)
 		case http.StatusServiceUnavailable:
-			return "", fmt.Errorf("%s: %s", addr, p.Error)
+			return "", fmt.Errorf("%s: %s", addr, problem.Error)
 		}
-		return "", &Refused{resp.StatusCode, p.Error, p.Remedy}
+		return "", &RefusedError{resp.StatusCode, problem.Error, problem.Remedy}
 	}
 	if out == nil {
 		return "", nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return "", fmt.Errorf("%s answers what cannot be read: %w", addr, err)
+		return "", fmt.Errorf("decoding the answer of %s: %w", addr, err)
 	}
 	return "", nil
 }
--- a/internal/keeper/batch_test.go
+++ b/internal/keeper/batch_test.go
@@ -7,31 +7,32 @@
 	"github.com/hashicorp/raft"
 )
 
-// unpiped is a transport that sends a message once the one before is answered.
-type unpiped struct{ *raft.InmemTransport }
+// unpipelinedTransport is a transport that sends a message only after the previous one is answered.
+type unpipelinedTransport struct{ *raft.InmemTransport }
 
-func (unpiped) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
+func (unpipelinedTransport) AppendEntriesPipeline(raft.ServerID, raft.ServerAddress) (raft.AppendPipeline, error) {
 	return nil, raft.ErrPipelineReplicationNotSupported
 }
 
-// What a fleet's members confirm while a message is on its way to another region goes in few messages after it: each takes as long
-// as the regions are apart, so a turn of 2,000 members in messages of 64 took 32 times that.
-func TestAFleetsWordsGoInFewMessages(t *testing.T) {
-	const words = 2000
-	c := Default()
-	rc := raftConfig(&c)
-	rc.LocalID, rc.LeaderLeaseTimeout = "near", rc.HeartbeatTimeout
+// Guards against the library's default of 64 entries in a message. Confirmations of a fleet's members that arrive while a
+// message is in flight to another region have to go in few messages after it: each takes as long as the delay between
+// the regions, so that a revision of 2,000 members took 32 times that delay.
+func TestConfirmationsAreBatched(t *testing.T) {
+	const confirmations = 2000
+	config := Default()
+	raftConf := raftConfig(&config)
+	raftConf.LocalID, raftConf.LeaderLeaseTimeout = "near", raftConf.HeartbeatTimeout
 	_, near := raft.NewInmemTransport("near")
 	_, far := raft.NewInmemTransport("far")
 	near.Connect("far", far)
 	far.Connect("near", near)
-	hold, release, quit := make(chan struct{}), make(chan struct{}), make(chan struct{})
-	counts := make(chan int, words)
-	defer close(quit)
+	delayAnswers, release, done := make(chan struct{}), make(chan struct{}), make(chan struct{})
+	counts := make(chan int, confirmations)
+	defer close(done)
 	go func() {
 		for {
 			select {
-			case <-quit:
+			case <-done:
 				return
 			case rpc := <-far.Consumer():
 				switch req := rpc.Command.(type) {
@@ -45,8 +46,8 @@
 						rpc.Respond(&raft.AppendEntriesResponse{RPCHeader: req.RPCHeader, Term: req.Term, LastLog: last, Success: true}, nil)
 					}
 					select {
-					case <-hold:
-					default: // it is being elected
+					case <-delayAnswers:
+					default: // during the election
 						answer()
 						continue
 					}
@@ -55,7 +56,7 @@
 						continue
 					}
 					counts <- len(req.Entries)
-					go func() { // the messages of its heart are answered meanwhile
+					go func() { // heartbeats are answered meanwhile
 						<-release
 						answer()
 					}()
@@ -64,29 +65,29 @@
 		}
 	}()
 	store := raft.NewInmemStore()
-	r, err := raft.NewRaft(rc, newMachine(), store, store, raft.NewInmemSnapshotStore(), unpiped{near})
+	node, err := raft.NewRaft(raftConf, newStateMachine(), store, store, raft.NewInmemSnapshotStore(), unpipelinedTransport{near})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer func() { r.Shutdown().Error() }()
-	if err := r.BootstrapCluster(raft.Configuration{Servers: []raft.Server{{ID: "near", Address: "near"}, {ID: "far", Address: "far"}}}).Error(); err != nil {
+	defer func() { node.Shutdown().Error() }()
+	if err := node.BootstrapCluster(raft.Configuration{Servers: []raft.Server{{ID: "near", Address: "near"}, {ID: "far", Address: "far"}}}).Error(); err != nil {
 		t.Fatal(err)
 	}
-	for r.State() != raft.Leader || r.Barrier(time.Minute).Error() != nil {
+	for node.State() != raft.Leader || node.Barrier(time.Minute).Error() != nil {
 		time.Sleep(time.Millisecond)
 	}
-	close(hold)
-	all := r.LastIndex() + words
+	close(delayAnswers)
+	lastIndex := node.LastIndex() + confirmations
 	var futures []raft.ApplyFuture
-	for range words {
-		futures = append(futures, r.Apply(framed([]byte("{}")), time.Minute))
+	for range confirmations {
+		futures = append(futures, node.Apply(addChecksum([]byte("{}")), time.Minute))
 	}
-	for r.LastIndex() < all { // all are in the log here
+	for node.LastIndex() < lastIndex { // all entries are in the leader's log
 		time.Sleep(time.Millisecond)
 	}
 	close(release)
-	for _, f := range futures {
-		if err := f.Error(); err != nil {
+	for _, future := range futures {
+		if err := future.Error(); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -96,6 +97,6 @@
 		messages++
 	}
 	if messages > 4 {
-		t.Errorf("%d words went in %d messages", words, messages)
+		t.Errorf("%d confirmations took %d messages, want at most 4", confirmations, messages)
 	}
 }
--- a/internal/keeper/calls.go
+++ b/internal/keeper/calls.go
@@ -12,48 +12,48 @@
 	"larchrouter/internal/settings"
 )
 
-// What operators ask.
+// This file has the operators' calls.
 
-// propose has a change agreed on, once it has been checked as a relay would.
+// propose commits a change, after the same checks of the document that a relay makes.
 func (k *Keeper) propose(body []byte) (any, error) {
-	var p api.Proposal
-	if err := decode(body, &p); err != nil {
+	var proposal api.Proposal
+	if err := decode(body, &proposal); err != nil {
 		return nil, err
 	}
-	if p.Op == "" || max(len(p.Op), len(p.Who)) > nameMost || len(p.Why) > 2000 {
+	if proposal.OperationID == "" || max(len(proposal.OperationID), len(proposal.Who)) > maxNameBytes || len(proposal.Why) > 2000 {
 		return nil, refuse(http.StatusBadRequest, "op is empty, or op, who or why too long")
 	}
-	if !k.leads() {
+	if !k.isLeader() {
 		return nil, errNotLeader
 	}
-	if p.To != 0 {
-		k.machine.read(func(s *state.State) {
-			if g := s.Generation(p.To); g != nil && g.Doc != nil {
-				p.Doc = slices.Clone(g.Doc)
+	if proposal.RestoreNumber != 0 {
+		k.stateMachine.read(func(s *state.State) {
+			if g := s.Generation(proposal.RestoreNumber); g != nil && g.Doc != nil {
+				proposal.Doc = slices.Clone(g.Doc)
 			}
 		})
-		if p.Doc == nil {
-			return nil, refuse(http.StatusNotFound, "generation %d is not known, or its document no longer", p.To)
+		if proposal.Doc == nil {
+			return nil, refuse(http.StatusNotFound, "generation %d is not known, or its document no longer", proposal.RestoreNumber)
 		}
 	}
-	if err := Check(p.Doc); err != nil {
+	if err := CheckDocument(proposal.Doc); err != nil {
 		return nil, refuse(http.StatusBadRequest, "%v", err)
 	}
-	if p.DryRun {
-		return api.Made{}, nil
+	if proposal.DryRun {
+		return api.ChangeResponse{}, nil
 	}
-	r, err := k.agreed(state.Event{Propose: &state.Propose{Op: p.Op, Base: p.Base, Doc: p.Doc, Who: p.Who, Why: p.Why}})
-	return api.Made{Number: r.Number}, err
+	result, err := k.applyAsLeader(state.Event{Propose: &state.Propose{OperationID: proposal.OperationID, Base: proposal.Base, Doc: proposal.Doc, Who: proposal.Who, Why: proposal.Why}})
+	return api.ChangeResponse{Number: result.Number}, err
 }
 
-// Document is what a generation holds.
+// Document is the configuration document of a generation.
 type Document struct {
-	// Settings is the settings object as a relay's configuration has it. A relay puts its own index and zone in.
+	// Settings is the settings object as in a relay's configuration file. Each relay adds its own index and zone.
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Check tells what makes a document one that no relay could act on.
-func Check(doc json.RawMessage) error {
+// CheckDocument returns an error if no relay could act by a document.
+func CheckDocument(doc json.RawMessage) error {
 	var d Document
 	if err := decode(doc, &d); err != nil {
 		return fmt.Errorf("the document: %w", err)
@@ -64,62 +64,62 @@
 	return nil
 }
 
-// generations are all that are remembered, the newest last, without their documents.
+// generations returns all generations in the state, newest last, without their documents.
 func (k *Keeper) generations() []api.Generation {
 	out := []api.Generation{}
-	k.machine.read(func(s *state.State) {
+	k.stateMachine.read(func(s *state.State) {
 		all := slices.Clone(s.History)
-		if s.Force != nil {
-			all = append(all, s.Force)
+		if s.Effective != nil {
+			all = append(all, s.Effective)
 		}
-		if s.Next != nil {
-			all = append(all, s.Next)
+		if s.Prepared != nil {
+			all = append(all, s.Prepared)
 		}
 		for _, g := range append(all, s.Queue...) {
-			out = append(out, *outward(g, false))
+			out = append(out, *apiGeneration(g, false))
 		}
 	})
 	slices.SortFunc(out, func(a, b api.Generation) int { return int(int64(a.Number) - int64(b.Number)) })
 	return out
 }
 
-// status is what this keeper knows.
+// status returns the state as this keeper knows it.
 func (k *Keeper) status() api.Status {
-	out := api.Status{Keeper: k.conf.Name, LeaseMS: time.Duration(k.conf.Lease).Milliseconds()}
-	if out.Leads = k.verified(); !out.Leads {
-		out.AgeMS = -1
+	status := api.Status{Keeper: k.config.Name, LeaseMS: time.Duration(k.config.Lease).Milliseconds()}
+	if status.IsLeader = k.isVerifiedLeader(); !status.IsLeader {
+		status.LeaderContactAgeMS = -1
 		if r := k.raft.Load(); r != nil && !r.LastContact().IsZero() {
-			out.AgeMS = time.Since(r.LastContact()).Milliseconds()
+			status.LeaderContactAgeMS = time.Since(r.LastContact()).Milliseconds()
 		}
 	}
-	out.Leader, out.Fresh = k.leader(), k.fresh()
-	k.machine.read(func(s *state.State) {
-		out.Applied, out.Turn, out.Pending = s.Applied, s.Turn, s.Pending()
-		out.Force, out.Next = outward(s.Force, false), outward(s.Next, false)
+	status.Leader, status.Empty = k.leaderAddr(), k.logIsEmpty()
+	k.stateMachine.read(func(s *state.State) {
+		status.Applied, status.Revision, status.Pending = s.Applied, s.Revision, s.Pending()
+		status.Effective, status.Prepared = apiGeneration(s.Effective, false), apiGeneration(s.Prepared, false)
 		for _, g := range s.Queue {
-			out.Queue = append(out.Queue, *outward(g, false))
+			status.Queue = append(status.Queue, *apiGeneration(g, false))
 		}
 		for _, m := range s.Members {
-			out.Members = append(out.Members, api.Member{Name: m.Name, Instance: m.Instance, Zone: m.Zone, Version: m.Version, Turn: m.Turn, LeftMS: -1})
+			status.Members = append(status.Members, api.Member{Name: m.Name, Instance: m.Instance, Zone: m.Zone, Version: m.Version, Revision: m.Revision, LeaseLeftMS: -1})
 		}
 	})
-	if out.Leads {
+	if status.IsLeader {
 		k.mu.Lock()
 		defer k.mu.Unlock()
-		for i, m := range out.Members {
-			out.Members[i].LeftMS = k.leases.left(session{m.Name, m.Instance}, time.Now()).Milliseconds()
+		for i, m := range status.Members {
+			status.Members[i].LeaseLeftMS = k.leases.remaining(sessionKey{m.Name, m.Instance}, time.Now()).Milliseconds()
 		}
 	}
-	return out
+	return status
 }
 
-// outward is a generation as callers see it; nil for none.
-func outward(g *state.Generation, doc bool) *api.Generation {
+// apiGeneration converts a generation for an answer; nil stays nil.
+func apiGeneration(g *state.Generation, withDocument bool) *api.Generation {
 	if g == nil {
 		return nil
 	}
-	out := &api.Generation{Number: g.Number, Base: g.Base, Stage: string(g.Stage), Sum: g.Sum, Who: g.Who, Why: g.Why, Reason: g.Reason}
-	if doc {
+	out := &api.Generation{Number: g.Number, Base: g.Base, Stage: string(g.Stage), Digest: g.Digest, Who: g.Who, Why: g.Why, Reason: g.Reason}
+	if withDocument {
 		out.Doc = slices.Clone(g.Doc)
 	}
 	return out
--- a/internal/keeper/cost_test.go
+++ b/internal/keeper/cost_test.go
@@ -19,41 +19,42 @@
 	"larchrouter/internal/settings"
 )
 
-// counted is a connection that counts its bytes, both ways.
-type counted struct {
+// countingConn is a connection that counts the bytes of both directions.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c counted) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c counted) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-// crowd is members in this process, each with a session and what it holds as a relay has them, but for the loop.
-type crowd struct {
-	keepers []*Keeper
-	client  *api.Client
-	bytes   atomic.Int64
-	heard   atomic.Int64
-	stop    context.CancelFunc
-	all     sync.WaitGroup
+// memberPool has keepers and members in this process. Each member has a session and the fleet state of a relay, but no
+// relay loop.
+type memberPool struct {
+	keepers    []*Keeper
+	client     *api.Client
+	bytes      atomic.Int64
+	answers    atomic.Int64
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 }
 
-func newCrowd(b testing.TB, keepers, members int) *crowd {
+func newMemberPool(b testing.TB, keepers, members int) *memberPool {
 	b.Helper()
-	level := slog.SetLogLoggerLevel(slog.LevelError)
-	old := slog.Default()
+	previousLevel := slog.SetLogLoggerLevel(slog.LevelError)
+	previousLogger := slog.Default()
 	slog.SetDefault(slog.New(slog.DiscardHandler))
-	c := &crowd{}
-	free := func() string {
+	pool := &memberPool{}
+	freeAddress := func() string {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			b.Fatal(err)
@@ -63,7 +64,7 @@
 	}
 	var peers []Peer
 	for i := range keepers {
-		peers = append(peers, Peer{fmt.Sprint("keeper/", i), free(), free()})
+		peers = append(peers, Peer{fmt.Sprint("keeper/", i), freeAddress(), freeAddress()})
 	}
 	var addrs []string
 	for _, p := range peers {
@@ -73,67 +74,67 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		c.keepers, addrs = append(c.keepers, k), append(addrs, p.HTTP)
+		pool.keepers, addrs = append(pool.keepers, k), append(addrs, p.HTTP)
 	}
-	d := net.Dialer{}
+	dialer := net.Dialer{}
 	transport := func() *http.Transport {
 		return &http.Transport{MaxConnsPerHost: 2, DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			conn, err := d.DialContext(ctx, network, addr)
+			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return counted{conn, &c.bytes}, nil
+			return countingConn{conn, &pool.bytes}, nil
 		}}
 	}
-	c.client = &api.Client{HTTP: &http.Client{Transport: &http.Transport{}}, Keepers: addrs}
-	raw := doc(3)
+	pool.client = &api.Client{HTTP: &http.Client{Transport: &http.Transport{}}, Keepers: addrs}
+	raw := testDocument(3)
 	raw = raw[len(`{"settings":`) : len(raw)-1]
-	set, err := settings.Parse(raw)
+	parsed, err := settings.Parse(raw)
 	if err != nil {
 		b.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	c.stop = stop
+	pool.stop = stop
 	began := time.Now()
 	for i := range members {
-		k := fleet.Open(b.TempDir(), fmt.Sprint("instance-", i), fleet.File{Raw: raw, Set: set})
-		s := &fleet.Session{Client: &api.Client{HTTP: &http.Client{Transport: transport()}, Keepers: slices.Clone(addrs)}, Name: fmt.Sprint("relay/", i), Seed: uint64(i),
+		k := fleet.Open(b.TempDir(), fmt.Sprint("instance-", i), fleet.File{Raw: raw, Set: parsed})
+		session := &fleet.Session{Client: &api.Client{HTTP: &http.Client{Transport: transport()}, Keepers: slices.Clone(addrs)}, Name: fmt.Sprint("relay/", i), Seed: uint64(i),
 			Instance: k.Instance, Fleet: func() int { return members }, Now: func() time.Duration { return time.Since(began) }}
-		s.Hear = func(h fleet.Heard) ([]uint64, fleet.Word, bool) {
-			c.heard.Add(1)
+		session.Hear = func(h fleet.Heard) ([]uint64, fleet.Word, bool) {
+			pool.answers.Add(1)
 			w, err := k.Hear(time.Since(began), h.Asked, h.Standing)
 			k.Look(time.Since(began))
 			return k.Have(), w, err == nil
 		}
-		c.all.Go(func() { s.Run(ctx) })
+		pool.goroutines.Go(func() { session.Run(ctx) })
 	}
 	b.Cleanup(func() {
 		stop()
-		c.all.Wait()
-		for _, k := range c.keepers {
+		pool.goroutines.Wait()
+		for _, k := range pool.keepers {
 			k.Close()
 		}
-		slog.SetDefault(old)
-		slog.SetLogLoggerLevel(level)
+		slog.SetDefault(previousLogger)
+		slog.SetLogLoggerLevel(previousLevel)
 	})
-	c.until(b, func(st *api.Status) bool { return len(st.Members) == members && len(st.Pending) == 0 })
-	return c
+	pool.awaitStatus(b, func(st *api.Status) bool { return len(st.Members) == members && len(st.Pending) == 0 })
+	return pool
 }
 
-// until waits until the keeper that leads says that something holds.
-func (c *crowd) until(b testing.TB, holds func(*api.Status) bool) {
+// awaitStatus waits until a condition holds for the leader's status.
+func (p *memberPool) awaitStatus(b testing.TB, holds func(*api.Status) bool) {
 	b.Helper()
-	for end := time.Now().Add(2 * time.Minute); ; time.Sleep(2 * time.Millisecond) {
-		for _, k := range c.keepers {
-			if !k.leads() {
+	for deadline := time.Now().Add(2 * time.Minute); ; time.Sleep(2 * time.Millisecond) {
+		for _, k := range p.keepers {
+			if !k.isLeader() {
 				continue
 			}
-			if st := k.status(); st.Leads && holds(&st) {
+			if status := k.status(); status.IsLeader && holds(&status) {
 				return
 			}
 		}
-		if time.Now().After(end) {
-			b.Fatal("what was waited for does not come")
+		if time.Now().After(deadline) {
+			b.Fatal("the condition on the status did not become true within 2 minutes")
 		}
 	}
 }
@@ -147,39 +148,41 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkChange is what a change of settings takes until all members act by it alone and have said so: keepers and
-// members in this one process.
+// BenchmarkChange measures a change of settings until all members act by it alone and have confirmed that, with keepers
+// and members in this process.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []struct{ keepers, members int }{{1, 300}, {3, 300}, {3, 2000}} {
 		b.Run(fmt.Sprintf("keepers=%d/members=%d", n.keepers, n.members), func(b *testing.B) {
-			c := newCrowd(b, n.keepers, n.members)
+			pool := newMemberPool(b, n.keepers, n.members)
 			base := uint64(0)
-			bytes, cpu := c.bytes.Load(), processorTime(b)
+			bytes, cpu := pool.bytes.Load(), processorTime(b)
 			for b.Loop() {
-				var made api.Made
-				if err := c.client.Call(context.Background(), http.MethodPost, api.GenerationsPath, api.Proposal{Op: fmt.Sprint("op-", base), Base: base, Doc: doc(3 + int(base%3))}, &made); err != nil {
+				var made api.ChangeResponse
+				if err := pool.client.Call(context.Background(), http.MethodPost, api.GenerationsPath, api.Proposal{OperationID: fmt.Sprint("op-", base), Base: base, Doc: testDocument(3 + int(base%3))}, &made); err != nil {
 					b.Fatal(err)
 				}
 				base = made.Number
-				c.until(b, func(st *api.Status) bool { return st.Force != nil && st.Force.Number == base && len(st.Pending) == 0 })
+				pool.awaitStatus(b, func(st *api.Status) bool {
+					return st.Effective != nil && st.Effective.Number == base && len(st.Pending) == 0
+				})
 			}
-			b.ReportMetric(float64(c.bytes.Load()-bytes)/float64(b.N)/float64(n.members), "B/member")
+			b.ReportMetric(float64(pool.bytes.Load()-bytes)/float64(b.N)/float64(n.members), "B/member")
 			b.ReportMetric((processorTime(b)-cpu).Seconds()*1000/float64(b.N), "cpu-ms/op")
 		})
 	}
 }
 
-// BenchmarkSessions is the steady cost of sessions, for ten seconds: keepers and members together.
+// BenchmarkSessions measures the steady cost of sessions over ten seconds, for keepers and members together.
 func BenchmarkSessions(b *testing.B) {
 	for _, n := range []struct{ keepers, members int }{{3, 300}, {3, 2000}} {
 		b.Run(fmt.Sprintf("keepers=%d/members=%d", n.keepers, n.members), func(b *testing.B) {
-			c := newCrowd(b, n.keepers, n.members)
+			pool := newMemberPool(b, n.keepers, n.members)
 			const span = 10 * time.Second
 			for b.Loop() {
-				bytes, cpu, heard := c.bytes.Load(), processorTime(b), c.heard.Load()
+				bytes, cpu, answers := pool.bytes.Load(), processorTime(b), pool.answers.Load()
 				time.Sleep(span)
-				b.ReportMetric(float64(c.bytes.Load()-bytes)/span.Seconds()/float64(n.members), "B/s/member")
-				b.ReportMetric(float64(c.heard.Load()-heard)/span.Seconds()/float64(n.members), "answers/s/member")
+				b.ReportMetric(float64(pool.bytes.Load()-bytes)/span.Seconds()/float64(n.members), "B/s/member")
+				b.ReportMetric(float64(pool.answers.Load()-answers)/span.Seconds()/float64(n.members), "answers/s/member")
 				b.ReportMetric((processorTime(b)-cpu).Seconds()/span.Seconds()*100, "cpu-%")
 			}
 		})
--- a/internal/keeper/damage_test.go
+++ b/internal/keeper/damage_test.go
@@ -16,77 +16,77 @@
 	"larchrouter/internal/remedy"
 )
 
-// Guards against a damaged log that ends the process, or is taken for what it is not: cut or flipped anywhere, it is
-// an error that says so, or the state is the one that was written.
+// Guards against a damaged log file that ends the process or is accepted with wrong content: truncated or with bytes
+// changed anywhere, it leads to an error with advice, or begins with the entry that was written first.
 func TestDamagedLog(t *testing.T) {
-	g := newGroup(t, 1, 300*time.Millisecond)
-	c := g.client()
-	var made api.Made
+	cluster := newTestCluster(t, 1, 300*time.Millisecond)
+	client := cluster.newClient()
+	var made api.ChangeResponse
 	for i := range 5 {
-		g.must(c, api.GenerationsPath, api.Proposal{Op: fmt.Sprint(i), Base: uint64(i), Doc: doc(3 + i), Who: "test"}, &made)
+		cluster.mustPost(client, api.GenerationsPath, api.Proposal{OperationID: fmt.Sprint(i), Base: uint64(i), Doc: testDocument(3 + i), Who: "test"}, &made)
 	}
-	g.stop(0)
-	whole, err := os.ReadFile(filepath.Join(g.confs[0].Dir, "log.bolt"))
+	cluster.stop(0)
+	whole, err := os.ReadFile(filepath.Join(cluster.configs[0].Dir, "log.bolt"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := rand.New(rand.NewPCG(1, 1))
-	refused, taken := 0, 0
-	for n := range 300 {
+	random := rand.New(rand.NewPCG(1, 1))
+	refused, accepted := 0, 0
+	for trial := range 300 {
 		data := bytes.Clone(whole)
-		if n%3 == 0 {
-			data = data[:1+r.IntN(len(data)-1)]
+		if trial%3 == 0 {
+			data = data[:1+random.IntN(len(data)-1)]
 		} else {
-			for range 1 + r.IntN(30) {
-				data[r.IntN(len(data))] ^= byte(1 + r.IntN(255))
+			for range 1 + random.IntN(30) {
+				data[random.IntN(len(data))] ^= byte(1 + random.IntN(255))
 			}
 		}
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, "log.bolt"), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		s, err := openStore(dir)
+		opened, err := openStore(dir)
 		if err != nil {
 			if refused++; !strings.Contains(remedy.Of(err), "empty folder") {
-				t.Fatalf("%v: it does not say what to do", err)
+				t.Fatalf("%v: the error has no advice", err)
 			}
 			continue
 		}
-		taken++
-		last, err := s.log.LastIndex()
+		accepted++
+		last, err := opened.log.LastIndex()
 		if err != nil {
 			t.Fatal(err)
 		}
 		if last > 0 {
-			if first, err := s.log.FirstIndex(); err != nil || first != 1 {
-				t.Fatalf("begins with %d, %v", first, err)
+			if first, err := opened.log.FirstIndex(); err != nil || first != 1 {
+				t.Fatalf("the log begins with entry %d, %v", first, err)
 			}
 		}
-		s.log.Close()
+		opened.log.Close()
 	}
-	if refused < 50 || taken < 5 {
-		t.Errorf("%d files refused, %d taken: not both were tried", refused, taken)
+	if refused < 50 || accepted < 5 {
+		t.Errorf("%d files refused, %d accepted: both cases have to occur", refused, accepted)
 	}
 }
 
-// Guards against an entry that differs at one keeper, which then goes on with another state than all others.
+// Guards against a damaged log entry at one keeper, which would then go on with a state that differs from the others'.
 func TestDamagedEntryStopsTheKeeper(t *testing.T) {
-	m := newMachine()
-	data := framed([]byte(`{"join":{"name":"a","instance":"b"}}`))
+	machine := newStateMachine()
+	data := addChecksum([]byte(`{"join":{"name":"a","instance":"b"}}`))
 	data[9] ^= 1
-	if r := m.Apply(entry(data)).(state.Result); !errors.Is(r.Err, errDamaged) || len(m.state.Members) != 0 || m.state.Applied != 0 {
-		t.Errorf("%+v, %+v", r, m.state)
+	if r := machine.Apply(logEntry(data)).(state.Result); !errors.Is(r.Err, errDamagedLog) || len(machine.state.Members) != 0 || machine.state.Applied != 0 {
+		t.Errorf("%+v, %+v", r, machine.state)
 	}
 	select {
-	case err := <-m.failed:
-		if !errors.Is(err, errDamaged) {
+	case err := <-machine.failed:
+		if !errors.Is(err, errDamagedLog) {
 			t.Error(err)
 		}
 	default:
-		t.Error("nobody is told")
+		t.Error("no failure is reported")
 	}
 	data[9] ^= 1
-	if r := m.Apply(entry(data)).(state.Result); r.Err != nil || len(m.state.Members) != 1 {
-		t.Errorf("%+v, %+v", r, m.state)
+	if r := machine.Apply(logEntry(data)).(state.Result); r.Err != nil || len(machine.state.Members) != 1 {
+		t.Errorf("%+v, %+v", r, machine.state)
 	}
 }
--- a/internal/keeper/http.go
+++ b/internal/keeper/http.go
@@ -17,16 +17,16 @@
 	"larchrouter/internal/remedy"
 )
 
-// Bounds of what callers may ask.
+// Limits of calls.
 const (
-	callMost    = 64 << 10
-	proposeMost = 12 << 20 // a document of the largest size, as JSON in JSON
-	waitMost    = time.Minute
-	nameMost    = 200
-	openMost    = 20000 // calls at a time
+	maxCallBytes     = 64 << 10    // bytes of a call other than a proposal
+	maxProposalBytes = 12 << 20    // bytes of a proposal: a document of the largest size, as JSON within JSON
+	maxWait          = time.Minute // for an update of a session
+	maxNameBytes     = 200         // bytes of a name or another short text
+	maxOpenCalls     = 20000       // concurrent calls
 )
 
-// refusal is an answer other than 2xx.
+// refusal is an error with the status and text of its answer.
 type refusal struct {
 	status int
 	text   string
@@ -34,7 +34,7 @@
 
 func (r *refusal) Error() string { return r.text }
 
-// Remedy says what an operator can do.
+// Remedy returns advice to the operator.
 func (r *refusal) Remedy() string {
 	if r.status == http.StatusServiceUnavailable {
 		return "try again in a moment"
@@ -47,83 +47,83 @@
 }
 
 func (k *Keeper) handler() http.Handler {
-	open := make(chan struct{}, openMost)
+	slots := make(chan struct{}, maxOpenCalls)
 	mux := http.NewServeMux()
-	handle := func(pattern string, most int64, do func(ctx context.Context, req *http.Request, body []byte) (any, error)) {
+	handle := func(pattern string, maxBytes int64, serve func(ctx context.Context, req *http.Request, body []byte) (any, error)) {
 		mux.HandleFunc(pattern, func(w http.ResponseWriter, req *http.Request) {
 			select {
-			case open <- struct{}{}:
-				defer func() { <-open }()
+			case slots <- struct{}{}:
+				defer func() { <-slots }()
 			default:
-				k.answer(w, nil, refuse(http.StatusServiceUnavailable, "too many calls at a time"))
+				k.writeAnswer(w, nil, refuse(http.StatusServiceUnavailable, "too many calls at a time"))
 				return
 			}
-			body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, most))
+			body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, maxBytes))
 			if err != nil {
-				k.answer(w, nil, refuse(http.StatusBadRequest, "the body cannot be read: %v", err))
+				k.writeAnswer(w, nil, refuse(http.StatusBadRequest, "the body cannot be read: %v", err))
 				return
 			}
-			out, err := do(req.Context(), req, body)
-			k.answer(w, out, err)
+			out, err := serve(req.Context(), req, body)
+			k.writeAnswer(w, out, err)
 		})
 	}
-	handle("POST "+api.SessionPath, callMost, func(ctx context.Context, _ *http.Request, body []byte) (any, error) { return k.session(ctx, body) })
-	word := func(event func(api.Word) state.Event) func(context.Context, *http.Request, []byte) (any, error) {
+	handle("POST "+api.SessionPath, maxCallBytes, func(ctx context.Context, _ *http.Request, body []byte) (any, error) { return k.serveSession(ctx, body) })
+	memberReport := func(event func(api.MemberReport) state.Event) func(context.Context, *http.Request, []byte) (any, error) {
 		return func(_ context.Context, _ *http.Request, body []byte) (any, error) {
-			var w api.Word
-			if err := decode(body, &w); err != nil {
+			var report api.MemberReport
+			if err := decode(body, &report); err != nil {
 				return nil, err
 			}
-			_, err := k.agreed(event(w))
+			_, err := k.applyAsLeader(event(report))
 			return nil, err
 		}
 	}
-	handle("POST "+api.ConfirmPath, callMost, word(func(w api.Word) state.Event {
-		return state.Event{Confirm: &state.Confirm{Name: w.Name, Instance: w.Instance, Turn: w.Turn}}
+	handle("POST "+api.ConfirmPath, maxCallBytes, memberReport(func(report api.MemberReport) state.Event {
+		return state.Event{Confirm: &state.Confirm{Name: report.Name, Instance: report.Instance, Revision: report.Revision}}
 	}))
-	handle("POST "+api.RejectPath, callMost, word(func(w api.Word) state.Event {
-		return state.Event{Reject: &state.Reject{Name: w.Name, Instance: w.Instance, Number: w.Number, Reason: w.Reason}}
+	handle("POST "+api.RejectPath, maxCallBytes, memberReport(func(report api.MemberReport) state.Event {
+		return state.Event{Reject: &state.Reject{Name: report.Name, Instance: report.Instance, Number: report.Number, Reason: report.Reason}}
 	}))
-	handle("POST "+api.LeavePath, callMost, word(func(w api.Word) state.Event {
-		return state.Event{Leave: &state.Leave{Name: w.Name, Instance: w.Instance}}
+	handle("POST "+api.LeavePath, maxCallBytes, memberReport(func(report api.MemberReport) state.Event {
+		return state.Event{Leave: &state.Leave{Name: report.Name, Instance: report.Instance}}
 	}))
-	handle("POST "+api.GenerationsPath, proposeMost, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return k.propose(body) })
-	handle("POST "+api.GiveUpPath, callMost, func(_ context.Context, _ *http.Request, body []byte) (any, error) {
-		var g api.Withdrawal
-		if err := decode(body, &g); err != nil {
+	handle("POST "+api.GenerationsPath, maxProposalBytes, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return k.propose(body) })
+	handle("POST "+api.GiveUpPath, maxCallBytes, func(_ context.Context, _ *http.Request, body []byte) (any, error) {
+		var generation api.GiveUp
+		if err := decode(body, &generation); err != nil {
 			return nil, err
 		}
-		r, err := k.agreed(state.Event{GiveUp: &state.GiveUp{Op: g.Op, Number: g.Number, Who: g.Who, Why: g.Why}})
-		return api.Made{Number: r.Number}, err
+		r, err := k.applyAsLeader(state.Event{GiveUp: &state.GiveUp{OperationID: generation.OperationID, Number: generation.Number, Who: generation.Who, Why: generation.Why}})
+		return api.ChangeResponse{Number: r.Number}, err
 	})
-	handle("POST "+api.RejoinPath, callMost, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return nil, k.rejoin(body) })
-	handle("POST "+api.PromotePath, callMost, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return nil, k.promote(body) })
+	handle("POST "+api.RejoinPath, maxCallBytes, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return nil, k.rejoin(body) })
+	handle("POST "+api.PromotePath, maxCallBytes, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return nil, k.promote(body) })
 	handle("GET "+api.GenerationsPath, 0, func(context.Context, *http.Request, []byte) (any, error) { return k.generations(), nil })
 	handle("GET "+api.GenerationsPath+"/{number}", 0, func(_ context.Context, req *http.Request, _ []byte) (any, error) {
 		n, err := strconv.ParseUint(req.PathValue("number"), 10, 64)
 		if err != nil {
 			return nil, refuse(http.StatusBadRequest, "%q is no number", req.PathValue("number"))
 		}
-		var g *api.Generation
-		k.machine.read(func(s *state.State) { g = outward(s.Generation(n), true) })
-		if g == nil {
+		var generation *api.Generation
+		k.stateMachine.read(func(s *state.State) { generation = apiGeneration(s.Generation(n), true) })
+		if generation == nil {
 			return nil, refuse(http.StatusNotFound, "generation %d is not known, or no longer", n)
 		}
-		return g, nil
+		return generation, nil
 	})
-	handle("GET "+api.EstatesPath, 0, func(_ context.Context, req *http.Request, _ []byte) (any, error) {
-		if holder := req.URL.Query().Get("holder"); holder != "" {
-			return k.held(holder)
+	handle("GET "+api.GroupsPath, 0, func(_ context.Context, req *http.Request, _ []byte) (any, error) {
+		if relay := req.URL.Query().Get("holder"); relay != "" {
+			return k.replicaGroupIDs(relay)
 		}
-		return k.estates("")
+		return k.groups("")
 	})
-	handle("POST "+api.EstatesPath, callMost, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return k.estate(body) })
+	handle("POST "+api.GroupsPath, maxCallBytes, func(_ context.Context, _ *http.Request, body []byte) (any, error) { return k.applyGroupEvent(body) })
 	handle("GET "+api.StatusPath, 0, func(context.Context, *http.Request, []byte) (any, error) { return k.status(), nil })
 	return mux
 }
 
-// answer writes an answer, with where the leader is if it has to come from there.
-func (k *Keeper) answer(w http.ResponseWriter, out any, err error) {
+// writeAnswer writes an answer, with the address of the leader if the call has to go there.
+func (k *Keeper) writeAnswer(w http.ResponseWriter, out any, err error) {
 	status := http.StatusOK
 	var r *refusal
 	switch {
@@ -134,21 +134,21 @@
 	case errors.As(err, &r):
 		status, out = r.status, api.Problem{Error: r.text, Remedy: r.Remedy()}
 	case errors.Is(err, errNotLeader):
-		p := api.Problem{Error: err.Error(), Remedy: remedy.Of(err), Leader: k.leader()}
+		p := api.Problem{Error: err.Error(), Remedy: remedy.Of(err), Leader: k.leaderAddr()}
 		status, out = http.StatusMisdirectedRequest, p
 		if p.Leader == "" {
 			status = http.StatusServiceUnavailable
 		}
-	case errors.Is(err, errNoSession), errors.Is(err, state.ErrUnknown):
+	case errors.Is(err, errNoSession), errors.Is(err, state.ErrUnknownMember):
 		status, out = http.StatusGone, api.Problem{Error: err.Error(), Remedy: remedy.Of(err)}
-	case errors.Is(err, state.ErrDoc), errors.Is(err, state.ErrBadEvent):
+	case errors.Is(err, state.ErrInvalidDocument), errors.Is(err, state.ErrInvalidEvent):
 		status, out = http.StatusBadRequest, api.Problem{Error: err.Error(), Remedy: remedy.Of(err)}
-	default: // the state machine's word on what does not go now
+	default: // the state machine refuses the event in the present state
 		status, out = http.StatusConflict, api.Problem{Error: err.Error(), Remedy: remedy.Of(err)}
 	}
-	data, merr := json.Marshal(out)
-	if merr != nil {
-		slog.Error("answer not written", "err", merr)
+	data, marshalErr := json.Marshal(out)
+	if marshalErr != nil {
+		slog.Error("cannot encode the answer", "err", marshalErr)
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
@@ -157,7 +157,8 @@
 	w.Write(data)
 }
 
-// decode reads a call. What it does not know is a mistake, or a newer version's: it is not passed over.
+// decode decodes the body of a call. An unknown field is an error: it is a mistake or belongs to a newer version, and
+// must not be ignored.
 func decode(body []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -170,10 +171,10 @@
 	return nil
 }
 
-// agreed has an event agreed on, if this keeper leads.
-func (k *Keeper) agreed(e state.Event) (state.Result, error) {
-	if !k.leads() {
+// applyAsLeader commits and applies an event, if this keeper is the leader.
+func (k *Keeper) applyAsLeader(event state.Event) (state.Result, error) {
+	if !k.isLeader() {
 		return state.Result{}, errNotLeader
 	}
-	return k.apply(e)
+	return k.apply(event)
 }
--- a/internal/keeper/keeper.go
+++ b/internal/keeper/keeper.go
@@ -17,212 +17,213 @@
 	"larchrouter/internal/listen"
 )
 
-// The times of a keeper.
+// Timeouts and intervals.
 const (
-	applyIn   = 2 * time.Second // for an entry to be agreed on
-	endsEvery = 8               // looks for sessions that are over, in a lease
-	lookEvery = 100 * time.Millisecond
+	applyTimeout          = 2 * time.Second        // limit for committing a log entry
+	sessionChecksPerLease = 8                      // number of checks for expired sessions in the time of one lease
+	maxCheckInterval      = 100 * time.Millisecond // longest interval between these checks
 )
 
-// What a keeper cannot do.
+// Errors of calls that this keeper cannot serve now.
 var (
-	errNotLeader = &Unable{"another keeper leads, or none", "nothing while most keepers run: the one that leads is asked next; else start those that are out"}
-	errNoSession = &Unable{"the session has ended", "nothing: the relay begins another; see its log if it does not"}
+	errNotLeader = &UnavailableError{"another keeper leads, or none", "nothing while most keepers run: the one that leads is asked next; else start those that are out"}
+	errNoSession = &UnavailableError{"the session has ended", "nothing: the relay begins another; see its log if it does not"}
 )
 
-// Unable is something that a keeper cannot do now.
-type Unable struct {
+// UnavailableError is the reason why a keeper cannot serve a call or go on now, with advice to the operator.
+type UnavailableError struct {
 	What   string
 	Advice string
 }
 
-func (u *Unable) Error() string { return u.What }
+func (e *UnavailableError) Error() string { return e.What }
 
-// Remedy says what an operator can do.
-func (u *Unable) Remedy() string { return u.Advice }
+// Remedy returns advice to the operator.
+func (e *UnavailableError) Remedy() string { return e.Advice }
 
-// Keeper is one that runs.
+// Keeper is a running keeper.
 type Keeper struct {
-	conf    Config
-	raft    atomic.Pointer[raft.Raft] // nil while a keeper without memory finds out whether the others have any
-	machine *machine
-	store   store
-	wire    *wire
-	server  *http.Server
-	http    net.Listener
-	quit    chan struct{}
-	done    sync.WaitGroup
-
-	joining sync.Mutex
-	mu      sync.Mutex
-	leases  *leases
+	config       Config
+	raft         atomic.Pointer[raft.Raft] // nil while a keeper with an empty folder finds out whether the others have log entries
+	stateMachine *stateMachine
+	store        store
+	network      *raftNetwork
+	server       *http.Server
+	httpListener net.Listener
+	closing      chan struct{}
+	goroutines   sync.WaitGroup
+
+	raftStart sync.Mutex // held while raft is started or the keeper closes
+	mu        sync.Mutex // guards leases
+	leases    *leaseTable
 }
 
-// New opens a keeper's folder and addresses, and joins the others.
-func New(conf Config) (k *Keeper, err error) {
-	if err := conf.Check(); err != nil {
+// New opens a keeper's folder, listens at its addresses, and starts to join the other keepers in the background.
+func New(config Config) (keeper *Keeper, err error) {
+	if err := config.Check(); err != nil {
 		return nil, err
 	}
-	k = &Keeper{conf: conf, machine: newMachine(), quit: make(chan struct{}), leases: newLeases(time.Duration(conf.Lease), conf.Drift)}
-	var undo []func() error
+	keeper = &Keeper{config: config, stateMachine: newStateMachine(), closing: make(chan struct{}), leases: newLeaseTable(time.Duration(config.Lease), config.Drift)}
+	var cleanups []func() error
 	defer func() {
 		if err != nil {
-			for _, f := range undo {
-				err = errors.Join(err, f())
+			for _, cleanup := range cleanups {
+				err = errors.Join(err, cleanup())
 			}
 		}
 	}()
-	if k.store, err = openStore(conf.Dir); err != nil {
+	if keeper.store, err = openStore(config.Dir); err != nil {
 		return nil, err
 	}
-	undo = append(undo, k.store.log.Close)
+	cleanups = append(cleanups, keeper.store.log.Close)
 	var self Peer
-	for _, p := range conf.peers() {
-		if p.Name == conf.Name {
+	for _, p := range config.allPeers() {
+		if p.Name == config.Name {
 			self = p
 		}
 	}
-	if k.wire, err = newWire(&conf, self); err != nil {
+	if keeper.network, err = newRaftNetwork(&config, self); err != nil {
 		return nil, err
 	}
-	undo = append(undo, k.wire.Close)
-	if k.http, err = net.Listen("tcp", conf.HTTP); err != nil {
+	cleanups = append(cleanups, keeper.network.Close)
+	if keeper.httpListener, err = net.Listen("tcp", config.HTTP); err != nil {
 		return nil, fmt.Errorf("http: %w", err)
 	}
-	undo = append(undo, k.http.Close)
-	known, err := raft.HasExistingState(k.store.log, k.store.log, k.store.snapshots)
+	cleanups = append(cleanups, keeper.httpListener.Close)
+	hasState, err := raft.HasExistingState(keeper.store.log, keeper.store.log, keeper.store.snapshots)
 	if err != nil {
 		return nil, err
 	}
-	if known || len(conf.peers()) == 1 {
-		if err := k.join(!known); err != nil {
+	if hasState || len(config.allPeers()) == 1 {
+		if err := keeper.startRaft(!hasState); err != nil {
 			return nil, err
 		}
 	}
-	k.server = &http.Server{Handler: k.handler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
-	k.done.Go(func() { k.server.Serve(listen.Lasting(k.http)) })
-	k.done.Go(k.arrive)
-	slog.Info("keeper up", "name", conf.Name, "http", k.http.Addr(), "raft", k.wire.TCPListener.Addr(), "peers", len(conf.peers()), "known", known)
-	return k, nil
+	keeper.server = &http.Server{Handler: keeper.handler(), ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute, MaxHeaderBytes: 16 << 10}
+	keeper.goroutines.Go(func() { keeper.server.Serve(listen.Lasting(keeper.httpListener)) })
+	keeper.goroutines.Go(keeper.joinCluster)
+	slog.Info("keeper started", "name", config.Name, "http", keeper.httpListener.Addr(), "raft", keeper.network.TCPListener.Addr(), "peers", len(config.allPeers()), "known", hasState)
+	return keeper, nil
 }
 
-// join has the keeper take part in the log. First says that there is none yet.
-func (k *Keeper) join(first bool) error {
-	rc := raftConfig(&k.conf)
-	leads := make(chan bool, 16)
-	rc.NotifyCh = leads
-	transport := raft.NewNetworkTransportWithLogger(k.wire, 4, 5*time.Second, rc.Logger)
-	r, err := raft.NewRaft(rc, k.machine, k.store.log, k.store.log, k.store.snapshots, transport)
+// startRaft starts raft on the keeper's folder. bootstrap is set if no keeper has a log yet.
+func (k *Keeper) startRaft(bootstrap bool) error {
+	raftConf := raftConfig(&k.config)
+	leadership := make(chan bool, 16)
+	raftConf.NotifyCh = leadership
+	transport := raft.NewNetworkTransportWithLogger(k.network, 4, 5*time.Second, raftConf.Logger)
+	node, err := raft.NewRaft(raftConf, k.stateMachine, k.store.log, k.store.log, k.store.snapshots, transport)
 	if err != nil {
 		return err
 	}
-	if first {
-		// One that leads already may have told it who the keepers are, in the meantime.
-		if err := r.BootstrapCluster(servers(&k.conf)).Error(); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
-			return errors.Join(err, r.Shutdown().Error())
+	if bootstrap {
+		// A leader may have sent it the list of keepers in the meantime.
+		if err := node.BootstrapCluster(raftServers(&k.config)).Error(); err != nil && !errors.Is(err, raft.ErrCantBootstrap) {
+			return errors.Join(err, node.Shutdown().Error())
 		}
 	}
-	k.raft.Store(r)
-	k.done.Go(func() { k.lead(leads) })
+	k.raft.Store(node)
+	k.goroutines.Go(func() { k.followLeadership(leadership) })
 	return nil
 }
 
-// Failed tells why the keeper cannot go on, if that is so: it has to be closed.
-func (k *Keeper) Failed() <-chan error { return k.machine.failed }
+// Failed returns a channel that receives an error when the keeper cannot go on and has to be closed.
+func (k *Keeper) Failed() <-chan error { return k.stateMachine.failed }
 
-// Addr is where relays and operators call.
-func (k *Keeper) Addr() string { return k.http.Addr().String() }
+// Addr returns the address for calls of relays and operators.
+func (k *Keeper) Addr() string { return k.httpListener.Addr().String() }
 
-// Close ends the keeper; its folder has what it needs to go on.
+// Close stops the keeper. Another can be started on its folder afterwards.
 func (k *Keeper) Close() error {
-	close(k.quit)
+	close(k.closing)
 	err := k.server.Close()
-	k.joining.Lock() // it joins no more, or has joined
-	defer k.joining.Unlock()
+	k.raftStart.Lock() // from here on raft has been started, or will not be
+	defer k.raftStart.Unlock()
 	if r := k.raft.Load(); r != nil {
 		err = errors.Join(err, r.Shutdown().Error())
 	} else {
-		err = errors.Join(err, k.wire.Close())
+		err = errors.Join(err, k.network.Close())
 	}
-	k.done.Wait()
+	k.goroutines.Wait()
 	return errors.Join(err, k.store.log.Close())
 }
 
-// lead follows who leads, and ends sessions that have run out while this keeper does.
-func (k *Keeper) lead(leads <-chan bool) {
-	r := k.raft.Load()
-	tick := time.NewTicker(min(time.Duration(k.conf.Lease)/endsEvery, lookEvery))
-	gone := away{since: map[string]time.Time{}}
-	defer tick.Stop()
+// followLeadership follows this keeper's election and loss of leadership. While it is the leader, it ends expired
+// sessions and assigns successors to lost owners.
+func (k *Keeper) followLeadership(leadership <-chan bool) {
+	node := k.raft.Load()
+	ticker := time.NewTicker(min(time.Duration(k.config.Lease)/sessionChecksPerLease, maxCheckInterval))
+	absent := absentOwners{since: map[string]time.Time{}}
+	defer ticker.Stop()
 	for {
 		select {
-		case <-k.quit:
+		case <-k.closing:
 			return
-		case leads := <-leads:
-			if !leads {
+		case elected := <-leadership:
+			if !elected {
 				k.mu.Lock()
 				k.leases.depose()
 				k.mu.Unlock()
-				slog.Info("leads no more")
+				slog.Info("lost the leadership")
 				continue
 			}
-			// All that the leader before had agreed on is in the state from here on.
-			if err := r.Barrier(applyIn).Error(); err != nil {
-				slog.Warn("elected, and cannot lead", "err", err)
-				r.LeadershipTransfer()
+			// After the barrier, the state includes all entries that earlier leaders committed.
+			if err := node.Barrier(applyTimeout).Error(); err != nil {
+				slog.Warn("elected, but cannot apply the log in time; transferring the leadership", "err", err)
+				node.LeadershipTransfer()
 				continue
 			}
 			k.mu.Lock()
 			k.leases.elect(time.Now())
 			k.mu.Unlock()
 			slog.Info("leads")
-		case <-tick.C:
-			k.endSessions()
-			k.nameHeirs(&gone, time.Now())
+		case <-ticker.C:
+			k.endExpiredSessions()
+			k.assignSuccessors(&absent, time.Now())
 		}
 	}
 }
 
-// endSessions records the end of those that have run out.
-func (k *Keeper) endSessions() {
-	var all []session
-	k.machine.read(func(s *state.State) {
-		for _, m := range s.Members {
-			all = append(all, session{m.Name, m.Instance})
+// endExpiredSessions commits the end of sessions that have expired.
+func (k *Keeper) endExpiredSessions() {
+	var sessions []sessionKey
+	k.stateMachine.read(func(current *state.State) {
+		for _, m := range current.Members {
+			sessions = append(sessions, sessionKey{m.Name, m.Instance})
 		}
 	})
-	for _, s := range all {
+	for _, key := range sessions {
 		k.mu.Lock()
-		over := k.leases.end(s, time.Now())
+		expired := k.leases.expire(key, time.Now())
 		k.mu.Unlock()
-		if !over {
+		if !expired {
 			continue
 		}
-		// Several at a time: each waits for the log by itself.
-		k.done.Go(func() {
-			_, err := k.apply(state.Event{Leave: &state.Leave{Name: s.name, Instance: s.instance}})
-			slog.Info("session has run out", "member", s.name, "err", err)
+		// Concurrently, since each waits for its log entry to be committed.
+		k.goroutines.Go(func() {
+			_, err := k.apply(state.Event{Leave: &state.Leave{Name: key.name, Instance: key.instance}})
+			slog.Info("session has expired", "member", key.name, "err", err)
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			k.leases.ended(s)
+			k.leases.remove(key)
 		})
 	}
 }
 
-// apply has an event agreed on, and tells what it led to.
-func (k *Keeper) apply(e state.Event) (state.Result, error) {
-	data, err := json.Marshal(e)
+// apply commits an event, applies it and returns its result.
+func (k *Keeper) apply(event state.Event) (state.Result, error) {
+	data, err := json.Marshal(event)
 	if err != nil {
 		return state.Result{}, err
 	}
-	r := k.raft.Load()
-	if r == nil {
+	node := k.raft.Load()
+	if node == nil {
 		return state.Result{}, errNotLeader
 	}
-	f := r.Apply(framed(data), applyIn)
-	if err := f.Error(); err != nil {
+	future := node.Apply(addChecksum(data), applyTimeout)
+	if err := future.Error(); err != nil {
 		return state.Result{}, fmt.Errorf("%w: %w", errNotLeader, err)
 	}
-	res := f.Response().(state.Result)
-	return res, res.Err
+	result := future.Response().(state.Result)
+	return result, result.Err
 }
--- a/internal/keeper/keeper_test.go
+++ b/internal/keeper/keeper_test.go
@@ -20,13 +20,13 @@
 	"larchrouter/internal/keeper/api"
 )
 
-// testSettings are settings that pass every check; %d is the number of attempts.
+// testSettings is a document that passes all checks; %d is the largest number of attempts.
 const testSettings = `{"settings":{"bounds":{"max-attempts":%d,"most-held":10,"conn-idle":5,"dial-timeout":1},"classes":[{"name":"order","aim":1,"give-up":4,"effect":"idempotent","group":"all","worth":1}],
 	"family-info":{"workers":4,"per-call":[1]},"fleet-size":3,"rules":{"cold":4,"fall":2,"ask-within":10},"skus":["x"],"tick":0.005,"zones":["a"]}}`
 
-func doc(attempts int) json.RawMessage { return fmt.Appendf(nil, testSettings, attempts) }
+func testDocument(attempts int) json.RawMessage { return fmt.Appendf(nil, testSettings, attempts) }
 
-func freeAddr(t *testing.T) string {
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -36,151 +36,151 @@
 	return l.Addr().String()
 }
 
-// group is several keepers in this process, at addresses and folders that stay theirs.
-type group struct {
-	t     *testing.T
-	confs []Config
-	up    []*Keeper
+// testCluster is a cluster of keepers in this process. Each retains its addresses and its folder across restarts.
+type testCluster struct {
+	t       *testing.T
+	configs []Config
+	keepers []*Keeper
 }
 
-func newGroup(t *testing.T, n int, lease time.Duration) *group {
+func newTestCluster(t *testing.T, size int, lease time.Duration) *testCluster {
 	t.Helper()
-	g := &group{t: t, up: make([]*Keeper, n)}
+	cluster := &testCluster{t: t, keepers: make([]*Keeper, size)}
 	var peers []Peer
-	for i := range n {
-		peers = append(peers, Peer{fmt.Sprintf("keeper/%d", i), freeAddr(t), freeAddr(t)})
+	for i := range size {
+		peers = append(peers, Peer{fmt.Sprintf("keeper/%d", i), freeAddress(t), freeAddress(t)})
 	}
 	for i, p := range peers {
-		c := Default()
-		c.Name, c.HTTP, c.Raft, c.Dir, c.Peers = p.Name, p.HTTP, p.Raft, filepath.Join(t.TempDir(), fmt.Sprint(i)), peers
-		c.Lease, c.Election = Duration(lease), Duration(150*time.Millisecond)
-		g.confs = append(g.confs, c)
-		g.start(i)
+		config := Default()
+		config.Name, config.HTTP, config.Raft, config.Dir, config.Peers = p.Name, p.HTTP, p.Raft, filepath.Join(t.TempDir(), fmt.Sprint(i)), peers
+		config.Lease, config.Election = Duration(lease), Duration(150*time.Millisecond)
+		cluster.configs = append(cluster.configs, config)
+		cluster.start(i)
 	}
 	t.Cleanup(func() {
-		for i := range g.up {
-			g.stop(i)
+		for i := range cluster.keepers {
+			cluster.stop(i)
 		}
 	})
-	for i := range g.up {
-		g.voter(i, 0)
+	for i := range cluster.keepers {
+		cluster.awaitVoter(i, 0)
 	}
-	return g
+	return cluster
 }
 
-func (g *group) start(i int) {
-	g.t.Helper()
-	k, err := New(g.confs[i])
+func (c *testCluster) start(i int) {
+	c.t.Helper()
+	k, err := New(c.configs[i])
 	if err != nil {
-		g.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	g.up[i] = k
+	c.keepers[i] = k
 }
 
-func (g *group) stop(i int) {
-	g.t.Helper()
-	if g.up[i] == nil {
+func (c *testCluster) stop(i int) {
+	c.t.Helper()
+	if c.keepers[i] == nil {
 		return
 	}
-	if err := g.up[i].Close(); err != nil {
-		g.t.Error(err)
+	if err := c.keepers[i].Close(); err != nil {
+		c.t.Error(err)
 	}
-	g.up[i] = nil
+	c.keepers[i] = nil
 }
 
-func (g *group) client() *api.Client {
-	c := &api.Client{HTTP: &http.Client{Transport: &http.Transport{}}}
-	for _, conf := range g.confs {
-		c.Keepers = append(c.Keepers, conf.HTTP)
+func (c *testCluster) newClient() *api.Client {
+	client := &api.Client{HTTP: &http.Client{Transport: &http.Transport{}}}
+	for _, conf := range c.configs {
+		client.Keepers = append(client.Keepers, conf.HTTP)
 	}
-	return c
+	return client
 }
 
-// insist makes a call until a keeper answers it, one way or the other.
-func (g *group) insist(c *api.Client, method, path string, in, out any) error {
-	g.t.Helper()
-	for end := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+// callUntilAnswered repeats a call until a keeper accepts or refuses it.
+func (c *testCluster) callUntilAnswered(client *api.Client, method, path string, in, out any) error {
+	c.t.Helper()
+	for deadline := time.Now().Add(60 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
-		err := c.Call(ctx, method, path, in, out)
+		err := client.Call(ctx, method, path, in, out)
 		cancel()
-		var no *api.Refused
-		if err == nil || errors.As(err, &no) {
+		var refused *api.RefusedError
+		if err == nil || errors.As(err, &refused) {
 			return err
 		}
-		if time.Now().After(end) {
-			g.t.Fatalf("%s: no keeper answers: %v", path, err)
+		if time.Now().After(deadline) {
+			c.t.Fatalf("%s: no answer from any keeper: %v", path, err)
 		}
 	}
 }
 
-func (g *group) session(c *api.Client, s api.Session) (api.Standing, error) {
-	var out api.Standing
-	err := g.insist(c, http.MethodPost, api.SessionPath, s, &out)
-	return out, err
+func (c *testCluster) session(client *api.Client, call api.Session) (api.SessionResponse, error) {
+	var response api.SessionResponse
+	err := c.callUntilAnswered(client, http.MethodPost, api.SessionPath, call, &response)
+	return response, err
 }
 
-func (g *group) must(c *api.Client, path string, in, out any) {
-	g.t.Helper()
-	if err := g.insist(c, http.MethodPost, path, in, out); err != nil {
-		g.t.Fatalf("%s: %v", path, err)
+func (c *testCluster) mustPost(client *api.Client, path string, in, out any) {
+	c.t.Helper()
+	if err := c.callUntilAnswered(client, http.MethodPost, path, in, out); err != nil {
+		c.t.Fatalf("%s: %v", path, err)
 	}
 }
 
-func refused(err error, status int) bool {
-	var no *api.Refused
-	return errors.As(err, &no) && no.Status == status
+func isRefused(err error, status int) bool {
+	var refused *api.RefusedError
+	return errors.As(err, &refused) && refused.Status == status
 }
 
-// A change goes through both its steps across the death of the leader between them, and of another keeper with an
-// empty disk; what was agreed on is there after all have restarted.
+// A change completes both its steps although the leader stops between them, and what was committed is still there after
+// all keepers have restarted.
 func TestChangeAcrossLeaders(t *testing.T) {
-	g := newGroup(t, 3, time.Minute)
-	c := g.client()
-	m := api.Session{Name: "relay/0", Instance: "one"}
-	if _, err := g.session(c, m); err != nil {
+	cluster := newTestCluster(t, 3, time.Minute)
+	client := cluster.newClient()
+	call := api.Session{Name: "relay/0", Instance: "one"}
+	if _, err := cluster.session(client, call); err != nil {
 		t.Fatal(err)
 	}
-	change := api.Proposal{Op: "first", Doc: doc(3), Who: "test", Why: "to see"}
-	var made api.Made
-	g.must(c, api.GenerationsPath, change, &made)
-	g.must(c, api.GenerationsPath, change, &made) // the answer was lost: it is made once more, and is the same
+	change := api.Proposal{OperationID: "first", Doc: testDocument(3), Who: "test", Why: "to see"}
+	var made api.ChangeResponse
+	cluster.mustPost(client, api.GenerationsPath, change, &made)
+	cluster.mustPost(client, api.GenerationsPath, change, &made) // repeated as after a lost answer; it has the same result
 	if made.Number != 1 {
 		t.Fatalf("generation %d, want 1", made.Number)
 	}
-	s, err := g.session(c, m)
-	if err != nil || s.Next == nil || s.Next.Number != 1 || s.Force != nil || len(s.Next.Doc) == 0 {
-		t.Fatalf("%+v, %v: want generation 1 prepared", s, err)
+	response, err := cluster.session(client, call)
+	if err != nil || response.Prepared == nil || response.Prepared.Number != 1 || response.Effective != nil || len(response.Prepared.Doc) == 0 {
+		t.Fatalf("%+v, %v: want generation 1 prepared", response, err)
 	}
-	lead := func() int {
+	findLeader := func() int {
 		for {
-			for i, k := range g.up {
-				if k != nil && k.verified() {
+			for i, k := range cluster.keepers {
+				if k != nil && k.isVerifiedLeader() {
 					return i
 				}
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	was := lead()
-	g.stop(was)
-	g.must(c, api.ConfirmPath, api.Word{Name: m.Name, Instance: m.Instance, Turn: s.Turn}, nil)
-	m.Turn, m.Have = s.Turn, []uint64{1}
-	s, err = g.session(c, m)
-	if err != nil || s.Force == nil || s.Force.Number != 1 || s.Next != nil || s.Force.Doc != nil {
-		t.Fatalf("%+v, %v: want generation 1 in force, and its document not sent again", s, err)
+	firstLeader := findLeader()
+	cluster.stop(firstLeader)
+	cluster.mustPost(client, api.ConfirmPath, api.MemberReport{Name: call.Name, Instance: call.Instance, Revision: response.Revision}, nil)
+	call.Revision, call.KnownGenerations = response.Revision, []uint64{1}
+	response, err = cluster.session(client, call)
+	if err != nil || response.Effective == nil || response.Effective.Number != 1 || response.Prepared != nil || response.Effective.Doc != nil {
+		t.Fatalf("%+v, %v: want generation 1 in effect, and its document not sent again", response, err)
 	}
-	g.start(was)
-	for i := range g.up { // one after the other, so that most are up
-		g.stop(i)
-		g.start(i)
+	cluster.start(firstLeader)
+	for i := range cluster.keepers { // one after the other, so that there is a quorum
+		cluster.stop(i)
+		cluster.start(i)
 	}
-	s, err = g.session(c, api.Session{Name: "relay/0", Instance: "one"})
-	if err != nil || s.Force == nil || s.Force.Number != 1 || string(s.Force.Doc) != compact(t, change.Doc) {
-		t.Fatalf("%+v, %v after all have restarted", s, err)
+	response, err = cluster.session(client, api.Session{Name: "relay/0", Instance: "one"})
+	if err != nil || response.Effective == nil || response.Effective.Number != 1 || string(response.Effective.Doc) != compactJSON(t, change.Doc) {
+		t.Fatalf("%+v, %v after all keepers have restarted", response, err)
 	}
 }
 
-func compact(t *testing.T, data []byte) string {
+func compactJSON(t *testing.T, data []byte) string {
 	t.Helper()
 	var v json.RawMessage
 	if err := json.Unmarshal(data, &v); err != nil {
@@ -193,214 +193,216 @@
 	return string(out)
 }
 
-// Without most keepers nothing is answered as current, and nothing is agreed on; all goes on once they are back.
-func TestWithoutMajority(t *testing.T) {
-	g := newGroup(t, 3, time.Minute)
-	c := g.client()
-	m := api.Session{Name: "relay/0", Instance: "one"}
-	if _, err := g.session(c, m); err != nil {
+// Without a quorum no keeper answers a session or commits an entry; both work again once there is a quorum.
+func TestWithoutQuorum(t *testing.T) {
+	cluster := newTestCluster(t, 3, time.Minute)
+	client := cluster.newClient()
+	call := api.Session{Name: "relay/0", Instance: "one"}
+	if _, err := cluster.session(client, call); err != nil {
 		t.Fatal(err)
 	}
-	g.stop(0)
-	g.stop(1)
-	for end := time.Now().Add(2 * time.Second); time.Now().Before(end); {
+	cluster.stop(0)
+	cluster.stop(1)
+	for deadline := time.Now().Add(2 * time.Second); time.Now().Before(deadline); {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-		var s api.Standing
+		var response api.SessionResponse
 		begin := time.Now()
-		err := g.client().Call(ctx, http.MethodPost, api.SessionPath, m, &s)
+		err := cluster.newClient().Call(ctx, http.MethodPost, api.SessionPath, call, &response)
 		cancel()
-		if err == nil && time.Since(begin) < 100*time.Millisecond && g.up[2].raft.Load().VerifyLeader().Error() != nil {
-			t.Fatalf("one keeper of three answered %+v", s)
+		if err == nil && time.Since(begin) < 100*time.Millisecond && cluster.keepers[2].raft.Load().VerifyLeader().Error() != nil {
+			t.Fatalf("one keeper of three answered %+v", response)
 		}
 	}
-	var st api.Status
-	if err := c.Ask(context.Background(), g.confs[2].HTTP, http.MethodGet, api.StatusPath, nil, &st); err != nil || st.Leads {
-		t.Fatalf("%+v, %v: want to be told what it knows, and that it does not lead", st, err)
+	var status api.Status
+	if err := client.CallKeeper(context.Background(), cluster.configs[2].HTTP, http.MethodGet, api.StatusPath, nil, &status); err != nil || status.IsLeader {
+		t.Fatalf("%+v, %v: want its status, and that it is not the leader", status, err)
 	}
-	g.start(0)
-	if _, err := g.session(c, m); err != nil {
+	cluster.start(0)
+	if _, err := cluster.session(client, call); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// A member that is silent for its lease is not waited for; one that rejects a change ends it.
-func TestSilentAndRejecting(t *testing.T) {
-	g := newGroup(t, 1, 400*time.Millisecond)
-	c := g.client()
-	if _, err := g.session(c, api.Session{Name: "silent", Instance: "one"}); err != nil {
+// A change does not wait for a member that is silent for its lease; a member that rejects a change ends it.
+func TestSilentAndRejectingMembers(t *testing.T) {
+	cluster := newTestCluster(t, 1, 400*time.Millisecond)
+	client := cluster.newClient()
+	if _, err := cluster.session(client, api.Session{Name: "silent", Instance: "one"}); err != nil {
 		t.Fatal(err)
 	}
-	var made api.Made
-	g.must(c, api.GenerationsPath, api.Proposal{Op: "1", Doc: doc(3), Who: "test"}, &made)
-	var st api.Status
-	for st.Force == nil {
-		st = api.Status{}
-		if err := c.Ask(context.Background(), g.confs[0].HTTP, http.MethodGet, api.StatusPath, nil, &st); err != nil {
+	var made api.ChangeResponse
+	cluster.mustPost(client, api.GenerationsPath, api.Proposal{OperationID: "1", Doc: testDocument(3), Who: "test"}, &made)
+	var status api.Status
+	for status.Effective == nil {
+		status = api.Status{}
+		if err := client.CallKeeper(context.Background(), cluster.configs[0].HTTP, http.MethodGet, api.StatusPath, nil, &status); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	if len(st.Members) != 0 {
-		t.Errorf("the silent one has its session yet: %+v", st.Members)
+	if len(status.Members) != 0 {
+		t.Errorf("the silent member still has its session: %+v", status.Members)
 	}
-	m := api.Session{Name: "relay/0", Instance: "one"}
-	s, err := g.session(c, m)
+	call := api.Session{Name: "relay/0", Instance: "one"}
+	response, err := cluster.session(client, call)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.must(c, api.ConfirmPath, api.Word{Name: m.Name, Instance: m.Instance, Turn: s.Turn}, nil)
-	g.must(c, api.GenerationsPath, api.Proposal{Op: "2", Base: 1, Doc: doc(4), Who: "test"}, &made)
-	if s, err = g.session(c, m); err != nil || s.Next == nil {
-		t.Fatalf("%+v, %v", s, err)
+	cluster.mustPost(client, api.ConfirmPath, api.MemberReport{Name: call.Name, Instance: call.Instance, Revision: response.Revision}, nil)
+	cluster.mustPost(client, api.GenerationsPath, api.Proposal{OperationID: "2", Base: 1, Doc: testDocument(4), Who: "test"}, &made)
+	if response, err = cluster.session(client, call); err != nil || response.Prepared == nil {
+		t.Fatalf("%+v, %v", response, err)
 	}
-	g.must(c, api.RejectPath, api.Word{Name: m.Name, Instance: m.Instance, Number: made.Number, Reason: "cannot"}, nil)
+	cluster.mustPost(client, api.RejectPath, api.MemberReport{Name: call.Name, Instance: call.Instance, Number: made.Number, Reason: "cannot"}, nil)
 	var all []api.Generation
-	if err := g.insist(c, http.MethodGet, api.GenerationsPath, nil, &all); err != nil || len(all) != 2 || all[1].Stage != "given up" || !strings.Contains(all[1].Reason, "cannot") {
-		t.Errorf("%+v, %v: want the second given up, and why", all, err)
+	if err := cluster.callUntilAnswered(client, http.MethodGet, api.GenerationsPath, nil, &all); err != nil || len(all) != 2 || all[1].Stage != "given up" || !strings.Contains(all[1].Reason, "cannot") {
+		t.Errorf("%+v, %v: want the second generation given up, with the reason", all, err)
 	}
 }
 
-// What makes no sense is refused with its reason, and changes nothing.
+// Invalid calls are refused with the right status and change nothing.
 func TestRefusals(t *testing.T) {
-	g := newGroup(t, 1, time.Minute)
-	c := g.client()
-	m := api.Session{Name: "relay/0", Instance: "one"}
-	if _, err := g.session(c, m); err != nil {
+	cluster := newTestCluster(t, 1, time.Minute)
+	client := cluster.newClient()
+	call := api.Session{Name: "relay/0", Instance: "one"}
+	if _, err := cluster.session(client, call); err != nil {
 		t.Fatal(err)
 	}
-	post := func(path string, in any) error { return g.insist(c, http.MethodPost, path, in, nil) }
+	post := func(path string, in any) error {
+		return cluster.callUntilAnswered(client, http.MethodPost, path, in, nil)
+	}
 	for name, got := range map[string]struct {
 		err    error
 		status int
 	}{
-		"no instance":           {post(api.SessionPath, api.Session{Name: "x"}), 400},
-		"a long name":           {post(api.SessionPath, api.Session{Name: strings.Repeat("x", 300), Instance: "y"}), 400},
-		"a name used twice":     {post(api.SessionPath, api.Session{Name: "relay/0", Instance: "two"}), 409},
-		"a member unknown":      {post(api.ConfirmPath, api.Word{Name: "x", Instance: "y"}), 410},
-		"an older turn":         {post(api.ConfirmPath, api.Word{Name: "relay/0", Instance: "one", Turn: 99}), 409},
-		"no document":           {post(api.GenerationsPath, api.Proposal{Op: "a"}), 400},
-		"settings of no use":    {post(api.GenerationsPath, api.Proposal{Op: "b", Doc: json.RawMessage(`{"settings":{}}`)}), 400},
-		"an unknown key":        {post(api.GenerationsPath, api.Proposal{Op: "c", Doc: json.RawMessage(`{"setings":{}}`)}), 400},
-		"another base":          {post(api.GenerationsPath, api.Proposal{Op: "d", Base: 7, Doc: doc(3)}), 409},
-		"no such generation":    {post(api.GenerationsPath, api.Proposal{Op: "e", To: 7}), 404},
-		"nothing to give up":    {post(api.GiveUpPath, api.Withdrawal{Op: "f", Number: 7}), 409},
-		"an unknown generation": {g.insist(c, http.MethodGet, api.GenerationsPath+"/9", nil, nil), 404},
-		"a call without op":     {post(api.GenerationsPath, api.Proposal{Doc: doc(3)}), 400},
+		"no instance":                      {post(api.SessionPath, api.Session{Name: "x"}), 400},
+		"a long name":                      {post(api.SessionPath, api.Session{Name: strings.Repeat("x", 300), Instance: "y"}), 400},
+		"a name used twice":                {post(api.SessionPath, api.Session{Name: "relay/0", Instance: "two"}), 409},
+		"an unknown member":                {post(api.ConfirmPath, api.MemberReport{Name: "x", Instance: "y"}), 410},
+		"another revision":                 {post(api.ConfirmPath, api.MemberReport{Name: "relay/0", Instance: "one", Revision: 99}), 409},
+		"no document":                      {post(api.GenerationsPath, api.Proposal{OperationID: "a"}), 400},
+		"invalid settings":                 {post(api.GenerationsPath, api.Proposal{OperationID: "b", Doc: json.RawMessage(`{"settings":{}}`)}), 400},
+		"an unknown key":                   {post(api.GenerationsPath, api.Proposal{OperationID: "c", Doc: json.RawMessage(`{"setings":{}}`)}), 400},
+		"another base":                     {post(api.GenerationsPath, api.Proposal{OperationID: "d", Base: 7, Doc: testDocument(3)}), 409},
+		"an unknown generation to restore": {post(api.GenerationsPath, api.Proposal{OperationID: "e", RestoreNumber: 7}), 404},
+		"an unknown generation to give up": {post(api.GiveUpPath, api.GiveUp{OperationID: "f", Number: 7}), 409},
+		"an unknown generation":            {cluster.callUntilAnswered(client, http.MethodGet, api.GenerationsPath+"/9", nil, nil), 404},
+		"a call without op":                {post(api.GenerationsPath, api.Proposal{Doc: testDocument(3)}), 400},
 	} {
-		if !refused(got.err, got.status) {
+		if !isRefused(got.err, got.status) {
 			t.Errorf("%s: %v, want %d", name, got.err, got.status)
 		}
 	}
-	if err := post(api.GenerationsPath, api.Proposal{Op: "g", Doc: doc(3), DryRun: true}); err != nil {
-		t.Errorf("a sound change, not made: %v", err)
+	if err := post(api.GenerationsPath, api.Proposal{OperationID: "g", Doc: testDocument(3), DryRun: true}); err != nil {
+		t.Errorf("dry run of a valid change: %v", err)
 	}
 	var all []api.Generation
-	if err := g.insist(c, http.MethodGet, api.GenerationsPath, nil, &all); err != nil || len(all) != 0 {
-		t.Errorf("%+v, %v: want none made", all, err)
+	if err := cluster.callUntilAnswered(client, http.MethodGet, api.GenerationsPath, nil, &all); err != nil || len(all) != 0 {
+		t.Errorf("%+v, %v: want no generation", all, err)
 	}
 }
 
-// A keeper whose folder is all that is left goes on alone, with numbers that no member has heard of.
+// After a recovery from one folder its keeper goes on alone, with numbers greater than any that a member has received.
 func TestRecover(t *testing.T) {
-	g := newGroup(t, 3, 300*time.Millisecond)
-	c := g.client()
-	var made api.Made
-	g.must(c, api.GenerationsPath, api.Proposal{Op: "1", Doc: doc(3), Who: "test"}, &made)
-	s, err := g.session(c, api.Session{Name: "relay/0", Instance: "one"})
-	if err != nil || s.Force == nil {
-		t.Fatalf("%+v, %v", s, err)
-	}
-	var st api.Status
-	for st.Force == nil { // it has heard as well
-		if err := c.Ask(context.Background(), g.confs[1].HTTP, http.MethodGet, api.StatusPath, nil, &st); err != nil {
+	cluster := newTestCluster(t, 3, 300*time.Millisecond)
+	client := cluster.newClient()
+	var made api.ChangeResponse
+	cluster.mustPost(client, api.GenerationsPath, api.Proposal{OperationID: "1", Doc: testDocument(3), Who: "test"}, &made)
+	before, err := cluster.session(client, api.Session{Name: "relay/0", Instance: "one"})
+	if err != nil || before.Effective == nil {
+		t.Fatalf("%+v, %v", before, err)
+	}
+	var status api.Status
+	for status.Effective == nil { // wait until that keeper has the change as well
+		if err := client.CallKeeper(context.Background(), cluster.configs[1].HTTP, http.MethodGet, api.StatusPath, nil, &status); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for i := range g.up {
-		g.stop(i)
+	for i := range cluster.keepers {
+		cluster.stop(i)
 	}
-	alone := g.confs[1]
+	alone := cluster.configs[1]
 	alone.Peers = []Peer{alone.Peers[1]}
 	if err := Recover(alone); err != nil {
 		t.Fatal(err)
 	}
 	if err := Recover(Config{Name: "x", HTTP: "x:1", Raft: "x:2", Dir: t.TempDir(), Lease: alone.Lease, Election: alone.Election, Log: "text"}); err == nil {
-		t.Error("an empty folder is recovered")
+		t.Error("recovery of an empty folder succeeded")
 	}
-	g.confs[1] = alone
-	g.start(1)
-	after, err := g.session(c, api.Session{Name: "relay/0", Instance: "one"})
-	if err != nil || after.Force == nil || after.Force.Number <= s.Force.Number || after.Turn <= s.Turn+1000 || after.Force.Sum != s.Force.Sum {
-		t.Fatalf("%+v, %v after %+v", after, err, s)
+	cluster.configs[1] = alone
+	cluster.start(1)
+	after, err := cluster.session(client, api.Session{Name: "relay/0", Instance: "one"})
+	if err != nil || after.Effective == nil || after.Effective.Number <= before.Effective.Number || after.Revision <= before.Revision+1000 || after.Effective.Digest != before.Effective.Digest {
+		t.Fatalf("%+v, %v after %+v", after, err, before)
 	}
 }
 
-// Two processes that call at once with one name: one has it.
+// Of several processes that begin a session with the same name at once, exactly one succeeds.
 func TestOneNameOneProcess(t *testing.T) {
-	g := newGroup(t, 3, time.Minute)
-	c := g.client()
+	cluster := newTestCluster(t, 3, time.Minute)
+	client := cluster.newClient()
 	var wait sync.WaitGroup
 	var mu sync.Mutex
-	had := 0
+	accepted := 0
 	for i := range 6 {
 		wait.Go(func() {
-			if _, err := g.session(c, api.Session{Name: "relay/0", Instance: fmt.Sprint(i)}); err == nil {
+			if _, err := cluster.session(client, api.Session{Name: "relay/0", Instance: fmt.Sprint(i)}); err == nil {
 				mu.Lock()
 				defer mu.Unlock()
-				had++
-			} else if !refused(err, http.StatusConflict) {
+				accepted++
+			} else if !isRefused(err, http.StatusConflict) {
 				t.Error(err)
 			}
 		})
 	}
 	wait.Wait()
-	if had != 1 {
-		t.Errorf("%d processes have the name, want 1", had)
+	if accepted != 1 {
+		t.Errorf("%d processes have a session with the name, want 1", accepted)
 	}
 }
 
-// Guards against a keeper that ends a session before its member's clock does: whatever the order of answers and looks,
-// elections and drift of the two clocks up to the one allowed.
-func TestLeaseEndsAfterItsMembers(t *testing.T) {
+// Guards against a keeper that ends a session before the lease has expired by the member's clock, whatever the order of
+// answers, checks and elections, and with any drift of the two clocks up to the allowed one.
+func TestSessionOutlastsMemberLease(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const lease, drift = 1000.0, 0.01
-		l := newLeases(lease*time.Millisecond, drift)
+		table := newLeaseTable(lease*time.Millisecond, drift)
 		began := time.Now()
 		rate := rapid.Float64Range(1/(1+drift), 1).Draw(rt, "rate of the member's clock")
-		now, until := 0.0, 0.0 // true milliseconds: the member's lease ends then
-		s := session{"relay", "one"}
-		held := false
+		now, leaseEnd := 0.0, 0.0 // true time in milliseconds: now, and when the member's lease ends
+		key := sessionKey{"relay", "one"}
+		active := false
 		for range rapid.IntRange(1, 60).Draw(rt, "steps") {
 			now += rapid.Float64Range(0, 400).Draw(rt, "later")
-			what := rapid.SampledFrom([]string{"ask", "look", "look just before it ends", "elect"}).Draw(rt, "what")
-			if what == "look just before it ends" {
-				now = max(now, until-rapid.Float64Range(0.001, 15).Draw(rt, "before"))
+			action := rapid.SampledFrom([]string{"ask", "look", "look just before it ends", "elect"}).Draw(rt, "what")
+			if action == "look just before it ends" {
+				now = max(now, leaseEnd-rapid.Float64Range(0.001, 15).Draw(rt, "before"))
 			}
 			at := began.Add(time.Duration(now * float64(time.Millisecond)))
-			switch what {
+			switch action {
 			case "ask":
 				asked := now
-				now += rapid.Float64Range(0, 300).Draw(rt, "on its way")
-				if l.renew(s, began.Add(time.Duration(now*float64(time.Millisecond)))) {
-					until, held = max(until, asked+lease/rate), true
+				now += rapid.Float64Range(0, 300).Draw(rt, "time in flight")
+				if table.renew(key, began.Add(time.Duration(now*float64(time.Millisecond)))) {
+					leaseEnd, active = max(leaseEnd, asked+lease/rate), true
 				}
 			case "look", "look just before it ends":
-				if l.end(s, at) {
-					if held && now < until {
-						rt.Fatalf("ended at %.1f, and its member holds it until %.1f", now, until)
+				if table.expire(key, at) {
+					if active && now < leaseEnd {
+						rt.Fatalf("ended at %.1f, but the member's lease lasts until %.1f", now, leaseEnd)
 					}
-					l.ended(s)
-					held = false
+					table.remove(key)
+					active = false
 				}
 			case "elect":
-				l.elect(at)
+				table.elect(at)
 			}
 		}
 	})
 }
 
-// Guards against a file that is read by half, or with what it does not mean.
-func TestBadFiles(t *testing.T) {
+// Guards against an invalid configuration file that is accepted, or whose error does not name the key or line.
+func TestInvalidConfiguration(t *testing.T) {
 	good := "dir = \"/x\"\n"
 	if c, err := Parse([]byte(good)); err != nil || c.Lease != Duration(10*time.Second) {
 		t.Fatal(c, err)
@@ -425,23 +427,23 @@
 	}
 }
 
-// Guards against a call that makes a keeper panic.
+// Guards against a call whose body makes a keeper panic.
 func FuzzCalls(f *testing.F) {
 	f.Add([]byte(`{"name":"a","instance":"b"}`))
 	f.Add([]byte(`{"op":"x","doc":{"settings":{}}}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for _, into := range []any{&api.Session{}, &api.Word{}, &api.Proposal{}, &api.Withdrawal{}} {
+		for _, into := range []any{&api.Session{}, &api.MemberReport{}, &api.Proposal{}, &api.GiveUp{}} {
 			decode(body, into)
 		}
-		Check(body)
+		CheckDocument(body)
 	})
 }
 
-// leads waits until a keeper leads, and says which; a time of 0 is for as long as it takes.
-func (g *group) leads(within time.Duration) int {
-	for end := time.Now().Add(within); within == 0 || time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		for i, k := range g.up {
-			if k != nil && k.verified() {
+// awaitLeader waits until a keeper is the leader and returns its index, or -1 after the given time; 0 means no limit.
+func (c *testCluster) awaitLeader(within time.Duration) int {
+	for deadline := time.Now().Add(within); within == 0 || time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		for i, k := range c.keepers {
+			if k != nil && k.isVerifiedLeader() {
 				return i
 			}
 		}
@@ -449,72 +451,72 @@
 	return -1
 }
 
-// voter waits until a keeper has its vote, and knows of a generation unless that is 0.
-func (g *group) voter(i int, generation uint64) {
-	g.t.Helper()
-	for end := time.Now().Add(30 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		l := g.leads(time.Second)
-		if l < 0 || g.up[i].raft.Load() == nil {
+// awaitVoter waits until a keeper has its vote and, unless generation is 0, has that generation in effect.
+func (c *testCluster) awaitVoter(i int, generation uint64) {
+	c.t.Helper()
+	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
+		leader := c.awaitLeader(time.Second)
+		if leader < 0 || c.keepers[i].raft.Load() == nil {
 			continue
 		}
-		f := g.up[l].raft.Load().GetConfiguration() // its own may be behind
-		st := g.up[i].status()
-		if f.Error() != nil || generation != 0 && (st.Force == nil || st.Force.Number != generation) {
+		future := c.keepers[leader].raft.Load().GetConfiguration() // the leader's, since the keeper's own may be behind
+		status := c.keepers[i].status()
+		if future.Error() != nil || generation != 0 && (status.Effective == nil || status.Effective.Number != generation) {
 			continue
 		}
-		for _, s := range f.Configuration().Servers {
-			if string(s.ID) == g.confs[i].Name && s.Suffrage == raft.Voter {
+		for _, s := range future.Configuration().Servers {
+			if string(s.ID) == c.configs[i].Name && s.Suffrage == raft.Voter {
 				return
 			}
 		}
 	}
-	g.t.Fatalf("keeper %d does not get its vote back, or does not know of generation %d", i, generation)
+	c.t.Fatalf("keeper %d does not get its vote back, or does not receive generation %d", i, generation)
 }
 
-// A keeper that comes back with an empty folder learns all and gets its vote back; until then it helps nobody to lead
-// who has not heard of what was agreed on.
-func TestEmptyFolder(t *testing.T) {
-	g := newGroup(t, 3, 300*time.Millisecond)
-	c := g.client()
-	var made api.Made
+// A keeper that comes back with an empty folder catches up and gets its vote back. Until then it must not vote, as it
+// could elect a keeper that lacks committed entries.
+func TestKeeperWithEmptyFolderRejoins(t *testing.T) {
+	cluster := newTestCluster(t, 3, 300*time.Millisecond)
+	client := cluster.newClient()
+	var made api.ChangeResponse
 	change := func(op string, base uint64) {
 		t.Helper()
-		g.must(c, api.GenerationsPath, api.Proposal{Op: op, Base: base, Doc: doc(3), Who: "test"}, &made)
+		cluster.mustPost(client, api.GenerationsPath, api.Proposal{OperationID: op, Base: base, Doc: testDocument(3), Who: "test"}, &made)
 	}
 	change("1", 0)
-	g.voter(0, 1)
+	cluster.awaitVoter(0, 1)
 	wipe := func(i int) {
 		t.Helper()
-		g.stop(i)
-		if err := os.RemoveAll(g.confs[i].Dir); err != nil {
+		cluster.stop(i)
+		if err := os.RemoveAll(cluster.configs[i].Dir); err != nil {
 			t.Fatal(err)
 		}
 	}
 	wipe(2)
-	g.start(2)
-	g.voter(2, 1)
-	g.stop(0) // the others go on
+	cluster.start(2)
+	cluster.awaitVoter(2, 1)
+	cluster.stop(0) // the other keepers go on
 	change("2", 1)
-	g.voter(2, 2)
-	g.start(0)
-	g.voter(0, 2)
+	cluster.awaitVoter(2, 2)
+	cluster.start(0)
+	cluster.awaitVoter(0, 2)
 
-	// One has not heard of the third change, the one that has is down, the other that had is wiped.
-	g.stop(1)
+	// Keeper 1 has not received the third change, keeper 0, which has, is down, and keeper 2, which had, is wiped.
+	cluster.stop(1)
 	change("3", 2)
-	g.voter(0, 3)
-	g.voter(2, 3)
+	cluster.awaitVoter(0, 3)
+	cluster.awaitVoter(2, 3)
 	wipe(2)
-	g.stop(0)
-	g.start(1)
-	g.start(2)
-	if i := g.leads(1500 * time.Millisecond); i >= 0 {
-		t.Fatalf("keeper %d leads, and the third change is lost", i)
+	cluster.stop(0)
+	cluster.start(1)
+	cluster.start(2)
+	if i := cluster.awaitLeader(1500 * time.Millisecond); i >= 0 {
+		t.Fatalf("keeper %d is the leader, and the third change is lost", i)
 	}
-	g.start(0)
-	for i := range g.up {
-		g.voter(i, 3)
+	cluster.start(0)
+	for i := range cluster.keepers {
+		cluster.awaitVoter(i, 3)
 	}
 }
 
-func entry(data []byte) *raft.Log { return &raft.Log{Index: 7, Type: raft.LogCommand, Data: data} }
+func logEntry(data []byte) *raft.Log { return &raft.Log{Index: 7, Type: raft.LogCommand, Data: data} }
--- a/internal/keeper/lease.go
+++ b/internal/keeper/lease.go
@@ -2,64 +2,67 @@
 
 import "time"
 
-// leases counts the sessions of members as the keeper that leads sees them. It is pure: each call is told the time, by
-// this process's monotonic clock. A session is over only when the lease has certainly run out by its member's own
-// clock, which counts from before the member asked: here it counts from after the answer, and longer by the drift.
-type leases struct {
-	span    time.Duration // the lease and the drift
-	elected time.Time     // zero while another leads
-	seen    map[session]time.Time
-	ending  map[session]bool // its end is on its way into the log: no answer may renew it
+// leaseTable tracks the leases of members' sessions at the leader. It reads no clock: callers pass the time, by this
+// process's monotonic clock. A session ends only when its lease has certainly expired by the member's own clock. The
+// member counts the lease from before its call; here it counts from the later time at which the call is answered, and is
+// longer by the drift of the clocks.
+type leaseTable struct {
+	duration  time.Duration            // the lease, extended by the drift
+	electedAt time.Time                // zero while this keeper is not the leader
+	renewedAt map[sessionKey]time.Time // time of the last renewal
+	ending    map[sessionKey]bool      // sessions whose end is being committed; they cannot be renewed
 }
 
-type session struct{ name, instance string }
+// sessionKey identifies the session of one process of a member.
+type sessionKey struct{ name, instance string }
 
-func newLeases(lease time.Duration, drift float64) *leases {
-	return &leases{span: lease + time.Duration(float64(lease)*drift), seen: map[session]time.Time{}, ending: map[session]bool{}}
+func newLeaseTable(lease time.Duration, drift float64) *leaseTable {
+	return &leaseTable{duration: lease + time.Duration(float64(lease)*drift), renewedAt: map[sessionKey]time.Time{}, ending: map[sessionKey]bool{}}
 }
 
-// elect begins anew: what the leader before answered was asked for before now, so it has run out a span from now.
-func (l *leases) elect(now time.Time) {
-	l.elected = now
-	clear(l.seen)
+// elect starts with an empty table. Calls that an earlier leader answered were made before now, so each session lasts at
+// most for the extended lease from now on unless it is renewed.
+func (l *leaseTable) elect(now time.Time) {
+	l.electedAt = now
+	clear(l.renewedAt)
 	clear(l.ending)
 }
 
-// depose forgets all: another may lead.
-func (l *leases) depose() { l.elect(time.Time{}) }
+// depose clears the table, as another keeper may be the leader.
+func (l *leaseTable) depose() { l.elect(time.Time{}) }
 
-// leads tells whether sessions may be answered.
-func (l *leases) leads() bool { return !l.elected.IsZero() }
+// isLeader reports whether sessions may be renewed.
+func (l *leaseTable) isLeader() bool { return !l.electedAt.IsZero() }
 
-// renew counts a session anew, unless it is ending already.
-func (l *leases) renew(s session, now time.Time) bool {
-	if !l.leads() || l.ending[s] {
+// renew starts the lease of a session anew and returns true, unless the session is ending already.
+func (l *leaseTable) renew(key sessionKey, now time.Time) bool {
+	if !l.isLeader() || l.ending[key] {
 		return false
 	}
-	l.seen[s] = now
+	l.renewedAt[key] = now
 	return true
 }
 
-// left is how much of a session there is.
-func (l *leases) left(s session, now time.Time) time.Duration {
-	at, ok := l.seen[s]
-	if !ok || at.Before(l.elected) {
-		at = l.elected
+// remaining returns the time that is left of a session; 0 if it has expired.
+func (l *leaseTable) remaining(key sessionKey, now time.Time) time.Duration {
+	from, ok := l.renewedAt[key]
+	if !ok || from.Before(l.electedAt) {
+		from = l.electedAt
 	}
-	return max(0, l.span-now.Sub(at))
+	return max(0, l.duration-now.Sub(from))
 }
 
-// end says whether a session has run out, and that it ends if so: it is not renewed from then on.
-func (l *leases) end(s session, now time.Time) bool {
-	if !l.leads() || l.ending[s] || l.left(s, now) > 0 {
+// expire reports whether a session has expired. If so, it marks the session as ending, so that it cannot be renewed.
+func (l *leaseTable) expire(key sessionKey, now time.Time) bool {
+	if !l.isLeader() || l.ending[key] || l.remaining(key, now) > 0 {
 		return false
 	}
-	l.ending[s] = true
+	l.ending[key] = true
 	return true
 }
 
-// ended says that a session has ended in the log, or could not be.
-func (l *leases) ended(s session) {
-	delete(l.ending, s)
-	delete(l.seen, s)
+// remove removes a session once its end has been committed or could not be, or if it could not be begun.
+func (l *leaseTable) remove(key sessionKey) {
+	delete(l.ending, key)
+	delete(l.renewedAt, key)
 }
--- a/internal/keeper/log.go
+++ b/internal/keeper/log.go
@@ -16,90 +16,90 @@
 	"larchrouter/internal/keeper/state"
 )
 
-// machine is the state machine under the log.
-type machine struct {
+// stateMachine applies the entries of the raft log to the state.
+type stateMachine struct {
 	mu      sync.Mutex
 	state   *state.State
-	changed chan struct{} // closed with each turn
-	failed  chan error    // an entry could not be read: the keeper cannot go on
+	changed chan struct{} // closed and replaced when members have to be notified
+	failed  chan error    // receives an error if an entry is damaged and the keeper cannot go on
 }
 
-func newMachine() *machine {
-	return &machine{state: state.New(), changed: make(chan struct{}), failed: make(chan error, 1)}
+func newStateMachine() *stateMachine {
+	return &stateMachine{state: state.New(), changed: make(chan struct{}), failed: make(chan error, 1)}
 }
 
-// castagnoli is the polynomial that processors have an instruction for.
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+// crcTable has the Castagnoli polynomial, for which processors have an instruction.
+var crcTable = crc32.MakeTable(crc32.Castagnoli)
 
-// framed puts a checksum before an entry: the file of the log has none of its own for them.
-func framed(payload []byte) []byte {
-	return append(binary.LittleEndian.AppendUint32(nil, crc32.Checksum(payload, castagnoli)), payload...)
+// addChecksum prepends a checksum to an entry, because the log file has none of its own for entries.
+func addChecksum(payload []byte) []byte {
+	return append(binary.LittleEndian.AppendUint32(nil, crc32.Checksum(payload, crcTable)), payload...)
 }
 
-// errDamaged says that an entry is not what was written.
-var errDamaged = &Unable{"the log is damaged", "start with an empty folder to learn from the others, or go on from another one with recover"}
+// errDamagedLog reports that an entry is not what was written.
+var errDamagedLog = &UnavailableError{"the log is damaged", "start with an empty folder to learn from the others, or go on from another one with recover"}
 
-// unframed checks an entry.
-func unframed(data []byte) ([]byte, error) {
-	if len(data) < 4 || crc32.Checksum(data[4:], castagnoli) != binary.LittleEndian.Uint32(data) {
-		return nil, errDamaged
+// verifyChecksum checks the checksum of an entry and returns the payload.
+func verifyChecksum(data []byte) ([]byte, error) {
+	if len(data) < 4 || crc32.Checksum(data[4:], crcTable) != binary.LittleEndian.Uint32(data) {
+		return nil, errDamagedLog
 	}
 	return data[4:], nil
 }
 
-// read looks at the state. What it hands out must not be kept.
-func (m *machine) read(look func(*state.State)) {
+// read calls visit with the state, under the lock. visit must not retain anything of the state.
+func (m *stateMachine) read(visit func(*state.State)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	look(m.state)
+	visit(m.state)
 }
 
-// turned is closed when the next turn begins.
-func (m *machine) turned() <-chan struct{} {
+// changeSignal returns a channel that is closed at the next change that members have to be notified of.
+func (m *stateMachine) changeSignal() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// tell wakes whoever waits for a turn. The lock is held.
-func (m *machine) tell() {
+// notifyWaiters wakes all that wait for a change. The caller holds the lock.
+func (m *stateMachine) notifyWaiters() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// Apply takes in the next entry of the log. One that cannot be read is none at every keeper alike.
-func (m *machine) Apply(l *raft.Log) any {
-	var e state.Event
-	payload, err := unframed(l.Data)
-	if err != nil { // it differs from what the others have: this keeper must not go on
+// Apply applies the next entry of the log. An entry that is intact but no valid event is refused at every keeper alike.
+func (m *stateMachine) Apply(entry *raft.Log) any {
+	var event state.Event
+	payload, err := verifyChecksum(entry.Data)
+	if err != nil { // the entry differs from that of other keepers, so this keeper must not go on
 		select {
-		case m.failed <- fmt.Errorf("entry %d: %w", l.Index, err):
+		case m.failed <- fmt.Errorf("entry %d: %w", entry.Index, err):
 		default:
 		}
 		return state.Result{Err: err}
 	}
-	if json.Unmarshal(payload, &e) != nil { // it was written so, and is no event at every keeper alike
-		e = state.Event{}
+	if json.Unmarshal(payload, &event) != nil { // it was proposed like this, so every keeper treats it as an invalid event
+		event = state.Event{}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r := m.state.Apply(e)
-	if r.Changed {
-		m.tell()
+	result := m.state.Apply(event)
+	if result.Changed {
+		m.notifyWaiters()
 	}
-	return r
+	return result
 }
 
-// Snapshot holds the state as it is now.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+// Snapshot returns the present state in serialized form.
+func (m *stateMachine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	data, err := m.state.Snapshot()
-	return frozen(data), err
+	return snapshotBytes(data), err
 }
 
-// Restore takes the state from a snapshot, whole or not at all.
-func (m *machine) Restore(r io.ReadCloser) error {
+// Restore replaces the state by that of a snapshot, or leaves it unchanged on an error.
+func (m *stateMachine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	data, err := io.ReadAll(r)
 	if err != nil {
@@ -112,54 +112,54 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.state = s
-	m.tell()
+	m.notifyWaiters()
 	return nil
 }
 
-// frozen is a state as bytes.
-type frozen []byte
+// snapshotBytes is a serialized state.
+type snapshotBytes []byte
 
-// Persist writes it.
-func (f frozen) Persist(sink raft.SnapshotSink) error {
-	if _, err := sink.Write(f); err != nil {
+// Persist writes the snapshot to a sink.
+func (s snapshotBytes) Persist(sink raft.SnapshotSink) error {
+	if _, err := sink.Write(s); err != nil {
 		return errors.Join(err, sink.Cancel())
 	}
 	return sink.Close()
 }
 
-// Release has nothing to give back.
-func (frozen) Release() {}
+// Release does nothing, as a snapshot holds no resources.
+func (snapshotBytes) Release() {}
 
-// wire is the keepers' own network: plain TCP, from the address that the configuration names.
-type wire struct {
+// raftNetwork is the network layer between keepers: plain TCP, from the local address that the configuration names.
+type raftNetwork struct {
 	*net.TCPListener
-	dialer net.Dialer
-	told   net.Addr
+	dialer     net.Dialer
+	advertised net.Addr
 }
 
-// Addr is where others reach this keeper.
-func (w *wire) Addr() net.Addr { return w.told }
+// Addr returns the address at which other keepers reach this one.
+func (n *raftNetwork) Addr() net.Addr { return n.advertised }
 
-// Dial reaches another.
-func (w *wire) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
-	d := w.dialer
-	d.Timeout = timeout
-	return d.Dial("tcp", string(addr))
+// Dial connects to another keeper.
+func (n *raftNetwork) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+	dialer := n.dialer
+	dialer.Timeout = timeout
+	return dialer.Dial("tcp", string(addr))
 }
 
-func newWire(c *Config, self Peer) (*wire, error) {
-	l, err := net.Listen("tcp", c.Raft)
+func newRaftNetwork(config *Config, self Peer) (*raftNetwork, error) {
+	listener, err := net.Listen("tcp", config.Raft)
 	if err != nil {
 		return nil, fmt.Errorf("raft: %w", err)
 	}
-	told, err := net.ResolveTCPAddr("tcp", self.Raft)
+	advertised, err := net.ResolveTCPAddr("tcp", self.Raft)
 	if err != nil {
-		l.Close()
+		listener.Close()
 		return nil, fmt.Errorf("raft: %w", err)
 	}
-	w := &wire{TCPListener: l.(*net.TCPListener), told: told}
-	if c.Source != "" {
-		w.dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(c.Source)}
+	network := &raftNetwork{TCPListener: listener.(*net.TCPListener), advertised: advertised}
+	if config.Source != "" {
+		network.dialer.LocalAddr = &net.TCPAddr{IP: net.ParseIP(config.Source)}
 	}
-	return w, nil
+	return network, nil
 }
--- a/internal/keeper/scale_test.go
+++ b/internal/keeper/scale_test.go
@@ -14,21 +14,22 @@
 	"larchrouter/internal/keeper/api"
 )
 
-// Slopes of keepers and their members, for docs/CAPACITY.md: three keepers on loopback, and members as relays have them but for
-// the loop, all in this process. The largest sizes are left out with -short.
+// These benchmarks measure how costs grow with the number of members and the size of the document, for docs/CAPACITY.md:
+// three keepers on loopback and members without a relay loop, all in this process. The largest sizes are left out with
+// -short.
 //
 //	go test -run '^$' -bench Scale -benchtime 1x -count 3 ./internal/keeper
 
-// sizes are those of a benchmark; the last ones are left out with -short.
-func sizes(long int, all ...int) []int {
+// memberCounts returns the sizes of a benchmark. The last ones, as many as largest says, are left out with -short.
+func memberCounts(largest int, counts ...int) []int {
 	if testing.Short() {
-		return all[:len(all)-long]
+		return counts[:len(counts)-largest]
 	}
-	return all
+	return counts
 }
 
-// memory is what is on the heap and on stacks once all garbage is gone.
-func memory() float64 {
+// memoryInUse returns the bytes in use on the heap and on stacks after garbage collection.
+func memoryInUse() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.GC()
@@ -36,83 +37,84 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// padded is a document of about so many bytes that can be taken up: it has a further class with a long name.
-func padded(attempts, bytes int) json.RawMessage {
-	d := string(doc(attempts))
-	const more = `,{"name":"%s","aim":1,"give-up":4,"effect":"idempotent","group":"all","worth":1}`
-	if n := bytes - len(d) - len(more); n > 0 {
-		d = strings.Replace(d, `}],`, `}`+fmt.Sprintf(more, strings.Repeat("x", n))+`],`, 1)
+// paddedDocument returns a valid document of about the given number of bytes. It has an additional class with a long name.
+func paddedDocument(attempts, bytes int) json.RawMessage {
+	document := string(testDocument(attempts))
+	const extraClass = `,{"name":"%s","aim":1,"give-up":4,"effect":"idempotent","group":"all","worth":1}`
+	if padding := bytes - len(document) - len(extraClass); padding > 0 {
+		document = strings.Replace(document, `}],`, `}`+fmt.Sprintf(extraClass, strings.Repeat("x", padding))+`],`, 1)
 	}
-	return json.RawMessage(d)
+	return json.RawMessage(document)
 }
 
-// change has the crowd's settings be changed, and waits until all act by them alone and have said so.
-func (c *crowd) change(tb testing.TB, base uint64, doc json.RawMessage) uint64 {
+// changeSettings changes the members' settings, waits until all members act by them alone and have confirmed that, and
+// returns the number of the generation.
+func (p *memberPool) changeSettings(tb testing.TB, base uint64, doc json.RawMessage) uint64 {
 	tb.Helper()
-	var made api.Made
-	if err := c.client.Call(context.Background(), http.MethodPost, api.GenerationsPath, api.Proposal{Op: fmt.Sprint("op-", base), Base: base, Doc: doc}, &made); err != nil {
+	var made api.ChangeResponse
+	if err := p.client.Call(context.Background(), http.MethodPost, api.GenerationsPath, api.Proposal{OperationID: fmt.Sprint("op-", base), Base: base, Doc: doc}, &made); err != nil {
 		tb.Fatal(err)
 	}
-	c.until(tb, func(st *api.Status) bool {
-		return st.Force != nil && st.Force.Number == made.Number && len(st.Pending) == 0
+	p.awaitStatus(tb, func(st *api.Status) bool {
+		return st.Effective != nil && st.Effective.Number == made.Number && len(st.Pending) == 0
 	})
 	return made.Number
 }
 
-// changes reports what a change takes, over a few of them.
-func (c *crowd) changes(b *testing.B, members, docBytes int) {
+// reportChanges runs changes and reports the average cost of one.
+func (p *memberPool) reportChanges(b *testing.B, members, docBytes int) {
 	base := uint64(0)
-	bytes, cpu := c.bytes.Load(), processorTime(b)
+	bytes, cpu := p.bytes.Load(), processorTime(b)
 	for b.Loop() {
-		base = c.change(b, base, padded(3+int(base%3), docBytes))
+		base = p.changeSettings(b, base, paddedDocument(3+int(base%3), docBytes))
 	}
 	n := float64(b.N * members)
-	b.ReportMetric(float64(c.bytes.Load()-bytes)/n, "B/member")
+	b.ReportMetric(float64(p.bytes.Load()-bytes)/n, "B/member")
 	b.ReportMetric(float64((processorTime(b)-cpu).Nanoseconds())/n, "cpu-ns/member")
 	b.ReportMetric(60*float64(b.N)/b.Elapsed().Seconds(), "changes/min")
 }
 
-// BenchmarkScaleChangeByMembers is what a change of settings takes until so many members act by it, and how many a minute can
-// follow each other.
+// BenchmarkScaleChangeByMembers measures the cost of a change of settings until all members act by it, and the number of
+// consecutive changes per minute, by the number of members.
 func BenchmarkScaleChangeByMembers(b *testing.B) {
-	for _, n := range sizes(1, 20, 60, 200, 2_000) {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { newCrowd(b, 3, n).changes(b, n, 0) })
+	for _, n := range memberCounts(1, 20, 60, 200, 2_000) {
+		b.Run(fmt.Sprint(n), func(b *testing.B) { newMemberPool(b, 3, n).reportChanges(b, n, 0) })
 	}
 }
 
-// BenchmarkScaleChangeByDocument is the same by the bytes of the document, with 100 members.
+// BenchmarkScaleChangeByDocument measures the same by the size of the document in bytes, with 100 members.
 func BenchmarkScaleChangeByDocument(b *testing.B) {
 	for _, n := range []int{400, 4_000, 16_000, 40_000} {
-		b.Run(fmt.Sprint(n), func(b *testing.B) { newCrowd(b, 3, 100).changes(b, 100, n) })
+		b.Run(fmt.Sprint(n), func(b *testing.B) { newMemberPool(b, 3, 100).reportChanges(b, 100, n) })
 	}
 }
 
-// BenchmarkScaleSessionsByMembers is what sessions take that stay, in a second and for each member: bytes, answers, processor
-// time and memory of keepers and member together.
+// BenchmarkScaleSessionsByMembers measures the cost of steady sessions, per second and member: bytes, answers, processor
+// time and memory of keepers and members together.
 func BenchmarkScaleSessionsByMembers(b *testing.B) {
-	for _, n := range sizes(1, 20, 60, 200, 2_000) {
+	for _, n := range memberCounts(1, 20, 60, 200, 2_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			before := memory()
-			c := newCrowd(b, 3, n)
-			c.change(b, 0, doc(4)) // all have a document
-			held := (memory() - before) / float64(n)
+			before := memoryInUse()
+			pool := newMemberPool(b, 3, n)
+			pool.changeSettings(b, 0, testDocument(4)) // all members have a document
+			bytesPerMember := (memoryInUse() - before) / float64(n)
 			const span = 3 * time.Second
-			bytes, cpu, heard := c.bytes.Load(), processorTime(b), c.heard.Load()
+			bytes, cpu, answers := pool.bytes.Load(), processorTime(b), pool.answers.Load()
 			for b.Loop() {
 				time.Sleep(span)
 			}
 			per := span.Seconds() * float64(b.N*n)
-			b.ReportMetric(float64(c.bytes.Load()-bytes)/per, "B/s/member")
-			b.ReportMetric(float64(c.heard.Load()-heard)/per, "answers/s/member")
+			b.ReportMetric(float64(pool.bytes.Load()-bytes)/per, "B/s/member")
+			b.ReportMetric(float64(pool.answers.Load()-answers)/per, "answers/s/member")
 			b.ReportMetric(float64((processorTime(b)-cpu).Nanoseconds())/per, "cpu-ns/s/member")
-			b.ReportMetric(held, "B/member")
+			b.ReportMetric(bytesPerMember, "B/member")
 		})
 	}
 }
 
-// bare begins so many sessions with a keeper by connections that take next to nothing on the member's side, each with a call
-// that waits. It returns what ends them.
-func bare(tb testing.TB, k *Keeper, members int) (end func()) {
+// openBareSessions begins sessions with a keeper over bare connections, which need almost no memory on the member's side.
+// Each has a call that waits. The function that it returns closes the connections.
+func openBareSessions(tb testing.TB, k *Keeper, members int) (end func()) {
 	tb.Helper()
 	var conns []net.Conn
 	for i := range members {
@@ -131,38 +133,38 @@
 	}
 }
 
-// BenchmarkScaleKeeperByMembers is what one keeper holds for each member whose call waits: its session, its place in the state, and
-// its connection.
+// BenchmarkScaleKeeperByMembers measures the memory that one keeper needs for each member with a waiting call: its session,
+// its entry in the state, and its connection.
 func BenchmarkScaleKeeperByMembers(b *testing.B) {
-	for _, n := range sizes(1, 20, 200, 1_000, 4_000) {
+	for _, n := range memberCounts(1, 20, 200, 1_000, 4_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			c := newCrowd(b, 1, 0)
-			before := memory()
-			end := bare(b, c.keepers[0], n)
-			c.until(b, func(st *api.Status) bool { return len(st.Members) == n })
-			held := (memory() - before) / float64(n)
-			for b.Loop() { // it is not the time that counts here
+			pool := newMemberPool(b, 1, 0)
+			before := memoryInUse()
+			end := openBareSessions(b, pool.keepers[0], n)
+			pool.awaitStatus(b, func(st *api.Status) bool { return len(st.Members) == n })
+			bytesPerMember := (memoryInUse() - before) / float64(n)
+			for b.Loop() { // only memory is measured
 			}
 			end()
-			b.ReportMetric(held, "B/member")
+			b.ReportMetric(bytesPerMember, "B/member")
 			b.ReportMetric(0, "ns/op")
 		})
 	}
 }
 
-// Guards the benchmarks above: members act by what was changed, a document's size is what is asked for, and each call that waits is
-// a member's.
-func TestScaleSetUps(t *testing.T) {
-	c := newCrowd(t, 1, 5)
-	before := c.bytes.Load()
-	base := c.change(t, 0, padded(4, 4_000))
-	if n := c.bytes.Load() - before; base == 0 || n < 5*4_000 {
+// Guards against benchmarks that measure something else: members must receive the change, a document must have the size
+// asked for, and each waiting call must belong to a member.
+func TestScaleBenchmarkSetup(t *testing.T) {
+	pool := newMemberPool(t, 1, 5)
+	before := pool.bytes.Load()
+	base := pool.changeSettings(t, 0, paddedDocument(4, 4_000))
+	if n := pool.bytes.Load() - before; base == 0 || n < 5*4_000 {
 		t.Errorf("generation %d with %d bytes, want 20,000 at least", base, n)
 	}
-	if n := len(padded(4, 4_000)); n < 3_900 || n > 4_100 {
+	if n := len(paddedDocument(4, 4_000)); n < 3_900 || n > 4_100 {
 		t.Errorf("a document of %d bytes, want about 4,000", n)
 	}
-	alone := newCrowd(t, 1, 0)
-	defer bare(t, alone.keepers[0], 20)()
-	alone.until(t, func(st *api.Status) bool { return len(st.Members) == 20 })
+	single := newMemberPool(t, 1, 0)
+	defer openBareSessions(t, single.keepers[0], 20)()
+	single.awaitStatus(t, func(st *api.Status) bool { return len(st.Members) == 20 })
 }
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -11,73 +11,73 @@
 	"larchrouter/internal/keeper/state"
 )
 
-// session begins or renews a member's, and waits for news.
-func (k *Keeper) session(ctx context.Context, body []byte) (any, error) {
-	var c api.Session
-	if err := decode(body, &c); err != nil {
+// serveSession begins or renews a member's session, and waits for an update for as long as the call allows.
+func (k *Keeper) serveSession(ctx context.Context, body []byte) (any, error) {
+	var call api.Session
+	if err := decode(body, &call); err != nil {
 		return nil, err
 	}
-	if c.Name == "" || c.Instance == "" || max(len(c.Name), len(c.Instance), len(c.Zone), len(c.Version), len(c.Addr), len(c.Folder), len(c.Estates)) > nameMost || c.WaitMS < 0 || len(c.Have) > 8 {
+	if call.Name == "" || call.Instance == "" || max(len(call.Name), len(call.Instance), len(call.Zone), len(call.Version), len(call.Addr), len(call.Folder), len(call.GroupsMark)) > maxNameBytes || call.WaitMS < 0 || len(call.KnownGenerations) > 8 {
 		return nil, refuse(http.StatusBadRequest, "name or instance is empty or too long, or the wait below 0")
 	}
-	if !k.leads() {
+	if !k.isLeader() {
 		return nil, errNotLeader
 	}
-	s := session{c.Name, c.Instance}
-	if !k.has(s) {
-		// Counted before it is in the state: it must not be held to have run out as it begins.
+	key := sessionKey{call.Name, call.Instance}
+	if !k.hasSession(key) {
+		// The lease starts before the session is in the state, so that the session does not count as expired when it begins.
 		k.mu.Lock()
-		counted := k.leases.renew(s, time.Now())
+		renewed := k.leases.renew(key, time.Now())
 		k.mu.Unlock()
-		if !counted {
+		if !renewed {
 			return nil, errNoSession
 		}
-		if _, err := k.apply(state.Event{Join: &state.Join{Name: c.Name, Instance: c.Instance, Before: c.Before, Zone: c.Zone, Version: c.Version, Addr: c.Addr, Folder: c.Folder}}); err != nil {
+		if _, err := k.apply(state.Event{Join: &state.Join{Name: call.Name, Instance: call.Instance, Predecessor: call.Predecessor, Zone: call.Zone, Version: call.Version, Addr: call.Addr, Folder: call.Folder}}); err != nil {
 			k.mu.Lock()
-			k.leases.ended(s)
+			k.leases.remove(key)
 			k.mu.Unlock()
 			return nil, err
 		}
 	}
-	end := time.NewTimer(min(time.Duration(c.WaitMS)*time.Millisecond, waitMost, time.Duration(k.conf.Lease)/2))
-	defer end.Stop()
-	for waits := true; waits; {
-		turned := k.machine.turned()
-		news := false
-		k.machine.read(func(st *state.State) {
-			news = st.Turn != c.Turn || c.Estates != "" && estates.Mark(st.Estates.Owned(c.Name)) != c.Estates
+	timer := time.NewTimer(min(time.Duration(call.WaitMS)*time.Millisecond, maxWait, time.Duration(k.config.Lease)/2))
+	defer timer.Stop()
+	for waiting := true; waiting; {
+		changed := k.stateMachine.changeSignal()
+		updated := false
+		k.stateMachine.read(func(st *state.State) {
+			updated = st.Revision != call.Revision || call.GroupsMark != "" && estates.Mark(st.Groups.Owned(call.Name)) != call.GroupsMark
 		})
-		if news {
+		if updated {
 			break
 		}
 		select {
-		case <-turned:
-		case <-end.C:
-			waits = false
+		case <-changed:
+		case <-timer.C:
+			waiting = false
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-k.quit:
+		case <-k.closing:
 			return nil, errNotLeader
 		}
 	}
-	if err := k.renew(s); err != nil {
+	if err := k.renewSession(key); err != nil {
 		return nil, err
 	}
-	out := api.Standing{LeaseMS: time.Duration(k.conf.Lease).Milliseconds()}
-	k.machine.read(func(st *state.State) {
-		out.Turn = st.Turn
-		with := func(g *state.Generation) *api.Generation {
-			return outward(g, g != nil && !slices.Contains(c.Have, g.Number))
+	response := api.SessionResponse{LeaseMS: time.Duration(k.config.Lease).Milliseconds()}
+	k.stateMachine.read(func(st *state.State) {
+		response.Revision = st.Revision
+		withDocument := func(g *state.Generation) *api.Generation {
+			return apiGeneration(g, g != nil && !slices.Contains(call.KnownGenerations, g.Number))
 		}
-		out.Force, out.Next = with(st.Force), with(st.Next)
+		response.Effective, response.Prepared = withDocument(st.Effective), withDocument(st.Prepared)
 		for _, m := range st.Members {
-			if m.Name == c.Name && m.Instance == c.Instance {
-				out.Confirmed = m.Turn
+			if m.Name == call.Name && m.Instance == call.Instance {
+				response.ConfirmedRevision = m.Revision
 			}
 		}
-		if c.Estates != "" {
-			out.Owned = owned(st, c.Name)
+		if call.GroupsMark != "" {
+			response.OwnedGroups = ownedGroups(st, call.Name)
 		}
 	})
-	return out, nil
+	return response, nil
 }
--- a/internal/keeper/state/generations.go
+++ b/internal/keeper/state/generations.go
@@ -9,33 +9,34 @@
 	"slices"
 )
 
-// How generations follow on each other.
+// This file implements the life cycle of generations.
 
 func (s *State) propose(p Propose) (uint64, error) {
 	switch {
-	case len(p.Doc) == 0 || len(p.Doc) > docMost || !json.Valid(p.Doc):
-		return 0, ErrDoc
-	case p.Base != s.last():
-		return 0, ErrBase
-	case len(s.Queue) >= waitingMost:
-		return 0, ErrFull
-	}
-	s.Last++
+	case len(p.Doc) == 0 || len(p.Doc) > maxDocumentBytes || !json.Valid(p.Doc):
+		return 0, ErrInvalidDocument
+	case p.Base != s.newestNumber():
+		return 0, ErrStaleBase
+	case len(s.Queue) >= maxQueued:
+		return 0, ErrQueueFull
+	}
+	s.LastNumber++
 	sum := sha256.Sum256(p.Doc)
-	s.Queue = append(s.Queue, &Generation{Number: s.Last, Stage: Waiting, Doc: slices.Clone(p.Doc), Sum: hex.EncodeToString(sum[:]),
-		Who: p.Who, Why: p.Why, Op: p.Op})
-	return s.Last, nil
+	s.Queue = append(s.Queue, &Generation{Number: s.LastNumber, Stage: Waiting, Doc: slices.Clone(p.Doc), Digest: hex.EncodeToString(sum[:]),
+		Who: p.Who, Why: p.Why, OperationID: p.OperationID})
+	return s.LastNumber, nil
 }
 
-// last is the newest generation that is in force or on its way: the one that the next change builds on.
-func (s *State) last() uint64 {
+// newestNumber returns the number of the newest generation that is in effect, prepared or queued. The next change
+// builds on it. It is 0 if there is none.
+func (s *State) newestNumber() uint64 {
 	switch {
 	case len(s.Queue) > 0:
 		return s.Queue[len(s.Queue)-1].Number
-	case s.Next != nil:
-		return s.Next.Number
-	case s.Force != nil:
-		return s.Force.Number
+	case s.Prepared != nil:
+		return s.Prepared.Number
+	case s.Effective != nil:
+		return s.Effective.Number
 	}
 	return 0
 }
@@ -43,46 +44,46 @@
 func (s *State) confirm(c Confirm) error {
 	m := s.member(c.Name, c.Instance)
 	if m == nil {
-		return ErrUnknown
+		return ErrUnknownMember
 	}
-	if c.Turn != s.Turn {
-		return ErrStage // it heard of it late: it will confirm what holds now
+	if c.Revision != s.Revision {
+		return ErrWrongStage // a late confirmation of an earlier revision; the member will confirm the present one
 	}
-	m.Turn = c.Turn
+	m.Revision = c.Revision
 	return nil
 }
 
 func (s *State) reject(r Reject) error {
 	if s.member(r.Name, r.Instance) == nil {
-		return ErrUnknown
+		return ErrUnknownMember
 	}
-	if s.Next == nil || s.Next.Number != r.Number {
-		return ErrStage
+	if s.Prepared == nil || s.Prepared.Number != r.Number {
+		return ErrWrongStage
 	}
-	s.drop(s.Next, fmt.Sprintf("%s rejects it: %s", r.Name, cut(r.Reason)))
+	s.abandon(s.Prepared, fmt.Sprintf("%s rejects it: %s", r.Name, truncateReason(r.Reason)))
 	return nil
 }
 
 func (s *State) giveUp(g GiveUp) error {
-	if s.Next != nil && s.Next.Number == g.Number {
-		s.drop(s.Next, fmt.Sprintf("%s gave it up: %s", g.Who, cut(g.Why)))
+	if s.Prepared != nil && s.Prepared.Number == g.Number {
+		s.abandon(s.Prepared, fmt.Sprintf("%s gave it up: %s", g.Who, truncateReason(g.Why)))
 		return nil
 	}
 	for _, q := range s.Queue {
 		if q.Number == g.Number {
-			s.drop(q, fmt.Sprintf("%s gave it up: %s", g.Who, cut(g.Why)))
+			s.abandon(q, fmt.Sprintf("%s gave it up: %s", g.Who, truncateReason(g.Why)))
 			return nil
 		}
 	}
-	return ErrStage
+	return ErrWrongStage
 }
 
-// drop gives a change up, and those that build on it.
-func (s *State) drop(g *Generation, reason string) {
-	if g == s.Next {
-		s.Next, s.Settling = nil, true
-		s.Turn++
-		s.past(g, GivenUp, reason)
+// abandon gives up a change that is prepared or queued, and all queued changes that build on it.
+func (s *State) abandon(g *Generation, reason string) {
+	if g == s.Prepared {
+		s.Prepared, s.Settling = nil, true
+		s.Revision++
+		s.archive(g, GivenUp, reason)
 	}
 	for i := 0; i < len(s.Queue); {
 		q := s.Queue[i]
@@ -90,85 +91,86 @@
 			i++
 			continue
 		}
-		why := reason
+		queuedReason := reason
 		if q != g {
-			why = fmt.Sprintf("it builds on generation %d, which was given up", g.Number)
+			queuedReason = fmt.Sprintf("it builds on generation %d, which was given up", g.Number)
 		}
 		s.Queue = slices.Delete(s.Queue, i, i+1)
-		s.past(q, GivenUp, why)
+		s.archive(q, GivenUp, queuedReason)
 	}
 }
 
-// past puts a generation into the history. Documents of those that never came into force are not kept.
-func (s *State) past(g *Generation, stage Stage, reason string) {
+// archive appends a generation to the history. The documents of generations that never came into effect are not stored.
+func (s *State) archive(g *Generation, stage Stage, reason string) {
 	g.Stage, g.Reason = stage, reason
 	if stage == GivenUp {
 		g.Doc = nil
 	}
-	if s.History = append(s.History, g); len(s.History) > historyMost {
-		s.History = slices.Delete(s.History, 0, len(s.History)-historyMost)
+	if s.History = append(s.History, g); len(s.History) > maxHistory {
+		s.History = slices.Delete(s.History, 0, len(s.History)-maxHistory)
 	}
 }
 
-// advance takes what steps are due.
+// advance takes the next steps for as long as no step waits for a member's confirmation.
 func (s *State) advance() {
 	for {
-		waits := slices.ContainsFunc(s.Members, func(m Member) bool { return m.Turn != s.Turn })
+		unconfirmed := slices.ContainsFunc(s.Members, func(m Member) bool { return m.Revision != s.Revision })
 		switch {
-		case s.Next != nil && !waits:
-			if s.Force != nil {
-				s.past(s.Force, Past, "")
+		case s.Prepared != nil && !unconfirmed:
+			if s.Effective != nil {
+				s.archive(s.Effective, Superseded, "")
 			}
-			s.Force, s.Next, s.Settling = s.Next, nil, true
-			s.Force.Stage = InForce
-			s.Turn++
-		case s.Next == nil && s.Settling && !waits:
+			s.Effective, s.Prepared, s.Settling = s.Prepared, nil, true
+			s.Effective.Stage = InEffect
+			s.Revision++
+		case s.Prepared == nil && s.Settling && !unconfirmed:
 			s.Settling = false
-		case s.Next == nil && !s.Settling && len(s.Queue) > 0:
-			s.Next = s.Queue[0]
+		case s.Prepared == nil && !s.Settling && len(s.Queue) > 0:
+			s.Prepared = s.Queue[0]
 			s.Queue = slices.Delete(s.Queue, 0, 1)
-			s.Next.Stage = Prepared
-			if s.Force != nil {
-				s.Next.Base = s.Force.Number
+			s.Prepared.Stage = Prepared
+			if s.Effective != nil {
+				s.Prepared.Base = s.Effective.Number
 			}
-			s.Turn++
+			s.Revision++
 		default:
 			return
 		}
 	}
 }
 
-// The jumps of a recovery: more than what can have been given out since the folder that it starts from was written.
+// Recover increases the revision and the last number by these amounts. They exceed what can have been assigned since
+// the folder that the recovery starts from was last written.
 const (
-	skipTurns   = 1 << 20
-	skipNumbers = 1 << 10
+	recoverySkipRevisions = 1 << 20
+	recoverySkipNumbers   = 1 << 10
 )
 
-// Recover makes the state of one folder the one to go on from, though others had gone further: numbers and turns jump
-// ahead of all that members may have heard of, and what was on its way is given up. It is no event: it happens while
-// no keeper runs.
+// Recover prepares the state of one folder to be the keepers' state from now on, although other keepers may have had
+// later entries. Numbers and revisions jump ahead of all that members may have received, and changes that are prepared
+// or queued are given up. It is not an event: it may only be called while no keeper runs.
 func (s *State) Recover() {
 	const reason = "the keepers were recovered from one folder"
-	if s.Next != nil {
-		s.drop(s.Next, reason)
+	if s.Prepared != nil {
+		s.abandon(s.Prepared, reason)
 	}
 	if len(s.Queue) > 0 {
-		s.drop(s.Queue[0], reason)
+		s.abandon(s.Queue[0], reason)
 	}
-	s.Turn, s.Last = s.Turn+skipTurns, s.Last+skipNumbers
-	s.Settling = true // members may act by what is lost
-	if s.Force != nil {
-		old := *s.Force
-		s.past(&old, Past, reason)
-		s.Force.Number, s.Force.Base = s.Last, old.Number
+	s.Revision, s.LastNumber = s.Revision+recoverySkipRevisions, s.LastNumber+recoverySkipNumbers
+	s.Settling = true // members may act by a generation that is lost
+	if s.Effective != nil {
+		previous := *s.Effective
+		s.archive(&previous, Superseded, reason)
+		s.Effective.Number, s.Effective.Base = s.LastNumber, previous.Number
 	}
 }
 
-// cut bounds a reason that somebody else wrote.
-func cut(text string) string { return text[:min(len(text), reasonMost)] }
+// truncateReason limits a reason that a client wrote to maxReasonBytes.
+func truncateReason(text string) string { return text[:min(len(text), maxReasonBytes)] }
 
-// check tells what makes a snapshot one that no log leads to.
-func (s *State) check() error {
+// validate returns an error if no log can lead to this state, as after a damaged snapshot.
+func (s *State) validate() error {
 	if slices.Contains(s.Queue, nil) || slices.Contains(s.History, nil) {
 		return errors.New("snapshot: a generation is missing")
 	}
@@ -180,16 +182,16 @@
 	}) {
 		return errors.New("snapshot: members are out of order")
 	}
-	if s.Force != nil && s.Force.Stage != InForce || s.Next != nil && s.Next.Stage != Prepared {
-		return errors.New("snapshot: a generation is not where its stage says")
+	if s.Effective != nil && s.Effective.Stage != InEffect || s.Prepared != nil && s.Prepared.Stage != Prepared {
+		return errors.New("snapshot: the stage of a generation does not match its place")
 	}
-	for i, e := range s.Estates.Estates {
-		if e == nil || e.ID > s.Estates.Last || i > 0 && s.Estates.Estates[i-1].ID >= e.ID {
-			return errors.New("snapshot: an estate is missing or out of order")
+	for i, group := range s.Groups.Estates {
+		if group == nil || group.ID > s.Groups.Last || i > 0 && s.Groups.Estates[i-1].ID >= group.ID {
+			return errors.New("snapshot: a replication group is missing or out of order")
 		}
 	}
-	if s.last() > s.Last || s.Next != nil && s.Force != nil && s.Next.Number <= s.Force.Number {
-		return errors.New("snapshot: numbers run backwards")
+	if s.newestNumber() > s.LastNumber || s.Prepared != nil && s.Effective != nil && s.Prepared.Number <= s.Effective.Number {
+		return errors.New("snapshot: generation numbers decrease")
 	}
 	return nil
 }
--- a/internal/keeper/state/state_test.go
+++ b/internal/keeper/state/state_test.go
@@ -9,177 +9,179 @@
 	"pgregory.net/rapid"
 )
 
-// client is a member as it behaves: it hears of turns late, takes them up in their order, and confirms later still.
-type client struct {
+// testMember simulates a member: it receives revisions late, applies them in increasing order, and confirms them later
+// still.
+type testMember struct {
 	name, instance string
-	live           bool
-	heard          []view // on their way to it, in any order of arrival
-	acts           view   // what it acts by
+	hasSession     bool
+	received       []revisionView // sent to it and not applied yet, in any order of arrival
+	acting         revisionView   // view that it acts by
 }
 
-// view is what members are told of a turn.
-type view struct{ turn, force, next uint64 }
+// revisionView is what members receive of a revision.
+type revisionView struct{ revision, effective, prepared uint64 }
 
-func see(s *State) view {
-	v := view{turn: s.Turn}
-	if s.Force != nil {
-		v.force = s.Force.Number
+func viewOf(s *State) revisionView {
+	view := revisionView{revision: s.Revision}
+	if s.Effective != nil {
+		view.effective = s.Effective.Number
 	}
-	if s.Next != nil {
-		v.next = s.Next.Number
+	if s.Prepared != nil {
+		view.prepared = s.Prepared.Number
 	}
-	return v
+	return view
 }
 
-// world is a state with the clients round it, and what must hold.
-type world struct {
-	s        *State
-	clients  []client
-	force    uint64
-	rejected map[uint64]bool
-	accepted map[string]uint64
-	ops      int
+// testModel is a state with simulated members and what is needed to check the invariants.
+type testModel struct {
+	state            *State
+	members          []testMember
+	highestEffective uint64
+	rejected         map[uint64]bool
+	accepted         map[string]uint64
+	operations       int
 }
 
-func newWorld(n int) *world {
-	w := &world{s: New(), rejected: map[uint64]bool{}, accepted: map[string]uint64{}}
-	for i := range n {
-		w.clients = append(w.clients, client{name: fmt.Sprint("relay/", i), instance: "a"})
+func newTestModel(members int) *testModel {
+	model := &testModel{state: New(), rejected: map[uint64]bool{}, accepted: map[string]uint64{}}
+	for i := range members {
+		model.members = append(model.members, testMember{name: fmt.Sprint("relay/", i), instance: "a"})
 	}
-	return w
+	return model
 }
 
-// check tells what does not hold.
-func (w *world) check() error {
-	var acts []view
-	for _, c := range w.clients {
-		if c.live && c.acts.turn > 0 {
-			acts = append(acts, c.acts)
+// check returns an error if an invariant is violated.
+func (m *testModel) check() error {
+	var acting []revisionView
+	for _, c := range m.members {
+		if c.hasSession && c.acting.revision > 0 {
+			acting = append(acting, c.acting)
 		}
 	}
-	used := map[uint64]bool{}
-	for _, v := range acts {
-		if v.force > 0 {
-			used[v.force] = true
+	inUse := map[uint64]bool{}
+	for _, v := range acting {
+		if v.effective > 0 {
+			inUse[v.effective] = true
 		}
-		if v.next > 0 {
-			used[v.next] = true
+		if v.prepared > 0 {
+			inUse[v.prepared] = true
 		}
 	}
-	if len(used) > 2 {
-		return fmt.Errorf("generations %v are in use at once", used)
+	if len(inUse) > 2 {
+		return fmt.Errorf("generations %v are in use at once", inUse)
 	}
-	for _, a := range acts { // one that acts by a new generation alone, and one that has not joined it
-		for _, b := range acts {
-			if a.force > b.force && b.next != a.force {
-				return fmt.Errorf("one acts by generation %d alone, another by %d without its join", a.force, b.force)
+	for _, a := range acting { // no member acts by a new generation alone while another acts without the join with it
+		for _, b := range acting {
+			if a.effective > b.effective && b.prepared != a.effective {
+				return fmt.Errorf("one member acts by generation %d alone, another by %d without the join with it", a.effective, b.effective)
 			}
 		}
 	}
-	if f := see(w.s).force; f < w.force {
-		return fmt.Errorf("generation %d is in force after %d", f, w.force)
+	if effective := viewOf(m.state).effective; effective < m.highestEffective {
+		return fmt.Errorf("generation %d is in effect after %d", effective, m.highestEffective)
 	} else {
-		w.force = f
+		m.highestEffective = effective
 	}
-	if w.rejected[w.force] {
-		return fmt.Errorf("generation %d is in force, which a member rejected", w.force)
+	if m.rejected[m.highestEffective] {
+		return fmt.Errorf("generation %d is in effect, which a member rejected", m.highestEffective)
 	}
-	for op, n := range w.accepted {
-		if g := w.s.Generation(n); g == nil || g.Op != op {
+	for op, n := range m.accepted {
+		if g := m.state.Generation(n); g == nil || g.OperationID != op {
 			return fmt.Errorf("the change that call %s asked for is lost", op)
 		}
 	}
 	return nil
 }
 
-func (w *world) apply(e Event) Result { return w.s.Apply(e) }
+func (m *testModel) apply(e Event) Result { return m.state.Apply(e) }
 
-// do carries out step k of what may happen, or tells that it cannot.
-func (w *world) do(k, n int) (Event, bool) {
-	c := &w.clients[n%len(w.clients)]
-	switch k {
-	case 0: // a session begins; the answer is on its way
-		if c.live {
+// eventFor takes step k for member n and returns the event to apply, which is empty if the step concerns the member
+// alone. It returns false if the step is not possible now.
+func (m *testModel) eventFor(step, index int) (Event, bool) {
+	member := &m.members[index%len(m.members)]
+	switch step {
+	case 0: // a session begins; its answer is not received yet
+		if member.hasSession {
 			return Event{}, false
 		}
-		c.live, c.acts, c.heard = true, view{}, nil
-		c.instance += "'"
-		return Event{Join: &Join{Name: c.name, Instance: c.instance}}, true
-	case 1: // it hears of what holds now
-		if !c.live || len(c.heard) > 2 {
+		member.hasSession, member.acting, member.received = true, revisionView{}, nil
+		member.instance += "'"
+		return Event{Join: &Join{Name: member.name, Instance: member.instance}}, true
+	case 1: // the present revision is sent to it
+		if !member.hasSession || len(member.received) > 2 {
 			return Event{}, false
 		}
-		c.heard = append(c.heard, see(w.s))
+		member.received = append(member.received, viewOf(m.state))
 		return Event{}, true
-	case 2: // it takes up what it heard first of, if it is newer
-		if len(c.heard) == 0 {
+	case 2: // it applies the first revision that it received, if that is newer
+		if len(member.received) == 0 {
 			return Event{}, false
 		}
-		if c.heard[0].turn > c.acts.turn {
-			c.acts = c.heard[0]
+		if member.received[0].revision > member.acting.revision {
+			member.acting = member.received[0]
 		}
-		c.heard = c.heard[1:]
+		member.received = member.received[1:]
 		return Event{}, true
-	case 3: // what it heard last of overtakes
-		if len(c.heard) < 2 {
+	case 3: // the revision sent last overtakes the others
+		if len(member.received) < 2 {
 			return Event{}, false
 		}
-		c.heard[0], c.heard[len(c.heard)-1] = c.heard[len(c.heard)-1], c.heard[0]
+		member.received[0], member.received[len(member.received)-1] = member.received[len(member.received)-1], member.received[0]
 		return Event{}, true
 	case 4:
-		if !c.live || c.acts.turn == 0 {
+		if !member.hasSession || member.acting.revision == 0 {
 			return Event{}, false
 		}
-		return Event{Confirm: &Confirm{Name: c.name, Instance: c.instance, Turn: c.acts.turn}}, true
-	case 5: // its lease has run out; it acts by the fallback, which is another matter
-		if !c.live {
+		return Event{Confirm: &Confirm{Name: member.name, Instance: member.instance, Revision: member.acting.revision}}, true
+	case 5: // its lease has expired; it then acts by its fallback settings, which this test does not cover
+		if !member.hasSession {
 			return Event{}, false
 		}
-		c.live, c.heard = false, nil
-		return Event{Leave: &Leave{Name: c.name, Instance: c.instance}}, true
+		member.hasSession, member.received = false, nil
+		return Event{Leave: &Leave{Name: member.name, Instance: member.instance}}, true
 	case 6:
-		if !c.live || c.acts.next == 0 {
+		if !member.hasSession || member.acting.prepared == 0 {
 			return Event{}, false
 		}
-		return Event{Reject: &Reject{Name: c.name, Instance: c.instance, Number: c.acts.next, Reason: "no"}}, true
+		return Event{Reject: &Reject{Name: member.name, Instance: member.instance, Number: member.acting.prepared, Reason: "no"}}, true
 	case 7:
-		w.ops++
-		return Event{Propose: &Propose{Op: fmt.Sprint("op", w.ops), Base: w.s.last(), Doc: json.RawMessage(fmt.Sprint(w.ops)), Who: "me"}}, true
+		m.operations++
+		return Event{Propose: &Propose{OperationID: fmt.Sprint("op", m.operations), Base: m.state.newestNumber(), Doc: json.RawMessage(fmt.Sprint(m.operations)), Who: "me"}}, true
 	case 8:
-		if w.s.Next == nil {
+		if m.state.Prepared == nil {
 			return Event{}, false
 		}
-		w.ops++
-		return Event{GiveUp: &GiveUp{Op: fmt.Sprint("op", w.ops), Number: w.s.Next.Number, Who: "me"}}, true
+		m.operations++
+		return Event{GiveUp: &GiveUp{OperationID: fmt.Sprint("op", m.operations), Number: m.state.Prepared.Number, Who: "me"}}, true
 	}
 	return Event{}, false
 }
 
-// step carries out a step and looks whether all holds.
-func (w *world) step(k, n int) (Event, error) {
-	next := see(w.s).next
-	e, ok := w.do(k, n)
-	if !ok || e == (Event{}) {
-		return e, w.check()
+// step takes a step, applies its event and checks the invariants.
+func (m *testModel) step(step, index int) (Event, error) {
+	prepared := viewOf(m.state).prepared
+	event, ok := m.eventFor(step, index)
+	if !ok || event == (Event{}) {
+		return event, m.check()
 	}
-	r := w.apply(e)
+	result := m.apply(event)
 	switch {
-	case e.Propose != nil && r.Err == nil:
-		w.accepted[e.Propose.Op] = r.Number
-	case e.Reject != nil && r.Err == nil:
-		w.rejected[next] = true
+	case event.Propose != nil && result.Err == nil:
+		m.accepted[event.Propose.OperationID] = result.Number
+	case event.Reject != nil && result.Err == nil:
+		m.rejected[prepared] = true
 	}
-	return e, w.check()
+	return event, m.check()
 }
 
-// Random events: the invariants hold, the same log gives the same state, so does a snapshot and the rest of the log, a
-// call that is made again is answered as before, and once all hear and confirm every change ends.
+// With random events the invariants hold, replaying the log gives the same state, as does a snapshot with the rest of the
+// log, a repeated call gets the same answer, and every change ends once all members receive and confirm each revision.
 func TestRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.IntRange(1, 4).Draw(t, "members"))
+		model := newTestModel(rapid.IntRange(1, 4).Draw(t, "members"))
 		var log []Event
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
-			e, err := w.step(rapid.IntRange(0, 8).Draw(t, "what"), rapid.IntRange(0, 3).Draw(t, "who"))
+			e, err := model.step(rapid.IntRange(0, 8).Draw(t, "what"), rapid.IntRange(0, 3).Draw(t, "who"))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -187,60 +189,60 @@
 				log = append(log, e)
 			}
 		}
-		want, err := w.s.Snapshot()
+		want, err := model.state.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
-		cut := rapid.IntRange(0, len(log)).Draw(t, "snapshot")
-		again := New()
+		snapshotAt := rapid.IntRange(0, len(log)).Draw(t, "snapshot")
+		replayed := New()
 		for i, e := range log {
-			if i == cut {
-				data, err := again.Snapshot()
+			if i == snapshotAt {
+				data, err := replayed.Snapshot()
 				if err != nil {
 					t.Fatal(err)
 				}
-				if again, err = Restore(data); err != nil {
+				if replayed, err = Restore(data); err != nil {
 					t.Fatal(err)
 				}
 			}
-			again.Apply(e)
+			replayed.Apply(e)
 		}
-		if got, _ := again.Snapshot(); !bytes.Equal(got, want) {
-			t.Fatalf("the log again gives\n%s, want\n%s", got, want)
+		if got, _ := replayed.Snapshot(); !bytes.Equal(got, want) {
+			t.Fatalf("replaying the log gives\n%s, want\n%s", got, want)
 		}
 		for _, e := range log {
 			if e.Propose == nil {
 				continue
 			}
-			n, last := w.accepted[e.Propose.Op], w.s.Last
-			if r := w.s.Apply(e); r.Number != n || w.s.Last != last {
-				t.Fatalf("call %s made again: %+v, was %d", e.Propose.Op, r, n)
+			number, last := model.accepted[e.Propose.OperationID], model.state.LastNumber
+			if r := model.state.Apply(e); r.Number != number || model.state.LastNumber != last {
+				t.Fatalf("repeated call %s: %+v, want number %d", e.Propose.OperationID, r, number)
 			}
 		}
-		for range 4 * (waitingMost + 2) {
-			for i := range w.clients {
-				if c := &w.clients[i]; c.live {
-					c.acts = see(w.s)
-					w.apply(Event{Confirm: &Confirm{Name: c.name, Instance: c.instance, Turn: c.acts.turn}})
+		for range 4 * (maxQueued + 2) {
+			for i := range model.members {
+				if c := &model.members[i]; c.hasSession {
+					c.acting = viewOf(model.state)
+					model.apply(Event{Confirm: &Confirm{Name: c.name, Instance: c.instance, Revision: c.acting.revision}})
 				}
 			}
 		}
-		if w.s.Next != nil || w.s.Settling || len(w.s.Queue) > 0 {
-			t.Fatalf("all confirm, and yet: next %v, settling %v, %d wait for %v", w.s.Next, w.s.Settling, len(w.s.Queue), w.s.Pending())
+		if model.state.Prepared != nil || model.state.Settling || len(model.state.Queue) > 0 {
+			t.Fatalf("all members confirm, but prepared is %v, settling %v, %d changes are queued, pending members %v", model.state.Prepared, model.state.Settling, len(model.state.Queue), model.state.Pending())
 		}
 	})
 }
 
-// Every order of events in a small world: two members, two changes, to a depth at which a change can be prepared,
-// confirmed by one, given up and followed by another. Equal worlds are looked at once.
-func TestEveryOrder(t *testing.T) {
+// The invariants hold in every order of events of a small model: two members and two changes, to a depth at which a
+// change can be prepared, confirmed by one member, given up and followed by another. Equal models are explored once.
+func TestEveryEventOrder(t *testing.T) {
 	const depth = 11
-	type at struct {
-		w    *world
-		path []string
+	type node struct {
+		model *testModel
+		path  []string
 	}
-	copyOf := func(w *world) *world {
-		data, err := w.s.Snapshot()
+	clone := func(model *testModel) *testModel {
+		data, err := model.state.Snapshot()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -248,124 +250,124 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &world{s: s, force: w.force, ops: w.ops, rejected: map[uint64]bool{}, accepted: map[string]uint64{}}
-		for k, v := range w.rejected {
-			c.rejected[k] = v
+		c := &testModel{state: s, highestEffective: model.highestEffective, operations: model.operations, rejected: map[uint64]bool{}, accepted: map[string]uint64{}}
+		for number, v := range model.rejected {
+			c.rejected[number] = v
 		}
-		for k, v := range w.accepted {
-			c.accepted[k] = v
+		for operationID, v := range model.accepted {
+			c.accepted[operationID] = v
 		}
-		for _, x := range w.clients {
-			x.heard = append([]view(nil), x.heard...)
-			c.clients = append(c.clients, x)
+		for _, x := range model.members {
+			x.received = append([]revisionView(nil), x.received...)
+			c.members = append(c.members, x)
 		}
 		return c
 	}
-	key := func(w *world) string {
-		s := *w.s
+	key := func(model *testModel) string {
+		s := *model.state
 		s.Applied = 0
 		data, err := json.Marshal(&s)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return fmt.Sprintf("%s %v %v %v", data, w.clients, w.rejected, w.ops)
+		return fmt.Sprintf("%s %v %v %v", data, model.members, model.rejected, model.operations)
 	}
-	start := newWorld(2)
-	for i := range start.clients { // both have sessions and act by the first generation
+	start := newTestModel(2)
+	for i := range start.members { // both members have sessions and act by the first generation
 		start.step(0, i)
 	}
 	start.step(7, 0)
 	for range 2 {
-		for i := range start.clients {
-			for _, k := range []int{1, 2, 4} {
-				start.step(k, i)
+		for i := range start.members {
+			for _, step := range []int{1, 2, 4} {
+				start.step(step, i)
 			}
 		}
 	}
-	if see(start.s).force != 1 || start.s.Settling {
-		t.Fatalf("the first generation is not in force: %+v", start.s)
+	if viewOf(start.state).effective != 1 || start.state.Settling {
+		t.Fatalf("the first generation is not in effect: %+v", start.state)
 	}
 	seen := map[string]bool{}
-	front := []at{{start, nil}}
+	frontier := []node{{start, nil}}
 	steps := 0
 	for range depth {
-		var next []at
-		for _, a := range front {
-			for k := 1; k <= 8; k++ {
-				for n := range 2 {
-					if k >= 7 && (n > 0 || a.w.ops >= 3) { // two further calls of operators
+		var next []node
+		for _, current := range frontier {
+			for step := 1; step <= 8; step++ {
+				for member := range 2 {
+					if step >= 7 && (member > 0 || current.model.operations >= 3) { // at most two further calls of operators
 						continue
 					}
-					w := copyOf(a.w)
-					before := key(w)
-					_, err := w.step(k, n)
+					model := clone(current.model)
+					before := key(model)
+					_, err := model.step(step, member)
 					steps++
-					path := append(append([]string(nil), a.path...), fmt.Sprintf("%d by %d", k, n))
+					path := append(append([]string(nil), current.path...), fmt.Sprintf("%d by %d", step, member))
 					if err != nil {
 						t.Fatalf("%v: %v", path, err)
 					}
-					if name := key(w); name != before && !seen[name] {
+					if name := key(model); name != before && !seen[name] {
 						seen[name] = true
-						next = append(next, at{w, path})
+						next = append(next, node{model, path})
 					}
 				}
 			}
 		}
-		front = next
+		frontier = next
 	}
-	t.Logf("%d worlds, %d steps", len(seen), steps)
+	t.Logf("%d models, %d steps", len(seen), steps)
 }
 
-// Each refusal, and what must not change by it.
+// Each invalid event is refused with its reason and leaves the state unchanged.
 func TestRefusals(t *testing.T) {
 	s := New()
-	must := func(e Event) Result {
+	mustApply := func(event Event) Result {
 		t.Helper()
-		r := s.Apply(e)
+		r := s.Apply(event)
 		if r.Err != nil {
 			t.Fatal(r.Err)
 		}
 		return r
 	}
-	must(Event{Join: &Join{Name: "r", Instance: "1"}})
-	must(Event{Propose: &Propose{Op: "a", Doc: json.RawMessage("1"), Who: "me"}})
+	mustApply(Event{Join: &Join{Name: "r", Instance: "1"}})
+	mustApply(Event{Propose: &Propose{OperationID: "a", Doc: json.RawMessage("1"), Who: "me"}})
 	for name, c := range map[string]struct {
 		e    Event
 		want error
 	}{
-		"nothing":                    {Event{}, ErrBadEvent},
-		"a name used twice":          {Event{Join: &Join{Name: "r", Instance: "2"}}, ErrTaken},
-		"a process that never was":   {Event{Confirm: &Confirm{Name: "r", Instance: "2", Turn: 1}}, ErrUnknown},
-		"a turn that is over":        {Event{Confirm: &Confirm{Name: "r", Instance: "1", Turn: 9}}, ErrStage},
-		"a change of something else": {Event{Propose: &Propose{Op: "b", Base: 0, Doc: json.RawMessage("2")}}, ErrBase},
-		"a document that is none":    {Event{Propose: &Propose{Op: "c", Base: 1, Doc: json.RawMessage("{")}}, ErrDoc},
-		"an empty document":          {Event{Propose: &Propose{Op: "d", Base: 1}}, ErrDoc},
-		"a call without a number":    {Event{Propose: &Propose{Base: 1, Doc: json.RawMessage("2")}}, ErrBadEvent},
-		"a rejection of another":     {Event{Reject: &Reject{Name: "r", Instance: "1", Number: 7}}, ErrStage},
-		"a change that is not there": {Event{GiveUp: &GiveUp{Op: "e", Number: 7}}, ErrStage},
-		"the end of another process": {Event{Leave: &Leave{Name: "r", Instance: "2"}}, ErrUnknown},
+		"nothing":                         {Event{}, ErrInvalidEvent},
+		"a name used twice":               {Event{Join: &Join{Name: "r", Instance: "2"}}, ErrNameInUse},
+		"an unknown process":              {Event{Confirm: &Confirm{Name: "r", Instance: "2", Revision: 1}}, ErrUnknownMember},
+		"another revision":                {Event{Confirm: &Confirm{Name: "r", Instance: "1", Revision: 9}}, ErrWrongStage},
+		"another base":                    {Event{Propose: &Propose{OperationID: "b", Base: 0, Doc: json.RawMessage("2")}}, ErrStaleBase},
+		"a document that is not JSON":     {Event{Propose: &Propose{OperationID: "c", Base: 1, Doc: json.RawMessage("{")}}, ErrInvalidDocument},
+		"an empty document":               {Event{Propose: &Propose{OperationID: "d", Base: 1}}, ErrInvalidDocument},
+		"no operation ID":                 {Event{Propose: &Propose{Base: 1, Doc: json.RawMessage("2")}}, ErrInvalidEvent},
+		"rejection of another generation": {Event{Reject: &Reject{Name: "r", Instance: "1", Number: 7}}, ErrWrongStage},
+		"an unknown change":               {Event{GiveUp: &GiveUp{OperationID: "e", Number: 7}}, ErrWrongStage},
+		"leave by another process":        {Event{Leave: &Leave{Name: "r", Instance: "2"}}, ErrUnknownMember},
 	} {
-		before := see(s)
+		before := viewOf(s)
 		if r := s.Apply(c.e); r.Err == nil || r.Err.Error() != c.want.Error() {
 			t.Errorf("%s: %v, want %v", name, r.Err, c.want)
 		}
-		if see(s) != before || len(s.Members) != 1 {
-			t.Errorf("%s: it changed the state", name)
+		if viewOf(s) != before || len(s.Members) != 1 {
+			t.Errorf("%s: the refused event changed the state", name)
 		}
 	}
-	must(Event{Join: &Join{Name: "r", Instance: "2", Before: "1"}}) // the next process in an upgrade
+	mustApply(Event{Join: &Join{Name: "r", Instance: "2", Predecessor: "1"}}) // the next process in an upgrade
 	if got := s.Pending(); len(got) != 1 {
-		t.Errorf("pending %v: what the process before it confirmed counts for the next", got)
+		t.Errorf("pending %v: the confirmation of the previous process counts for the next one", got)
 	}
 }
 
-// Guards against a snapshot that was damaged and is taken up all the same, or that panics.
+// Guards against a damaged snapshot that is accepted and leads to a panic or to a state that cannot be stored.
 func FuzzRestore(f *testing.F) {
-	w := newWorld(2)
-	for _, k := range []int{0, 7, 1, 2, 4, 7, 1, 2} {
-		w.step(k, 0)
+	model := newTestModel(2)
+	for _, step := range []int{0, 7, 1, 2, 4, 7, 1, 2} {
+		model.step(step, 0)
 	}
-	if data, err := w.s.Snapshot(); err == nil {
+	if data, err := model.state.Snapshot(); err == nil {
 		f.Add(data)
 	}
 	f.Add([]byte(`{"next":{"number":3,"stage":"prepared"},"members":[{"name":"b"},{"name":"a"}]}`))
@@ -375,7 +377,7 @@
 			return
 		}
 		s.Apply(Event{Join: &Join{Name: "x", Instance: "1"}})
-		s.Apply(Event{Propose: &Propose{Op: "x", Base: s.last(), Doc: json.RawMessage("1")}})
+		s.Apply(Event{Propose: &Propose{OperationID: "x", Base: s.newestNumber(), Doc: json.RawMessage("1")}})
 		if _, err := s.Snapshot(); err != nil {
 			t.Error(err)
 		}
--- a/internal/keeper/store.go
+++ b/internal/keeper/store.go
@@ -18,17 +18,18 @@
 	"larchrouter/internal/keeper/state"
 )
 
-// store is where log, votes and snapshots are.
+// store has the files of log, votes and snapshots.
 type store struct {
-	log       *checked
+	log       *checkedLog
 	snapshots *raft.FileSnapshotStore
 }
 
-// The sizes of what is kept: the log is cut behind a snapshot, and two of those are enough to go back to.
+// Retention limits. The log is truncated after a snapshot, and two snapshots are enough, so that there is one to fall
+// back on.
 const (
-	snapshotsKept = 2
-	snapshotAfter = 4096 // entries
-	trailing      = 1024 // entries kept behind a snapshot, for a keeper that was away for a while
+	retainedSnapshots = 2
+	snapshotThreshold = 4096 // log entries between snapshots
+	trailingEntries   = 1024 // log entries before a snapshot that are retained for keepers that were down for a while
 )
 
 func openStore(dir string) (s store, err error) {
@@ -38,57 +39,58 @@
 	if s.log, err = openLog(filepath.Join(dir, "log.bolt")); err != nil {
 		return s, err
 	}
-	if s.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, snapshotsKept, logger()); err != nil {
+	if s.snapshots, err = raft.NewFileSnapshotStoreWithLogger(dir, retainedSnapshots, raftLogger()); err != nil {
 		return s, errors.Join(err, s.log.Close())
 	}
 	return s, nil
 }
 
-// BadLog is a log that cannot be gone on from.
-type BadLog struct {
+// LogError is an error of a log file that the keeper cannot start from.
+type LogError struct {
 	Path string
 	Err  error
 }
 
-func (b *BadLog) Error() string { return b.Path + ": " + b.Err.Error() }
-func (b *BadLog) Unwrap() error { return b.Err }
+func (e *LogError) Error() string { return e.Path + ": " + e.Err.Error() }
+func (e *LogError) Unwrap() error { return e.Err }
 
-// Remedy says what an operator can do.
-func (b *BadLog) Remedy() string { return errDamaged.Advice }
+// Remedy returns advice to the operator.
+func (e *LogError) Remedy() string { return errDamagedLog.Advice }
 
-// checked is a log whose entries are checked as they are read, so that one damaged on this disk reaches no other keeper.
-type checked struct{ *raftboltdb.BoltStore }
+// checkedLog verifies the checksum of each entry that is read, so that an entry damaged on this disk is not sent to other
+// keepers.
+type checkedLog struct{ *raftboltdb.BoltStore }
 
-// GetLog reads an entry.
-func (c *checked) GetLog(index uint64, l *raft.Log) error {
-	if err := c.BoltStore.GetLog(index, l); err != nil {
+// GetLog reads and verifies an entry.
+func (c *checkedLog) GetLog(index uint64, entry *raft.Log) error {
+	if err := c.BoltStore.GetLog(index, entry); err != nil {
 		return err
 	}
-	if l.Type == raft.LogCommand {
-		if _, err := unframed(l.Data); err != nil {
+	if entry.Type == raft.LogCommand {
+		if _, err := verifyChecksum(entry.Data); err != nil {
 			return fmt.Errorf("entry %d: %w", index, err)
 		}
 	}
 	return nil
 }
 
-// openLog opens the file of the log and reads all of it. A file that was cut or has other bytes than were written is an
-// error: read through a mapping, as the library does, it would end the process later, or be taken for what it is not.
-func openLog(path string) (c *checked, err error) {
+// openLog opens the log file and reads all of it. A file that is truncated or damaged is an error. The library reads it
+// through a memory mapping, so that such a file would otherwise end the process later, or be accepted with other content.
+func openLog(path string) (checked *checkedLog, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	var log *raftboltdb.BoltStore
 	defer func() {
-		if r := recover(); r != nil { // the file stays open and locked: its pages cannot be trusted with a close
-			c, err = nil, fmt.Errorf("%w: %v", errDamaged, r)
+		if r := recover(); r != nil { // the file stays open and locked, as closing it would use damaged pages
+			checked, err = nil, fmt.Errorf("%w: %v", errDamagedLog, r)
 		}
 		if err != nil {
-			err = &BadLog{path, err}
+			err = &LogError{path, err}
 		}
 	}()
 	if log, err = raftboltdb.New(raftboltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: time.Second}}); err != nil {
 		return nil, err
 	}
-	c = &checked{log}
+	checked = &checkedLog{log}
 	first, err := log.FirstIndex()
 	if err != nil {
 		return nil, errors.Join(err, log.Close())
@@ -98,81 +100,82 @@
 		return nil, errors.Join(err, log.Close())
 	}
 	for i := first; i <= last && i > 0; i++ {
-		var l raft.Log
-		if err := c.GetLog(i, &l); err != nil {
+		var entry raft.Log
+		if err := checked.GetLog(i, &entry); err != nil {
 			return nil, errors.Join(err, log.Close())
 		}
-		if l.Index != i {
-			return nil, errors.Join(fmt.Errorf("%w: entry %d says that it is %d", errDamaged, i, l.Index), log.Close())
+		if entry.Index != i {
+			return nil, errors.Join(fmt.Errorf("%w: entry %d has the index %d", errDamagedLog, i, entry.Index), log.Close())
 		}
 	}
-	return c, nil
+	return checked, nil
 }
 
-// logger passes the library's warnings to slog.
-func logger() hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: lines{}, DisableTime: true})
+// raftLogger returns a logger that passes the library's warnings to slog.
+func raftLogger() hclog.Logger {
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: slogWriter{}, DisableTime: true})
 }
 
-// lines logs each line that is written to it.
-type lines struct{}
+// slogWriter logs each line that is written to it as a warning.
+type slogWriter struct{}
 
-func (lines) Write(p []byte) (int, error) {
+func (slogWriter) Write(p []byte) (int, error) {
 	for line := range bytes.Lines(p) {
 		slog.Warn(string(bytes.TrimSpace(line)))
 	}
 	return len(p), nil
 }
 
-// raftConfig is how the library is to work: elections within the time that the configuration says.
-func raftConfig(c *Config) *raft.Config {
-	r := raft.DefaultConfig()
-	election := time.Duration(c.Election)
-	r.LocalID = raft.ServerID(c.Name)
-	r.HeartbeatTimeout, r.ElectionTimeout, r.LeaderLeaseTimeout = election, election, election/2
-	r.CommitTimeout = min(r.CommitTimeout, election/10)
-	r.SnapshotThreshold, r.TrailingLogs = snapshotAfter, trailing
-	r.SnapshotInterval = 30 * time.Second
-	// A turn's confirmations, of thousands of members, go in a message or two: the library has two on their way at the most, so
-	// each further one costs as long as the keepers' regions are apart. 1024 is the most that it takes.
-	r.MaxAppendEntries = 1024
-	r.Logger = logger()
-	return r
+// raftConfig returns the configuration of the raft library, with election timeouts from the keeper's configuration.
+func raftConfig(config *Config) *raft.Config {
+	raftConf := raft.DefaultConfig()
+	election := time.Duration(config.Election)
+	raftConf.LocalID = raft.ServerID(config.Name)
+	raftConf.HeartbeatTimeout, raftConf.ElectionTimeout, raftConf.LeaderLeaseTimeout = election, election, election/2
+	raftConf.CommitTimeout = min(raftConf.CommitTimeout, election/10)
+	raftConf.SnapshotThreshold, raftConf.TrailingLogs = snapshotThreshold, trailingEntries
+	raftConf.SnapshotInterval = 30 * time.Second
+	// The confirmations of a revision by thousands of members should need one or two messages: the library has at most two
+	// in flight, so each further message takes as long as the delay between the keepers' regions. 1024 is the largest value
+	// that the library accepts.
+	raftConf.MaxAppendEntries = 1024
+	raftConf.Logger = raftLogger()
+	return raftConf
 }
 
-// servers are all keepers as the library has them.
-func servers(c *Config) raft.Configuration {
+// raftServers returns all keepers in the form that the library needs.
+func raftServers(c *Config) raft.Configuration {
 	var all raft.Configuration
-	for _, p := range c.peers() {
+	for _, p := range c.allPeers() {
 		all.Servers = append(all.Servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Raft)})
 	}
 	return all
 }
 
-// Recover has what one folder holds be all there is: its keeper then stands with the peers that its configuration names
-// now, whatever most of them knew. Changes that this one had not heard of are lost, so it is for the case that most
-// folders are. No keeper may run on the folder.
-func Recover(c Config) error {
-	if err := c.Check(); err != nil {
+// Recover makes the content of one folder the state of the cluster, whatever a quorum of keepers had. The keeper of that
+// folder then forms a cluster with the peers that its configuration names now. Changes that it had not received are
+// lost, so this is only for the case that most keepers' folders are lost. No keeper may run on the folder.
+func Recover(config Config) error {
+	if err := config.Check(); err != nil {
 		return err
 	}
-	s, err := openStore(c.Dir)
+	opened, err := openStore(config.Dir)
 	if err != nil {
 		return err
 	}
-	defer s.log.Close()
-	if known, err := raft.HasExistingState(s.log, s.log, s.snapshots); err != nil || !known {
-		return errors.Join(err, fmt.Errorf("%s holds no state of a keeper", c.Dir))
+	defer opened.log.Close()
+	if hasState, err := raft.HasExistingState(opened.log, opened.log, opened.snapshots); err != nil || !hasState {
+		return errors.Join(err, fmt.Errorf("%s has no state of a keeper", config.Dir))
 	}
 	_, transport := raft.NewInmemTransport("")
-	return raft.RecoverCluster(raftConfig(&c), &recovered{newMachine()}, s.log, s.log, s.snapshots, transport, servers(&c))
+	return raft.RecoverCluster(raftConfig(&config), &recoveryMachine{newStateMachine()}, opened.log, opened.log, opened.snapshots, transport, raftServers(&config))
 }
 
-// recovered is a machine whose state jumps ahead as it is written.
-type recovered struct{ *machine }
+// recoveryMachine is a state machine whose numbers jump ahead when its snapshot is written.
+type recoveryMachine struct{ *stateMachine }
 
-// Snapshot holds the state to go on from.
-func (r *recovered) Snapshot() (raft.FSMSnapshot, error) {
+// Snapshot returns the recovered state in serialized form.
+func (r *recoveryMachine) Snapshot() (raft.FSMSnapshot, error) {
 	r.read((*state.State).Recover)
-	return r.machine.Snapshot()
+	return r.stateMachine.Snapshot()
 }
