--- a/internal/lab/keeper.go
+++ b/internal/lab/keeper.go
@@ -167,9 +167,9 @@
 	for _, k := range w.keepers {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		var st api.Status
-		err := c.Ask(ctx, k.front, http.MethodGet, api.StatusPath, nil, &st)
+		err := c.CallKeeper(ctx, k.front, http.MethodGet, api.StatusPath, nil, &st)
 		cancel()
-		if err == nil && st.Leads {
+		if err == nil && st.IsLeader {
 			return k
 		}
 	}
@@ -205,7 +205,7 @@
 	for end := time.Now().Add(readyIn); ; time.Sleep(10 * time.Millisecond) {
 		var st api.Status
 		actx, cancel := context.WithTimeout(ctx, time.Second)
-		err := own.Ask(actx, fmt.Sprintf("%s:%d", k.ip, keeperHTTP),
+		err := own.CallKeeper(actx, fmt.Sprintf("%s:%d", k.ip, keeperHTTP),
 			http.MethodGet, api.StatusPath, nil, &st)
 		cancel()
 		if err == nil {
@@ -296,11 +296,11 @@
 		data = []byte(`{"settings":{"rules":{}}}`)
 	}
 	c := w.operators()
-	change := api.Proposal{Op: fmt.Sprintf("step-%d", n), Doc: data, Who: operator, Why: "a step of the scenario"}
+	change := api.Proposal{OperationID: fmt.Sprintf("step-%d", n), Doc: data, Who: operator, Why: "a step of the scenario"}
 	for end := time.Now().Add(proposeIn); ; time.Sleep(50 * time.Millisecond) {
 		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 		var all []api.Generation
-		var made api.Made
+		var made api.ChangeResponse
 		err := c.Call(cctx, http.MethodGet, api.GenerationsPath, nil, &all)
 		if err == nil {
 			change.Base = 0
@@ -312,7 +312,7 @@
 			err = c.Call(cctx, http.MethodPost, api.GenerationsPath, change, &made)
 		}
 		cancel()
-		var no *api.Refused
+		var no *api.RefusedError
 		switch {
 		case err == nil && st.Break != "":
 			return fmt.Errorf("a broken document was taken as generation %d", made.Number)
@@ -325,7 +325,7 @@
 		case errors.As(err, &no) && st.Break != "":
 			return nil
 		case errors.As(err, &no) && no.Status == http.StatusConflict && strings.Contains(no.Text, "another generation"):
-			change.Op += "'" // the list came from one that was behind: that answer is final, so it is another call
+			change.OperationID += "'" // the list came from one that was behind: that answer is final, so it is another call
 		case errors.As(err, &no), ctx.Err() != nil, time.Now().After(end):
 			return err
 		}
@@ -344,7 +344,7 @@
 	var err error
 	for end := time.Now().Add(readyIn); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		if k := w.leader(ctx); k != nil {
-			if err = w.operators().Ask(ctx, k.front, http.MethodGet, api.GenerationsPath, nil, &all); err == nil {
+			if err = w.operators().CallKeeper(ctx, k.front, http.MethodGet, api.GenerationsPath, nil, &all); err == nil {
 				break
 			}
 		}
--- a/internal/relay/agreed.go
+++ b/internal/relay/agreed.go
@@ -63,7 +63,7 @@
 // hear has the loop take in an answer of the keepers, and act by it.
 func (r *Relay) hear(h fleet.Heard) (have []uint64, w fleet.Word, ok bool) {
 	if r.copies != nil {
-		r.copies.owner.Hear(h.Standing.Owned)
+		r.copies.owner.Hear(h.Standing.OwnedGroups)
 	}
 	done := make(chan struct{})
 	r.post(func() {
--- a/internal/relay/carry.go
+++ b/internal/relay/carry.go
@@ -85,7 +85,7 @@
 		}
 		cctx, cancel := context.WithTimeout(ctx, sweepEvery/2)
 		var held []uint64
-		err := client.Call(cctx, http.MethodGet, api.HeldPath(r.conf.Name), nil, &held)
+		err := client.Call(cctx, http.MethodGet, api.ReplicaGroupsPath(r.conf.Name), nil, &held)
 		cancel()
 		if err != nil {
 			continue
@@ -134,7 +134,7 @@
 		DialContext: dialer(r.conf.Source, time.Second).DialContext, MaxIdleConnsPerHost: 1}}, Keepers: r.conf.Fleet.Keepers}
 	c.owner = &estate.Owner{Name: r.conf.Name, Instance: r.kept.Instance, Adopted: c.adopted, Copies: c.conf.Copies, Client: c.client, Books: (*ownBooks)(r),
 		Say: func(ctx context.Context, e state.Event) (all []*state.Estate, err error) {
-			err = keepers.Call(ctx, http.MethodPost, api.EstatesPath, e, &all)
+			err = keepers.Call(ctx, http.MethodPost, api.GroupsPath, e, &all)
 			return all, err
 		}}
 }
