--- a/internal/backlog/backlog.go
+++ b/internal/backlog/backlog.go
@@ -8,32 +8,32 @@
 
 // Message is one that waits.
 type Message struct {
-	ID    string
-	Dest  int
-	Due   int64  // Unix ms, when its time is out
-	Order string // key of an ordered class, empty for none
-	Data  []byte // opaque here
+	ID       string
+	Dest     int
+	Due      int64  // Unix ms, when its time is out
+	OrderKey string // key of an ordered class, empty for none
+	Data     []byte // opaque here
 }
 
 // Held is a message that lies here.
-type Held struct {
+type StoredMessage struct {
 	Message
 	// Place rises within a destination in the order of taking on; never 0.
-	Place uint64
+	Sequence uint64
 	// Doubt is whether it may have left already: damage took the record of that. It may have run.
-	Doubt bool
+	InDoubt bool
 }
 
 // Options of a store. Zero stands for what each says.
 type Options struct {
 	// Disk is the most bytes for all files, each counted in whole blocks of 512.
-	Disk int64
+	DiskBytes int64
 	// SegmentLeast and SegmentMost bound the bytes of data in a segment, which grows with its destination's backlog:
 	// 256 KiB and 4 MiB.
-	SegmentLeast, SegmentMost int64
+	MinSegmentBytes, MaxSegmentBytes int64
 	// Files is how many may be open: 16.
-	Files int
+	MaxOpenFiles int
 
-	now   func() time.Time
-	fault func(op, name string, bytes int) (int, error)
+	now         func() time.Time
+	injectFault func(op, name string, bytes int) (int, error)
 }
--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -12,86 +12,86 @@
 	"testing"
 )
 
-var damageStep = flag.Int("backlog.step", 29, "which bytes are cut and flipped: each so many-th")
+var damageStepBytes = flag.Int("backlog.step", 29, "which bytes are cut and flipped: each so many-th")
 
 // lived is a folder with messages of two destinations in several segments, of which some have left in order and some out of it.
-func lived(t testing.TB) (dir string, m model, gone map[string]bool) {
-	dir, m, gone = tempDir(t), model{}, map[string]bool{}
-	s := mustOpen(t, dir, small(&killer{}))
+func churnedFolder(t testing.TB) (dir string, m queueModel, gone map[string]bool) {
+	dir, m, gone = tempDir(t), queueModel{}, map[string]bool{}
+	s := mustOpen(t, dir, smallOptions(&killSwitch{}))
 	defer s.Close()
 	for i := range 60 {
 		h := Message{ID: fmt.Sprint("m", i), Dest: 1 + i%2, Due: int64(i), Data: bytes.Repeat([]byte{byte(i)}, 20+i*3)}
 		if i%3 == 0 {
-			h.Order = fmt.Sprint("k", h.Dest)
+			h.OrderKey = fmt.Sprint("k", h.Dest)
 		}
 		if err := s.Put(h); err != nil {
 			t.Fatal(err)
 		}
-		m[h.Dest] = append(m[h.Dest], Held{Message: h})
+		m[h.Dest] = append(m[h.Dest], StoredMessage{Message: h})
 	}
-	same(t, s, m)
+	checkEqual(t, s, m)
 	for dest, q := range m {
 		var out []uint64
 		for i, h := range q {
 			if i < 3 || i%7 == 5 || i > 25 && i < 28 {
-				out, gone[h.ID] = append(out, h.Place), true
+				out, gone[h.ID] = append(out, h.Sequence), true
 			}
 		}
-		if err := s.Out(dest, out...); err != nil {
+		if err := s.Remove(dest, out...); err != nil {
 			t.Fatal(err)
 		}
-		m.out(dest, out...)
+		m.remove(dest, out...)
 	}
-	same(t, s, m)
+	checkEqual(t, s, m)
 	return dir, m, gone
 }
 
 // survives checks what is left of a folder after damage: at most so many messages are missing, each is told of, what has left comes back in doubt or not at all, order stays,
 // and all can be taken out.
-func survives(t testing.TB, what, dir string, m model, gone map[string]bool, most int) {
+func checkSurvives(t testing.TB, what, dir string, m queueModel, gone map[string]bool, most int) {
 	t.Helper()
-	s, err := Open(dir, small(&killer{}))
+	s, err := Open(dir, smallOptions(&killSwitch{}))
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 	defer s.Close()
-	got := has(t, s)
+	got := storedMessages(t, s)
 	lost, doubt, table := 0, 0, false
-	for _, err := range s.Damage() {
-		var d *Damage
+	for _, err := range s.TakeDamageReports() {
+		var d *DamageError
 		if !errors.As(err, &d) || d.Remedy() == "" {
 			t.Fatalf("%s: %v", what, err)
 		}
-		lost, doubt, table = lost+d.Lost, doubt+d.Doubt, table || d.Segment == tableName
+		lost, doubt, table = lost+d.Lost, doubt+d.InDoubt, table || d.Segment == tableFileName
 	}
 	missing := 0
 	for dest, q := range m {
 		g := got[dest]
 		for _, h := range q {
-			i := slices.IndexFunc(g, func(x Held) bool { return x.ID == h.ID })
+			i := slices.IndexFunc(g, func(x StoredMessage) bool { return x.ID == h.ID })
 			if i < 0 {
 				missing++
 				continue
 			}
 			for _, x := range g[:i] {
-				if !x.Doubt || !gone[x.ID] {
+				if !x.InDoubt || !gone[x.ID] {
 					t.Fatalf("%s: %s comes before %s", what, x.ID, h.ID)
 				}
 			}
 			x := g[i]
-			if x.Doubt {
+			if x.InDoubt {
 				doubt--
 			}
-			if x.Doubt = false; !alike(x, h) || x.Place != h.Place {
+			if x.InDoubt = false; !sameMessage(x, h) || x.Sequence != h.Sequence {
 				t.Fatalf("%s: %+v is %+v", what, h, x)
 			}
-			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || f.Place != h.Place {
+			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || f.Sequence != h.Sequence {
 				t.Fatalf("%s: %s is found as %v %v %v", what, h.ID, f, ok, err)
 			}
 			g = g[i+1:]
 		}
 		for _, x := range g {
-			if !x.Doubt || !gone[x.ID] {
+			if !x.InDoubt || !gone[x.ID] {
 				t.Fatalf("%s: %s is there", what, x.ID)
 			}
 		}
@@ -101,7 +101,7 @@
 	}
 	for dest, q := range got {
 		for _, h := range q {
-			if err := s.Out(dest, h.Place); err != nil {
+			if err := s.Remove(dest, h.Sequence); err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 		}
@@ -111,7 +111,7 @@
 	}
 }
 
-func eachFile(t testing.TB, dir string, f func(name string, b []byte)) {
+func forEachFile(t testing.TB, dir string, f func(name string, b []byte)) {
 	all, err := os.ReadDir(dir)
 	if err != nil || len(all) < 8 {
 		t.Fatalf("%d files: %v", len(all), err)
@@ -126,7 +126,7 @@
 }
 
 // with is a copy of a folder with another content of a file; none if nil.
-func with(t testing.TB, dir, name string, b []byte) string {
+func copyWithFile(t testing.TB, dir, name string, b []byte) string {
 	to := copyDir(t, dir)
 	err := os.Remove(filepath.Join(to, name))
 	if b != nil {
@@ -140,42 +140,42 @@
 
 // Guards against one flipped bit that loses more than its record, is not told, or has come again what had left.
 func TestFlippedBits(t *testing.T) {
-	dir, m, gone := lived(t)
-	eachFile(t, dir, func(name string, b []byte) {
+	dir, m, gone := churnedFolder(t)
+	forEachFile(t, dir, func(name string, b []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for i := 0; i < len(b); i += *damageStep {
-				if name == tableName && b[i] == 0 && i%(16*slotSize) != 0 {
+			for i := 0; i < len(b); i += *damageStepBytes {
+				if name == tableFileName && b[i] == 0 && i%(16*slotSize) != 0 {
 					continue // most of it is free
 				}
 				c := slices.Clone(b)
 				c[i] ^= 1 << (i % 8)
-				survives(t, fmt.Sprint("bit flipped at ", i), with(t, dir, name, c), m, gone, 1)
+				checkSurvives(t, fmt.Sprint("bit flipped at ", i), copyWithFile(t, dir, name, c), m, gone, 1)
 			}
 		})
 	})
 }
 
 // Guards against a file that is cut and takes more than what was in the part that is missing, or is silent about it.
-func TestCutFiles(t *testing.T) {
-	dir, m, gone := lived(t)
-	eachFile(t, dir, func(name string, b []byte) {
+func TestTruncatedFiles(t *testing.T) {
+	dir, m, gone := churnedFolder(t)
+	forEachFile(t, dir, func(name string, b []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			survives(t, "gone", with(t, dir, name, nil), m, gone, 30)
-			step := *damageStep
-			if name == tableName {
+			checkSurvives(t, "gone", copyWithFile(t, dir, name, nil), m, gone, 30)
+			step := *damageStepBytes
+			if name == tableFileName {
 				step *= 100
 			}
 			for n := 0; n < len(b); n += step {
-				if name == versionName && n == 0 {
+				if name == versionFileName && n == 0 {
 					continue // TestOtherVersion
 				}
 				most := 0
 				if strings.HasSuffix(name, ".dat") {
-					most = 1 + (len(b)-n)/frameHead
+					most = 1 + (len(b)-n)/frameHeaderSize
 				}
-				survives(t, fmt.Sprint("cut at ", n), with(t, dir, name, b[:n]), m, gone, most)
+				checkSurvives(t, fmt.Sprint("cut at ", n), copyWithFile(t, dir, name, b[:n]), m, gone, most)
 			}
 		})
 	})
--- a/internal/backlog/entry/entry.go
+++ b/internal/backlog/entry/entry.go
@@ -20,19 +20,21 @@
 	hasTerms = 1 << iota
 	sameZone
 	ordered
-	otherName // the class of the terms has another name than the message's
+	differentClassName // the class of the terms has another name than the message's
 )
 
 // Unreadable is a message whose data this version of the program cannot read.
-type Unreadable struct {
-	ID  string
-	Why string
+type UnreadableError struct {
+	ID     string
+	Reason string
 }
 
-func (u *Unreadable) Error() string { return fmt.Sprintf("message %s of the backlog: %s", u.ID, u.Why) }
+func (u *UnreadableError) Error() string {
+	return fmt.Sprintf("message %s of the backlog: %s", u.ID, u.Reason)
+}
 
 // Remedy says what an operator can do.
-func (u *Unreadable) Remedy() string {
+func (u *UnreadableError) Remedy() string {
 	return "it ends as undeliverable, have its sender ask; if a later version of the program wrote it, go back to that one"
 }
 
@@ -50,7 +52,7 @@
 			flags |= ordered
 		}
 		if t.Class.Name != e.Class {
-			flags |= otherName
+			flags |= differentClassName
 		}
 	}
 	data = append(data, versionOne, flags)
@@ -69,21 +71,21 @@
 			data = binary.LittleEndian.AppendUint64(data, math.Float64bits(f))
 		}
 	}
-	return backlog.Message{ID: e.ID, Dest: e.Dest, Due: e.Due, Order: e.Order, Data: append(data, e.Body...)}
+	return backlog.Message{ID: e.ID, Dest: e.Dest, Due: e.Due, OrderKey: e.OrderKey, Data: append(data, e.Body...)}
 }
 
 // Unpack is the message again. One in doubt may have run long ago, as the journal takes it of one whose records are lost.
-func Unpack(h backlog.Held) (*journal.Entry, error) {
-	e := &journal.Entry{ID: h.ID, Dest: h.Dest, Due: h.Due, Order: h.Order, Ran: h.Doubt}
-	r := reader{data: h.Data}
+func Unpack(h backlog.StoredMessage) (*journal.Entry, error) {
+	e := &journal.Entry{ID: h.ID, Dest: h.Dest, Due: h.Due, OrderKey: h.OrderKey, MayHaveRun: h.InDoubt}
+	r := fieldReader{data: h.Data}
 	version, flags := r.byte(), r.byte()
-	if version != versionOne && r.why == "" {
-		return nil, &Unreadable{h.ID, fmt.Sprintf("its data has version %d, this program reads %d", version, versionOne)}
+	if version != versionOne && r.problem == "" {
+		return nil, &UnreadableError{h.ID, fmt.Sprintf("its data has version %d, this program reads %d", version, versionOne)}
 	}
 	e.Class, e.Tenant, e.Key = r.text(), r.text(), r.text()
 	if flags&hasTerms != 0 {
 		t := &choice.Terms{Class: choice.Class{Name: e.Class, SameZone: flags&sameZone != 0, Ordered: flags&ordered != 0}}
-		if flags&otherName != 0 {
+		if flags&differentClassName != 0 {
 			t.Class.Name = r.text()
 		}
 		t.Attempts, t.Class.Effect = int(r.number()), choice.Effect(r.number())
@@ -91,22 +93,22 @@
 		t.Class.Worth, t.Class.LateShare = r.float(), r.float()
 		e.Terms = t
 	}
-	if r.why != "" {
-		return nil, &Unreadable{h.ID, r.why}
+	if r.problem != "" {
+		return nil, &UnreadableError{h.ID, r.problem}
 	}
 	e.Body = r.data
 	return e, nil
 }
 
 // reader takes fields off the front of data. After the first that is not there it gives nothing more.
-type reader struct {
-	data []byte
-	why  string
+type fieldReader struct {
+	data    []byte
+	problem string
 }
 
-func (r *reader) take(n int) []byte {
+func (r *fieldReader) next(n int) []byte {
 	if n < 0 || n > len(r.data) {
-		r.data, r.why = nil, "its data is cut short"
+		r.data, r.problem = nil, "its data is cut short"
 		return nil
 	}
 	taken := r.data[:n]
@@ -114,35 +116,35 @@
 	return taken
 }
 
-func (r *reader) byte() byte {
-	if b := r.take(1); b != nil {
+func (r *fieldReader) byte() byte {
+	if b := r.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *reader) text() string {
+func (r *fieldReader) text() string {
 	n, used := binary.Uvarint(r.data)
 	if used <= 0 || n > uint64(len(r.data)-used) {
-		r.take(-1)
+		r.next(-1)
 		return ""
 	}
-	r.take(used)
-	return string(r.take(int(n)))
+	r.next(used)
+	return string(r.next(int(n)))
 }
 
-func (r *reader) number() int64 {
+func (r *fieldReader) number() int64 {
 	n, used := binary.Varint(r.data)
 	if used <= 0 {
-		r.take(-1)
+		r.next(-1)
 		return 0
 	}
-	r.take(used)
+	r.next(used)
 	return n
 }
 
-func (r *reader) float() float64 {
-	if b := r.take(8); b != nil {
+func (r *fieldReader) float() float64 {
+	if b := r.next(8); b != nil {
 		return math.Float64frombits(binary.LittleEndian.Uint64(b))
 	}
 	return 0
--- a/internal/backlog/entry/entry_test.go
+++ b/internal/backlog/entry/entry_test.go
@@ -15,18 +15,18 @@
 	"larchrouter/internal/journal"
 )
 
-func sample() *journal.Entry {
-	return &journal.Entry{ID: "9b1f03aa5c7e2d41", Class: "order-msg", Dest: 7, Tenant: "sibiu", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Due: 1796200000123, Order: "k",
+func sampleEntry() *journal.Entry {
+	return &journal.Entry{ID: "9b1f03aa5c7e2d41", Class: "order-msg", Dest: 7, Tenant: "sibiu", Key: "5c0f6e1a2b3d4c59a8b7c6d5e4f30211", Due: 1796200000123, OrderKey: "k",
 		Body: []byte(strings.Repeat("x", 200)), Terms: &choice.Terms{Attempts: 8, Class: choice.Class{Name: "order-msg", Aim: time.Second,
 			Deadline: 6 * time.Second, Worth: 1, LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 4 * time.Second, Ordered: true}}}
 }
 
 // Guards against a message that comes back as another: of any texts, terms or body; and one in doubt that passes for untried.
-func TestWhatIsPackedComesBack(t *testing.T) {
+func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringN(0, 40, -1)
 		e := &journal.Entry{ID: name.Draw(t, "id"), Class: name.Draw(t, "class"), Dest: rapid.Int().Draw(t, "dest"), Tenant: name.Draw(t, "tenant"),
-			Key: name.Draw(t, "key"), Order: name.Draw(t, "order"), Due: rapid.Int64().Draw(t, "due"), Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body")}
+			Key: name.Draw(t, "key"), OrderKey: name.Draw(t, "order"), Due: rapid.Int64().Draw(t, "due"), Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body")}
 		if rapid.Bool().Draw(t, "terms") {
 			span := func(label string) time.Duration { return time.Duration(rapid.Int64().Draw(t, label)) }
 			e.Terms = &choice.Terms{Attempts: rapid.Int().Draw(t, "attempts"), Class: choice.Class{Name: rapid.SampledFrom([]string{e.Class, "other"}).Draw(t, "name"),
@@ -34,19 +34,19 @@
 				Effect: choice.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), SameZone: rapid.Bool().Draw(t, "zone"), Ordered: rapid.Bool().Draw(t, "ordered")}}
 		}
 		doubt := rapid.Bool().Draw(t, "doubt")
-		got, err := Unpack(backlog.Held{Message: Pack(e), Place: 1, Doubt: doubt})
+		got, err := Unpack(backlog.StoredMessage{Message: Pack(e), Sequence: 1, InDoubt: doubt})
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := *e
-		want.Ran = doubt
-		if a, b := text(got), text(&want); a != b {
+		want.MayHaveRun = doubt
+		if a, b := describe(got), describe(&want); a != b {
 			t.Fatalf("put\n%s\ncame back\n%s", b, a)
 		}
 	})
 }
 
-func text(e *journal.Entry) string {
+func describe(e *journal.Entry) string {
 	c, terms := *e, "none"
 	if c.Terms != nil {
 		terms = fmt.Sprintf("%+v", *c.Terms)
@@ -56,9 +56,9 @@
 }
 
 // Guards against a field that a class or its terms get and the data does not: it would be lost by way of the disk.
-func TestEveryFieldOfTheTermsIsKept(t *testing.T) {
-	e := sample()
-	got, err := Unpack(backlog.Held{Message: Pack(e)})
+func TestPackKeepsEveryTermsField(t *testing.T) {
+	e := sampleEntry()
+	got, err := Unpack(backlog.StoredMessage{Message: Pack(e)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,25 +72,25 @@
 }
 
 // Guards against data that wedges, panics or passes for whole when it is cut or of a later version.
-func TestWhatCannotBeRead(t *testing.T) {
-	whole := Pack(sample())
+func TestUnpackUnreadableData(t *testing.T) {
+	whole := Pack(sampleEntry())
 	head := len(whole.Data) - 200
 	for n := range head {
-		_, err := Unpack(backlog.Held{Message: backlog.Message{ID: "m", Data: whole.Data[:n]}})
-		if u := (*Unreadable)(nil); !errors.As(err, &u) || u.ID != "m" || u.Remedy() == "" {
+		_, err := Unpack(backlog.StoredMessage{Message: backlog.Message{ID: "m", Data: whole.Data[:n]}})
+		if u := (*UnreadableError)(nil); !errors.As(err, &u) || u.ID != "m" || u.Remedy() == "" {
 			t.Fatalf("cut at %d of %d: %v", n, head, err)
 		}
 	}
 	later := append([]byte{versionOne + 1}, whole.Data[1:]...)
-	if _, err := Unpack(backlog.Held{Message: backlog.Message{ID: "m", Data: later}}); err == nil || !strings.Contains(err.Error(), "version 2") {
+	if _, err := Unpack(backlog.StoredMessage{Message: backlog.Message{ID: "m", Data: later}}); err == nil || !strings.Contains(err.Error(), "version 2") {
 		t.Errorf("a later version: %v", err)
 	}
 }
 
 func FuzzUnpack(f *testing.F) {
-	f.Add(Pack(sample()).Data)
+	f.Add(Pack(sampleEntry()).Data)
 	f.Fuzz(func(t *testing.T, data []byte) {
-		e, err := Unpack(backlog.Held{Message: backlog.Message{ID: "m", Data: data}})
+		e, err := Unpack(backlog.StoredMessage{Message: backlog.Message{ID: "m", Data: data}})
 		if err == nil && len(e.Body) > len(data) {
 			t.Fatal("more came back than was there")
 		}
@@ -98,8 +98,8 @@
 }
 
 // Guards against data that grows: with what the store adds, bytes written for each byte taken in are to be below 3.
-func TestDataIsShort(t *testing.T) {
-	e := sample()
+func TestPackedDataIsShort(t *testing.T) {
+	e := sampleEntry()
 	taken := len(e.Body) + len(e.ID) + len(e.Class) + len(e.Tenant) + len(e.Key)
 	if n := len(Pack(e).Data); n > taken+40 {
 		t.Errorf("%d bytes for %d taken in", n, taken)
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -12,10 +12,10 @@
 
 // folder is the files of a backlog, of which only a few are open.
 type folder struct {
-	dir  string
-	open *simplelru.LRU[string, *os.File]
+	dir       string
+	openFiles *simplelru.LRU[string, *os.File]
 	// fault is asked before each change, how much of it may be done; then the error holds. For tests; nil for none.
-	fault func(op, name string, bytes int) (int, error)
+	injectFault func(op, name string, bytes int) (int, error)
 }
 
 func newFolder(dir string, files int, fault func(string, string, int) (int, error)) (*folder, error) {
@@ -26,21 +26,21 @@
 	return &folder{dir, open, fault}, nil
 }
 
-func (d *folder) failed(did, name string, err error) error {
-	return &Failure{did, filepath.Join(d.dir, name), err}
+func (d *folder) fileError(did, name string, err error) error {
+	return &FileError{did, filepath.Join(d.dir, name), err}
 }
 
 // allow is how much of a change may be done.
-func (d *folder) allow(op, name string, bytes int) (int, error) {
-	if d.fault == nil {
+func (d *folder) allowedBytes(op, name string, bytes int) (int, error) {
+	if d.injectFault == nil {
 		return bytes, nil
 	}
-	return d.fault(op, name, bytes)
+	return d.injectFault(op, name, bytes)
 }
 
 // file is an open file; one that may only be read will fail to be written.
 func (d *folder) file(name string, flags int) (*os.File, error) {
-	if f, ok := d.open.Get(name); ok {
+	if f, ok := d.openFiles.Get(name); ok {
 		return f, nil
 	}
 	path := filepath.Join(d.dir, name)
@@ -49,28 +49,28 @@
 		f, err = os.Open(path)
 	}
 	if err == nil {
-		d.open.Add(name, f)
+		d.openFiles.Add(name, f)
 	}
 	return f, err
 }
 
 // write puts bytes at a place of a file; it makes the file if it is to be new.
 func (d *folder) write(name string, b []byte, off int64, fresh bool) error {
-	n, fault := d.allow("write", name, len(b))
+	n, fault := d.allowedBytes("write", name, len(b))
 	if fault != nil && n == 0 {
-		return d.failed("cannot be written", name, fault)
+		return d.fileError("cannot be written", name, fault)
 	}
 	flags := 0
 	if fresh {
 		flags = os.O_CREATE | os.O_TRUNC
-		d.open.Remove(name)
+		d.openFiles.Remove(name)
 	}
 	f, err := d.file(name, flags)
 	if err == nil {
 		_, err = f.WriteAt(b[:n], off)
 	}
 	if err = errors.Join(err, fault); err != nil {
-		return d.failed("cannot be written", name, err)
+		return d.fileError("cannot be written", name, err)
 	}
 	return nil
 }
@@ -79,26 +79,26 @@
 func (d *folder) read(name string, b []byte, off int64) (int, error) {
 	f, err := d.file(name, 0)
 	if err != nil {
-		return 0, d.failed("cannot be read", name, err)
+		return 0, d.fileError("cannot be read", name, err)
 	}
 	n, err := f.ReadAt(b, off)
 	if err != nil && !errors.Is(err, io.EOF) {
-		return n, d.failed("cannot be read", name, err)
+		return n, d.fileError("cannot be read", name, err)
 	}
 	return n, nil
 }
 
 // whole is all of a file.
-func (d *folder) whole(name string) ([]byte, error) {
+func (d *folder) readFile(name string) ([]byte, error) {
 	b, err := os.ReadFile(filepath.Join(d.dir, name))
 	if err != nil {
-		return nil, d.failed("cannot be read", name, err)
+		return nil, d.fileError("cannot be read", name, err)
 	}
 	return b, nil
 }
 
 func (d *folder) truncate(name string, size int64) error {
-	_, err := d.allow("truncate", name, 0)
+	_, err := d.allowedBytes("truncate", name, 0)
 	var f *os.File
 	if err == nil {
 		f, err = d.file(name, 0)
@@ -107,33 +107,33 @@
 		err = f.Truncate(size)
 	}
 	if err != nil {
-		return d.failed("cannot be cut", name, err)
+		return d.fileError("cannot be cut", name, err)
 	}
 	return nil
 }
 
 // remove deletes a file; one that is not there is no error.
 func (d *folder) remove(name string) error {
-	_, err := d.allow("remove", name, 0)
+	_, err := d.allowedBytes("remove", name, 0)
 	if err == nil {
-		d.open.Remove(name)
+		d.openFiles.Remove(name)
 		err = os.Remove(filepath.Join(d.dir, name))
 	}
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return d.failed("cannot be deleted", name, err)
+		return d.fileError("cannot be deleted", name, err)
 	}
 	return nil
 }
 
 func (d *folder) rename(from, to string) error {
-	_, err := d.allow("rename", to, 0)
+	_, err := d.allowedBytes("rename", to, 0)
 	if err == nil {
-		d.open.Remove(from)
-		d.open.Remove(to)
+		d.openFiles.Remove(from)
+		d.openFiles.Remove(to)
 		err = os.Rename(filepath.Join(d.dir, from), filepath.Join(d.dir, to))
 	}
 	if err != nil {
-		return d.failed("cannot be put in place", to, err)
+		return d.fileError("cannot be put in place", to, err)
 	}
 	return nil
 }
--- a/internal/backlog/folder_test.go
+++ b/internal/backlog/folder_test.go
@@ -12,7 +12,7 @@
 	"testing"
 )
 
-func tempDir(t fataler) string {
+func tempDir(t testFailer) string {
 	dir, err := os.MkdirTemp("", "backlog")
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	return dir
 }
 
-func onDisk(t fataler, dir string) (n int64) {
+func diskBytes(t testFailer, dir string) (n int64) {
 	all, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 	return n
 }
 
-func copyDir(t fataler, from string) string {
+func copyDir(t testFailer, from string) string {
 	to := tempDir(t)
 	if err := os.CopyFS(filepath.Join(to, "d"), os.DirFS(from)); err != nil {
 		t.Fatal(err)
@@ -47,27 +47,27 @@
 }
 
 // filled is a store with a few messages for each of some destinations.
-func filled(t testing.TB, dir string, o Options, dests, each int) (*Store, model) {
-	s, m := mustOpen(t, dir, o), model{}
+func openFilled(t testing.TB, dir string, o Options, dests, each int) (*Store, queueModel) {
+	s, m := mustOpen(t, dir, o), queueModel{}
 	for i := range dests * each {
 		h := Message{ID: fmt.Sprint("m", i), Dest: i % dests, Due: int64(i), Data: make([]byte, 100)}
 		if err := s.Put(h); err != nil {
 			t.Fatal(err)
 		}
-		m[h.Dest] = append(m[h.Dest], Held{Message: h})
+		m[h.Dest] = append(m[h.Dest], StoredMessage{Message: h})
 	}
 	return s, m
 }
 
 // Guards against a disk that fails in any write of a call, is full or may not be written: nothing of it is kept, nothing else lost, and it goes on
 // once the disk does.
-func TestDiskThatFails(t *testing.T) {
+func TestFailingDisk(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
 		for _, undo := range []bool{true, false} {
 			for at := 0; ; at++ {
 				n, on := 0, false
-				o := small(&killer{})
-				o.fault = func(op, _ string, bytes int) (int, error) {
+				o := smallOptions(&killSwitch{})
+				o.injectFault = func(op, _ string, bytes int) (int, error) {
 					if !on || op != "write" && undo {
 						return bytes, nil
 					}
@@ -77,11 +77,11 @@
 					return bytes, nil
 				}
 				dir := t.TempDir()
-				s, m := filled(t, dir, o, 3, 5)
+				s, m := openFilled(t, dir, o, 3, 5)
 				on = true
 				var ms []Message
 				for i := range 12 {
-					ms = append(ms, Message{ID: fmt.Sprint("x", i), Dest: i % 5, Due: 5, Order: "k", Data: make([]byte, 400)})
+					ms = append(ms, Message{ID: fmt.Sprint("x", i), Dest: i % 5, Due: 5, OrderKey: "k", Data: make([]byte, 400)})
 				}
 				err := s.Put(ms...)
 				on = false
@@ -91,25 +91,25 @@
 					}
 					break
 				}
-				var f *Failure
+				var f *FileError
 				if !errors.Is(err, cause) || !errors.As(err, &f) || f.Remedy() == "" {
 					t.Fatalf("write %d: %v", at, err)
 				}
-				same(t, s, m)
+				checkEqual(t, s, m)
 				if err := s.Put(ms...); err != nil {
 					t.Fatalf("after write %d failed: %v", at, err)
 				}
 				for _, h := range ms {
-					m[h.Dest] = append(m[h.Dest], Held{Message: h})
+					m[h.Dest] = append(m[h.Dest], StoredMessage{Message: h})
 				}
 				for range 2 {
 					for dest, q := range m {
-						if got, err := s.Next(dest, 1000, 1<<30); err != nil || !slices.EqualFunc(got, q, alike) {
-							t.Fatalf("after write %d failed destination %d has %s: %v", at, dest, ids(got), err)
+						if got, err := s.Next(dest, 1000, 1<<30); err != nil || !slices.EqualFunc(got, q, sameMessage) {
+							t.Fatalf("after write %d failed destination %d has %s: %v", at, dest, describe(got), err)
 						}
 					}
 					s.Close()
-					s = mustOpen(t, dir, small(&killer{}))
+					s = mustOpen(t, dir, smallOptions(&killSwitch{}))
 				}
 				s.Close()
 			}
@@ -118,46 +118,46 @@
 }
 
 // Guards against an Out that fails and is not as if it had not been, or can't be made again.
-func TestOutThatFails(t *testing.T) {
+func TestFailingRemove(t *testing.T) {
 	for at := range 6 {
 		n, on := 0, false
-		o := small(&killer{})
-		o.fault = func(op, _ string, bytes int) (int, error) {
+		o := smallOptions(&killSwitch{})
+		o.injectFault = func(op, _ string, bytes int) (int, error) {
 			if n++; on && n > at {
 				return 0, syscall.EROFS
 			}
 			return bytes, nil
 		}
-		s, m := filled(t, t.TempDir(), o, 2, 8)
-		same(t, s, m)
+		s, m := openFilled(t, t.TempDir(), o, 2, 8)
+		checkEqual(t, s, m)
 		var out []uint64
 		for i, h := range m[1] {
 			if i != 2 && i != 5 {
-				out = append(out, h.Place)
+				out = append(out, h.Sequence)
 			}
 		}
 		n, on = 0, true
-		err := s.Out(1, out...)
+		err := s.Remove(1, out...)
 		if on = false; err == nil && at < 2 {
 			t.Fatalf("no write failed after %d", at)
 		}
-		if err := s.Out(1, out...); err != nil {
+		if err := s.Remove(1, out...); err != nil {
 			t.Fatal(err)
 		}
-		m.out(1, out...)
-		same(t, s, m)
+		m.remove(1, out...)
+		checkEqual(t, s, m)
 		s.Close()
 	}
 }
 
 // Guards against a folder whose older copy does not open as what it was then.
-func TestRolledBack(t *testing.T) {
+func TestOpenOlderCopy(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "b")
-	s, m := filled(t, dir, small(&killer{}), 3, 20)
-	same(t, s, m)
+	s, m := openFilled(t, dir, smallOptions(&killSwitch{}), 3, 20)
+	checkEqual(t, s, m)
 	copied := copyDir(t, dir)
 	for dest, q := range m {
-		if err := s.Out(dest, q[0].Place, q[3].Place, q[4].Place); err != nil {
+		if err := s.Remove(dest, q[0].Sequence, q[3].Sequence, q[4].Sequence); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -165,10 +165,10 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	s = mustOpen(t, copied, small(&killer{}))
+	s = mustOpen(t, copied, smallOptions(&killSwitch{}))
 	defer s.Close()
-	same(t, s, m)
-	if d := s.Damage(); len(d) > 0 {
+	checkEqual(t, s, m)
+	if d := s.TakeDamageReports(); len(d) > 0 {
 		t.Fatal(d)
 	}
 }
@@ -176,48 +176,48 @@
 // Guards against a budget that is smaller than what is there and loses it, or takes more.
 func TestSmallerBudget(t *testing.T) {
 	dir := t.TempDir()
-	s, m := filled(t, dir, small(&killer{}), 2, 60)
+	s, m := openFilled(t, dir, smallOptions(&killSwitch{}), 2, 60)
 	s.Close()
-	o := small(&killer{})
-	o.Disk = 48 << 10 // of which the table has 32
+	o := smallOptions(&killSwitch{})
+	o.DiskBytes = 48 << 10 // of which the table has 32
 	s = mustOpen(t, dir, o)
 	defer s.Close()
-	same(t, s, m)
+	checkEqual(t, s, m)
 	if err := s.Put(Message{ID: "x", Dest: 1}); !errors.Is(err, ErrFull) {
 		t.Fatalf("beyond the budget: %v", err)
 	}
 	for dest, q := range m {
 		for _, h := range slices.Clone(q[:55]) {
-			if err := s.Out(dest, h.Place); err != nil {
+			if err := s.Remove(dest, h.Sequence); err != nil {
 				t.Fatal(err)
 			}
-			m.out(dest, h.Place)
+			m.remove(dest, h.Sequence)
 		}
 	}
-	same(t, s, m)
+	checkEqual(t, s, m)
 	if err := s.Put(Message{ID: "x", Dest: 1}); err != nil {
-		t.Fatalf("with room again, %d bytes of %d: %v", s.Bytes(), onDisk(t, dir), err)
+		t.Fatalf("with room again, %d bytes of %d: %v", s.Bytes(), diskBytes(t, dir), err)
 	}
 }
 
 // Guards against a folder of another format that is read, or changed, as if it were this one's.
-func TestOtherVersion(t *testing.T) {
-	salt := make([]byte, saltLen)
-	next := strings.Replace(string(versionText(salt)[:len(versionLine)+2*saltLen+1]), "backlog 1", "backlog 2", 1)
+func TestOtherFormatVersion(t *testing.T) {
+	salt := make([]byte, saltSize)
+	next := strings.Replace(string(versionText(salt)[:len(versionPrefix)+2*saltSize+1]), "backlog 1", "backlog 2", 1)
 	for _, text := range []string{"larchrouter backlog 2\n", "2\n", "something else that is longer than a line of ours, by far: it goes on and on\n",
-		next + fmt.Sprintf("%08x\n", crc32.Checksum([]byte(next), castagnoli))} {
+		next + fmt.Sprintf("%08x\n", crc32.Checksum([]byte(next), castagnoliTable))} {
 		dir := t.TempDir()
-		s, _ := filled(t, dir, small(&killer{}), 2, 5)
+		s, _ := openFilled(t, dir, smallOptions(&killSwitch{}), 2, 5)
 		s.Close()
-		if err := os.WriteFile(filepath.Join(dir, versionName), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, versionFileName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		before := onDisk(t, dir)
-		var v *Version
-		if _, err := Open(dir, small(&killer{})); !errors.As(err, &v) || v.Remedy() == "" || v.Own == v.Found {
+		before := diskBytes(t, dir)
+		var v *VersionError
+		if _, err := Open(dir, smallOptions(&killSwitch{})); !errors.As(err, &v) || v.Remedy() == "" || v.Supported == v.Found {
 			t.Fatalf("%q: %v", text, err)
 		}
-		if got, _ := os.ReadFile(filepath.Join(dir, versionName)); string(got) != text || onDisk(t, dir) != before {
+		if got, _ := os.ReadFile(filepath.Join(dir, versionFileName)); string(got) != text || diskBytes(t, dir) != before {
 			t.Fatalf("%q was changed", text)
 		}
 	}
@@ -225,16 +225,16 @@
 	if err := os.WriteFile(file, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	var f *Failure
-	if _, err := Open(file, Options{Disk: 1}); !errors.As(err, &f) || f.Remedy() == "" {
+	var f *FileError
+	if _, err := Open(file, Options{DiskBytes: 1}); !errors.As(err, &f) || f.Remedy() == "" {
 		t.Fatalf("a file for a folder: %v", err)
 	}
 }
 
 // Guards against a key that stays bound to a destination by messages that were refused.
-func TestKeyOfWhatWasRefused(t *testing.T) {
-	o, on := small(&killer{}), true
-	o.fault = func(_, name string, bytes int) (int, error) {
+func TestKeyOfRefusedMessages(t *testing.T) {
+	o, on := smallOptions(&killSwitch{}), true
+	o.injectFault = func(_, name string, bytes int) (int, error) {
 		if on && strings.HasSuffix(name, ".dat") {
 			return bytes / 2, syscall.ENOSPC
 		}
@@ -242,11 +242,11 @@
 	}
 	s := mustOpen(t, t.TempDir(), o)
 	defer s.Close()
-	ms := []Message{{ID: "a", Dest: 1, Order: "k"}, {ID: "b", Dest: 1, Order: "k"}}
+	ms := []Message{{ID: "a", Dest: 1, OrderKey: "k"}, {ID: "b", Dest: 1, OrderKey: "k"}}
 	if err := s.Put(ms...); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatal(err)
 	}
-	if dest, ok := s.Key("k"); ok {
+	if dest, ok := s.DestOfKey("k"); ok {
 		t.Fatalf("known of %d", dest)
 	}
 	on = false
@@ -257,14 +257,14 @@
 		t.Fatal(err)
 	}
 	for left := 2; left >= 0; left-- {
-		if _, ok := s.Key("k"); ok != (left > 0) {
+		if _, ok := s.DestOfKey("k"); ok != (left > 0) {
 			t.Fatalf("with %d left known: %v", left, ok)
 		}
 		all, err := s.Next(1, 1, 1)
 		if err != nil || len(all) != 1 {
 			t.Fatal(err)
 		}
-		if err := s.Out(1, all[0].Place); err != nil {
+		if err := s.Remove(1, all[0].Sequence); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/backlog/format.go
+++ b/internal/backlog/format.go
@@ -19,128 +19,130 @@
 // 48 (place 8, due 8, hash of id 8, hash of key or zero 8, offset 4 and length 4 of the frame, CRC32 of that 4, mark 4).
 
 const (
-	frameHead  = 28
-	headAt     = 32
-	saltAt     = 40
-	markAt     = 44
-	indexWord  = 0x3158444c // "LDX1"
-	markLive   = 0x4556494c
-	markGone   = 0x454e4f47
-	markDoubt  = 0x42554f44
-	frameLimit = 1 << 30
+	frameHeaderSize = 28
+	headOffset      = 32
+	saltOffset      = 40
+	markOffset      = 44
+	indexMagic      = 0x3158444c // "LDX1"
+	markLive        = 0x4556494c
+	markRemoved     = 0x454e4f47
+	markInDoubt     = 0x42554f44
+	maxDataBytes    = 1 << 30
 )
 
-var castagnoli = crc32.MakeTable(crc32.Castagnoli)
+var castagnoliTable = crc32.MakeTable(crc32.Castagnoli)
 
-var le = binary.LittleEndian
+var littleEndian = binary.LittleEndian
 
 // entry is what a segment's entries say of a message.
-type entry struct {
-	place    uint64
-	due      int64
-	id, key  uint64 // hashes; the key's is zero for none
-	off, len uint32
-	mark     uint32
+type indexEntry struct {
+	sequence        uint64
+	due             int64
+	idHash, keyHash uint64 // hashes; the key's is zero for none
+	offset, length  uint32
+	mark            uint32
 }
 
-func (e *entry) gone() bool { return e.mark == markGone }
+func (e *indexEntry) removed() bool { return e.mark == markRemoved }
 
-func appendEntry(b []byte, e *entry) []byte {
+func appendEntry(b []byte, e *indexEntry) []byte {
 	at := len(b)
-	b = le.AppendUint64(b, e.place)
-	b = le.AppendUint64(b, uint64(e.due))
-	b = le.AppendUint64(b, e.id)
-	b = le.AppendUint64(b, e.key)
-	b = le.AppendUint32(b, e.off)
-	b = le.AppendUint32(b, e.len)
-	b = le.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
-	return le.AppendUint32(b, e.mark)
+	b = littleEndian.AppendUint64(b, e.sequence)
+	b = littleEndian.AppendUint64(b, uint64(e.due))
+	b = littleEndian.AppendUint64(b, e.idHash)
+	b = littleEndian.AppendUint64(b, e.keyHash)
+	b = littleEndian.AppendUint32(b, e.offset)
+	b = littleEndian.AppendUint32(b, e.length)
+	b = littleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoliTable))
+	return littleEndian.AppendUint32(b, e.mark)
 }
 
 // readEntry reads one from its 48 bytes. A mark that is none comes back as it is.
-func readEntry(b []byte) (e entry, ok bool) {
-	if le.Uint32(b[40:]) != crc32.Checksum(b[:40], castagnoli) {
+func decodeEntry(b []byte) (e indexEntry, ok bool) {
+	if littleEndian.Uint32(b[40:]) != crc32.Checksum(b[:40], castagnoliTable) {
 		return e, false
 	}
-	return entry{le.Uint64(b), int64(le.Uint64(b[8:])), le.Uint64(b[16:]), le.Uint64(b[24:]), le.Uint32(b[32:]), le.Uint32(b[36:]), le.Uint32(b[markAt:])}, true
+	return indexEntry{littleEndian.Uint64(b), int64(littleEndian.Uint64(b[8:])), littleEndian.Uint64(b[16:]), littleEndian.Uint64(b[24:]), littleEndian.Uint32(b[32:]), littleEndian.Uint32(b[36:]), littleEndian.Uint32(b[markOffset:])}, true
 }
 
-func knownMark(m uint32) bool { return m == markLive || m == markGone || m == markDoubt }
+func validMark(m uint32) bool { return m == markLive || m == markRemoved || m == markInDoubt }
 
 func appendHeader(b []byte, s *state.Segment, salt []byte) []byte {
 	at := len(b)
-	b = le.AppendUint32(b, indexWord)
-	b = le.AppendUint32(b, s.Gen)
-	b = le.AppendUint64(b, uint64(s.Dest))
-	b = le.AppendUint64(b, s.First)
-	b = le.AppendUint32(b, crc32.Checksum(b[at:], castagnoli))
-	b = append(b, make([]byte, headAt-(len(b)-at))...)
-	b = append(b, headSlot(s.Head)...)
+	b = littleEndian.AppendUint32(b, indexMagic)
+	b = littleEndian.AppendUint32(b, s.Rewrites)
+	b = littleEndian.AppendUint64(b, uint64(s.Dest))
+	b = littleEndian.AppendUint64(b, s.First)
+	b = littleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoliTable))
+	b = append(b, make([]byte, headOffset-(len(b)-at))...)
+	b = append(b, encodeHead(s.Head)...)
 	b = append(b, salt...)
-	b = le.AppendUint32(b, crc32.Checksum(salt, castagnoli))
-	return append(b, make([]byte, state.Header-(len(b)-at))...)
+	b = littleEndian.AppendUint32(b, crc32.Checksum(salt, castagnoliTable))
+	return append(b, make([]byte, state.HeaderSize-(len(b)-at))...)
 }
 
-func headSlot(head uint32) []byte {
-	b := le.AppendUint32(nil, head)
-	return le.AppendUint32(b, crc32.Checksum(b, castagnoli))
+func encodeHead(head uint32) []byte {
+	b := littleEndian.AppendUint32(nil, head)
+	return littleEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
 }
 
 // readHeader checks the header of a segment's entries, and gives its generation and head. A head that is damaged is not known.
-func readHeader(b []byte, dest int, first uint64) (gen, head uint32, headKnown, ok bool) {
-	if len(b) < state.Header || le.Uint32(b) != indexWord || le.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoli) ||
-		le.Uint64(b[8:]) != uint64(dest) || le.Uint64(b[16:]) != first {
+func decodeHeader(b []byte, dest int, first uint64) (gen, head uint32, headKnown, ok bool) {
+	if len(b) < state.HeaderSize || littleEndian.Uint32(b) != indexMagic || littleEndian.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoliTable) ||
+		littleEndian.Uint64(b[8:]) != uint64(dest) || littleEndian.Uint64(b[16:]) != first {
 		return 0, 0, false, false
 	}
-	return le.Uint32(b[4:]), le.Uint32(b[headAt:]), le.Uint32(b[headAt+4:]) == crc32.Checksum(b[headAt:headAt+4], castagnoli), true
+	return littleEndian.Uint32(b[4:]), littleEndian.Uint32(b[headOffset:]), littleEndian.Uint32(b[headOffset+4:]) == crc32.Checksum(b[headOffset:headOffset+4], castagnoliTable), true
 }
 
 // check tells whether a message fits the format.
-func (m *Message) check() error {
+func (m *Message) checkSize() error {
 	switch {
-	case len(m.ID) > math.MaxUint16, len(m.Order) > math.MaxUint16, len(m.Data) > frameLimit:
-		return &TooLarge{m.Dest, len(m.ID), len(m.Order), len(m.Data)}
+	case len(m.ID) > math.MaxUint16, len(m.OrderKey) > math.MaxUint16, len(m.Data) > maxDataBytes:
+		return &TooLargeError{m.Dest, len(m.ID), len(m.OrderKey), len(m.Data)}
 	}
 	return nil
 }
 
-func (m *Message) frameLen() int { return frameHead + len(m.ID) + len(m.Order) + len(m.Data) }
+func (m *Message) frameSize() int { return frameHeaderSize + len(m.ID) + len(m.OrderKey) + len(m.Data) }
 
 func appendFrame(b []byte, m *Message, place uint64, salt uint32) []byte {
 	at := len(b)
-	b = le.AppendUint32(b, uint32(m.frameLen()))
-	b = le.AppendUint32(b, 0)
-	b = le.AppendUint64(b, place)
-	b = le.AppendUint64(b, uint64(m.Due))
-	b = le.AppendUint16(b, uint16(len(m.ID)))
-	b = le.AppendUint16(b, uint16(len(m.Order)))
-	b = append(append(append(b, m.ID...), m.Order...), m.Data...)
-	le.PutUint32(b[at+4:], crc32.Update(salt, castagnoli, b[at+8:]))
+	b = littleEndian.AppendUint32(b, uint32(m.frameSize()))
+	b = littleEndian.AppendUint32(b, 0)
+	b = littleEndian.AppendUint64(b, place)
+	b = littleEndian.AppendUint64(b, uint64(m.Due))
+	b = littleEndian.AppendUint16(b, uint16(len(m.ID)))
+	b = littleEndian.AppendUint16(b, uint16(len(m.OrderKey)))
+	b = append(append(append(b, m.ID...), m.OrderKey...), m.Data...)
+	littleEndian.PutUint32(b[at+4:], crc32.Update(salt, castagnoliTable, b[at+8:]))
 	return b
 }
 
 // readFrame reads the frame that b begins with; its message's data is part of b.
-func readFrame(b []byte, salt uint32) (m Message, place uint64, ok bool) {
-	if len(b) < frameHead {
+func decodeFrame(b []byte, salt uint32) (m Message, place uint64, ok bool) {
+	if len(b) < frameHeaderSize {
 		return m, 0, false
 	}
-	n := int64(le.Uint32(b))
-	id, order := int64(le.Uint16(b[24:])), int64(le.Uint16(b[26:]))
-	if n > int64(len(b)) || frameHead+id+order > n || le.Uint32(b[4:]) != crc32.Update(salt, castagnoli, b[8:n]) {
+	n := int64(littleEndian.Uint32(b))
+	id, order := int64(littleEndian.Uint16(b[24:])), int64(littleEndian.Uint16(b[26:]))
+	if n > int64(len(b)) || frameHeaderSize+id+order > n || littleEndian.Uint32(b[4:]) != crc32.Update(salt, castagnoliTable, b[8:n]) {
 		return m, 0, false
 	}
-	at := b[frameHead:n]
-	m = Message{ID: string(at[:id]), Order: string(at[id : id+order]), Data: at[id+order:], Due: int64(le.Uint64(b[16:]))}
-	return m, le.Uint64(b[8:]), true
+	at := b[frameHeaderSize:n]
+	m = Message{ID: string(at[:id]), OrderKey: string(at[id : id+order]), Data: at[id+order:], Due: int64(littleEndian.Uint64(b[16:]))}
+	return m, littleEndian.Uint64(b[8:]), true
 }
 
 // hashOf is a name's hash in a folder, never zero. Salted, so nobody finds names that share one.
-func hashOf(salt []byte, kind byte, dest int, name string) uint64 {
+func saltedHash(salt []byte, kind byte, dest int, name string) uint64 {
 	b := append(make([]byte, 0, 128), salt...)
-	b = append(le.AppendUint64(append(b, kind), uint64(dest)), name...)
+	b = append(littleEndian.AppendUint64(append(b, kind), uint64(dest)), name...)
 	sum := sha256.Sum256(b)
-	return max(1, le.Uint64(sum[:]))
+	return max(1, littleEndian.Uint64(sum[:]))
 }
 
-func indexName(s *state.Segment) string { return fmt.Sprintf("%d-%x.idx", s.Dest, s.First) }
-func dataName(s *state.Segment) string  { return fmt.Sprintf("%d-%x.%d.dat", s.Dest, s.First, s.Gen) }
+func indexFileName(s *state.Segment) string { return fmt.Sprintf("%d-%x.idx", s.Dest, s.First) }
+func dataFileName(s *state.Segment) string {
+	return fmt.Sprintf("%d-%x.%d.dat", s.Dest, s.First, s.Rewrites)
+}
--- a/internal/backlog/fuzz_test.go
+++ b/internal/backlog/fuzz_test.go
@@ -13,23 +13,23 @@
 )
 
 // parts are a segment's two files and the salt that they are read with, as written.
-func written(f *testing.F) (index, data, table []byte, salt []byte) {
+func writtenFiles(f *testing.F) (index, data, table []byte, salt []byte) {
 	dir := f.TempDir()
-	s := mustOpen(f, dir, small(&killer{}))
+	s := mustOpen(f, dir, smallOptions(&killSwitch{}))
 	for i := range 5 {
-		if err := s.Put(Message{ID: string(rune('a' + i)), Dest: 1, Due: int64(i), Order: "k", Data: make([]byte, i*10)}); err != nil {
+		if err := s.Put(Message{ID: string(rune('a' + i)), Dest: 1, Due: int64(i), OrderKey: "k", Data: make([]byte, i*10)}); err != nil {
 			f.Fatal(err)
 		}
 	}
-	if err := s.Out(1, 1, 3); err != nil {
+	if err := s.Remove(1, 1, 3); err != nil {
 		f.Fatal(err)
 	}
-	salt = s.saltAll
+	salt = s.folderSalt
 	s.Close()
 	for _, of := range []struct {
 		name string
 		to   *[]byte
-	}{{"1-1.idx", &index}, {"1-1.0.dat", &data}, {tableName, &table}} {
+	}{{"1-1.idx", &index}, {"1-1.0.dat", &data}, {tableFileName, &table}} {
 		b, err := os.ReadFile(filepath.Join(dir, of.name))
 		if err != nil {
 			f.Fatal(err)
@@ -40,8 +40,8 @@
 }
 
 // drains opens a folder, asks all that can be asked, and takes all out: nothing panics or comes twice, and nothing is left.
-func drains(t *testing.T, dir string) {
-	s, err := Open(dir, small(&killer{}))
+func checkDrains(t *testing.T, dir string) {
+	s, err := Open(dir, smallOptions(&killSwitch{}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 	if _, _, err := s.Find(1, "a"); err != nil {
 		t.Fatal(err)
 	}
-	s.Key("k")
+	s.DestOfKey("k")
 	s.NextDue()
 	if _, err := s.Due(math.MaxInt64, 100); err != nil {
 		t.Fatal(err)
@@ -61,11 +61,11 @@
 		}
 		last := uint64(0)
 		for _, h := range all {
-			if h.Place <= last {
-				t.Fatalf("places %d, %d", last, h.Place)
+			if h.Sequence <= last {
+				t.Fatalf("places %d, %d", last, h.Sequence)
 			}
-			last = h.Place
-			if err := s.Out(dest, h.Place); err != nil {
+			last = h.Sequence
+			if err := s.Remove(dest, h.Sequence); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -79,25 +79,25 @@
 }
 
 // seal makes checksums right, so that what they guard is read.
-func seal(index, data, salt []byte) ([]byte, []byte) {
+func fixChecksums(index, data, salt []byte) ([]byte, []byte) {
 	index, data = slices.Clone(index), slices.Clone(data)
-	sum := func(b []byte, at int) { le.PutUint32(b[at:], crc32.Checksum(b[:at], castagnoli)) }
-	if len(index) >= state.Header {
-		le.PutUint32(index, indexWord)
-		le.PutUint64(index[8:], 1)
-		le.PutUint64(index[16:], 1)
+	sum := func(b []byte, at int) { littleEndian.PutUint32(b[at:], crc32.Checksum(b[:at], castagnoliTable)) }
+	if len(index) >= state.HeaderSize {
+		littleEndian.PutUint32(index, indexMagic)
+		littleEndian.PutUint64(index[8:], 1)
+		littleEndian.PutUint64(index[16:], 1)
 		sum(index, 24)
-		sum(index[headAt:], 4)
-		for b := index[state.Header:]; len(b) >= state.Entry; b = b[state.Entry:] {
+		sum(index[headOffset:], 4)
+		for b := index[state.HeaderSize:]; len(b) >= state.EntrySize; b = b[state.EntrySize:] {
 			sum(b, 40)
 		}
 	}
-	for b := data; len(b) >= frameHead; {
-		n := int(le.Uint32(b))
-		if n < frameHead || n > len(b) {
+	for b := data; len(b) >= frameHeaderSize; {
+		n := int(littleEndian.Uint32(b))
+		if n < frameHeaderSize || n > len(b) {
 			break
 		}
-		le.PutUint32(b[4:], crc32.Update(le.Uint32(salt), castagnoli, b[8:n]))
+		littleEndian.PutUint32(b[4:], crc32.Update(littleEndian.Uint32(salt), castagnoliTable, b[8:n]))
 		b = b[n:]
 	}
 	return index, data
@@ -105,37 +105,37 @@
 
 // FuzzSegment reads any files for a segment's.
 func FuzzSegment(f *testing.F) {
-	index, data, table, salt := written(f)
+	index, data, table, salt := writtenFiles(f)
 	for _, right := range []bool{false, true} {
 		f.Add(index, data, right)
 		f.Add(index, []byte{}, right)
 		f.Add([]byte{}, data, right)
-		f.Add(index[:state.Header+100], data, right)
+		f.Add(index[:state.HeaderSize+100], data, right)
 		f.Add(index, data[:60], right)
 	}
 	other := slices.Clone(index)
 	other[0]++
 	f.Add(other, data[:60], false) // a header that is damaged, and data that is cut
 	middle := slices.Clone(index)
-	middle[state.Header+state.Entry]++
+	middle[state.HeaderSize+state.EntrySize]++
 	f.Add(middle, data, false) // an entry that is damaged, with its frame there
 	f.Fuzz(func(t *testing.T, index, data []byte, right bool) {
 		if right {
-			index, data = seal(index, data, salt)
+			index, data = fixChecksums(index, data, salt)
 		}
 		dir := t.TempDir()
-		for name, b := range map[string][]byte{"1-1.idx": index, "1-1.0.dat": data, tableName: table, versionName: versionText(salt)} {
+		for name, b := range map[string][]byte{"1-1.idx": index, "1-1.0.dat": data, tableFileName: table, versionFileName: versionText(salt)} {
 			if err := os.WriteFile(filepath.Join(dir, name), b, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		drains(t, dir)
+		checkDrains(t, dir)
 	})
 }
 
 // FuzzIndex reads any file for the table of ids.
 func FuzzIndex(f *testing.F) {
-	index, data, table, salt := written(f)
+	index, data, table, salt := writtenFiles(f)
 	f.Add(table)
 	f.Add(table[:100])
 	f.Add([]byte{})
@@ -143,11 +143,11 @@
 	f.Add(append(slices.Clone(table[:slotSize]), strings.Repeat("x", pageSize-slotSize)...)) // a page of slots that are none
 	f.Fuzz(func(t *testing.T, table []byte) {
 		dir := t.TempDir()
-		for name, b := range map[string][]byte{"1-1.idx": index, "1-1.0.dat": data, tableName: table, versionName: versionText(salt)} {
+		for name, b := range map[string][]byte{"1-1.idx": index, "1-1.0.dat": data, tableFileName: table, versionFileName: versionText(salt)} {
 			if err := os.WriteFile(filepath.Join(dir, name), b, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
-		drains(t, dir)
+		checkDrains(t, dir)
 	})
 }
--- a/internal/backlog/many_test.go
+++ b/internal/backlog/many_test.go
@@ -7,17 +7,17 @@
 )
 
 // Guards against thousands of destinations with a little each that take a descriptor each, or a walk over all.
-func TestManyDestinationsWithALittle(t *testing.T) {
+func TestManySmallDestinations(t *testing.T) {
 	const dests = 1000
-	dir, before := t.TempDir(), openFiles(t)
-	s := mustOpen(t, dir, Options{Disk: 64 << 20, Files: 8})
+	dir, before := t.TempDir(), countOpenFiles(t)
+	s := mustOpen(t, dir, Options{DiskBytes: 64 << 20, MaxOpenFiles: 8})
 	defer s.Close()
 	for i := range 2 * dests {
 		if err := s.Put(Message{ID: fmt.Sprint(i), Dest: i % dests, Due: int64(5000 - i), Data: make([]byte, 50)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := openFiles(t) - before; n > 8 {
+	if n := countOpenFiles(t) - before; n > 8 {
 		t.Fatalf("%d files are open", n)
 	}
 	all, err := s.Due(5000, 300)
@@ -27,18 +27,18 @@
 	for dest := range dests {
 		all, err := s.Next(dest, 10, 1<<20)
 		if err != nil || len(all) != 2 || all[0].ID != fmt.Sprint(dest) {
-			t.Fatalf("destination %d has %s: %v", dest, ids(all), err)
+			t.Fatalf("destination %d has %s: %v", dest, describe(all), err)
 		}
-		if err := s.Out(dest, all[0].Place, all[1].Place); err != nil {
+		if err := s.Remove(dest, all[0].Sequence, all[1].Sequence); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := openFiles(t) - before; n > 8 || s.Len() > 0 || s.Bytes() > 64<<10 {
+	if n := countOpenFiles(t) - before; n > 8 || s.Len() > 0 || s.Bytes() > 64<<10 {
 		t.Fatalf("%d files are open, %d messages and %d bytes left", n, s.Len(), s.Bytes())
 	}
 }
 
-func openFiles(t testing.TB) int {
+func countOpenFiles(t testing.TB) int {
 	all, err := os.ReadDir("/proc/self/fd")
 	if err != nil {
 		t.Skip(err)
@@ -47,10 +47,10 @@
 }
 
 // Guards against messages due together that come out of order, more than once, or at the cost of looking at all of them each time.
-func TestManyDueAtOnce(t *testing.T) {
+func TestManyDueTogether(t *testing.T) {
 	const n = 6000
 	var read int
-	s := mustOpen(t, t.TempDir(), Options{Disk: 64 << 20, SegmentLeast: 64 << 10, SegmentMost: 64 << 10})
+	s := mustOpen(t, t.TempDir(), Options{DiskBytes: 64 << 20, MinSegmentBytes: 64 << 10, MaxSegmentBytes: 64 << 10})
 	defer s.Close()
 	var ms []Message
 	for i := range n {
@@ -70,7 +70,7 @@
 				t.Fatalf("%s comes again or too late, after %d", h.ID, len(seen))
 			}
 			seen[h.ID], last = true, h.Due
-			if err := s.Out(h.Dest, h.Place); err != nil {
+			if err := s.Remove(h.Dest, h.Sequence); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -79,7 +79,7 @@
 	if read != n/100 || s.Len() != 0 {
 		t.Fatalf("%d calls, %d left", read, s.Len())
 	}
-	if s.scanned > 2*n/runLen {
-		t.Fatalf("a segment's entries were gone through %d times for %d messages", s.scanned, n)
+	if s.dueScans > 2*n/dueListLength {
+		t.Fatalf("a segment's entries were gone through %d times for %d messages", s.dueScans, n)
 	}
 }
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -10,30 +10,30 @@
 )
 
 // model is a backlog without files: the queues.
-type model map[int][]Held
+type queueModel map[int][]StoredMessage
 
-func (m model) out(dest int, places ...uint64) {
-	m[dest] = slices.DeleteFunc(m[dest], func(h Held) bool { return slices.Contains(places, h.Place) })
+func (m queueModel) remove(dest int, places ...uint64) {
+	m[dest] = slices.DeleteFunc(m[dest], func(h StoredMessage) bool { return slices.Contains(places, h.Sequence) })
 	if len(m[dest]) == 0 {
 		delete(m, dest)
 	}
 }
 
-func (m model) all() (all []Held) {
+func (m queueModel) all() (all []StoredMessage) {
 	for _, q := range m {
 		all = append(all, q...)
 	}
-	slices.SortFunc(all, func(a, b Held) int { return cmp.Compare(a.Place, b.Place) })
+	slices.SortFunc(all, func(a, b StoredMessage) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	return all
 }
 
-func alike(a, b Held) bool {
-	return a.ID == b.ID && a.Dest == b.Dest && a.Due == b.Due && a.Order == b.Order && bytes.Equal(a.Data, b.Data) && a.Doubt == b.Doubt
+func sameMessage(a, b StoredMessage) bool {
+	return a.ID == b.ID && a.Dest == b.Dest && a.Due == b.Due && a.OrderKey == b.OrderKey && bytes.Equal(a.Data, b.Data) && a.InDoubt == b.InDoubt
 }
 
 // has is all that a store has, by Next.
-func has(t fataler, s *Store) model {
-	m := model{}
+func storedMessages(t testFailer, s *Store) queueModel {
+	m := queueModel{}
 	for dest := range s.Dests() {
 		all, err := s.Next(dest, math.MaxInt, math.MaxInt)
 		if err != nil {
@@ -46,14 +46,14 @@
 	return m
 }
 
-type fataler interface {
+type testFailer interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 	Helper()
 }
 
 // same checks all that a store says against the model.
-func same(t fataler, s *Store, m model) {
+func checkEqual(t testFailer, s *Store, m queueModel) {
 	t.Helper()
 	n, least := 0, int64(math.MaxInt64)
 	for dest, q := range m {
@@ -61,20 +61,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.EqualFunc(got, q, alike) || s.LenOf(dest) != len(q) {
-			t.Fatalf("destination %d has %s (%d), want %s", dest, ids(got), s.LenOf(dest), ids(q))
+		if !slices.EqualFunc(got, q, sameMessage) || s.LenOf(dest) != len(q) {
+			t.Fatalf("destination %d has %s (%d), want %s", dest, describe(got), s.LenOf(dest), describe(q))
 		}
 		for i, h := range got {
-			if h.Place == 0 || i > 0 && h.Place <= got[i-1].Place {
-				t.Fatalf("places of destination %d do not rise: %s", dest, ids(got))
+			if h.Sequence == 0 || i > 0 && h.Sequence <= got[i-1].Sequence {
+				t.Fatalf("places of destination %d do not rise: %s", dest, describe(got))
 			}
-			m[dest][i].Place = h.Place
+			m[dest][i].Sequence = h.Sequence
 			least = min(least, h.Due)
-			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || !alike(f, h) || f.Place != h.Place {
+			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || !sameMessage(f, h) || f.Sequence != h.Sequence {
 				t.Fatalf("%s of destination %d is found as %v %v %v", h.ID, dest, f, ok, err)
 			}
-			if d, ok := s.Key(h.Order); h.Order != "" && (!ok || d != dest) {
-				t.Fatalf("key %s of destination %d is known as of %d, %v", h.Order, dest, d, ok)
+			if d, ok := s.DestOfKey(h.OrderKey); h.OrderKey != "" && (!ok || d != dest) {
+				t.Fatalf("key %s of destination %d is known as of %d, %v", h.OrderKey, dest, d, ok)
 			}
 		}
 		n += len(q)
@@ -87,10 +87,10 @@
 	}
 }
 
-func ids(all []Held) (s string) {
+func describe(all []StoredMessage) (s string) {
 	for _, h := range all {
-		s += fmt.Sprintf(" %s@%d", h.ID, h.Place)
-		if h.Doubt {
+		s += fmt.Sprintf(" %s@%d", h.ID, h.Sequence)
+		if h.InDoubt {
 			s += "?"
 		}
 	}
@@ -100,39 +100,39 @@
 var errKilled = errors.New("killed")
 
 // killer lets a number of bytes and changes through, and nothing after these.
-type killer struct {
-	left int
-	on   bool
-	done bool
-	tear bool // heads, marks and slots too, as a disk may
+type killSwitch struct {
+	budget          int
+	armed           bool
+	killed          bool
+	tearSmallWrites bool // heads, marks and slots too, as a disk may
 }
 
-func (k *killer) fault(op, name string, n int) (int, error) {
+func (k *killSwitch) fault(op, name string, n int) (int, error) {
 	switch {
-	case k.done:
+	case k.killed:
 		return 0, errKilled
-	case !k.on:
+	case !k.armed:
 		return n, nil
 	}
 	cost := max(1, n)
 	if n >= pageSize {
 		cost = 64 // of the table: not cut at each byte
 	}
-	if k.left -= cost; k.left >= 0 {
+	if k.budget -= cost; k.budget >= 0 {
 		return n, nil
 	}
-	k.done = true
-	if op != "write" || n <= slotSize && !k.tear {
+	k.killed = true
+	if op != "write" || n <= slotSize && !k.tearSmallWrites {
 		return 0, errKilled // a write within a page is not cut by a kill; heads, marks and slots are aligned
 	}
-	return n * (cost + k.left) / cost, errKilled
+	return n * (cost + k.budget) / cost, errKilled
 }
 
-func small(k *killer) Options {
-	return Options{Disk: 4 << 20, SegmentLeast: 1 << 10, SegmentMost: 4 << 10, Files: 4, fault: k.fault}
+func smallOptions(k *killSwitch) Options {
+	return Options{DiskBytes: 4 << 20, MinSegmentBytes: 1 << 10, MaxSegmentBytes: 4 << 10, MaxOpenFiles: 4, injectFault: k.fault}
 }
 
-func mustOpen(t fataler, dir string, o Options) *Store {
+func mustOpen(t testFailer, dir string, o Options) *Store {
 	t.Helper()
 	s, err := Open(dir, o)
 	if err != nil {
@@ -142,26 +142,26 @@
 }
 
 // pending is what a killed call may or may not have done.
-type pending struct {
-	put  []Held
-	dest int
-	out  []uint64
+type interruptedCall struct {
+	put    []StoredMessage
+	dest   int
+	remove []uint64
 }
 
 // settle takes over what a store has after a kill, if it is what may be.
-func settle(t fataler, s *Store, m model, p pending) {
+func adoptAfterKill(t testFailer, s *Store, m queueModel, p interruptedCall) {
 	t.Helper()
-	for _, err := range s.Damage() {
-		var d *Damage
-		if !errors.As(err, &d) || !d.Tail || d.Doubt > 0 || d.Lost > len(p.put) {
-			if d == nil || d.Segment != tableName {
+	for _, err := range s.TakeDamageReports() {
+		var d *DamageError
+		if !errors.As(err, &d) || !d.AtTail || d.InDoubt > 0 || d.Lost > len(p.put) {
+			if d == nil || d.Segment != tableFileName {
 				t.Fatalf("after a kill: %v (%+v)", err, d)
 			}
 		}
 	}
-	got := has(t, s)
+	got := storedMessages(t, s)
 	for dest := range m {
-		got[dest] = append([]Held{}, got[dest]...)
+		got[dest] = append([]StoredMessage{}, got[dest]...)
 	}
 	for dest, q := range got {
 		want := m[dest]
@@ -173,17 +173,17 @@
 		// What is there is a part of what may be; what is missing was on its way in or out.
 		i := 0
 		for _, h := range want {
-			if i < len(q) && alike(q[i], h) {
+			if i < len(q) && sameMessage(q[i], h) {
 				i++
 				continue
 			}
-			if h.Place == 0 && slices.ContainsFunc(p.put, func(x Held) bool { return x.ID == h.ID }) || dest == p.dest && slices.Contains(p.out, h.Place) {
+			if h.Sequence == 0 && slices.ContainsFunc(p.put, func(x StoredMessage) bool { return x.ID == h.ID }) || dest == p.dest && slices.Contains(p.remove, h.Sequence) {
 				continue
 			}
-			t.Fatalf("after a kill destination %d has %s; %s is missing of %s", dest, ids(q), h.ID, ids(want))
+			t.Fatalf("after a kill destination %d has %s; %s is missing of %s", dest, describe(q), h.ID, describe(want))
 		}
 		if i < len(q) {
-			t.Fatalf("after a kill destination %d has %s, of which %s was not to be", dest, ids(q), q[i].ID)
+			t.Fatalf("after a kill destination %d has %s, of which %s was not to be", dest, describe(q), q[i].ID)
 		}
 		if m[dest] = q; len(q) == 0 {
 			delete(m, dest)
--- a/internal/backlog/queues_test.go
+++ b/internal/backlog/queues_test.go
@@ -15,16 +15,16 @@
 // Guards against a store that differs from plain queues, over any operations, restarts and kills at any byte.
 func TestStoreEqualsQueues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		dir, k := tempDir(t), &killer{}
-		s := mustOpen(t, dir, small(k))
+		dir, k := tempDir(t), &killSwitch{}
+		s := mustOpen(t, dir, smallOptions(k))
 		defer func() { s.Close() }()
-		m := model{}
+		m := queueModel{}
 		next, killed := 0, false
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			var p pending
+			var p interruptedCall
 			var err error
 			if rapid.IntRange(0, 7).Draw(t, "kill") == 0 {
-				*k = killer{left: rapid.IntRange(0, 2000).Draw(t, "bytes"), on: true}
+				*k = killSwitch{budget: rapid.IntRange(0, 2000).Draw(t, "bytes"), armed: true}
 			}
 			p.dest = rapid.IntRange(0, 3).Draw(t, "dest")
 			q := m[p.dest]
@@ -36,9 +36,9 @@
 					h := Message{ID: fmt.Sprint("m", next), Dest: rapid.SampledFrom([]int{p.dest, p.dest, (p.dest + 1) % 4}).Draw(t, "to"),
 						Due: rapid.Int64Range(1, 60).Draw(t, "due"), Data: bytes.Repeat([]byte{byte(next)}, rapid.SampledFrom([]int{0, 10, 100, 300, 6000}).Draw(t, "size"))}
 					if rapid.Bool().Draw(t, "ordered") {
-						h.Order = fmt.Sprint("k", h.Dest, rapid.IntRange(0, 2).Draw(t, "key"))
+						h.OrderKey = fmt.Sprint("k", h.Dest, rapid.IntRange(0, 2).Draw(t, "key"))
 					}
-					ms, p.put = append(ms, h), append(p.put, Held{Message: h})
+					ms, p.put = append(ms, h), append(p.put, StoredMessage{Message: h})
 				}
 				if err = s.Put(ms...); err == nil {
 					for _, h := range p.put {
@@ -48,93 +48,93 @@
 			case "head", "some":
 				for i, h := range q {
 					if i < 5 && rapid.IntRange(0, 4).Draw(t, "head") > 0 || rapid.IntRange(0, 2).Draw(t, "some") == 0 {
-						p.out = append(p.out, h.Place)
+						p.remove = append(p.remove, h.Sequence)
 					}
 				}
-				if err = s.Out(p.dest, append(p.out, 1<<50)...); err == nil {
-					m.out(p.dest, p.out...)
+				if err = s.Remove(p.dest, append(p.remove, 1<<50)...); err == nil {
+					m.remove(p.dest, p.remove...)
 				}
 			case "due":
 				before, n := rapid.Int64Range(0, 60).Draw(t, "before"), rapid.IntRange(1, 100).Draw(t, "most")
 				all, e := s.Due(before, n)
-				want := slices.DeleteFunc(m.all(), func(h Held) bool { return h.Due > before })
-				slices.SortStableFunc(want, func(a, b Held) int { return cmp.Compare(a.Due, b.Due) })
+				want := slices.DeleteFunc(m.all(), func(h StoredMessage) bool { return h.Due > before })
+				slices.SortStableFunc(want, func(a, b StoredMessage) int { return cmp.Compare(a.Due, b.Due) })
 				if e != nil || len(all) != min(n, len(want)) {
-					t.Fatalf("due before %d are %s, want %s: %v", before, ids(all), ids(want), e)
+					t.Fatalf("due before %d are %s, want %s: %v", before, describe(all), describe(want), e)
 				}
 				for i, h := range all {
-					if h.Due != want[i].Due || !slices.ContainsFunc(m[h.Dest], func(x Held) bool { return alike(x, h) && x.Place == h.Place }) {
-						t.Fatalf("due before %d are %s, want %s", before, ids(all), ids(want))
+					if h.Due != want[i].Due || !slices.ContainsFunc(m[h.Dest], func(x StoredMessage) bool { return sameMessage(x, h) && x.Sequence == h.Sequence }) {
+						t.Fatalf("due before %d are %s, want %s", before, describe(all), describe(want))
 					}
 					if h.Dest == p.dest {
-						p.out = append(p.out, h.Place)
+						p.remove = append(p.remove, h.Sequence)
 					}
 				}
-				if err = s.Out(p.dest, p.out...); err == nil {
-					m.out(p.dest, p.out...)
+				if err = s.Remove(p.dest, p.remove...); err == nil {
+					m.remove(p.dest, p.remove...)
 				}
 			case "open":
 				s.Close()
 				var again *Store
-				if again, err = Open(dir, small(k)); err == nil {
+				if again, err = Open(dir, smallOptions(k)); err == nil {
 					s = again
 				}
 			}
-			if err != nil || k.done {
-				if !k.done {
+			if err != nil || k.killed {
+				if !k.killed {
 					t.Fatal(err)
 				}
 				s.Close()
 				killed = true
-				*k = killer{}
-				s = mustOpen(t, dir, small(k))
-				settle(t, s, m, p)
+				*k = killSwitch{}
+				s = mustOpen(t, dir, smallOptions(k))
+				adoptAfterKill(t, s, m, p)
 			}
-			*k = killer{}
-			same(t, s, m)
+			*k = killSwitch{}
+			checkEqual(t, s, m)
 			for dest := range 4 {
 				for i := range 3 {
 					key := fmt.Sprint("k", dest, i)
-					there := slices.ContainsFunc(m[dest], func(h Held) bool { return h.Order == key })
-					if _, ok := s.Key(key); ok != there && !(ok && killed && len(m[dest]) > 0) {
+					there := slices.ContainsFunc(m[dest], func(h StoredMessage) bool { return h.OrderKey == key })
+					if _, ok := s.DestOfKey(key); ok != there && !(ok && killed && len(m[dest]) > 0) {
 						t.Fatalf("key %s is known: %v; its messages are there: %v", key, ok, there)
 					}
 				}
 			}
-			if used := onDisk(t, dir); s.Bytes() != used {
+			if used := diskBytes(t, dir); s.Bytes() != used {
 				t.Fatalf("the files have %d bytes, it says %d", used, s.Bytes())
 			}
 		}
-		if d := s.Damage(); len(d) > 0 {
+		if d := s.TakeDamageReports(); len(d) > 0 {
 			t.Fatal(d)
 		}
 	})
 }
 
 // Guards against a wait that is none, and a refusal that keeps something.
-func TestFullRefusesWhole(t *testing.T) {
-	o := small(&killer{})
-	o.Disk, o.now = 64<<10, func() time.Time { return time.UnixMilli(1000) }
+func TestFullBacklogRefusesAtomically(t *testing.T) {
+	o := smallOptions(&killSwitch{})
+	o.DiskBytes, o.now = 64<<10, func() time.Time { return time.UnixMilli(1000) }
 	s := mustOpen(t, t.TempDir(), o)
 	defer s.Close()
-	m := model{}
+	m := queueModel{}
 	for i := 0; ; i++ {
 		ms := []Message{{ID: fmt.Sprint("a", i), Dest: 1, Due: 6000, Data: make([]byte, 900)}, {ID: fmt.Sprint("b", i), Dest: 2, Due: 9000, Data: make([]byte, 900)}}
 		err := s.Put(ms...)
 		if err == nil {
-			m[1], m[2] = append(m[1], Held{Message: ms[0]}), append(m[2], Held{Message: ms[1]})
+			m[1], m[2] = append(m[1], StoredMessage{Message: ms[0]}), append(m[2], StoredMessage{Message: ms[1]})
 			continue
 		}
-		var f *Full
-		if !errors.Is(err, ErrFull) || !errors.As(err, &f) || f.Wait != 5*time.Second || f.Remedy() == "" || s.Bytes() > o.Disk || i < 5 {
+		var f *FullError
+		if !errors.Is(err, ErrFull) || !errors.As(err, &f) || f.RetryAfter != 5*time.Second || f.Remedy() == "" || s.Bytes() > o.DiskBytes || i < 5 {
 			t.Fatalf("after %d with %d bytes: %v %+v", i, s.Bytes(), err, f)
 		}
 		break
 	}
-	same(t, s, m)
-	if err := s.Out(1, m[1][0].Place); err != nil {
+	checkEqual(t, s, m)
+	if err := s.Remove(1, m[1][0].Sequence); err != nil {
 		t.Fatal(err)
 	}
-	m.out(1, m[1][0].Place)
-	same(t, s, m)
+	m.remove(1, m[1][0].Sequence)
+	checkEqual(t, s, m)
 }
--- a/internal/backlog/state/loads.go
+++ b/internal/backlog/state/loads.go
@@ -3,17 +3,17 @@
 import "time"
 
 // Load is messages and their bytes.
-type Load struct{ N, Bytes int }
+type Load struct{ Messages, Bytes int }
 
 // loads are those of destinations that have any.
-type loads map[int]Load
+type destLoads map[int]Load
 
 // with are loads with so much more of a destination.
-func (l loads) with(dest, n, bytes int) loads {
+func (l destLoads) plus(dest, n, bytes int) destLoads {
 	if l == nil {
-		l = loads{}
+		l = destLoads{}
 	}
-	if l[dest] = (Load{l[dest].N + n, l[dest].Bytes + bytes}); l[dest].N == 0 {
+	if l[dest] = (Load{l[dest].Messages + n, l[dest].Bytes + bytes}); l[dest].Messages == 0 {
 		delete(l, dest)
 	}
 	return l
@@ -23,32 +23,32 @@
 // that share a buffer (Choudhury and Hahne, 1998), of what is free, and twice what was served in a second.
 // Held is at most Total, one for each destination, and two seconds of what is served.
 type Window struct {
-	Total        Load    // of all destinations
-	Alpha        float64 // of what is free, for each
-	used         Load
-	in, now, was loads // held; served in the present second and the last
-	second       time.Duration
+	Capacity                         Load    // of all destinations
+	Alpha                            float64 // of what is free, for each
+	pendingTotal                     Load
+	pending, servedNow, servedBefore destLoads // held; served in the present second and the last
+	secondStart                      time.Duration
 }
 
 // Enter tells that a message came in.
-func (w *Window) Enter(dest, bytes int) {
-	w.in, w.used = w.in.with(dest, 1, bytes), Load{w.used.N + 1, w.used.Bytes + bytes}
+func (w *Window) Add(dest, bytes int) {
+	w.pending, w.pendingTotal = w.pending.plus(dest, 1, bytes), Load{w.pendingTotal.Messages + 1, w.pendingTotal.Bytes + bytes}
 }
 
 // Leave tells that one went, and whether its destination took it.
-func (w *Window) Leave(dest, bytes int, served bool, now time.Duration) {
-	w.in, w.used = w.in.with(dest, -1, -bytes), Load{w.used.N - 1, w.used.Bytes - bytes}
-	if w.turn(now); served {
-		w.now = w.now.with(dest, 1, bytes)
+func (w *Window) Remove(dest, bytes int, served bool, now time.Duration) {
+	w.pending, w.pendingTotal = w.pending.plus(dest, -1, -bytes), Load{w.pendingTotal.Messages - 1, w.pendingTotal.Bytes - bytes}
+	if w.advance(now); served {
+		w.servedNow = w.servedNow.plus(dest, 1, bytes)
 	}
 }
 
 // turn forgets what was served before the last second.
-func (w *Window) turn(now time.Duration) {
-	if s := now.Truncate(time.Second); s > w.second {
-		if w.was, w.now = w.now, nil; s > w.second+time.Second {
-			w.was = nil
+func (w *Window) advance(now time.Duration) {
+	if s := now.Truncate(time.Second); s > w.secondStart {
+		if w.servedBefore, w.servedNow = w.servedNow, nil; s > w.secondStart+time.Second {
+			w.servedBefore = nil
 		}
-		w.second = s
+		w.secondStart = s
 	}
 }
--- a/internal/backlog/state/state_test.go
+++ b/internal/backlog/state/state_test.go
@@ -10,20 +10,20 @@
 )
 
 // msg is a message of the naive model.
-type msg struct {
-	place uint64
-	due   int64
-	bytes int64
-	gone  bool
+type modelMessage struct {
+	sequence uint64
+	due      int64
+	bytes    int64
+	removed  bool
 }
 
 // Guards against counts, budget, times or a verdict on a segment that differ from what follows from all messages.
-func TestStateEqualsMessages(t *testing.T) {
+func TestStateEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{Disk: 1 << 20, Least: 400, Most: 1600}
+		l := Limits{DiskBytes: 1 << 20, MinSegmentBytes: 400, MaxSegmentBytes: 1600}
 		b := New(l)
-		b.Fixed(700)
-		of := map[*Segment][]msg{}
+		b.SetFixedBytes(700)
+		of := map[*Segment][]modelMessage{}
 		var put, copied int64 // bytes
 		place := uint64(0)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
@@ -31,17 +31,17 @@
 			switch rapid.IntRange(0, 2).Draw(t, "do") {
 			case 0, 1:
 				place++
-				m := msg{place, rapid.Int64Range(0, 99).Draw(t, "due"), rapid.Int64Range(1, 300).Draw(t, "bytes"), false}
+				m := modelMessage{place, rapid.Int64Range(0, 99).Draw(t, "due"), rapid.Int64Range(1, 300).Draw(t, "bytes"), false}
 				s := b.Tail(dest, place, 0)
 				if s == nil {
-					s = &Segment{Dest: dest, First: place, Last: place, Due: math.MaxInt64}
-					b.Begin(s)
+					s = &Segment{Dest: dest, First: place, Last: place, EarliestDue: math.MaxInt64}
+					b.AddSegment(s)
 				}
-				before := b.Used()
+				before := b.UsedBytes()
 				grows := Growth(s, false, 1, m.bytes)
-				b.Grow(s, place, m.due, m.bytes)
-				if of[s] = append(of[s], m); b.Used()-before != grows {
-					t.Fatalf("grew by %d, not %d", b.Used()-before, grows)
+				b.AddMessage(s, place, m.due, m.bytes)
+				if of[s] = append(of[s], m); b.UsedBytes()-before != grows {
+					t.Fatalf("grew by %d, not %d", b.UsedBytes()-before, grows)
 				}
 				put += m.bytes
 			case 2:
@@ -52,42 +52,42 @@
 				s := rapid.SampledFrom(all).Draw(t, "segment")
 				n := 0
 				for i := range of[s] {
-					if m := &of[s][i]; !m.gone && rapid.IntRange(0, 2).Draw(t, "goes") > 0 {
-						m.gone = true
+					if m := &of[s][i]; !m.removed && rapid.IntRange(0, 2).Draw(t, "goes") > 0 {
+						m.removed = true
 						n++
 					}
 				}
 				head, before, gone, live := uint32(0), int64(0), int64(0), int64(0)
 				for i, m := range of[s] {
 					switch {
-					case m.gone && int(head) == i:
+					case m.removed && int(head) == i:
 						head, before = head+1, before+m.bytes
-					case m.gone:
+					case m.removed:
 						gone += m.bytes
 					default:
 						live += m.bytes
 					}
 				}
-				what, want := b.Leave(s, n, head, before, gone), Keep
+				what, want := b.RemoveMessages(s, n, head, before, gone), Keep
 				if live == 0 {
 					want = Drop
-				} else if gone > live && gone >= l.Least/4 {
-					want = Renew
+				} else if gone > live && gone >= l.MinSegmentBytes/4 {
+					want = Rewrite
 				}
 				if what != want {
 					t.Fatalf("%d live, %d gone: %d, not %d", live, gone, what, want)
 				}
 				switch what {
 				case Drop:
-					b.Remove(s)
+					b.RemoveSegment(s)
 					delete(of, s)
-				case Renew:
-					of[s] = slices.DeleteFunc(of[s], func(m msg) bool { return m.gone })
-					b.Renewed(s, uint32(len(of[s])), live)
+				case Rewrite:
+					of[s] = slices.DeleteFunc(of[s], func(m modelMessage) bool { return m.removed })
+					b.SegmentRewritten(s, uint32(len(of[s])), live)
 					copied += live
 				}
 			}
-			naive(t, b, of)
+			checkAgainstModel(t, b, of)
 		}
 		if copied > put {
 			t.Fatalf("%d bytes written anew of %d", copied, put)
@@ -95,26 +95,26 @@
 	})
 }
 
-func naive(t *rapid.T, b *State, of map[*Segment][]msg) {
+func checkAgainstModel(t *rapid.T, b *State, of map[*Segment][]modelMessage) {
 	n, used, least := 0, int64(1024), int64(math.MaxInt64)
 	dests := map[int]int{}
 	for s, all := range of {
 		var data int64
 		for _, m := range all {
 			data += m.bytes
-			if !m.gone {
+			if !m.removed {
 				n++
 				dests[s.Dest]++
 				least = min(least, m.due)
 			}
-			if b.Of(s.Dest, m.place) != s || !b.Begun(s.Dest, m.place) {
-				t.Fatalf("place %d is not where it was put", m.place)
+			if b.SegmentOf(s.Dest, m.sequence) != s || !b.HasSegmentUpTo(s.Dest, m.sequence) {
+				t.Fatalf("place %d is not where it was put", m.sequence)
 			}
 		}
-		used += (Header+Entry*int64(len(all))+511)/512*512 + (data+511)/512*512
+		used += (HeaderSize+EntrySize*int64(len(all))+511)/512*512 + (data+511)/512*512
 	}
-	if b.Len() != n || b.Used() != used || b.Room() != 1<<20-used {
-		t.Fatalf("%d messages and %d bytes, want %d and %d", b.Len(), b.Used(), n, used)
+	if b.Len() != n || b.UsedBytes() != used || b.FreeBytes() != 1<<20-used {
+		t.Fatalf("%d messages and %d bytes, want %d and %d", b.Len(), b.UsedBytes(), n, used)
 	}
 	for dest := range 4 {
 		if b.LenOf(dest) != dests[dest] || !slices.IsSortedFunc(b.Segments(dest), func(x, y *Segment) int { return cmp.Compare(x.First, y.First) }) {
@@ -124,11 +124,11 @@
 	if len(slices.Collect(b.Dests())) != len(dests) {
 		t.Fatalf("destinations %v, want %v", slices.Collect(b.Dests()), dests)
 	}
-	if s := b.Earliest(); (s == nil) != (n == 0) || s != nil && s.Due > least {
+	if s := b.Earliest(); (s == nil) != (n == 0) || s != nil && s.EarliestDue > least {
 		t.Fatalf("the earliest is %+v, of %d messages the least time %d", s, n, least)
 	}
 	for s := range of {
-		if s.Due < b.Earliest().Due {
+		if s.EarliestDue < b.Earliest().EarliestDue {
 			t.Fatal("the earliest is not")
 		}
 	}
--- a/internal/backlog/state/window_test.go
+++ b/internal/backlog/state/window_test.go
@@ -8,13 +8,13 @@
 )
 
 // Guards against destinations that are down and fill the room of one that is served: thousands keep about one each, and what is held is bounded.
-func TestThoseDownLeaveRoom(t *testing.T) {
-	w := Window{Total: Load{1000, 1 << 20}, Alpha: 1}
+func TestUnservedDestinationsLeaveSpace(t *testing.T) {
+	w := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
 	in := 0
 	for range 3 {
 		for dest := range 3000 {
-			for range w.Room(dest, 0) {
-				w.Enter(dest, 10)
+			for range w.Available(dest, 0) {
+				w.Add(dest, 10)
 				in++
 			}
 		}
@@ -23,45 +23,45 @@
 		t.Fatalf("%d are held", in)
 	}
 	// One that is served keeps twice what it took in a second, though nothing is free.
-	w.Enter(9999, 10)
+	w.Add(9999, 10)
 	for i := range 500 {
-		w.Enter(9999, 10)
-		w.Leave(9999, 10, true, time.Duration(i)*time.Millisecond)
+		w.Add(9999, 10)
+		w.Remove(9999, 10, true, time.Duration(i)*time.Millisecond)
 	}
-	if n := w.Room(9999, time.Second); n != 2*500-1 {
+	if n := w.Available(9999, time.Second); n != 2*500-1 {
 		t.Fatalf("room for %d of one that took 500 in the last second", n)
 	}
-	if n := w.Room(9999, 2500*time.Millisecond); n != 0 {
+	if n := w.Available(9999, 2500*time.Millisecond); n != 0 {
 		t.Fatalf("room for %d of one that has taken none for a second", n)
 	}
-	if n := w.Room(77_777, 0); n != 1 {
+	if n := w.Available(77_777, 0); n != 1 {
 		t.Fatalf("room for %d of one that is new", n)
 	}
 }
 
 // Guards against bytes that are not counted: few large ones fill the room as many small ones do, and one always comes in.
-func TestLargeOnesFillTheRoom(t *testing.T) {
-	w := Window{Total: Load{1000, 1 << 20}, Alpha: 1}
-	if n := w.Room(1, 0); n == 0 {
+func TestLargeMessagesFillWindow(t *testing.T) {
+	w := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
+	if n := w.Available(1, 0); n == 0 {
 		t.Fatal("none of 10 MiB may come in")
 	}
-	w.Enter(1, 10<<20)
-	if n := w.Room(1, 0); n != 0 {
+	w.Add(1, 10<<20)
+	if n := w.Available(1, 0); n != 0 {
 		t.Fatalf("%d more", n)
 	}
-	if n := w.Room(2, 0); n == 0 {
+	if n := w.Available(2, 0); n == 0 {
 		t.Fatal("none of another may come in")
 	}
-	w.Leave(1, 10<<20, false, 0)
-	if n := w.Room(1, 0); n != 1000 {
+	w.Remove(1, 10<<20, false, 0)
+	if n := w.Available(1, 0); n != 1000 {
 		t.Fatalf("room for %d when all is free", n)
 	}
 }
 
 // Guards against a rule that differs from its formula, over any entering, leaving and time.
-func TestRoomIsAsStated(t *testing.T) {
+func TestWindowEqualsFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Window{Total: Load{20, 1 << 30}, Alpha: rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "alpha")}
+		w := Window{Capacity: Load{20, 1 << 30}, Alpha: rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "alpha")}
 		in, served := map[int]int{}, map[int]map[int64]int{}
 		var now time.Duration
 		used := 0
@@ -71,17 +71,17 @@
 			second := int64(now / time.Second)
 			of := served[dest]
 			want := max(1, int(w.Alpha*float64(20-used)), 2*max(of[second], of[second-1])) - in[dest]
-			got := w.Room(dest, now)
+			got := w.Available(dest, now)
 			if got != max(0, want) {
 				t.Fatalf("room for %d, want %d: %d of it in, %d in all, served %v at %v", got, want, in[dest], used, of, now)
 			}
 			if got > 0 && rapid.Bool().Draw(t, "enters") {
-				w.Enter(dest, 1)
+				w.Add(dest, 1)
 				in[dest]++
 				used++
 			} else if in[dest] > 0 {
 				ok := rapid.Bool().Draw(t, "served")
-				w.Leave(dest, 1, ok, now)
+				w.Remove(dest, 1, ok, now)
 				in[dest]--
 				used--
 				if ok {
@@ -92,7 +92,7 @@
 				}
 			}
 		}
-		if len(w.in) > 5 || len(w.now)+len(w.was) > 10 {
+		if len(w.pending) > 5 || len(w.servedNow)+len(w.servedBefore) > 10 {
 			t.Fatal("what is over is kept")
 		}
 	})
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -9,140 +9,140 @@
 
 // Store is a backlog in a folder.
 type Store struct {
-	d       *folder
-	st      *state.State
-	entries *entries
-	table   *table
-	runs    map[*state.Segment]run
-	salt    uint32 // of frames
-	saltAll []byte // of hashes
-	last    uint64 // highest place given
-	told    uint64 // highest place that the state knows of
-	hold    int    // calls of Out until a segment is written anew again, after one could not be
-	damage  []error
-	half    []*part // what calls that failed wrote and could not take back
-	scanned int     // how often a segment's entries were gone through for a run
-	now     func() time.Time
+	folder            *folder
+	state             *state.State
+	indexes           *indexReader
+	table             *table
+	dueLists          map[*state.Segment]dueList
+	frameSalt         uint32 // of frames
+	folderSalt        []byte // of hashes
+	lastSequence      uint64 // highest place given
+	committedSequence uint64 // highest place that the state knows of
+	rewriteHoldOff    int    // calls of Out until a segment is written anew again, after one could not be
+	damageReports     []error
+	partialWrites     []*segmentWrite // what calls that failed wrote and could not take back
+	dueScans          int             // how often a segment's entries were gone through for a run
+	now               func() time.Time
 }
 
 // part is what a call of Put adds to one segment.
-type part struct {
-	seg     *state.Segment
-	fresh   bool
-	entries []entry
+type segmentWrite struct {
+	segment *state.Segment
+	create  bool
+	entries []indexEntry
 	index   []byte
-	data    []byte
+	frames  []byte
 }
 
 // Put takes messages on, whole or not at all. They are written when it returns.
 func (s *Store) Put(ms ...Message) error {
-	for len(s.half) > 0 {
-		if err := s.undo(s.half[0]); err != nil {
+	for len(s.partialWrites) > 0 {
+		if err := s.undoWrite(s.partialWrites[0]); err != nil {
 			return err
 		}
-		s.half = s.half[1:]
+		s.partialWrites = s.partialWrites[1:]
 	}
-	return s.mending(func() error { return s.put(ms) })
+	return s.withRepair(func() error { return s.put(ms) })
 }
 
 func (s *Store) put(ms []Message) error {
-	parts, err := s.plan(ms)
+	parts, err := s.planWrites(ms)
 	if err != nil {
 		return err
 	}
 	var need int64
 	for _, p := range parts {
-		need += state.Growth(p.seg, p.fresh, uint32(len(p.entries)), int64(len(p.data)))
+		need += state.Growth(p.segment, p.create, uint32(len(p.entries)), int64(len(p.frames)))
 	}
-	if err := s.roomFor(need); err != nil {
+	if err := s.checkSpace(need); err != nil {
 		return err
 	}
-	if err := s.index(parts); err != nil {
+	if err := s.addToTable(parts); err != nil {
 		return err
 	}
 	for i, p := range parts {
-		if err := s.add(p); err != nil {
-			err = errors.Join(err, s.unkey(parts))
+		if err := s.writeToSegment(p); err != nil {
+			err = errors.Join(err, s.releaseKeys(parts))
 			for _, p := range parts[:i+1] {
-				if s.undo(p) != nil {
-					s.half = append(s.half, p) // the next call has to, before anything else
+				if s.undoWrite(p) != nil {
+					s.partialWrites = append(s.partialWrites, p) // the next call has to, before anything else
 				}
 			}
 			return err
 		}
 	}
 	for _, p := range parts {
-		if p.fresh {
-			s.st.Begin(p.seg)
+		if p.create {
+			s.state.AddSegment(p.segment)
 		}
-		from := p.seg.Entries
+		from := p.segment.Entries
 		for _, e := range p.entries {
-			s.st.Grow(p.seg, e.place, e.due, int64(e.len))
-			s.joins(p.seg, e.due)
+			s.state.AddMessage(p.segment, e.sequence, e.due, int64(e.length))
+			s.messageAdded(p.segment, e.due)
 		}
-		if !p.fresh {
-			s.entries.added(p.seg, from, p.index)
+		if !p.create {
+			s.indexes.updateCache(p.segment, from, p.index)
 		}
 	}
-	s.told = s.last
+	s.committedSequence = s.lastSequence
 	return nil
 }
 
 // plan shares messages out to segments.
-func (s *Store) plan(ms []Message) ([]*part, error) {
-	var parts []*part
-	of := map[int]*part{}
+func (s *Store) planWrites(ms []Message) ([]*segmentWrite, error) {
+	var parts []*segmentWrite
+	of := map[int]*segmentWrite{}
 	for i := range ms {
 		m := &ms[i]
-		if err := m.check(); err != nil {
+		if err := m.checkSize(); err != nil {
 			return nil, err
 		}
-		s.last++
+		s.lastSequence++
 		p := of[m.Dest]
-		if p == nil || !s.st.Takes(p.seg, s.last, int64(len(p.data))) {
+		if p == nil || !s.state.Accepts(p.segment, s.lastSequence, int64(len(p.frames))) {
 			seg := (*state.Segment)(nil)
 			if p == nil {
-				seg = s.st.Tail(m.Dest, s.last, 0)
+				seg = s.state.Tail(m.Dest, s.lastSequence, 0)
 			}
-			p = &part{seg: seg, fresh: seg == nil}
-			if p.fresh {
-				p.seg = &state.Segment{Dest: m.Dest, First: s.last, Last: s.last, Due: later}
-				p.index = appendHeader(nil, p.seg, s.saltAll)
+			p = &segmentWrite{segment: seg, create: seg == nil}
+			if p.create {
+				p.segment = &state.Segment{Dest: m.Dest, First: s.lastSequence, Last: s.lastSequence, EarliestDue: noDueTime}
+				p.index = appendHeader(nil, p.segment, s.folderSalt)
 			}
 			of[m.Dest] = p
 			parts = append(parts, p)
 		}
-		e := entry{place: s.last, due: m.Due, id: hashOf(s.saltAll, 'i', m.Dest, m.ID), off: uint32(p.seg.Data) + uint32(len(p.data)),
-			len: uint32(m.frameLen()), mark: markLive}
-		if m.Order != "" {
-			e.key = hashOf(s.saltAll, 'k', 0, m.Order)
+		e := indexEntry{sequence: s.lastSequence, due: m.Due, idHash: saltedHash(s.folderSalt, 'i', m.Dest, m.ID), offset: uint32(p.segment.DataBytes) + uint32(len(p.frames)),
+			length: uint32(m.frameSize()), mark: markLive}
+		if m.OrderKey != "" {
+			e.keyHash = saltedHash(s.folderSalt, 'k', 0, m.OrderKey)
 		}
 		p.entries = append(p.entries, e)
 		p.index = appendEntry(p.index, &e)
-		p.data = appendFrame(p.data, m, s.last, s.salt)
+		p.frames = appendFrame(p.frames, m, s.lastSequence, s.frameSalt)
 	}
 	return parts, nil
 }
 
 // roomFor tells whether the files may grow by so much.
-func (s *Store) roomFor(bytes int64) error {
-	if room := s.st.Room(); bytes > room {
+func (s *Store) checkSpace(bytes int64) error {
+	if room := s.state.FreeBytes(); bytes > room {
 		wait := time.Second
-		if seg := s.st.Earliest(); seg != nil {
-			wait = min(max(wait, time.UnixMilli(seg.Due).Sub(s.now())), time.Minute)
+		if seg := s.state.Earliest(); seg != nil {
+			wait = min(max(wait, time.UnixMilli(seg.EarliestDue).Sub(s.now())), time.Minute)
 		}
-		return &Full{bytes, max(0, room), wait}
+		return &FullError{bytes, max(0, room), wait}
 	}
 	return nil
 }
 
 // index notes in the table where messages are about to be.
-func (s *Store) index(parts []*part) error {
+func (s *Store) addToTable(parts []*segmentWrite) error {
 	for i, p := range parts {
 		for j := range p.entries {
-			if err := s.table.add(p.seg.Dest, &p.entries[j]); err != nil {
+			if err := s.table.addMessage(p.segment.Dest, &p.entries[j]); err != nil {
 				p.entries = p.entries[:j]
-				return errors.Join(err, s.unkey(parts[:i+1]))
+				return errors.Join(err, s.releaseKeys(parts[:i+1]))
 			}
 		}
 	}
@@ -150,11 +150,11 @@
 }
 
 // unkey has messages that are not taken on count for their keys no more.
-func (s *Store) unkey(parts []*part) (err error) {
+func (s *Store) releaseKeys(parts []*segmentWrite) (err error) {
 	for _, p := range parts {
 		for _, e := range p.entries {
-			if e.key != 0 {
-				err = errors.Join(err, s.table.count(e.key, p.seg.Dest, e.place, false))
+			if e.keyHash != 0 {
+				err = errors.Join(err, s.table.adjustKeyCount(e.keyHash, p.segment.Dest, e.sequence, false))
 			}
 		}
 	}
@@ -162,27 +162,27 @@
 }
 
 // add writes a part: entries first, so that a frame without one is never a kill's work.
-func (s *Store) add(p *part) error {
+func (s *Store) writeToSegment(p *segmentWrite) error {
 	at := int64(0)
-	if !p.fresh {
-		at = entryAt(p.seg.Entries)
+	if !p.create {
+		at = entryOffset(p.segment.Entries)
 	}
-	if err := s.d.write(indexName(p.seg), p.index, at, p.fresh); err != nil {
+	if err := s.folder.write(indexFileName(p.segment), p.index, at, p.create); err != nil {
 		return err
 	}
-	return s.d.write(dataName(p.seg), p.data, p.seg.Data, p.fresh)
+	return s.folder.write(dataFileName(p.segment), p.frames, p.segment.DataBytes, p.create)
 }
 
 // undo takes a part back that may have been written; data first, for the same reason.
-func (s *Store) undo(p *part) error {
-	if p.fresh {
-		return errors.Join(s.d.remove(dataName(p.seg)), s.d.remove(indexName(p.seg)))
+func (s *Store) undoWrite(p *segmentWrite) error {
+	if p.create {
+		return errors.Join(s.folder.remove(dataFileName(p.segment)), s.folder.remove(indexFileName(p.segment)))
 	}
-	return errors.Join(s.d.truncate(dataName(p.seg), p.seg.Data), s.d.truncate(indexName(p.seg), entryAt(p.seg.Entries)))
+	return errors.Join(s.folder.truncate(dataFileName(p.segment), p.segment.DataBytes), s.folder.truncate(indexFileName(p.segment), entryOffset(p.segment.Entries)))
 }
 
 // Close gives the files up.
 func (s *Store) Close() error {
-	s.d.open.Purge()
+	s.folder.openFiles.Purge()
 	return nil
 }
--- a/internal/backlog/table_test.go
+++ b/internal/backlog/table_test.go
@@ -9,19 +9,19 @@
 )
 
 // tableIn is a table in a folder, as a start finds it.
-func tableIn(t testing.TB, dir string, k *killer, fresh bool) *table {
+func openTable(t testing.TB, dir string, k *killSwitch, fresh bool) *table {
 	t.Helper()
 	d, err := newFolder(dir, 2, k.fault)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { d.open.Purge() })
-	tab := &table{d: d, name: tableName, alive: func(s slot) bool { return s.place%5 > 0 || s.count > 0 },
-		room: func(int64) error { return nil }, grown: func(int64) {}}
+	t.Cleanup(func() { d.openFiles.Purge() })
+	tab := &table{folder: d, fileName: tableFileName, needed: func(s slot) bool { return s.sequence%5 > 0 || s.count > 0 },
+		checkSpace: func(int64) error { return nil }, sizeChanged: func(int64) {}}
 	if fresh {
-		err = tab.begin()
+		err = tab.create()
 	} else {
-		f, e := os.Stat(filepath.Join(dir, tableName))
+		f, e := os.Stat(filepath.Join(dir, tableFileName))
 		if e != nil {
 			t.Fatal(e)
 		}
@@ -33,10 +33,10 @@
 	return tab
 }
 
-func places(t testing.TB, tab *table, hash uint64) (n int, place, count uint64) {
+func findSlots(t testing.TB, tab *table, hash uint64) (n int, place, count uint64) {
 	t.Helper()
 	if err := tab.find(hash, func(s slot, _ int64) bool {
-		n, place, count = n+1, s.place, uint64(s.count)
+		n, place, count = n+1, s.sequence, uint64(s.count)
 		return true
 	}); err != nil {
 		t.Fatal(err)
@@ -45,14 +45,14 @@
 }
 
 // Guards against a slot that is lost as pages are split, left out what is needed no more, or read anew.
-func TestTableFindsAll(t *testing.T) {
+func TestTableFindsEverySlot(t *testing.T) {
 	dir := t.TempDir()
-	tab := tableIn(t, dir, &killer{}, true)
+	tab := openTable(t, dir, &killSwitch{}, true)
 	r := rand.New(rand.NewPCG(1, 2))
 	of := map[uint64]uint64{}
 	for i := range uint64(12_000) {
 		h := max(1, r.Uint64())
-		if err := tab.insert(slot{hash: h, place: i + 1, dest: 3}); err != nil {
+		if err := tab.insert(slot{hash: h, sequence: i + 1, dest: 3}); err != nil {
 			t.Fatal(err)
 		}
 		of[h] = i + 1
@@ -60,7 +60,7 @@
 	keys := map[uint64]uint64{}
 	for i := range uint64(3_000) {
 		h, more := 1<<60+i%100, i%3 > 0
-		if err := tab.count(h, 3, i, more); err != nil {
+		if err := tab.adjustKeyCount(h, 3, i, more); err != nil {
 			t.Fatal(err)
 		}
 		if more {
@@ -69,39 +69,39 @@
 			keys[h]--
 		}
 	}
-	if tab.depth < 2 || len(tab.free) == 0 {
+	if tab.depth < 2 || len(tab.freePages) == 0 {
 		t.Fatalf("no page was split: depth %d", tab.depth)
 	}
 	for range 2 {
 		for h, place := range of {
-			if n, at, _ := places(t, tab, h); place%5 > 0 && (n != 1 || at != place) || n > 1 {
+			if n, at, _ := findSlots(t, tab, h); place%5 > 0 && (n != 1 || at != place) || n > 1 {
 				t.Fatalf("place %d is found %d times, as %d", place, n, at)
 			}
 		}
 		for h, n := range keys {
-			if _, _, count := places(t, tab, h); count != n+1 {
+			if _, _, count := findSlots(t, tab, h); count != n+1 {
 				t.Fatalf("a key of %d messages has %d", n, int(count)-1)
 			}
 		}
-		tab = tableIn(t, dir, &killer{}, false)
+		tab = openTable(t, dir, &killSwitch{}, false)
 	}
 }
 
 // Guards against a kill between the steps of a split that loses a slot or leaves one that misleads: four pages, and the old one
 // given up. Where most slots are needed no more, it is one page.
-func TestTableKilledAsItSplits(t *testing.T) {
-	t.Run("split", func(t *testing.T) { killSplits(t, 5, 1, 0) })
-	t.Run("rid", func(t *testing.T) { killSplits(t, 2, 0, 1) })
+func TestTableKilledDuringSplit(t *testing.T) {
+	t.Run("split", func(t *testing.T) { checkKilledSplits(t, 5, 1, 0) })
+	t.Run("rid", func(t *testing.T) { checkKilledSplits(t, 2, 0, 1) })
 }
 
 // killSplits adds slots, of which two in three are stale if rest is zero, until a page is full for the first time after so many. The
 // second time it is written where an older one was, so that half of it is not cut off.
-func killSplits(t *testing.T, steps, rest, passed int) {
+func checkKilledSplits(t *testing.T, steps, rest, passed int) {
 	for at := range steps + 1 {
 		dir := t.TempDir()
-		tab := tableIn(t, dir, &killer{}, true)
+		tab := openTable(t, dir, &killSwitch{}, true)
 		n, killed, left := -1, false, passed
-		tab.d.fault = func(_, _ string, bytes int) (int, error) {
+		tab.folder.injectFault = func(_, _ string, bytes int) (int, error) {
 			if n < 0 && bytes == pageSize {
 				left--
 			}
@@ -127,7 +127,7 @@
 		}
 		add := func(tab *table) error {
 			h := max(1, r.Uint64())
-			err := tab.insert(slot{hash: h, place: placeOf(len(all)), dest: 3})
+			err := tab.insert(slot{hash: h, sequence: placeOf(len(all)), dest: 3})
 			if err == nil {
 				all = append(all, h)
 			}
@@ -142,9 +142,9 @@
 			t.Fatalf("step %d was killed: %v", at, killed)
 		}
 		for range 2 {
-			tab = tableIn(t, dir, &killer{}, false)
+			tab = openTable(t, dir, &killSwitch{}, false)
 			for i, h := range all {
-				if n, place, _ := places(t, tab, h); placeOf(i)%5 > 0 && n != 1 || n > 1 || n == 1 && place != placeOf(i) {
+				if n, place, _ := findSlots(t, tab, h); placeOf(i)%5 > 0 && n != 1 || n > 1 || n == 1 && place != placeOf(i) {
 					t.Fatalf("killed at step %d: slot %d of %d is found %d times", at, i, len(all), n)
 				}
 			}
--- a/internal/estate/estate_test.go
+++ b/internal/estate/estate_test.go
@@ -37,7 +37,7 @@
 }
 
 func taken(id string, n int) journal.Record {
-	return journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: id, Class: "order", Due: time.Now().Add(time.Hour).UnixMilli(), Body: bytes.Repeat([]byte("b"), n), Estate: 1}}
+	return journal.Record{Op: journal.OpAccepted, Entry: &journal.Entry{ID: id, Class: "order", Due: time.Now().Add(time.Hour).UnixMilli(), Body: bytes.Repeat([]byte("b"), n), Group: 1}}
 }
 
 func post(t testing.TB, h state.Holder, path string, in, out any) error {
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	for range 2 { // what comes twice counts once
-		batch := Batch{Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{taken("m1", 5), {Op: journal.OpTry, ID: "m1", Wait: 50}}}
+		batch := Batch{Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{taken("m1", 5), {Op: journal.OpTry, ID: "m1", WaitMs: 50}}}
 		if err := post(t, at, CopyPath, batch, &got); err != nil || got.Next != 3 {
 			t.Fatalf("next %d, %v, want 3", got.Next, err)
 		}
@@ -130,9 +130,9 @@
 		try(path, []byte(`[]`))
 		try(path, bytes.Repeat([]byte("["), bodyMost+2))
 	}
-	for _, b := range []Batch{{}, {Estate: 1, Epoch: 1, Writer: strings.Repeat("w", nameMost+1)}, {Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{{Op: journal.OpTaken}}},
-		{Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{{Op: journal.OpMark, Mark: &journal.Mark{Estate: 9}}}},
-		{Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{{Op: journal.OpCount, Estate: 1, Next: 99}}},
+	for _, b := range []Batch{{}, {Estate: 1, Epoch: 1, Writer: strings.Repeat("w", nameMost+1)}, {Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{{Op: journal.OpAccepted}}},
+		{Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{{Op: journal.OpGroupState, GroupState: &journal.GroupState{Group: 9}}}},
+		{Estate: 1, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{{Op: journal.OpGroupNext, Group: 1, NextRecord: 99}}},
 		{Estate: 2, Epoch: 1, Writer: "a", First: 1, Records: []journal.Record{taken("m9", 1)}}, {Estate: 1, Epoch: 1, Writer: "a", First: 0}, {Estate: 1, Writer: "a"}} {
 		data, _ := json.Marshal(b)
 		try(CopyPath, data)
--- a/internal/estate/holder.go
+++ b/internal/estate/holder.go
@@ -113,7 +113,7 @@
 		return nil, &Disk{dir, err}
 	}
 	c := &copied{j: j, news: make(chan struct{})}
-	if m, ok := j.Mark(id); ok {
+	if m, ok := j.GroupState(id); ok {
 		c.now = m.Copy
 	}
 	if j.Damaged() { // what has counted may be lost from it: it says so rather than pass for whole
@@ -170,7 +170,7 @@
 		return nil, err
 	}
 	for _, r := range b.Records {
-		if r.Op == journal.OpMark || r.Op == journal.OpCount || r.Op == journal.OpTaken && (r.Entry == nil || r.Entry.Estate != b.Estate) {
+		if r.Op == journal.OpGroupState || r.Op == journal.OpGroupNext || r.Op == journal.OpAccepted && (r.Entry == nil || r.Entry.Group != b.Estate) {
 			return nil, &Refused{"this relay", http.StatusBadRequest, "a record is none of an estate", ""}
 		}
 	}
@@ -204,13 +204,13 @@
 	if err != nil {
 		return c.now.Next, c.news, err
 	}
-	mark := journal.Record{Op: journal.OpMark, Mark: &journal.Mark{Estate: b.Estate, Copy: now}}
+	mark := journal.Record{Op: journal.OpGroupState, GroupState: &journal.GroupState{Group: b.Estate, Copy: now}}
 	switch {
 	case b.Whole:
 		err = c.j.Replace(append(b.Records, mark)...)
 	case now == c.now:
 	case now.Epoch == c.now.Epoch && now.Have == c.now.Have:
-		err = c.j.Append(append(b.Records[skip:], journal.Record{Op: journal.OpCount, Estate: b.Estate, Next: now.Next})...)
+		err = c.j.Append(append(b.Records[skip:], journal.Record{Op: journal.OpGroupNext, Group: b.Estate, NextRecord: now.Next})...)
 	default:
 		err = c.j.Append(append(b.Records[skip:], mark)...)
 	}
@@ -236,14 +236,14 @@
 		return nil, err
 	}
 	if now != c.now {
-		if err := c.j.Append(journal.Record{Op: journal.OpMark, Mark: &journal.Mark{Estate: p.Estate, Copy: now}}); err != nil {
+		if err := c.j.Append(journal.Record{Op: journal.OpGroupState, GroupState: &journal.GroupState{Group: p.Estate, Copy: now}}); err != nil {
 			return nil, err
 		}
 		c.now = now
 	}
 	out := Promised{Copy: now, Stamp: h.now()}
 	if p.Want && now.From != "" {
-		out.Records = c.j.Whole(p.Estate)
+		out.Records = c.j.GroupRecords(p.Estate)
 	}
 	return out, nil
 }
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -14,41 +14,41 @@
 	var buf []byte
 	order := j.order[:0:0]
 	for e := range j.All() {
-		buf = frame(buf, Record{Op: OpTaken, Entry: e})
-		order = append(order, place{e.ID, e.seq})
+		buf = appendFrame(buf, Record{Op: OpAccepted, Entry: e})
+		order = append(order, orderEntry{e.ID, e.sequence})
 	}
-	for id, h := range j.unwell {
-		if steady.Since(h.At) > forgetUnwell { // its host may be gone from the list since
-			j.live -= slack
-			delete(j.unwell, id)
+	for id, h := range j.outages {
+		if steady.Since(h.At) > outageExpiry { // its host may be gone from the list since
+			j.compactedBytes -= historyBytes
+			delete(j.outages, id)
 			continue
 		}
-		buf = frame(buf, h)
+		buf = appendFrame(buf, h)
 	}
-	for id, h := range j.byHand {
-		if !h.Ran && steady.Since(h.At) > forgetUnwell { // warm long since
-			j.live -= slack
-			delete(j.byHand, id)
+	for id, h := range j.disabledHosts {
+		if !h.Flag && steady.Since(h.At) > outageExpiry { // warm long since
+			j.compactedBytes -= historyBytes
+			delete(j.disabledHosts, id)
 			continue
 		}
-		buf = frame(buf, h)
+		buf = appendFrame(buf, h)
 	}
-	for id, h := range j.waits {
-		if steady.Since(h.At) > time.Duration(h.Wait)*time.Millisecond {
-			j.live -= slack
-			delete(j.waits, id)
+	for id, h := range j.retryAfters {
+		if steady.Since(h.At) > time.Duration(h.WaitMs)*time.Millisecond {
+			j.compactedBytes -= historyBytes
+			delete(j.retryAfters, id)
 			continue
 		}
-		buf = frame(buf, h)
+		buf = appendFrame(buf, h)
 	}
-	for _, m := range j.marks {
-		buf = frame(buf, Record{Op: OpMark, Mark: &m})
+	for _, m := range j.groups {
+		buf = appendFrame(buf, Record{Op: OpGroupState, GroupState: &m})
 	}
 	// A file of a larger budget may leave no room for its copy. It stays all the same until that is whole: what was taken on is
 	// still owed if the copy cannot be written, or a kill comes between.
 	f, err := os.OpenFile(j.path+".next", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
-		return onDisk("it could not be written anew", err)
+		return diskFailure("it could not be written anew", err)
 	}
 	_, err = f.Write(buf)
 	if err == nil {
@@ -57,64 +57,64 @@
 	if err != nil {
 		f.Close()
 		os.Remove(j.path + ".next")
-		return onDisk("it could not be written anew", err)
+		return diskFailure("it could not be written anew", err)
 	}
-	if j.f != nil {
-		j.f.Close()
+	if j.file != nil {
+		j.file.Close()
 	}
-	j.f, j.size, j.order, j.broken, j.uncut, j.away = f, int64(len(buf)), order, nil, false, false
+	j.file, j.fileBytes, j.order, j.writeError, j.partialRecord, j.stopped = f, int64(len(buf)), order, nil, false, false
 	return nil
 }
 
 // Break has nothing more be written: the file may be another process's by now. A compaction that goes well ends it.
-func (j *Journal) Break(err error) { j.broken, j.uncut, j.away = err, false, true }
+func (j *Journal) StopWriting(err error) { j.writeError, j.partialRecord, j.stopped = err, false, true }
 
 // goOn opens the file as it stands, for the journal to be appended to it: its sound part is so long. What that cannot do now is
 // tried again by usable.
-func (j *Journal) goOn(sound int64) {
-	j.size = sound
+func (j *Journal) openExisting(sound int64) {
+	j.fileBytes = sound
 	f, err := os.OpenFile(j.path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		j.broken = onDisk("it could not be opened", err)
+		j.writeError = diskFailure("it could not be opened", err)
 		return
 	}
-	j.f = f
+	j.file = f
 	if err := f.Truncate(sound); err != nil {
-		j.uncut, j.broken = true, onDisk("half a record of before could not be cut off", err)
+		j.partialRecord, j.writeError = true, diskFailure("half a record of before could not be cut off", err)
 	}
 }
 
 // usable tells why nothing can be written. What stood in the way is tried again first: a file that could not be opened, half a
 // record that could not be cut back.
-func (j *Journal) usable() error {
-	if j.away {
-		return j.broken
+func (j *Journal) checkWritable() error {
+	if j.stopped {
+		return j.writeError
 	}
-	if j.f == nil {
-		j.broken = nil
-		j.goOn(j.size)
-		return j.broken
+	if j.file == nil {
+		j.writeError = nil
+		j.openExisting(j.fileBytes)
+		return j.writeError
 	}
-	if !j.uncut || j.f.Truncate(j.size) != nil {
-		return j.broken
+	if !j.partialRecord || j.file.Truncate(j.fileBytes) != nil {
+		return j.writeError
 	}
-	j.broken, j.uncut = nil, false
+	j.writeError, j.partialRecord = nil, false
 	return nil
 }
 
 // Close gives the file up.
 func (j *Journal) Close() error {
-	if j.f == nil {
+	if j.file == nil {
 		return nil
 	}
-	return j.f.Close()
+	return j.file.Close()
 }
 
 // All are the messages that are owed their end or its notice, in the order in which they were taken on.
 func (j *Journal) All() iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
 		for _, p := range j.order {
-			if e := j.entries[p.id]; e != nil && e.seq == p.n && !yield(e) {
+			if e := j.entries[p.id]; e != nil && e.sequence == p.sequence && !yield(e) {
 				return
 			}
 		}
@@ -131,16 +131,16 @@
 func (j *Journal) Len() int { return len(j.entries) }
 
 // Crowded tells whether what is held takes three eighths of the budget: the file and its copy need half of what is left, too.
-func (j *Journal) Crowded() bool { return 8*j.live > 3*j.budget }
+func (j *Journal) NearlyFull() bool { return 8*j.compactedBytes > 3*j.budgetBytes }
 
 // Size is the length of the file in bytes.
-func (j *Journal) Size() int64 { return j.size }
+func (j *Journal) Size() int64 { return j.fileBytes }
 
 // Unwell are hosts in an outage, or cold after it.
-func (j *Journal) Unwell() iter.Seq2[string, Record] { return maps.All(j.unwell) }
+func (j *Journal) Outages() iter.Seq2[string, Record] { return maps.All(j.outages) }
 
 // ByHand are hosts that operators took out, or gave back not long ago.
-func (j *Journal) ByHand() iter.Seq2[string, Record] { return maps.All(j.byHand) }
+func (j *Journal) DisabledHosts() iter.Seq2[string, Record] { return maps.All(j.disabledHosts) }
 
 // Out tells whether operators have taken a host out.
-func (j *Journal) Out(host string) bool { return j.byHand[host].Ran }
+func (j *Journal) Disabled(host string) bool { return j.disabledHosts[host].Flag }
--- a/internal/journal/copies.go
+++ b/internal/journal/copies.go
@@ -4,43 +4,43 @@
 // behind what it has no room for. The owner therefore takes on no more than each copy has room for in any case.
 
 const (
-	copyReservePart = 8  // part of a copy's budget that is kept for records of messages already held
-	copyBatchPart   = 16 // part of it that the records of one batch may take
+	copyReserveDivisor = 8  // part of a copy's budget that is kept for records of messages already held
+	copyBatchDivisor   = 16 // part of it that the records of one batch may take
 	// takenGrowth bounds by how much what a copy holds grows with a batch of messages taken on, in sizes of the batch: each has
 	// room for its history, which is less than its record.
-	takenGrowth = 2
+	acceptedGrowth = 2
 )
 
 // OpenCopy opens the journal of a copy, whose owner bounds what is in it by CopyMost.
 func OpenCopy(dir string, budget int64) (*Journal, error) {
-	return openWith(dir, budget, usableOf(budget)/copyReservePart)
+	return openWithReserve(dir, budget, usableBytes(budget)/copyReserveDivisor)
 }
 
 // CopyBatch is how many bytes of records a copy of a budget has room for at once.
-func CopyBatch(budget int64) int64 { return max(0, usableOf(budget)/copyBatchPart) }
+func CopyBatchBytes(budget int64) int64 { return max(0, usableBytes(budget)/copyBatchDivisor) }
 
 // CopyMost is what an owner may hold, in bytes as CopySize counts them, so that a copy of a budget has room for all that may
 // follow: the file as compacted and what it holds (each as large as that at the most), one batch, and the reserve.
-func CopyMost(budget int64) int64 {
-	usable := usableOf(budget)
-	batch := CopyBatch(budget)
-	return max(0, (usable-usable/copyReservePart-(1+takenGrowth)*batch)/2)
+func MaxCopyBytes(budget int64) int64 {
+	usable := usableBytes(budget)
+	batch := CopyBatchBytes(budget)
+	return max(0, (usable-usable/copyReserveDivisor-(1+acceptedGrowth)*batch)/2)
 }
 
 // CopySize is what a message takes of a copy at the most, in bytes: its record may come with the history that it has by then,
 // and has room for more.
-func CopySize(e *Entry) int64 {
-	return int64(len(frame(nil, Record{Op: OpTaken, Entry: e}))) + 2*slack
+func EntryCopyBytes(e *Entry) int64 {
+	return int64(len(appendFrame(nil, Record{Op: OpAccepted, Entry: e}))) + 2*historyBytes
 }
 
 // CopyHeld is what a copy of an estate takes at the most, in bytes: its messages, and what is known of endpoints.
-func (j *Journal) CopyHeld(estate uint64) int64 {
-	return j.held[estate] + int64(len(j.byHand)+len(j.waits))*slack + markMost
+func (j *Journal) GroupCopyBytes(estate uint64) int64 {
+	return j.copyBytes[estate] + int64(len(j.disabledHosts)+len(j.retryAfters))*historyBytes + groupStateBytes
 }
 
 // letGo takes a message that ends out of what its estate holds.
-func (j *Journal) letGo(e *Entry) {
-	if j.held[e.Estate] -= e.size + slack; j.held[e.Estate] == 0 {
-		delete(j.held, e.Estate)
+func (j *Journal) releaseCopyBytes(e *Entry) {
+	if j.copyBytes[e.Group] -= e.compactedBytes + historyBytes; j.copyBytes[e.Group] == 0 {
+		delete(j.copyBytes, e.Group)
 	}
 }
--- a/internal/journal/estates.go
+++ b/internal/journal/estates.go
@@ -9,42 +9,42 @@
 // What a journal keeps of estates, by their owner or a holder.
 
 // mark notes where an estate stands.
-func (j *Journal) mark(m Mark) {
-	_, known := j.marks[m.Estate]
+func (j *Journal) setGroupState(m GroupState) {
+	_, known := j.groups[m.Group]
 	switch {
-	case m.Over && known:
-		delete(j.marks, m.Estate)
-		j.live -= markMost
-	case m.Over:
+	case m.Removed && known:
+		delete(j.groups, m.Group)
+		j.compactedBytes -= groupStateBytes
+	case m.Removed:
 	default:
 		if !known {
-			j.live += markMost
+			j.compactedBytes += groupStateBytes
 		}
-		j.marks[m.Estate] = m
+		j.groups[m.Group] = m
 	}
 }
 
 // Marks are the estates that something is kept of.
-func (j *Journal) Marks() map[uint64]Mark { return maps.Clone(j.marks) }
+func (j *Journal) GroupStates() map[uint64]GroupState { return maps.Clone(j.groups) }
 
 // Mark is what is kept of an estate.
-func (j *Journal) Mark(id uint64) (Mark, bool) {
-	m, ok := j.marks[id]
+func (j *Journal) GroupState(id uint64) (GroupState, bool) {
+	m, ok := j.groups[id]
 	return m, ok
 }
 
 // Waits are what hosts told, where that may not be over.
-func (j *Journal) Waits() iter.Seq2[string, Record] { return maps.All(j.waits) }
+func (j *Journal) RetryAfters() iter.Seq2[string, Record] { return maps.All(j.retryAfters) }
 
 // Whole is all that is kept of an estate, as records that begin a copy of it. What is known of endpoints goes along.
-func (j *Journal) Whole(id uint64) (all []Record) {
+func (j *Journal) GroupRecords(id uint64) (all []Record) {
 	for e := range j.All() {
-		if e.Estate == id {
+		if e.Group == id {
 			c := *e
-			all = append(all, Record{Op: OpTaken, Entry: &c})
+			all = append(all, Record{Op: OpAccepted, Entry: &c})
 		}
 	}
-	for _, of := range []map[string]Record{j.byHand, j.waits} {
+	for _, of := range []map[string]Record{j.disabledHosts, j.retryAfters} {
 		for _, name := range slices.Sorted(maps.Keys(of)) {
 			all = append(all, of[name])
 		}
@@ -54,37 +54,37 @@
 
 // Replace puts records in the place of all that there is, whole or not at all.
 func (j *Journal) Replace(recs ...Record) error {
-	next := empty(j.path, j.budget, j.reserve)
+	next := newJournal(j.path, j.budgetBytes, j.reserveBytes)
 	for _, r := range recs {
-		next.apply(r, int64(len(frame(nil, r))))
+		next.apply(r, int64(len(appendFrame(nil, r))))
 	}
-	if next.live+j.size > j.budget {
+	if next.compactedBytes+j.fileBytes > j.budgetBytes {
 		if err := j.Compact(); err != nil {
 			return err
 		}
 	}
-	if next.live+j.size > j.budget {
+	if next.compactedBytes+j.fileBytes > j.budgetBytes {
 		return ErrFull
 	}
-	next.size = j.size // the old file stands until the new one takes its place
+	next.fileBytes = j.fileBytes // the old file stands until the new one takes its place
 	if err := next.Compact(); err != nil {
 		return err
 	}
-	if j.f != nil {
-		j.f.Close()
+	if j.file != nil {
+		j.file.Close()
 	}
 	*j = *next
 	return nil
 }
 
 // Forget ends all messages of an estate without a word: they are another relay's. It returns the records of that.
-func (j *Journal) Forget(id uint64) (recs []Record) {
+func (j *Journal) RecordsToForget(id uint64) (recs []Record) {
 	for e := range j.All() {
-		if e.Estate == id {
+		if e.Group == id {
 			recs = append(recs, Record{Op: OpEnd, ID: e.ID})
 		}
 	}
-	return append(recs, Record{Op: OpMark, Mark: &Mark{Estate: id, Over: true}})
+	return append(recs, Record{Op: OpGroupState, GroupState: &GroupState{Group: id, Removed: true}})
 }
 
 // Shifted is a record with its stamps by another clock, which shows so many milliseconds more.
@@ -104,7 +104,7 @@
 // Shifted is a message with its stamps by another clock.
 func (e *Entry) Shifted(by int64) *Entry {
 	c := *e
-	for _, at := range []*int64{&c.Due, &c.RanAt, &c.OutAt} {
+	for _, at := range []*int64{&c.Due, &c.MayHaveRunAt, &c.LastTryAt} {
 		if *at != 0 {
 			*at += by
 		}
--- a/internal/journal/estates_test.go
+++ b/internal/journal/estates_test.go
@@ -13,12 +13,12 @@
 	estates "larchrouter/internal/estate/state"
 )
 
-func inEstate(id string, estate uint64, body int) Record {
-	return Record{Op: OpTaken, Entry: &Entry{ID: id, Due: 5000, Body: make([]byte, body), Estate: estate}}
+func acceptedInGroup(id string, estate uint64, body int) Record {
+	return Record{Op: OpAccepted, Entry: &Entry{ID: id, Due: 5000, Body: make([]byte, body), Group: estate}}
 }
 
-func mark(estate, next uint64) Record {
-	return Record{Op: OpMark, Mark: &Mark{Estate: estate, Name: "r", Copy: estates.Copy{Epoch: 3, Writer: "w", From: "w", Have: 3, Next: next}}}
+func groupStateRecord(estate, next uint64) Record {
+	return Record{Op: OpGroupState, GroupState: &GroupState{Group: estate, Name: "r", Copy: estates.Copy{Epoch: 3, Writer: "w", From: "w", Have: 3, Next: next}}}
 }
 
 func reopen(t testing.TB, dir string, j *Journal) *Journal {
@@ -37,43 +37,43 @@
 
 // Guards against an estate that a restart or a compaction takes for another: where it stands, what is in it, and that it is
 // over are as they were.
-func TestMarksOutlastTheProcess(t *testing.T) {
+func TestGroupStatesSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	j := reopen(t, dir, nil)
-	if err := j.Append(mark(7, 1), inEstate("a", 7, 10), inEstate("b", 8, 10), inEstate("c", 7, 10), Record{Op: OpCount, Estate: 7, Next: 3}, mark(8, 2), Record{Op: OpEnd, ID: "c"}, Record{Op: OpCount, Estate: 7, Next: 4},
-		Record{Op: OpCount, Estate: 7, Next: 2}, Record{Op: OpCount, Estate: 99, Next: 2}, Record{Op: OpWait, ID: "h", At: time.Now().UnixMilli(), Wait: 60000}, Record{Op: OpWait, ID: "old", At: 1, Wait: 60000}); err != nil {
+	if err := j.Append(groupStateRecord(7, 1), acceptedInGroup("a", 7, 10), acceptedInGroup("b", 8, 10), acceptedInGroup("c", 7, 10), Record{Op: OpGroupNext, Group: 7, NextRecord: 3}, groupStateRecord(8, 2), Record{Op: OpEnd, ID: "c"}, Record{Op: OpGroupNext, Group: 7, NextRecord: 4},
+		Record{Op: OpGroupNext, Group: 7, NextRecord: 2}, Record{Op: OpGroupNext, Group: 99, NextRecord: 2}, Record{Op: OpRetryAfter, ID: "h", At: time.Now().UnixMilli(), WaitMs: 60000}, Record{Op: OpRetryAfter, ID: "old", At: 1, WaitMs: 60000}); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
 		j = reopen(t, dir, j)
-		m, ok := j.Mark(7)
-		if !ok || m.Next != 4 || m.Epoch != 3 || m.From != "w" || len(j.Marks()) != 2 {
+		m, ok := j.GroupState(7)
+		if !ok || m.Next != 4 || m.Epoch != 3 || m.From != "w" || len(j.GroupStates()) != 2 {
 			t.Fatalf("estate 7 stands at %+v, %v", m, ok)
 		}
-		whole := j.Whole(7)
+		whole := j.GroupRecords(7)
 		if len(whole) != 2 || whole[0].Entry.ID != "a" || whole[1].ID != "h" {
 			t.Fatalf("the whole of estate 7 is %+v", whole)
 		}
 	}
-	if err := j.Append(j.Forget(7)...); err != nil {
+	if err := j.Append(j.RecordsToForget(7)...); err != nil {
 		t.Fatal(err)
 	}
 	j = reopen(t, dir, j)
-	if _, ok := j.Mark(7); ok || j.Entry("a") != nil || j.Entry("b") == nil {
+	if _, ok := j.GroupState(7); ok || j.Entry("a") != nil || j.Entry("b") == nil {
 		t.Errorf("after it is forgotten: known %v, a %v, b %v", ok, j.Entry("a"), j.Entry("b"))
 	}
 }
 
 // Guards against a copy that is neither the old nor the new: what does not fit, or is cut off anywhere, leaves the old.
-func TestReplaceIsWhole(t *testing.T) {
+func TestReplaceIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	j := reopen(t, dir, nil)
-	if err := j.Append(mark(1, 1), inEstate("old", 1, 1000)); err != nil {
+	if err := j.Append(groupStateRecord(1, 1), acceptedInGroup("old", 1, 1000)); err != nil {
 		t.Fatal(err)
 	}
 	var much []Record
 	for i := range 30 {
-		much = append(much, inEstate(fmt.Sprint("m", i), 1, 60<<10))
+		much = append(much, acceptedInGroup(fmt.Sprint("m", i), 1, 60<<10))
 	}
 	err := j.Replace(much...)
 	var f *Failure
@@ -89,20 +89,20 @@
 	if j.Entry("old") == nil {
 		t.Fatal("a copy that was cut off took the old one's place")
 	}
-	if err := j.Replace(inEstate("new", 1, 10), mark(1, 9)); err != nil {
+	if err := j.Replace(acceptedInGroup("new", 1, 10), groupStateRecord(1, 9)); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.Append(Record{Op: OpCount, Estate: 1, Next: 10}); err != nil {
+	if err := j.Append(Record{Op: OpGroupNext, Group: 1, NextRecord: 10}); err != nil {
 		t.Fatal(err)
 	}
 	j = reopen(t, dir, j)
-	if m, _ := j.Mark(1); j.Entry("old") != nil || j.Entry("new") == nil || m.Next != 10 {
+	if m, _ := j.GroupState(1); j.Entry("old") != nil || j.Entry("new") == nil || m.Next != 10 {
 		t.Errorf("after it: old %v, new %v, next %d", j.Entry("old"), j.Entry("new"), m.Next)
 	}
 }
 
 // Guards against a holder's journal that is another than its writer's, whatever it was told and wherever it was compacted.
-func TestCopyEqualsItsSource(t *testing.T) {
+func TestCopyEqualsSource(t *testing.T) {
 	dir := t.TempDir()
 	n := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -122,7 +122,7 @@
 		defer func() { own.Close(); copied.Close() }()
 		for i := range 40 {
 			id := fmt.Sprint("m", rapid.IntRange(0, 6).Draw(t, "id"))
-			r := rapid.SampledFrom([]Record{inEstate(id, 1, i), {Op: OpTry, ID: id, At: int64(i), Wait: 9}, {Op: OpOutcome, ID: id, Ran: true}, {Op: OpOutcome, ID: id},
+			r := rapid.SampledFrom([]Record{acceptedInGroup(id, 1, i), {Op: OpTry, ID: id, At: int64(i), WaitMs: 9}, {Op: OpOutcome, ID: id, Flag: true}, {Op: OpOutcome, ID: id},
 				{Op: OpNotice, ID: id, Status: "deferred"}, {Op: OpEnd, ID: id}}).Draw(t, "record")
 			again := r
 			if r.Entry != nil {
@@ -139,24 +139,24 @@
 				}
 			case 1: // the whole, by another clock and back
 				var recs []Record
-				for _, r := range own.Whole(1) {
+				for _, r := range own.GroupRecords(1) {
 					recs = append(recs, r.Shifted(-700).Shifted(700))
 				}
 				if err := copied.Replace(recs...); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if a, b := fmt.Sprint(texts(own)), fmt.Sprint(texts(copied)); a != b {
+			if a, b := fmt.Sprint(entryTexts(own)), fmt.Sprint(entryTexts(copied)); a != b {
 				t.Fatalf("after record %d\n%s\nthe copy has\n%s", i, a, b)
 			}
 		}
 	})
 }
 
-func texts(j *Journal) (all []string) {
+func entryTexts(j *Journal) (all []string) {
 	for e := range j.All() {
 		c := *e
-		c.size, c.seq = 0, 0
+		c.compactedBytes, c.sequence = 0, 0
 		all = append(all, fmt.Sprintf("%+v", c))
 	}
 	return all
--- a/internal/journal/fence_test.go
+++ b/internal/journal/fence_test.go
@@ -8,17 +8,17 @@
 
 // Guards against a fence that keeps this version out too, that does not outlast starts and compactions, or that does not keep
 // out older versions, which remove a file of that name before they start.
-func TestFence(t *testing.T) {
+func TestFenceBlocksOlderVersions(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.WriteFile(filepath.Join(dir, "journal.tmp"), []byte("half"), 0o600); err != nil { // of one that was killed
 		t.Fatal(err)
 	}
 	for range 2 {
-		if err := Fence(dir, "a later version's"); err != nil {
+		if err := FenceOlderVersions(dir, "a later version's"); err != nil {
 			t.Fatal(err)
 		}
-		j := open(t, dir, 3e6)
-		put(t, j, taken("a", 10))
+		j := mustOpen(t, dir, 3e6)
+		mustAppend(t, j, acceptedRecord("a", 10))
 		if err := j.Compact(); err != nil {
 			t.Fatal(err)
 		}
@@ -30,7 +30,7 @@
 	if err != nil || string(why) != "a later version's\n" {
 		t.Errorf("it says %q, %v", why, err)
 	}
-	if err := Unfence(dir); err != nil {
+	if err := RemoveFence(dir); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "journal.tmp")); !os.IsNotExist(err) {
--- a/internal/journal/full_test.go
+++ b/internal/journal/full_test.go
@@ -8,7 +8,7 @@
 
 // Guards against a journal that takes on more messages than it has room for the history of: what it holds could then never
 // be ended, for that takes a record, too.
-func TestAFullJournalRecordsTheHistoryOfAllItHolds(t *testing.T) {
+func TestFullJournalRecordsHistory(t *testing.T) {
 	for _, size := range []int{0, 300, 3000} {
 		j, err := Open(t.TempDir(), 3e6)
 		if err != nil {
@@ -17,7 +17,7 @@
 		defer j.Close()
 		held := 0
 		for ; ; held++ {
-			err := j.Append(Record{Op: OpTaken, Entry: &Entry{ID: fmt.Sprintf("%016x", held), Class: "payment", Dest: 7, Due: 1764655555555, Body: make([]byte, size)}})
+			err := j.Append(Record{Op: OpAccepted, Entry: &Entry{ID: fmt.Sprintf("%016x", held), Class: "payment", Dest: 7, Due: 1764655555555, Body: make([]byte, size)}})
 			if errors.Is(err, ErrFull) {
 				break
 			}
@@ -34,11 +34,11 @@
 		}
 		for range 8 {
 			of("attempt", func(id string) []Record {
-				return []Record{{Op: OpTry, ID: id, At: 1764655555555, Wait: 12345, Zone: 2}, {Op: OpOutcome, ID: id, Ran: true}}
+				return []Record{{Op: OpTry, ID: id, At: 1764655555555, WaitMs: 12345, Zone: 2}, {Op: OpOutcome, ID: id, Flag: true}}
 			})
 		}
 		of("notice", func(id string) []Record {
-			return []Record{{Op: OpNotice, ID: id, Status: "undeliverable", Again: 2000}}
+			return []Record{{Op: OpNotice, ID: id, Status: "undeliverable", RetryAfterMs: 2000}}
 		})
 		of("end", func(id string) []Record { return []Record{{Op: OpEnd, ID: id}} })
 		t.Logf("bodies of %d bytes: %d held", size, held)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -16,59 +16,61 @@
 // the process, so nothing is synced. Times in it are Unix milliseconds.
 
 const (
-	headerSize = 8
-	maxRecord  = 256 << 10
-	blockSize  = 512     // each file counts in whole blocks
-	slack      = 384     // room for an entry's history beyond what it was taken on with
-	ownReserve = 1 << 17 // of a relay's own journal, kept for records of messages already held
+	frameHeaderSize   = 8
+	maxRecordBytes    = 256 << 10
+	blockSize         = 512     // each file counts in whole blocks
+	historyBytes      = 384     // room for an entry's history beyond what it was taken on with
+	relayReserveBytes = 1 << 17 // of a relay's own journal, kept for records of messages already held
 	// forgetUnwell is when an outage last heard of is over for a relay that starts.
-	forgetUnwell = 5 * time.Minute
-	markMost     = 4 << 10 // room for an estate's mark
+	outageExpiry    = 5 * time.Minute
+	groupStateBytes = 4 << 10 // room for an estate's mark
 )
 
 // Journal is one relay's, open in one process. It is not safe for concurrent use.
 type Journal struct {
-	path    string
-	budget  int64 // for all files together
-	f       *os.File
-	size    int64
-	reserve int64            // of the budget, kept for records of messages already held
-	live    int64            // what a compacted journal takes at most
-	held    map[uint64]int64 // what messages take of a copy at the most, by estate
-	entries map[string]*Entry
-	unwell  map[string]Record // hosts in an outage, or cold after it
-	byHand  map[string]Record // hosts that operators took out, or gave back not long ago
-	waits   map[string]Record // told by hosts, and not over
-	marks   map[uint64]Mark   // of estates
-	order   []place           // as taken on; ended ones are dropped by compaction, and an id may come again before that
-	places  uint64
-	damaged bool  // what was read had other bytes than were written
-	broken  error // nothing can be written
-	away    bool  // the file may be another process's
-	uncut   bool  // for a failed write left half a record, which could not be cut back yet
+	path           string
+	budgetBytes    int64 // for all files together
+	file           *os.File
+	fileBytes      int64
+	reserveBytes   int64            // of the budget, kept for records of messages already held
+	compactedBytes int64            // what a compacted journal takes at most
+	copyBytes      map[uint64]int64 // what messages take of a copy at the most, by estate
+	entries        map[string]*Entry
+	outages        map[string]Record     // hosts in an outage, or cold after it
+	disabledHosts  map[string]Record     // hosts that operators took out, or gave back not long ago
+	retryAfters    map[string]Record     // told by hosts, and not over
+	groups         map[uint64]GroupState // of estates
+	order          []orderEntry          // as taken on; ended ones are dropped by compaction, and an id may come again before that
+	lastSequence   uint64
+	damaged        bool  // what was read had other bytes than were written
+	writeError     error // nothing can be written
+	stopped        bool  // the file may be another process's
+	partialRecord  bool  // for a failed write left half a record, which could not be cut back yet
 }
 
 // place is where a message stands in the order.
-type place struct {
-	id string
-	n  uint64
+type orderEntry struct {
+	id       string
+	sequence uint64
 }
 
-func empty(path string, budget, reserve int64) *Journal {
-	return &Journal{path: path, budget: budget, reserve: reserve, held: map[uint64]int64{}, entries: map[string]*Entry{}, unwell: map[string]Record{}, byHand: map[string]Record{},
-		waits: map[string]Record{}, marks: map[uint64]Mark{}}
+func newJournal(path string, budget, reserve int64) *Journal {
+	return &Journal{path: path, budgetBytes: budget, reserveBytes: reserve, copyBytes: map[uint64]int64{}, entries: map[string]*Entry{}, outages: map[string]Record{}, disabledHosts: map[string]Record{},
+		retryAfters: map[string]Record{}, groups: map[uint64]GroupState{}}
 }
 
 // Open replays what an earlier process left and starts a compacted file. While the folder cannot be written it goes on with
 // the old one.
-func Open(dir string, budget int64) (*Journal, error) { return openWith(dir, budget, ownReserve) }
+func Open(dir string, budget int64) (*Journal, error) {
+	return openWithReserve(dir, budget, relayReserveBytes)
+}
 
 // usableOf is what records may take of a budget: both files count in whole blocks.
-func usableOf(budget int64) int64 { return budget - 4*blockSize }
+func usableBytes(budget int64) int64 { return budget - 4*blockSize }
 
-func openWith(dir string, budget, reserve int64) (*Journal, error) {
-	j := empty(filepath.Join(dir, fileName), usableOf(budget), reserve)
-	if err := unfenced(filepath.Join(dir, oldNext)); err != nil {
+func openWithReserve(dir string, budget, reserve int64) (*Journal, error) {
+	j := newJournal(filepath.Join(dir, fileName), usableBytes(budget), reserve)
+	if err := removeLeftover(filepath.Join(dir, fenceName)); err != nil {
 		slog.Warn("journal", "err", err, "remedy", remedy.Of(err))
 	}
 	data, err := os.ReadFile(j.path)
@@ -77,16 +79,16 @@
 	}
 	sound := 0 // bytes up to the end of the last sound record
 	for at := 0; at < len(data); {
-		r, n, err := unframe(data[at:])
+		r, n, err := decodeFrame(data[at:])
 		if err != nil {
 			// The tail that was being written when the process died, or damage: what can be read
 			// behind it still tells of messages that are owed their end.
-			skip := nextFrame(data[at:])
+			skip := findNextFrame(data[at:])
 			if skip < 0 {
 				break
 			}
 			slog.Warn("journal is damaged", "at", at, "bytes", skip, "err", err)
-			j.doubt()
+			j.markInDoubt()
 			j.damaged = true
 			at += skip
 			continue
@@ -96,20 +98,20 @@
 		sound = at
 	}
 	// A leftover copy is of a compaction that a kill cut short: the old file still holds all.
-	j.size = int64(len(data))
+	j.fileBytes = int64(len(data))
 	if err := j.Compact(); err != nil {
 		slog.Error("the old journal goes on", "err", err, "remedy", remedy.Of(err))
-		j.goOn(int64(sound))
+		j.openExisting(int64(sound))
 	}
 	return j, nil
 }
 
 // doubt takes it that each message known so far was sent, long ago, in records that are lost:
 // it may not go again where a repeat does harm, and is given back where it does none.
-func (j *Journal) doubt() {
+func (j *Journal) markInDoubt() {
 	for _, e := range j.entries {
-		if e.Status == "" {
-			e.Ran, e.RanAt = true, 0
+		if e.NoticeStatus == "" {
+			e.MayHaveRun, e.MayHaveRunAt = true, 0
 		}
 	}
 }
@@ -118,63 +120,63 @@
 func (j *Journal) apply(r Record, n int64) {
 	e := j.entries[r.ID]
 	switch {
-	case r.Op == OpHealth && r.Ran:
-		if _, ok := j.unwell[r.ID]; !ok {
-			j.live += slack
+	case r.Op == OpHealth && r.Flag:
+		if _, ok := j.outages[r.ID]; !ok {
+			j.compactedBytes += historyBytes
 		}
-		j.unwell[r.ID] = r
+		j.outages[r.ID] = r
 	case r.Op == OpHealth:
-		if _, ok := j.unwell[r.ID]; ok {
-			j.live -= slack
+		if _, ok := j.outages[r.ID]; ok {
+			j.compactedBytes -= historyBytes
 		}
-		delete(j.unwell, r.ID)
-	case r.Op == OpByHand:
-		if _, ok := j.byHand[r.ID]; !ok {
-			j.live += slack
+		delete(j.outages, r.ID)
+	case r.Op == OpDisabled:
+		if _, ok := j.disabledHosts[r.ID]; !ok {
+			j.compactedBytes += historyBytes
 		}
-		j.byHand[r.ID] = r
-	case r.Op == OpWait:
-		if _, ok := j.waits[r.ID]; !ok {
-			j.live += slack
+		j.disabledHosts[r.ID] = r
+	case r.Op == OpRetryAfter:
+		if _, ok := j.retryAfters[r.ID]; !ok {
+			j.compactedBytes += historyBytes
 		}
-		j.waits[r.ID] = r
-	case r.Op == OpMark && r.Mark != nil:
-		j.mark(*r.Mark)
-	case r.Op == OpCount:
-		if m, ok := j.marks[r.Estate]; ok {
-			m.Next = max(m.Next, r.Next)
-			j.marks[r.Estate] = m
+		j.retryAfters[r.ID] = r
+	case r.Op == OpGroupState && r.GroupState != nil:
+		j.setGroupState(*r.GroupState)
+	case r.Op == OpGroupNext:
+		if m, ok := j.groups[r.Group]; ok {
+			m.Next = max(m.Next, r.NextRecord)
+			j.groups[r.Group] = m
 		}
-	case r.Op == OpTaken && r.Entry != nil && j.entries[r.Entry.ID] == nil:
+	case r.Op == OpAccepted && r.Entry != nil && j.entries[r.Entry.ID] == nil:
 		e = r.Entry
-		e.size = n + slack
-		j.live += e.size
-		j.held[e.Estate] += e.size + slack
+		e.compactedBytes = n + historyBytes
+		j.compactedBytes += e.compactedBytes
+		j.copyBytes[e.Group] += e.compactedBytes + historyBytes
 		j.entries[e.ID] = e
-		j.places++
-		e.seq = j.places
-		j.order = append(j.order, place{e.ID, e.seq})
+		j.lastSequence++
+		e.sequence = j.lastSequence
+		j.order = append(j.order, orderEntry{e.ID, e.sequence})
 	case e == nil:
 	case r.Op == OpTry:
 		e.Tries++
-		e.Out, e.OutAt, e.OutTo, e.Wait = true, r.At, r.Zone, r.Wait
-	case r.Op == OpOutcome && e.Out:
-		e.Out = false
-		if r.Ran && !e.Ran {
-			e.Ran, e.RanAt, e.Zone = true, e.OutAt, e.OutTo
+		e.InFlight, e.LastTryAt, e.LastTryZone, e.TimeoutMs = true, r.At, r.Zone, r.WaitMs
+	case r.Op == OpOutcome && e.InFlight:
+		e.InFlight = false
+		if r.Flag && !e.MayHaveRun {
+			e.MayHaveRun, e.MayHaveRunAt, e.Zone = true, e.LastTryAt, e.LastTryZone
 		}
 	case r.Op == OpNotice:
-		e.Status, e.Again, e.Body, e.Out = r.Status, r.Again, nil, false
+		e.NoticeStatus, e.RetryAfterMs, e.Body, e.InFlight = r.Status, r.RetryAfterMs, nil, false
 	case r.Op == OpEnd:
-		j.live -= e.size
-		j.letGo(e)
+		j.compactedBytes -= e.compactedBytes
+		j.releaseCopyBytes(e)
 		delete(j.entries, r.ID)
 	}
 }
 
 // Append writes records and applies them. When it fails nothing was recorded.
 func (j *Journal) Append(recs ...Record) error {
-	if err := j.usable(); err != nil {
+	if err := j.checkWritable(); err != nil {
 		return err
 	}
 	var buf []byte
@@ -182,27 +184,27 @@
 	ends := make([]int64, len(recs))
 	for i, r := range recs {
 		before := len(buf)
-		buf = frame(buf, r)
+		buf = appendFrame(buf, r)
 		ends[i] = int64(len(buf) - before)
 		switch r.Op {
-		case OpTaken:
-			grows += ends[i] + slack
-			spare = j.reserve
-		case OpHealth, OpByHand, OpWait:
-			grows += slack
-		case OpMark:
-			grows += markMost
+		case OpAccepted:
+			grows += ends[i] + historyBytes
+			spare = j.reserveBytes
+		case OpHealth, OpDisabled, OpRetryAfter:
+			grows += historyBytes
+		case OpGroupState:
+			grows += groupStateBytes
 		}
 	}
 	n := int64(len(buf))
 	// The file and its compacted copy must fit together at any time. What is taken on must leave that so once everything
 	// held has all of its history: a record of its end could not be written otherwise.
 	fits := func() bool {
-		file, live := j.size+n, j.live+grows
+		file, live := j.fileBytes+n, j.compactedBytes+grows
 		if spare > 0 {
 			file = max(file, live)
 		}
-		return file+live+spare <= j.budget
+		return file+live+spare <= j.budgetBytes
 	}
 	if !fits() {
 		if err := j.Compact(); err != nil {
@@ -212,15 +214,15 @@
 			return ErrFull
 		}
 	}
-	if _, err := j.f.WriteAt(buf, j.size); err != nil {
+	if _, err := j.file.WriteAt(buf, j.fileBytes); err != nil {
 		// Half a record would hide all that follows it from a replay.
-		if terr := j.f.Truncate(j.size); terr != nil {
-			j.uncut = true
-			j.broken = onDisk("half a record was written, and could not be cut back", errors.Join(err, terr))
+		if terr := j.file.Truncate(j.fileBytes); terr != nil {
+			j.partialRecord = true
+			j.writeError = diskFailure("half a record was written, and could not be cut back", errors.Join(err, terr))
 		}
-		return onDisk("a record could not be written", err)
+		return diskFailure("a record could not be written", err)
 	}
-	j.size += n
+	j.fileBytes += n
 	for i, r := range recs {
 		j.apply(r, ends[i])
 	}
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -10,50 +10,50 @@
 	"time"
 )
 
-func open(t *testing.T, dir string, budget int64) *Journal {
+func mustOpen(t *testing.T, dir string, budget int64) *Journal {
 	t.Helper()
 	j, err := Open(dir, budget)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { j.f.Close() })
+	t.Cleanup(func() { j.file.Close() })
 	return j
 }
 
-func put(t *testing.T, j *Journal, recs ...Record) {
+func mustAppend(t *testing.T, j *Journal, recs ...Record) {
 	t.Helper()
 	if err := j.Append(recs...); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func taken(id string, size int) Record {
-	return Record{Op: OpTaken, Entry: &Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: bytes.Repeat([]byte{7}, size)}}
+func acceptedRecord(id string, size int) Record {
+	return Record{Op: OpAccepted, Entry: &Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: bytes.Repeat([]byte{7}, size)}}
 }
 
 func TestJournalReplay(t *testing.T) {
 	dir := t.TempDir()
-	j := open(t, dir, 3e6)
-	put(t, j, taken("a", 10), taken("b", 10), taken("c", 10), taken("d", 10))
-	put(t, j, Record{Op: OpTry, ID: "a", At: 5, Wait: 300, Zone: 2}, Record{Op: OpOutcome, ID: "a", Ran: true},
-		Record{Op: OpTry, ID: "a", At: 9, Zone: 1}, Record{Op: OpOutcome, ID: "a", Ran: true})
-	put(t, j, Record{Op: OpTry, ID: "b", At: 6, Zone: 1}, Record{Op: OpEnd, ID: "c"},
-		Record{Op: OpNotice, ID: "d", Status: "deferred", Again: 700}, Record{Op: OpHealth, ID: "s-1", Ran: true, Base: 2, At: time.Now().UnixMilli()})
+	j := mustOpen(t, dir, 3e6)
+	mustAppend(t, j, acceptedRecord("a", 10), acceptedRecord("b", 10), acceptedRecord("c", 10), acceptedRecord("d", 10))
+	mustAppend(t, j, Record{Op: OpTry, ID: "a", At: 5, WaitMs: 300, Zone: 2}, Record{Op: OpOutcome, ID: "a", Flag: true},
+		Record{Op: OpTry, ID: "a", At: 9, Zone: 1}, Record{Op: OpOutcome, ID: "a", Flag: true})
+	mustAppend(t, j, Record{Op: OpTry, ID: "b", At: 6, Zone: 1}, Record{Op: OpEnd, ID: "c"},
+		Record{Op: OpNotice, ID: "d", Status: "deferred", RetryAfterMs: 700}, Record{Op: OpHealth, ID: "s-1", Flag: true, Base: 2, At: time.Now().UnixMilli()})
 	for range 2 { // the second time from the compacted file
-		j = open(t, dir, 3e6)
-		want(t, "entries", len(j.entries), 3)
+		j = mustOpen(t, dir, 3e6)
+		wantEqual(t, "entries", len(j.entries), 3)
 		a, b, d := j.entries["a"], j.entries["b"], j.entries["d"]
-		want(t, "a", fmt.Sprint(a.Tries, a.Ran, a.RanAt, a.Zone, a.Out, len(a.Body)), "2 true 5 2 false 10")
-		want(t, "b", fmt.Sprint(b.Tries, b.Ran, b.Out, b.OutAt, b.OutTo), "1 false true 6 1")
-		want(t, "d", fmt.Sprint(d.Status, " ", d.Again), "deferred 700")
-		want(t, "host in an outage", j.unwell["s-1"].Base, 2)
+		wantEqual(t, "a", fmt.Sprint(a.Tries, a.MayHaveRun, a.MayHaveRunAt, a.Zone, a.InFlight, len(a.Body)), "2 true 5 2 false 10")
+		wantEqual(t, "b", fmt.Sprint(b.Tries, b.MayHaveRun, b.InFlight, b.LastTryAt, b.LastTryZone), "1 false true 6 1")
+		wantEqual(t, "d", fmt.Sprint(d.NoticeStatus, " ", d.RetryAfterMs), "deferred 700")
+		wantEqual(t, "host in an outage", j.outages["s-1"].Base, 2)
 	}
 }
 
 // Guards against a crash, or the loss of what came before, after a write that a kill cut short.
 func TestTornJournal(t *testing.T) {
-	whole := frame(frame(nil, taken("a", 10)), taken("b", 10))
-	one := len(frame(nil, taken("a", 10)))
+	whole := appendFrame(appendFrame(nil, acceptedRecord("a", 10)), acceptedRecord("b", 10))
+	one := len(appendFrame(nil, acceptedRecord("a", 10)))
 	for cut := one; cut <= len(whole); cut++ {
 		data := bytes.Clone(whole[:cut])
 		if cut == len(whole) {
@@ -68,36 +68,36 @@
 				t.Fatal(err)
 			}
 		}
-		j := open(t, dir, 3e6)
-		want(t, "entries", len(j.entries), 1)
-		put(t, j, taken("c", 10))
-		want(t, "entries after the next start", len(open(t, dir, 3e6).entries), 2)
+		j := mustOpen(t, dir, 3e6)
+		wantEqual(t, "entries", len(j.entries), 1)
+		mustAppend(t, j, acceptedRecord("c", 10))
+		wantEqual(t, "entries after the next start", len(mustOpen(t, dir, 3e6).entries), 2)
 	}
 }
 
 // Guards against the loss of all messages behind a damaged record, and against sending again what
 // the lost record may have told was sent.
-func TestDamagedJournalKeepsWhatCanBeRead(t *testing.T) {
-	first := frame(nil, taken("a", 10))
+func TestDamagedJournalKeepsReadableRecords(t *testing.T) {
+	first := appendFrame(nil, acceptedRecord("a", 10))
 	for name, damage := range map[string]func(second []byte) []byte{
-		"payload":   func(b []byte) []byte { b[headerSize+9] ^= 1; return b },
+		"payload":   func(b []byte) []byte { b[frameHeaderSize+9] ^= 1; return b },
 		"length":    func(b []byte) []byte { b[0] ^= 0x55; return b },
 		"vast":      func(b []byte) []byte { b[3] = 0xff; return b },
 		"cut short": func(b []byte) []byte { return b[:len(b)/2] },
 		"zeroed":    func(b []byte) []byte { clear(b); return b },
 	} {
 		dir := t.TempDir()
-		data := append(bytes.Clone(first), damage(frame(nil, taken("b", 10)))...)
-		data = frame(frame(data, taken("c", 10)), taken("d", 10))
+		data := append(bytes.Clone(first), damage(appendFrame(nil, acceptedRecord("b", 10)))...)
+		data = appendFrame(appendFrame(data, acceptedRecord("c", 10)), acceptedRecord("d", 10))
 		if err := os.WriteFile(filepath.Join(dir, "journal"), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j := open(t, dir, 3e6)
+		j := mustOpen(t, dir, 3e6)
 		if len(j.entries) != 3 || j.entries["a"] == nil || j.entries["c"] == nil || j.entries["d"] == nil {
 			t.Fatalf("%s: entries %v, want a, c and d", name, j.order)
 		}
-		want(t, name+": a may have run", j.entries["a"].Ran, true)
-		want(t, name+": c may have run", j.entries["c"].Ran, false)
+		wantEqual(t, name+": a may have run", j.entries["a"].MayHaveRun, true)
+		wantEqual(t, name+": c may have run", j.entries["c"].MayHaveRun, false)
 	}
 }
 
@@ -105,12 +105,12 @@
 // journal that cannot record how the messages in it end.
 func TestDiskBudget(t *testing.T) {
 	const budget = 1 << 20
-	j := open(t, t.TempDir(), budget)
+	j := mustOpen(t, t.TempDir(), budget)
 	var err error
 	n := 0
 	for ; err == nil; n++ {
-		err = j.Append(taken(fmt.Sprint("m", n), 5000))
-		if sum := j.size + j.live + 2*blockSize; sum > budget {
+		err = j.Append(acceptedRecord(fmt.Sprint("m", n), 5000))
+		if sum := j.fileBytes + j.compactedBytes + 2*blockSize; sum > budget {
 			t.Fatalf("file and copy may take %d of %d", sum, budget)
 		}
 	}
@@ -119,17 +119,17 @@
 	}
 	for i := range n - 1 {
 		id := fmt.Sprint("m", i)
-		put(t, j, Record{Op: OpTry, ID: id}, Record{Op: OpOutcome, ID: id}, Record{Op: OpNotice, ID: id, Status: "deferred"})
+		mustAppend(t, j, Record{Op: OpTry, ID: id}, Record{Op: OpOutcome, ID: id}, Record{Op: OpNotice, ID: id, Status: "deferred"})
 	}
 	for i := range n - 1 {
-		put(t, j, Record{Op: OpEnd, ID: fmt.Sprint("m", i)})
+		mustAppend(t, j, Record{Op: OpEnd, ID: fmt.Sprint("m", i)})
 	}
-	want(t, "live bytes", j.live, 0)
-	put(t, j, taken("again", 5000))
+	wantEqual(t, "live bytes", j.compactedBytes, 0)
+	mustAppend(t, j, acceptedRecord("again", 5000))
 }
 
 // readOnly is a journal's file, opened so that each write to it fails.
-func readOnly(t *testing.T, j *Journal) *os.File {
+func openReadOnly(t *testing.T, j *Journal) *os.File {
 	t.Helper()
 	f, err := os.Open(j.path)
 	if err != nil {
@@ -142,66 +142,66 @@
 // Guards against holding for recorded what could not be written.
 func TestFailedWrite(t *testing.T) {
 	dir := t.TempDir()
-	j := open(t, dir, 3e6)
-	put(t, j, taken("a", 10))
-	good, ro := j.f, readOnly(t, j)
-	j.f = ro
-	if err := j.Append(taken("b", 10)); err == nil {
+	j := mustOpen(t, dir, 3e6)
+	mustAppend(t, j, acceptedRecord("a", 10))
+	good, ro := j.file, openReadOnly(t, j)
+	j.file = ro
+	if err := j.Append(acceptedRecord("b", 10)); err == nil {
 		t.Fatal("a write to a read-only file went well")
 	}
-	want(t, "entries", len(j.entries), 1)
-	j.f, j.broken = good, nil
-	put(t, j, taken("c", 10))
-	want(t, "entries after the next start", len(open(t, dir, 3e6).entries), 2)
+	wantEqual(t, "entries", len(j.entries), 1)
+	j.file, j.writeError = good, nil
+	mustAppend(t, j, acceptedRecord("c", 10))
+	wantEqual(t, "entries after the next start", len(mustOpen(t, dir, 3e6).entries), 2)
 }
 
 // Guards against a journal that takes nothing more once the disk failed for a moment, over half a record that could not be cut
 // back then; against records behind that half, which a replay does not read; and against a cut of another process's file.
-func TestHalfARecordIsCutBackLater(t *testing.T) {
+func TestPartialRecordIsTruncatedLater(t *testing.T) {
 	dir := t.TempDir()
-	j := open(t, dir, 3e6)
-	put(t, j, taken("a", 10))
-	good, ro := j.f, readOnly(t, j)
-	half := frame(nil, taken("b", 10))[:20]
-	if _, err := good.WriteAt(half, j.size); err != nil {
+	j := mustOpen(t, dir, 3e6)
+	mustAppend(t, j, acceptedRecord("a", 10))
+	good, ro := j.file, openReadOnly(t, j)
+	half := appendFrame(nil, acceptedRecord("b", 10))[:20]
+	if _, err := good.WriteAt(half, j.fileBytes); err != nil {
 		t.Fatal(err)
 	}
-	j.f = ro
+	j.file = ro
 	for range 2 {
-		if err := j.Append(taken("b", 10)); err == nil {
+		if err := j.Append(acceptedRecord("b", 10)); err == nil {
 			t.Fatal("a write to a read-only file went well")
 		}
 	}
-	j.f = good
-	put(t, j, taken("c", 10), taken("d", 500))
-	want(t, "entries after the next start", len(open(t, dir, 3e6).entries), 3)
+	j.file = good
+	mustAppend(t, j, acceptedRecord("c", 10), acceptedRecord("d", 500))
+	wantEqual(t, "entries after the next start", len(mustOpen(t, dir, 3e6).entries), 3)
 
-	j = open(t, dir, 3e6)
-	good, j.f = j.f, ro
-	if err := j.Append(taken("e", 10)); err == nil {
+	j = mustOpen(t, dir, 3e6)
+	good, j.file = j.file, ro
+	if err := j.Append(acceptedRecord("e", 10)); err == nil {
 		t.Fatal("a write to a read-only file went well")
 	}
-	j.f = good
-	j.Break(errors.New("another process's"))
-	if err := j.Append(taken("e", 10)); err == nil {
+	j.file = good
+	j.StopWriting(errors.New("another process's"))
+	if err := j.Append(acceptedRecord("e", 10)); err == nil {
 		t.Error("a record was written to a file that may be another process's")
 	}
 }
 
 func FuzzJournal(f *testing.F) {
-	good := frame(frame(nil, taken("a", 3)), Record{Op: OpTry, ID: "a"})
+	good := appendFrame(appendFrame(nil, acceptedRecord("a", 3)), Record{Op: OpTry, ID: "a"})
 	f.Add(good)
 	f.Add(good[:len(good)-1])
-	f.Add(frame(nil, Record{Op: OpTaken}))
+	f.Add(appendFrame(nil, Record{Op: OpAccepted}))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, "journal"), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j := open(t, dir, 3e6)
+		j := mustOpen(t, dir, 3e6)
 		before := len(j.entries)
-		put(t, j, taken("a new id", 3))
-		if after := len(open(t, dir, 3e6).entries); after != before+1 {
+		mustAppend(t, j, acceptedRecord("a new id", 3))
+		if after := len(mustOpen(t, dir, 3e6).entries); after != before+1 {
 			t.Fatalf("%d entries, then %d", before, after)
 		}
 	})
@@ -209,21 +209,21 @@
 
 // Guards against outages that are kept for ever, of hosts that left the list before they were well again:
 // each takes room from the messages, and one more comes with every release.
-func TestOldOutagesAreForgotten(t *testing.T) {
-	j := open(t, t.TempDir(), 3e6)
-	long := time.Now().Add(-2 * forgetUnwell).UnixMilli()
+func TestOldOutagesExpire(t *testing.T) {
+	j := mustOpen(t, t.TempDir(), 3e6)
+	long := time.Now().Add(-2 * outageExpiry).UnixMilli()
 	for i := range 500 {
-		put(t, j, Record{Op: OpHealth, ID: fmt.Sprint("s-", i), Ran: true, At: long})
+		mustAppend(t, j, Record{Op: OpHealth, ID: fmt.Sprint("s-", i), Flag: true, At: long})
 	}
-	put(t, j, Record{Op: OpHealth, ID: "s-new", Ran: true, At: time.Now().UnixMilli()})
+	mustAppend(t, j, Record{Op: OpHealth, ID: "s-new", Flag: true, At: time.Now().UnixMilli()})
 	if err := j.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	want(t, "outages", len(j.unwell), 1)
-	want(t, "room that they take", j.live, int64(slack))
+	wantEqual(t, "outages", len(j.outages), 1)
+	wantEqual(t, "room that they take", j.compactedBytes, int64(historyBytes))
 }
 
-func want[T comparable](t *testing.T, what string, got, want T) {
+func wantEqual[T comparable](t *testing.T, what string, got, want T) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s: %v, want %v", what, got, want)
--- a/internal/journal/present.go
+++ b/internal/journal/present.go
@@ -9,7 +9,7 @@
 const fileName = "journal"
 
 // Present tells whether a folder has a journal: whether a process has used it before.
-func Present(dir string) bool {
+func Exists(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, fileName))
 	return err == nil
 }
--- a/internal/journal/scale_test.go
+++ b/internal/journal/scale_test.go
@@ -17,7 +17,7 @@
 //	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./internal/journal
 
 // sizes are those of a benchmark; the last ones are left out with -short.
-func sizes(long int, all ...int) []int {
+func benchmarkSizes(long int, all ...int) []int {
 	if testing.Short() {
 		return all[:len(all)-long]
 	}
@@ -25,15 +25,15 @@
 }
 
 // entry is a message of 200 bytes with the terms that a relay records.
-func entry(id string) Record {
-	return Record{Op: OpTaken, Entry: &Entry{ID: id, Class: "job-order", Dest: 7, Tenant: "acme", Key: "5c0f6e1a2b3d4c59a8b7c6d5" + id,
+func entryWithTerms(id string) Record {
+	return Record{Op: OpAccepted, Entry: &Entry{ID: id, Class: "job-order", Dest: 7, Tenant: "acme", Key: "5c0f6e1a2b3d4c59a8b7c6d5" + id,
 		Due: time.Now().Add(time.Hour).UnixMilli(), Body: bytes.Repeat([]byte("x"), 200),
 		Terms: &choice.Terms{Class: choice.Class{Name: "job-order", Aim: 2 * time.Second, Deadline: 16 * time.Second, Worth: 1,
 			LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 15 * time.Second}, Attempts: 6}}}
 }
 
 // filled is a journal with room for so many bytes that holds so many messages.
-func filled(tb testing.TB, dir string, budget int64, messages int) *Journal {
+func openFilled(tb testing.TB, dir string, budget int64, messages int) *Journal {
 	tb.Helper()
 	j, err := Open(dir, budget)
 	if err != nil {
@@ -42,7 +42,7 @@
 	for i := 0; i < messages; {
 		var recs []Record
 		for ; i < messages && len(recs) < 1000; i++ {
-			recs = append(recs, entry(fmt.Sprintf("held%08d", i)))
+			recs = append(recs, entryWithTerms(fmt.Sprintf("held%08d", i)))
 		}
 		if err := j.Append(recs...); err != nil {
 			tb.Fatal(i, err)
@@ -53,16 +53,16 @@
 
 // pass has one message be taken on, tried and ended, and returns the bytes written for it, and those written again by
 // compactions on the way.
-func pass(tb testing.TB, j *Journal, n int) (written, again int64) {
+func passMessage(tb testing.TB, j *Journal, n int) (written, again int64) {
 	id := fmt.Sprintf("pass%08d", n)
-	for _, r := range []Record{entry(id), {Op: OpTry, ID: id, At: 1, Wait: 2000}, {Op: OpEnd, ID: id}} {
-		size := int64(len(frame(nil, r)))
-		before := j.size
+	for _, r := range []Record{entryWithTerms(id), {Op: OpTry, ID: id, At: 1, WaitMs: 2000}, {Op: OpEnd, ID: id}} {
+		size := int64(len(appendFrame(nil, r)))
+		before := j.fileBytes
 		if err := j.Append(r); err != nil {
 			tb.Fatal(err)
 		}
-		if written += size; j.size != before+size {
-			again += j.size - size
+		if written += size; j.fileBytes != before+size {
+			again += j.fileBytes - size
 		}
 	}
 	return written, again
@@ -74,12 +74,12 @@
 	const budget = 16e6
 	for _, n := range []int{60, 600, 3_000, 6_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			j := filled(b, b.TempDir(), budget, n)
+			j := openFilled(b, b.TempDir(), budget, n)
 			defer j.Close()
 			var written, again int64
 			i := 0
 			one := func() {
-				w, a := pass(b, j, i)
+				w, a := passMessage(b, j, i)
 				written, again = written+w, again+a
 				i++
 			}
@@ -103,10 +103,10 @@
 // BenchmarkScaleStartByHeld is what a start takes with so many messages held: time, what is allocated on the way, and what
 // stays. The file is in the machine's cache.
 func BenchmarkScaleStartByHeld(b *testing.B) {
-	for _, n := range sizes(1, 1_000, 10_000, 50_000, 200_000) {
+	for _, n := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			dir := b.TempDir()
-			filled(b, dir, 4e9, n).Close()
+			openFilled(b, dir, 4e9, n).Close()
 			info, err := os.Stat(filepath.Join(dir, "journal"))
 			if err != nil {
 				b.Fatal(err)
@@ -141,9 +141,9 @@
 
 // BenchmarkScaleCompactByHeld is how long the loop stands still while a journal of so many messages is written anew.
 func BenchmarkScaleCompactByHeld(b *testing.B) {
-	for _, n := range sizes(1, 1_000, 10_000, 50_000, 200_000) {
+	for _, n := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			j := filled(b, b.TempDir(), 4e9, n)
+			j := openFilled(b, b.TempDir(), 4e9, n)
 			defer j.Close()
 			for b.Loop() {
 				if err := j.Compact(); err != nil {
@@ -156,13 +156,13 @@
 }
 
 // Guards the benchmarks above: what passes leaves what is held, compactions come and are counted, and a start finds all.
-func TestScaleSetUps(t *testing.T) {
+func TestScaleBenchmarkSetup(t *testing.T) {
 	dir := t.TempDir()
-	j := filled(t, dir, 1e6, 100)
+	j := openFilled(t, dir, 1e6, 100)
 	var written, again int64
 	n := 0
 	for again == 0 {
-		w, a := pass(t, j, n)
+		w, a := passMessage(t, j, n)
 		written, again = written+w, again+a
 		n++
 	}
@@ -173,7 +173,7 @@
 		t.Errorf("%d messages held after it was written anew, %v", j.Len(), err)
 	}
 	j.Close()
-	if j = filled(t, dir, 1e6, 0); j.Len() != 100 {
+	if j = openFilled(t, dir, 1e6, 0); j.Len() != 100 {
 		t.Errorf("%d messages after a start, want 100", j.Len())
 	}
 	j.Close()
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -83,7 +83,7 @@
 var errHandedOver = errors.New("handed over to the next process")
 
 // isOut tells whether operators took an endpoint out.
-func (r *Relay) isOut(id string) bool { return r.journal.Out(id) }
+func (r *Relay) isOut(id string) bool { return r.journal.Disabled(id) }
 
 // byHand does what operators ask for an endpoint. Asking twice is as good as once. It is recorded
 // first: what they were told outlasts the process.
@@ -98,7 +98,7 @@
 	case h == nil && !r.isOut(id):
 		return errNoHost
 	}
-	if err := r.bind([]journal.Record{{Op: journal.OpByHand, ID: id, Ran: out, At: steady.UnixMilli()}}, 0, nil); err != nil {
+	if err := r.bind([]journal.Record{{Op: journal.OpDisabled, ID: id, Flag: out, At: steady.UnixMilli()}}, 0, nil); err != nil {
 		slog.Error("not taken out or given back", "endpoint", id, "err", err)
 		return err
 	}
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -57,21 +57,21 @@
 		if s.Close(); n > 0 {
 			return &Owing{dir, n}
 		}
-		return errors.Join(os.RemoveAll(dir), journal.Unfence(r.conf.State))
+		return errors.Join(os.RemoveAll(dir), journal.RemoveFence(r.conf.State))
 	}
 	memory := r.conf.MemoryMB
 	if memory <= 0 {
 		memory = noKeyMemory
 	}
 	bytes := min(int(memory*1e6/6), int(r.conf.journalBytes()/4))
-	r.overflow = newOverflow(dir, int64(r.conf.Backlog.DiskMB*1e6), state.Load{N: windowMost, Bytes: bytes})
+	r.overflow = newOverflow(dir, int64(r.conf.Backlog.DiskMB*1e6), state.Load{Messages: windowMost, Bytes: bytes})
 	return r.openFolder()
 }
 
 // openFolder opens the backlog's folder. What the journal has as well is off it from then on.
 func (r *Relay) openFolder() error {
 	o := r.overflow
-	s, err := openStore(o.dir, backlog.Options{Disk: o.disk})
+	s, err := openStore(o.dir, backlog.Options{DiskBytes: o.disk})
 	if err != nil {
 		return err
 	}
@@ -83,7 +83,7 @@
 		}
 		h, there, err := s.Find(e.Dest, e.ID)
 		if err == nil && there {
-			err = s.Out(e.Dest, h.Place)
+			err = s.Remove(e.Dest, h.Sequence)
 		}
 		if err != nil {
 			o.shut()
@@ -98,7 +98,7 @@
 }
 
 func (r *Relay) toldOfDamage() {
-	for _, err := range r.overflow.store.Damage() {
+	for _, err := range r.overflow.store.TakeDamageReports() {
 		slog.Error("backlog is damaged", "err", err, "remedy", remedy.Of(err))
 	}
 }
@@ -137,10 +137,10 @@
 	switch {
 	case o == nil:
 		return false
-	case o.keyElsewhere(e.Order, e.Dest):
+	case o.keyElsewhere(e.OrderKey, e.Dest):
 		r.figures.ended(e.Class, refusedEnd)
 		in.reply <- answer{status: http.StatusServiceUnavailable, after: comeBack, text: "its key waits for another destination"}
-	case o.waits(e.Dest, r.now(), r.journal.Crowded()):
+	case o.waits(e.Dest, r.now(), r.journal.NearlyFull()):
 		o.fresh = append(o.fresh, &message{Entry: e, due: in.due, fresh: []*intake{in}})
 	default:
 		return false
@@ -171,10 +171,10 @@
 func (r *Relay) put(ms []*message) error {
 	o := r.overflow
 	if r.stopped || o.store == nil {
-		return &backlog.Failure{Did: "is given up", Path: o.dir, Err: errStopping}
+		return &backlog.FileError{Problem: "is given up", Path: o.dir, Err: errStopping}
 	}
 	if !o.fenced {
-		if err := journal.Fence(r.conf.State, "The folder backlog holds messages that are owed their end. Start a version of larchrouter that knows it."); err != nil {
+		if err := journal.FenceOlderVersions(r.conf.State, "The folder backlog holds messages that are owed their end. Start a version of larchrouter that knows it."); err != nil {
 			return err
 		}
 		o.fenced = true
@@ -192,8 +192,8 @@
 		return
 	}
 	after := comeBack
-	if full := (*backlog.Full)(nil); errors.As(err, &full) && full.Wait > 0 {
-		after = min(full.Wait, r.set.Load().MaxRetryAfter)
+	if full := (*backlog.FullError)(nil); errors.As(err, &full) && full.RetryAfter > 0 {
+		after = min(full.RetryAfter, r.set.Load().MaxRetryAfter)
 	}
 	if r.overflow.refused++; !r.stopped && r.overflow.refused%batchMost == 1 {
 		slog.Error("message not put on disk", "err", err, "remedy", remedy.Of(err), "refused", r.overflow.refused)
@@ -209,7 +209,7 @@
 	}
 	h, there, err := o.store.Find(e.Dest, e.ID)
 	if err == nil && there {
-		err = o.store.Out(e.Dest, h.Place)
+		err = o.store.Remove(e.Dest, h.Sequence)
 	}
 	if err != nil {
 		slog.Error("message not withdrawn", "err", err, "remedy", remedy.Of(err))
--- a/internal/relay/backlog_faults_test.go
+++ b/internal/relay/backlog_faults_test.go
@@ -35,18 +35,18 @@
 	if f.out != nil {
 		return f.out
 	}
-	return f.store.Out(dest, places...)
+	return f.store.Remove(dest, places...)
 }
 
-func (f *faulty) Next(dest, n, bytes int) ([]backlog.Held, error) {
+func (f *faulty) Next(dest, n, bytes int) ([]backlog.StoredMessage, error) {
 	hs, err := f.store.Next(dest, n, bytes)
 	for i := range hs {
-		hs[i].Doubt = hs[i].Doubt || f.doubt
+		hs[i].InDoubt = hs[i].InDoubt || f.doubt
 	}
 	return hs, errors.Join(err, f.next)
 }
 
-func (f *faulty) Find(dest int, id string) (backlog.Held, bool, error) {
+func (f *faulty) Find(dest int, id string) (backlog.StoredMessage, bool, error) {
 	h, there, err := f.store.Find(dest, id)
 	return h, there, errors.Join(err, f.find)
 }
@@ -65,7 +65,7 @@
 // Guards against a promise for what could not be put on disk, and against a relay that does not go on once it can.
 func TestNothingIsPromisedWithoutRoomOnDisk(t *testing.T) {
 	r, f, ps, p, ids := startFaulty(t, "payment")
-	for n, err := range []error{errDisk, &backlog.Full{Need: 1, Wait: 300 * time.Millisecond}} {
+	for n, err := range []error{errDisk, &backlog.FullError{NeededBytes: 1, RetryAfter: 300 * time.Millisecond}} {
 		inLoop(t, r, func() { f.put = err })
 		for _, a := range give(t, r, many(3, 7, "refused", given{})...) {
 			if a.status != 503 || a.after <= 0 || err != errDisk && a.after != 300*time.Millisecond {
--- a/internal/relay/backlog_rig_test.go
+++ b/internal/relay/backlog_rig_test.go
@@ -132,9 +132,9 @@
 	}
 	r, err := New(conf)
 	if err == nil && r.overflow != nil {
-		r.overflow.window.Total = k.window
-		if k.window.N == 0 {
-			r.overflow.window.Total = state.Load{N: 8, Bytes: 1 << 20}
+		r.overflow.window.Capacity = k.window
+		if k.window.Messages == 0 {
+			r.overflow.window.Capacity = state.Load{Messages: 8, Bytes: 1 << 20}
 		}
 		if k.wrap != nil {
 			r.overflow.store = k.wrap(r.overflow.store)
@@ -183,7 +183,7 @@
 		if g.body == "" {
 			g.body = "body of " + g.id
 		}
-		e := &journal.Entry{ID: g.id, Class: g.class, Dest: g.dest, Order: g.order, Key: "key-" + g.id, Body: []byte(g.body), Due: time.Now().Add(g.left).UnixMilli()}
+		e := &journal.Entry{ID: g.id, Class: g.class, Dest: g.dest, OrderKey: g.order, Key: "key-" + g.id, Body: []byte(g.body), Due: time.Now().Add(g.left).UnixMilli()}
 		terms, err := admit(r.set.Load(), e, r.now())
 		if err != nil {
 			t.Fatal(err)
--- a/internal/relay/backlog_start_test.go
+++ b/internal/relay/backlog_start_test.go
@@ -138,7 +138,7 @@
 		}
 		io.WriteString(conn, says)
 		if says == handoverHello { // it opens all, as it would, and dies
-			r, err := backlog.Open(filepath.Join(k.state, backlogName), backlog.Options{Disk: 8e6})
+			r, err := backlog.Open(filepath.Join(k.state, backlogName), backlog.Options{DiskBytes: 8e6})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -49,7 +49,7 @@
 		all = append(all, ps.cell(d, false))
 	}
 	p := newPlatform(t, all...)
-	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 64, Bytes: 1 << 20}})
+	r, _ := startKeeping(t, p, keeping{window: state.Load{Messages: 64, Bytes: 1 << 20}})
 	var gs []given
 	for n := range 3 {
 		for d := range dests {
@@ -165,7 +165,7 @@
 func TestAMessageLargerThanTheWindow(t *testing.T) {
 	ps := newPartners(t)
 	p := newPlatform(t, ps.cell(7, false))
-	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 4, Bytes: 8 << 10}})
+	r, _ := startKeeping(t, p, keeping{window: state.Load{Messages: 4, Bytes: 8 << 10}})
 	var all []given
 	for i := range 6 {
 		id := fmt.Sprint("m.", i)
--- a/internal/relay/bequeath.go
+++ b/internal/relay/bequeath.go
@@ -81,7 +81,7 @@
 		slog.Error("not handed over", "err", err)
 		conn.Close()
 		if err := r.journal.Compact(); err != nil { // the next process may have replaced the file
-			r.journal.Break(err)
+			r.journal.StopWriting(err)
 			slog.Error("journal lost in a hand-over", "err", err)
 		}
 		r.openAgain()
--- a/internal/relay/books.go
+++ b/internal/relay/books.go
@@ -57,19 +57,19 @@
 func (r *Relay) restore() {
 	wall := steady.UnixMilli()
 	for e := range r.journal.All() {
-		if r.copies == nil || e.Estate == 0 || r.copies.streams[e.Estate] != nil {
+		if r.copies == nil || e.Group == 0 || r.copies.streams[e.Group] != nil {
 			// In an upgrade all calls of the process before are known: any other that is out is another relay's.
 			r.takeUp(e, r.heritage != nil && r.heritage.callOf(e.ID) == nil)
 		}
 	}
-	for id, s := range r.journal.Unwell() {
+	for id, s := range r.journal.Outages() {
 		if r.heritage != nil { // the decisions remember more
 			break
 		}
 		r.events = append(r.events, choice.Unwell{Host: id, Base: s.Base})
 	}
-	for id, h := range r.journal.ByHand() {
-		r.events = append(r.events, choice.ByHand{Host: id, Out: h.Ran, Ago: time.Duration(max(1, wall-h.At)) * time.Millisecond})
+	for id, h := range r.journal.DisabledHosts() {
+		r.events = append(r.events, choice.ByHand{Host: id, Out: h.Flag, Ago: time.Duration(max(1, wall-h.At)) * time.Millisecond})
 	}
 	slog.Info("journal replayed", "held", len(r.held), "owed", r.owed)
 }
@@ -79,14 +79,14 @@
 	wall := steady.UnixMilli()
 	ms := func(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 	id := e.ID
-	if e.Status != "" {
-		r.owe(notice{ID: e.ID, Status: e.Status, Again: e.Again})
+	if e.NoticeStatus != "" {
+		r.owe(notice{ID: e.ID, Status: e.NoticeStatus, Again: e.RetryAfterMs})
 		r.past.add(e.ID)
 		return
 	}
-	if e.Out && r.heritage.callOf(id) == nil {
+	if e.InFlight && r.heritage.callOf(id) == nil {
 		// The process died before the outcome was recorded: it may have run.
-		r.record(journal.Record{Op: journal.OpOutcome, ID: id, Ran: true})
+		r.record(journal.Record{Op: journal.OpOutcome, ID: id, Flag: true})
 	}
 	class := r.set.Load().class(e.Class, 0)
 	if class < 0 && e.Terms == nil { // taken on by a version that did not record them
@@ -100,13 +100,13 @@
 	r.overflow.enter(m)
 	adopted := r.heritage.callOf(id)
 	ev := choice.Restored{Arrival: choice.Arrival{ID: id, Class: class, Dest: e.Dest, Left: left,
-		Key: e.Order, Tenant: slices.Index(r.set.Load().TenantNames, e.Tenant), Terms: e.Terms},
-		Attempts: e.Tries, Timeout: ms(e.Wait), Ran: e.Ran, RanAgo: ms(wall - e.RanAt), RanZone: e.Zone}
+		Key: e.OrderKey, Tenant: slices.Index(r.set.Load().TenantNames, e.Tenant), Terms: e.Terms},
+		Attempts: e.Tries, Timeout: ms(e.TimeoutMs), Ran: e.MayHaveRun, RanAgo: ms(wall - e.MayHaveRunAt), RanZone: e.Zone}
 	if adopted != nil {
 		m.call = adopted
 		ev.Out = &choice.Running{Host: adopted.host.id, Call: adopted.number, Ago: time.Since(adopted.began)}
-	} else if e.Out && !e.Ran {
-		ev.Ran, ev.RanAgo, ev.RanZone = true, ms(wall-e.OutAt), e.OutTo
+	} else if e.InFlight && !e.MayHaveRun {
+		ev.Ran, ev.RanAgo, ev.RanZone = true, ms(wall-e.LastTryAt), e.LastTryZone
 	}
 	if last {
 		ev.Attempts = math.MaxInt32
@@ -124,7 +124,7 @@
 
 // give ends a message undelivered.
 func (r *Relay) give(m *message, n notice) {
-	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: n.Status, Again: n.Again})
+	r.record(journal.Record{Op: journal.OpNotice, ID: m.ID, Status: n.Status, RetryAfterMs: n.Again})
 	n.class, n.due = m.Class, r.now()+steady.Until(m.Due)
 	r.owe(n)
 	r.drop(m)
--- a/internal/relay/bring.go
+++ b/internal/relay/bring.go
@@ -48,7 +48,7 @@
 			r.cannotRead("backlog not read", err, comeBack)
 			return
 		}
-		hs = slices.DeleteFunc(hs, func(h backlog.Held) bool {
+		hs = slices.DeleteFunc(hs, func(h backlog.StoredMessage) bool {
 			return slices.ContainsFunc(o.moved, func(m *moved) bool { return m.entry.ID == h.ID })
 		})
 		left -= len(hs)
@@ -62,7 +62,7 @@
 	}
 	for n := 0; left > 0 && n < lookMost && len(o.look) > 0; n++ {
 		dest := o.next()
-		room := o.room(dest, now, r.journal.Crowded())
+		room := o.room(dest, now, r.journal.NearlyFull())
 		if room == 0 || o.store.LenOf(dest) == 0 {
 			continue
 		}
@@ -85,7 +85,7 @@
 
 // mayEnd tells whether messages on disk whose time is up may come in: taking on never waits for their notices.
 func (r *Relay) mayEnd() bool {
-	return r.owed < maxOwed/2 && (!r.journal.Crowded() || r.owed < 4*moveMost)
+	return r.owed < maxOwed/2 && (!r.journal.NearlyFull() || r.owed < 4*moveMost)
 }
 
 // cannotRead has the folder be left alone for a while.
@@ -110,7 +110,7 @@
 }
 
 // move records messages as taken on from disk, then has them off it.
-func (r *Relay) move(hs []backlog.Held) bool {
+func (r *Relay) move(hs []backlog.StoredMessage) bool {
 	o := r.overflow
 	var recs []journal.Record
 	var fresh []*moved
@@ -127,9 +127,9 @@
 		}
 		known := r.journal.Entry(h.ID) != nil // then the journal has the last word
 		if !known {
-			recs = append(recs, journal.Record{Op: journal.OpTaken, Entry: e})
+			recs = append(recs, journal.Record{Op: journal.OpAccepted, Entry: e})
 		}
-		fresh = append(fresh, &moved{entry: e, place: h.Place, known: known})
+		fresh = append(fresh, &moved{entry: e, place: h.Sequence, known: known})
 	}
 	o.moved = append(o.moved, fresh...)
 	if err := r.journal.Append(recs...); err != nil {
@@ -156,7 +156,7 @@
 		}
 	}
 	for dest, places := range of {
-		if err := o.store.Out(dest, places...); err != nil {
+		if err := o.store.Remove(dest, places...); err != nil {
 			slog.Error("messages not taken off the disk", "messages", len(places), "err", err, "remedy", remedy.Of(err))
 			failed[dest], o.retry = true, now+sweepEach
 		}
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -363,7 +363,7 @@
 	var sends []choice.Send
 	for i, size := range []int{maxBody, maxBody / 2, 10} {
 		id := fmt.Sprint("m", i)
-		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: make([]byte, size)}}); err != nil {
+		if err := r.journal.Append(journal.Record{Op: journal.OpAccepted, Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: make([]byte, size)}}); err != nil {
 			t.Fatal(err)
 		}
 		r.held[id] = &message{Entry: r.journal.Entry(id), due: time.Hour}
--- a/internal/relay/copies.go
+++ b/internal/relay/copies.go
@@ -63,13 +63,13 @@
 // estateOf is the estate that a record belongs to.
 func (r *Relay) estateOf(rec journal.Record) uint64 {
 	switch rec.Op {
-	case journal.OpTaken:
-		return rec.Entry.Estate
-	case journal.OpByHand, journal.OpWait:
+	case journal.OpAccepted:
+		return rec.Entry.Group
+	case journal.OpDisabled, journal.OpRetryAfter:
 		return r.copies.main
 	}
 	if e := r.journal.Entry(rec.ID); e != nil {
-		return e.Estate
+		return e.Group
 	}
 	return 0
 }
@@ -95,7 +95,7 @@
 	}
 	all := recs[:len(recs):len(recs)]
 	for s, own := range of {
-		all = append(all, journal.Record{Op: journal.OpCount, Estate: s.ID, Next: s.Next() + uint64(len(own))})
+		all = append(all, journal.Record{Op: journal.OpGroupNext, Group: s.ID, NextRecord: s.Next() + uint64(len(own))})
 	}
 	if err := r.journal.Append(all...); err != nil {
 		return err
--- a/internal/relay/copies_room.go
+++ b/internal/relay/copies_room.go
@@ -19,8 +19,8 @@
 	if c == nil || c.conf.Short == fleet.OwnDisk {
 		return true
 	}
-	size := journal.CopySize(e)
-	if r.journal.CopyHeld(c.main)+c.fresh+size > journal.CopyMost(r.conf.copyBudget()) {
+	size := journal.EntryCopyBytes(e)
+	if r.journal.GroupCopyBytes(c.main)+c.fresh+size > journal.MaxCopyBytes(r.conf.copyBudget()) {
 		return false
 	}
 	c.fresh += size
--- a/internal/relay/copies_room_test.go
+++ b/internal/relay/copies_room_test.go
@@ -109,7 +109,7 @@
 				want(t, "spans without enough holders", s.short, 0)
 				// What is held ends, which its holders have room for in any case.
 				for _, id := range held {
-					r.record(journal.Record{Op: journal.OpTry, ID: id, At: time.Now().UnixMilli(), Wait: 100})
+					r.record(journal.Record{Op: journal.OpTry, ID: id, At: time.Now().UnixMilli(), WaitMs: 100})
 					r.finish(r.held[id], servedEnd)
 				}
 				r.flush()
@@ -126,8 +126,8 @@
 	r, _ := copier(t, fleet.Refuse)
 	due := time.Now().Add(300 * time.Millisecond)
 	for id, at := range map[string]time.Time{"due": due, "not due": due.Add(time.Hour)} {
-		m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Due: at.UnixMilli()}}
-		if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, 0, nil); err != nil {
+		m := &message{Entry: &journal.Entry{ID: id, Class: "c", Group: 1, Due: at.UnixMilli()}}
+		if err := r.bind([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, 0, nil); err != nil {
 			t.Fatal(err)
 		}
 		r.held[id] = m
@@ -149,13 +149,13 @@
 // Guards against an end that is told though it is not on record: a start would deliver the message. It waits to be recorded once.
 func TestADueEndThatIsNotRecordedWaits(t *testing.T) {
 	r, _ := copier(t, fleet.Refuse)
-	m := &message{Entry: &journal.Entry{ID: "due", Class: "c", Estate: 1, Due: time.Now().Add(-time.Second).UnixMilli()}}
-	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, 0, nil); err != nil {
+	m := &message{Entry: &journal.Entry{ID: "due", Class: "c", Group: 1, Due: time.Now().Add(-time.Second).UnixMilli()}}
+	if err := r.bind([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, 0, nil); err != nil {
 		t.Fatal(err)
 	}
 	r.held["due"] = m
 	r.give(m, notice{ID: "due", Status: undeliverable})
-	r.journal.Break(errors.New("the disk is full"))
+	r.journal.StopWriting(errors.New("the disk is full"))
 	for range 3 {
 		r.flush()
 		r.counted()
--- a/internal/relay/copies_test.go
+++ b/internal/relay/copies_test.go
@@ -34,9 +34,9 @@
 func takeOn(t *testing.T, r *Relay, id string, effect choice.Effect) (*message, chan answer) {
 	t.Helper()
 	in := &intake{ctx: context.Background(), reply: make(chan answer, 1)}
-	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Estate: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, fresh: []*intake{in}}
+	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Group: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, fresh: []*intake{in}}
 	r.held[id] = m
-	if err := r.bind([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(counts bool) {
+	if err := r.bind([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, countIn, func(counts bool) {
 		if counts {
 			m.answer(answer{status: http.StatusAccepted})
 		} else {
@@ -154,8 +154,8 @@
 		delete(r.copies.streams, s.ID)
 		r.set.Store(&standing{})
 		now := time.Now().UnixMilli()
-		e := &journal.Entry{ID: "m1", Class: "c", Dest: 7, Estate: 1, Due: now + time.Minute.Milliseconds(), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}
-		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: e}, journal.Record{Op: journal.OpTry, ID: "m1", At: now, Wait: 30_000}); err != nil {
+		e := &journal.Entry{ID: "m1", Class: "c", Dest: 7, Group: 1, Due: now + time.Minute.Milliseconds(), Terms: &choice.Terms{Class: choice.Class{Effect: choice.Safe}}}
+		if err := r.journal.Append(journal.Record{Op: journal.OpAccepted, Entry: e}, journal.Record{Op: journal.OpTry, ID: "m1", At: now, WaitMs: 30_000}); err != nil {
 			t.Fatal(err)
 		}
 		r.conf.Name = "r"
--- a/internal/relay/cost_test.go
+++ b/internal/relay/cost_test.go
@@ -243,7 +243,7 @@
 	for i := range 500 {
 		e := &journal.Entry{ID: fmt.Sprintf("9b1f03aa5c7e%08d", i), Class: "job-order", Dest: 7, Tenant: "acme", Key: fmt.Sprintf("5c0f%08d", i),
 			Due: time.Now().Add(time.Hour).UnixMilli(), Body: bytes.Repeat([]byte("x"), 200), Terms: terms}
-		if err := j.Append(journal.Record{Op: journal.OpTaken, Entry: e}, journal.Record{Op: journal.OpTry, ID: e.ID, At: 1, Wait: 2000}); err != nil {
+		if err := j.Append(journal.Record{Op: journal.OpAccepted, Entry: e}, journal.Record{Op: journal.OpTry, ID: e.ID, At: 1, WaitMs: 2000}); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/relay/estates.go
+++ b/internal/relay/estates.go
@@ -31,12 +31,12 @@
 // Known are the estates that the folder tells of.
 func (b *ownBooks) Known() (all []state.Estate) {
 	b.done(func(r *Relay) {
-		for _, m := range r.journal.Marks() {
-			e := state.Estate{ID: m.Estate, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: m.Writer, Main: m.Main, Copies: m.Copies}
+		for _, m := range r.journal.GroupStates() {
+			e := state.Estate{ID: m.Group, Name: m.Name, Epoch: m.Epoch, Owner: r.conf.Name, Writer: m.Writer, Main: m.Main, Copies: m.Copies}
 			if len(m.Sets) > 0 {
 				e.Holders, e.Before = m.Sets[0].Holders, m.Sets[1:]
 			}
-			if r.copies.streams[m.Estate] == nil {
+			if r.copies.streams[m.Group] == nil {
 				all = append(all, e)
 			}
 		}
@@ -61,7 +61,7 @@
 }
 
 func (r *Relay) markEstate(e state.Estate, next uint64) error {
-	return r.journal.Append(journal.Record{Op: journal.OpMark, Mark: &journal.Mark{Estate: e.ID, Name: e.Name, Main: e.Main, Copies: e.Copies, Sets: e.Sets(),
+	return r.journal.Append(journal.Record{Op: journal.OpGroupState, GroupState: &journal.GroupState{Group: e.ID, Name: e.Name, Main: e.Main, Copies: e.Copies, Sets: e.Sets(),
 		Copy: state.Copy{Epoch: e.Epoch, Writer: e.Writer, From: e.Writer, Have: e.Epoch, Next: next}}})
 }
 
@@ -82,17 +82,17 @@
 
 // beginEstate takes up the folder's word on an estate, or what was found at holders if that is newer.
 func (r *Relay) beginEstate(e state.Estate, found *estate.Found) (*estate.Stream, error) {
-	own, known := r.journal.Mark(e.ID)
+	own, known := r.journal.GroupState(e.ID)
 	next := max(own.Next, 1)
 	theirs := found != nil && (!known || r.journal.Damaged() || found.Newer(own.Copy))
 	if theirs {
 		next = max(next, found.Next)
-		if err := r.journal.Append(r.journal.Forget(e.ID)...); err != nil {
+		if err := r.journal.Append(r.journal.RecordsToForget(e.ID)...); err != nil {
 			return nil, err
 		}
 		var recs []journal.Record
 		for _, rec := range found.Records {
-			if rec.Op == journal.OpTaken && rec.Entry != nil && rec.Entry.Estate == e.ID && r.journal.Entry(rec.Entry.ID) == nil {
+			if rec.Op == journal.OpAccepted && rec.Entry != nil && rec.Entry.Group == e.ID && r.journal.Entry(rec.Entry.ID) == nil {
 				recs = append(recs, rec)
 			}
 		}
@@ -107,7 +107,7 @@
 	heir := e.Name != r.conf.Name || !e.Main
 	n := 0
 	for m := range r.journal.All() {
-		if m.Estate == e.ID {
+		if m.Group == e.ID {
 			n++
 			r.takeUp(m, theirs || heir) // what its owner before has out is not known
 		}
@@ -128,10 +128,10 @@
 	c := r.copies
 	s := &stream{estate: e, short: max(1, r.now())}
 	s.Stream = estate.NewStream(e.ID, e.Writer, next, c.client, func(ctx context.Context) (recs []journal.Record, next uint64, ok bool) {
-		ok = (*ownBooks)(r).done(func(r *Relay) { recs, next = r.journal.Whole(e.ID), s.Next() })
+		ok = (*ownBooks)(r).done(func(r *Relay) { recs, next = r.journal.GroupRecords(e.ID), s.Next() })
 		return recs, next, ok && ctx.Err() == nil
 	}, r.news, func(*state.Sealed) { c.owner.Seal(e.ID) })
-	s.BatchMost = min(s.BatchMost, int(journal.CopyBatch(r.conf.copyBudget())))
+	s.BatchMost = min(s.BatchMost, int(journal.CopyBatchBytes(r.conf.copyBudget())))
 	c.streams[e.ID] = s
 	if e.Main {
 		c.main = e.ID
@@ -154,7 +154,7 @@
 		}
 		ids := map[string]bool{}
 		for e := range r.journal.All() {
-			if e.Estate == id {
+			if e.Group == id {
 				ids[e.ID] = true
 			}
 		}
@@ -178,7 +178,7 @@
 		if s != nil {
 			s.gates.Drop()
 		}
-		if err := r.journal.Append(r.journal.Forget(id)...); err != nil {
+		if err := r.journal.Append(r.journal.RecordsToForget(id)...); err != nil {
 			slog.Error("what is another's stays in the folder", "estate", id, "err", err)
 		}
 		slog.Warn("estate is another's", "estate", id, "messages", len(ids))
@@ -192,7 +192,7 @@
 		s := r.copies.streams[id]
 		empty = s != nil && s.gates.Len() == 0 && len(r.records) == 0
 		for e := range r.journal.All() {
-			empty = empty && e.Estate != id
+			empty = empty && e.Group != id
 		}
 	})
 	return empty
@@ -201,7 +201,7 @@
 // adoptEstates goes on with the estates that the process before this one wrote, as the same writer: it has handed over.
 func (r *Relay) adoptEstates(writer string) {
 	c := r.copies
-	marks := r.journal.Marks()
+	marks := r.journal.GroupStates()
 	for _, id := range slices.Sorted(maps.Keys(marks)) {
 		m := marks[id]
 		if writer == "" || m.Writer != writer {
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -200,7 +200,7 @@
 	e := r.events[0].(choice.Result)
 	want(t, "outcome", e.Outcome, choice.Cancelled)
 	want(t, "took", e.Took >= time.Minute, true)
-	want(t, "it may have run", r.records[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
+	want(t, "it may have run", r.records[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Flag: true})
 	want(t, "calls left", len(h.calls), 0)
 }
 
--- a/internal/relay/intake.go
+++ b/internal/relay/intake.go
@@ -202,7 +202,7 @@
 	case r.toDisk(in):
 	default:
 		if r.copies != nil {
-			in.entry.Estate = r.copies.main
+			in.entry.Group = r.copies.main
 		}
 		due := in.due - r.endMargin(in.due-r.now())
 		m := &message{Entry: in.entry, due: due, fresh: []*intake{in}}
@@ -210,6 +210,6 @@
 		r.overflow.enter(m)
 		r.fresh = append(r.fresh, m)
 		r.events = append(r.events, choice.Arrival{ID: id, Class: -1, Dest: in.entry.Dest, Terms: in.entry.Terms,
-			Left: due - r.now(), Key: in.entry.Order, Tenant: slices.Index(set.TenantNames, in.entry.Tenant)})
+			Left: due - r.now(), Key: in.entry.OrderKey, Tenant: slices.Index(set.TenantNames, in.entry.Tenant)})
 	}
 }
--- a/internal/relay/late_answer_test.go
+++ b/internal/relay/late_answer_test.go
@@ -15,7 +15,7 @@
 	c := &call{host: &host{id: "s-1"}, members: []*message{m}}
 	m.call = c
 	g.inLoop(func() {
-		if err := g.journal.Append(journal.Record{Op: journal.OpTaken, Entry: m.Entry}); err != nil {
+		if err := g.journal.Append(journal.Record{Op: journal.OpAccepted, Entry: m.Entry}); err != nil {
 			g.t.Error(err)
 		}
 		g.held[id] = m
--- a/internal/relay/listlease.go
+++ b/internal/relay/listlease.go
@@ -55,7 +55,7 @@
 	var k keptLease
 	now := time.Now()
 	if !smallfile.Read(filepath.Join(dir, leaseFile), &k) || k.Confirmed == 0 {
-		if !journal.Present(dir) {
+		if !journal.Exists(dir) {
 			return nil
 		}
 		// The lease was lost: it could not be written, or was damaged. It may have been about to end.
--- a/internal/relay/notices_record_test.go
+++ b/internal/relay/notices_record_test.go
@@ -18,10 +18,10 @@
 	g.post(func() {
 		defer close(done)
 		e := &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: time.Now().Add(time.Hour).UnixMilli()}
-		if err := g.journal.Append(journal.Record{Op: journal.OpTaken, Entry: e}); err != nil {
+		if err := g.journal.Append(journal.Record{Op: journal.OpAccepted, Entry: e}); err != nil {
 			g.t.Error(err)
 		}
-		g.journal.Break(errors.New("no disk"))
+		g.journal.StopWriting(errors.New("no disk"))
 		m := &message{Entry: e}
 		g.held[id] = m
 		g.give(m, notice{ID: id, Status: undeliverable})
--- a/internal/relay/overflow.go
+++ b/internal/relay/overflow.go
@@ -24,17 +24,17 @@
 // store is what lies on disk; package backlog has it.
 type store interface {
 	Put(ms ...backlog.Message) error
-	Next(dest, n, bytes int) ([]backlog.Held, error)
-	Due(before int64, n int) ([]backlog.Held, error)
+	Next(dest, n, bytes int) ([]backlog.StoredMessage, error)
+	Due(before int64, n int) ([]backlog.StoredMessage, error)
 	NextDue() (int64, bool)
-	Out(dest int, places ...uint64) error
-	Find(dest int, id string) (backlog.Held, bool, error)
-	Key(order string) (dest int, ok bool)
+	Remove(dest int, places ...uint64) error
+	Find(dest int, id string) (backlog.StoredMessage, bool, error)
+	DestOfKey(order string) (dest int, ok bool)
 	Len() int
 	LenOf(dest int) int
 	Dests() iter.Seq[int]
 	Bytes() int64
-	Damage() []error
+	TakeDamageReports() []error
 	Close() error
 }
 
@@ -67,7 +67,7 @@
 }
 
 func newOverflow(dir string, disk int64, total state.Load) *overflow {
-	return &overflow{dir: dir, disk: disk, window: state.Window{Total: total, Alpha: 1}, looks: map[int]bool{}, served: map[int]time.Duration{},
+	return &overflow{dir: dir, disk: disk, window: state.Window{Capacity: total, Alpha: 1}, looks: map[int]bool{}, served: map[int]time.Duration{},
 		timer: time.NewTimer(0)}
 }
 
@@ -111,7 +111,7 @@
 func (o *overflow) enter(m *message) {
 	if o != nil && m.cost == 0 {
 		m.cost, m.twice = ownCost+len(m.Body)*4/3, m.twice || o.again.has(m.ID)
-		o.window.Enter(m.Dest, m.cost)
+		o.window.Add(m.Dest, m.cost)
 	}
 }
 
@@ -120,7 +120,7 @@
 	if o == nil || m.cost == 0 {
 		return
 	}
-	o.window.Leave(m.Dest, m.cost, m.served, now)
+	o.window.Remove(m.Dest, m.cost, m.served, now)
 	if m.cost = 0; m.served {
 		o.served[m.Dest] = now
 	}
@@ -132,7 +132,7 @@
 	if at, ok := o.served[dest]; crowded && !(ok && now-at < lively) {
 		return 0
 	}
-	return o.window.Room(dest, now)
+	return o.window.Available(dest, now)
 }
 
 // lookAt has a destination be looked at that may have room.
@@ -178,6 +178,6 @@
 	if order == "" {
 		return false
 	}
-	at, ok := o.store.Key(order)
-	return ok && at != dest || slices.ContainsFunc(o.fresh, func(m *message) bool { return m.Order == order && m.Dest != dest })
+	at, ok := o.store.DestOfKey(order)
+	return ok && at != dest || slices.ContainsFunc(o.fresh, func(m *message) bool { return m.OrderKey == order && m.Dest != dest })
 }
--- a/internal/relay/record_order_test.go
+++ b/internal/relay/record_order_test.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := j.Append(journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}},
+		if err := j.Append(journal.Record{Op: journal.OpAccepted, Entry: &journal.Entry{ID: "m1", Class: "payment", Dest: 7}},
 			journal.Record{Op: journal.OpNotice, ID: "m1", Status: undeliverable}); err != nil {
 			t.Fatal(err)
 		}
@@ -136,7 +136,7 @@
 	r := unserved(t, newPlatform(t, leavingHost()), t.TempDir())
 	for class, said := range map[string]int{"status-update": http.StatusServiceUnavailable, "payment": http.StatusInternalServerError} {
 		first := request(t, r, context.Background(), class, class, time.Minute)
-		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: first.entry}); err != nil {
+		if err := r.journal.Append(journal.Record{Op: journal.OpAccepted, Entry: first.entry}); err != nil {
 			t.Fatal(err)
 		}
 		in := request(t, r, context.Background(), class, class, time.Minute)
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -118,7 +118,7 @@
 		for held = 0; ; held++ {
 			e := &journal.Entry{ID: fmt.Sprintf("%016x", held), Class: "status-update", Dest: 7, Due: time.Now().Add(time.Hour).UnixMilli(),
 				Body: make([]byte, 200), Terms: terms}
-			if j.Append(journal.Record{Op: journal.OpTaken, Entry: e}) != nil {
+			if j.Append(journal.Record{Op: journal.OpAccepted, Entry: e}) != nil {
 				break
 			}
 		}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -456,7 +456,7 @@
 func TestWholeListClosesWhatIsMissing(t *testing.T) {
 	r := &Relay{endpoints: endpoints{hosts: map[string]*host{}, dests: map[int]*waiting{}}, books: books{journal: openJournal(t)}}
 	r.set.Store(&standing{})
-	if err := r.journal.Append(journal.Record{Op: journal.OpByHand, ID: "s-4", Ran: true}); err != nil {
+	if err := r.journal.Append(journal.Record{Op: journal.OpDisabled, ID: "s-4", Flag: true}); err != nil {
 		t.Fatal(err)
 	}
 	r.listed(discovery.List{Version: 1, Full: true, Servers: []discovery.Server{at("s-1", "x:1", "taller"), at("s-2", "x:2", "taller"), at("s-3", "x:3", "taller")}})
@@ -478,7 +478,7 @@
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
 	set := make(chan bool)
 	r.post(func() {
-		r.journal.Break(errors.New("disk gone"))
+		r.journal.StopWriting(errors.New("disk gone"))
 		close(set)
 	})
 	<-set
@@ -729,7 +729,7 @@
 				t.Fatal(err)
 			}
 			past := time.Now().Add(-time.Second).UnixMilli()
-			recs := []journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: c.class, Dest: 7, Due: past}}}
+			recs := []journal.Record{{Op: journal.OpAccepted, Entry: &journal.Entry{ID: "m1", Class: c.class, Dest: 7, Due: past}}}
 			if c.tried {
 				recs = append(recs, journal.Record{Op: journal.OpTry, ID: "m1", At: past})
 			}
@@ -875,7 +875,7 @@
 func TestFullDiskRefuses(t *testing.T) {
 	calls := make(chan *seen, 10)
 	r := startRelay(t, newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller")), nil)
-	r.post(func() { r.journal.Break(journal.ErrFull) })
+	r.post(func() { r.journal.StopWriting(journal.ErrFull) })
 	status, _ := hand(t, r.Addr(), "m1", "payment")
 	want(t, "status", status, 503)
 	r.post(func() { r.journal.Compact() })
--- a/internal/relay/restart_states_test.go
+++ b/internal/relay/restart_states_test.go
@@ -17,14 +17,14 @@
 }
 
 func restartCases(at int64) []restartCase {
-	try := journal.Record{Op: journal.OpTry, ID: "m1", At: at, Wait: 60_000}
+	try := journal.Record{Op: journal.OpTry, ID: "m1", At: at, WaitMs: 60_000}
 	never := map[string]string{"status-update": deferred, "job-order": deferred, "payment": deferred}
 	ran := map[string]string{"status-update": deferred, "job-order": undeliverable, "payment": undeliverable}
 	return []restartCase{
 		{"untried", nil, never},
 		{"out", []journal.Record{try}, ran},
 		{"refused", []journal.Record{try, {Op: journal.OpOutcome, ID: "m1"}}, never},
-		{"unanswered", []journal.Record{try, {Op: journal.OpOutcome, ID: "m1", Ran: true}}, ran},
+		{"unanswered", []journal.Record{try, {Op: journal.OpOutcome, ID: "m1", Flag: true}}, ran},
 		{"its notice owed", []journal.Record{try, {Op: journal.OpNotice, ID: "m1", Status: "as told"}},
 			map[string]string{"status-update": "as told", "job-order": "as told", "payment": "as told"}},
 	}
@@ -41,7 +41,7 @@
 				for restarts := range 3 {
 					t.Run(fmt.Sprintf("%s, %s, %s, %d further", c.name, when, class, restarts), func(t *testing.T) {
 						due := time.Now().Add(left)
-						folder := folderWith(t, append([]journal.Record{{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7,
+						folder := folderWith(t, append([]journal.Record{{Op: journal.OpAccepted, Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7,
 							Due: due.UnixMilli()}}}, c.recs...)...)
 						r := unserved(t, p, folder)
 						if restarts > 0 { // before the first step
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -36,7 +36,7 @@
 // decisions hear of it: at a start, which takes up the journal before it serves, and for what clients hand in.
 func TestTimeRunsBeforeTheStep(t *testing.T) {
 	for class, status := range map[string]string{"payment": deferred, "status-update": deferred} {
-		r := unserved(t, newPlatform(t, leavingHost()), folderWith(t, journal.Record{Op: journal.OpTaken,
+		r := unserved(t, newPlatform(t, leavingHost()), folderWith(t, journal.Record{Op: journal.OpAccepted,
 			Entry: &journal.Entry{ID: "m1", Class: class, Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}}))
 		later(r, time.Minute)
 		r.step()
@@ -97,7 +97,7 @@
 		want(t, "outcome", r.events[0].(choice.Result).Outcome, choice.Timeout)
 		r.endedBefore(h, endPassed{ID: "m1", Outcome: choice.Served})
 		want(t, "ends", len(r.events), 1)
-		want(t, "it may have run", r.records[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
+		want(t, "it may have run", r.records[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Flag: true})
 		want(t, "records", len(r.records), 1)
 	})
 }
@@ -117,8 +117,8 @@
 func TestAnUpgradeLeavesAloneWhatAnotherHasOut(t *testing.T) {
 	for name, upgraded := range map[string]bool{"restarted": false, "upgraded": true} {
 		folder := folderWith(t,
-			journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: "m1", Class: "status-update", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}},
-			journal.Record{Op: journal.OpTry, ID: "m1", At: time.Now().UnixMilli(), Wait: 30_000})
+			journal.Record{Op: journal.OpAccepted, Entry: &journal.Entry{ID: "m1", Class: "status-update", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli()}},
+			journal.Record{Op: journal.OpTry, ID: "m1", At: time.Now().UnixMilli(), WaitMs: 30_000})
 		(&Relay{conf: Config{State: folder}}).keepLease(discovery.Lease{Confirmed: time.Now(), Expires: time.Now().Add(time.Hour), Version: 1})
 		r := unserved(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller")), folder)
 		if upgraded {
--- a/internal/relay/scale_test.go
+++ b/internal/relay/scale_test.go
@@ -202,7 +202,7 @@
 	for i := 0; i < messages; {
 		var recs []journal.Record
 		for ; i < messages && len(recs) < 1000; i++ {
-			recs = append(recs, journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: fmt.Sprintf("9b1f03aa5c7e%08d", i), Class: "job-order",
+			recs = append(recs, journal.Record{Op: journal.OpAccepted, Entry: &journal.Entry{ID: fmt.Sprintf("9b1f03aa5c7e%08d", i), Class: "job-order",
 				Dest: 7, Tenant: "acme", Key: fmt.Sprintf("5c0f6e1a2b3d4c59a8b7c6d5%08d", i), Due: time.Now().Add(time.Hour).UnixMilli(),
 				Body: bytes.Repeat([]byte("x"), 200), Terms: terms}})
 		}
--- a/internal/relay/standing_test.go
+++ b/internal/relay/standing_test.go
@@ -155,7 +155,7 @@
 	terms := &choice.Terms{Class: choice.Class{Name: "status-update", Aim: time.Second, Deadline: time.Minute, Worth: 1}, Attempts: 6}
 	for k := range room * 3 / 4 {
 		e := &journal.Entry{ID: fmt.Sprint("old", k), Class: "status-update", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(), Terms: terms}
-		if err := j.Append(journal.Record{Op: journal.OpTaken, Entry: e}); err != nil {
+		if err := j.Append(journal.Record{Op: journal.OpAccepted, Entry: e}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -58,7 +58,7 @@
 		case choice.Wake:
 			r.arm(now, a.After)
 		case choice.Health:
-			r.record(journal.Record{Op: journal.OpHealth, ID: a.Host, Ran: a.Unwell, Base: a.Base, At: steady.UnixMilli()})
+			r.record(journal.Record{Op: journal.OpHealth, ID: a.Host, Flag: a.Unwell, Base: a.Base, At: steady.UnixMilli()})
 		case choice.Log:
 			slog.Info(a.Text)
 		}
@@ -74,7 +74,7 @@
 		if m.over {
 			continue
 		}
-		err := r.bindInOrder([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(counts bool) {
+		err := r.bindInOrder([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, countIn, func(counts bool) {
 			switch {
 			case m.over:
 			case counts:
@@ -155,7 +155,7 @@
 	for _, c := range calls {
 		var recs []journal.Record
 		for i, m := range c.members {
-			recs = append(recs, journal.Record{Op: journal.OpTry, ID: m.ID, At: wall, Wait: c.sends[i].Timeout.Milliseconds(), Zone: c.host.zone})
+			recs = append(recs, journal.Record{Op: journal.OpTry, ID: m.ID, At: wall, WaitMs: c.sends[i].Timeout.Milliseconds(), Zone: c.host.zone})
 		}
 		// An attempt that a restart would not know of must not go out.
 		written := time.Now()
@@ -215,7 +215,7 @@
 		return
 	}
 	if t.wait > 0 && r.copies != nil { // an heir is to know of it
-		r.record(journal.Record{Op: journal.OpWait, ID: c.host.id, At: steady.UnixMilli(), Wait: t.wait.Milliseconds()})
+		r.record(journal.Record{Op: journal.OpRetryAfter, ID: c.host.id, At: steady.UnixMilli(), WaitMs: t.wait.Milliseconds()})
 	}
 	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.outcome, Took: t.took, Wait: t.wait,
 		Stale: t.stale, Report: r.reportOf(t), Done: e.done || e.outcome == choice.Served})
@@ -238,7 +238,7 @@
 		return
 	}
 	never := e.outcome == choice.Refused || e.outcome == choice.NoConnection || e.outcome == choice.NotSent
-	r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID, Ran: !never})
+	r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID, Flag: !never})
 }
 
 // finish ends a message that needs no notice.
--- a/internal/relay/takeup.go
+++ b/internal/relay/takeup.go
@@ -12,8 +12,8 @@
 // certain: its time-out, the time in which the call may have gone out, and what clocks differ by.
 func (r *Relay) takeUp(e *journal.Entry, another bool) {
 	wait := time.Duration(0)
-	if another && e.Out && e.Status == "" {
-		wait = time.Duration(e.Wait)*time.Millisecond + freshIn
+	if another && e.InFlight && e.NoticeStatus == "" {
+		wait = time.Duration(e.TimeoutMs)*time.Millisecond + freshIn
 		wait += wait / 100
 	}
 	if wait == 0 {
@@ -77,10 +77,10 @@
 // toldWaits has the decisions hear of waits that the process before told of.
 func (r *Relay) toldWaits(recs []journal.Record) {
 	for _, w := range recs {
-		if w.Op != journal.OpWait {
+		if w.Op != journal.OpRetryAfter {
 			continue
 		}
-		if left := time.Duration(w.At+w.Wait-steady.UnixMilli()) * time.Millisecond; left > 0 {
+		if left := time.Duration(w.At+w.WaitMs-steady.UnixMilli()) * time.Millisecond; left > 0 {
 			if h := r.hosts[w.ID]; h != nil {
 				h.waiting.heed(r.now() + left)
 			}
--- a/internal/relay/withdraw.go
+++ b/internal/relay/withdraw.go
@@ -78,7 +78,7 @@
 // answerRecorded answers a client whose message is on record, but not held. It must not be recorded a second time: the end
 // of the one on record would end both. One whose notice is owed has ended; of any other it is not known yet who delivers it.
 func (r *Relay) answerRecorded(in *intake, e *journal.Entry) {
-	if e.Status != "" {
+	if e.NoticeStatus != "" {
 		in.reply <- answer{status: http.StatusAccepted}
 		return
 	}
--- a/internal/relay/withdraw_test.go
+++ b/internal/relay/withdraw_test.go
@@ -38,7 +38,7 @@
 	w, answered := leaving(r, "m1", 1)
 	turn(t, r)
 	withdrawal := wait(t, r.inbox, "withdrawal")
-	r.journal.Break(errors.New("disk gone"))
+	r.journal.StopWriting(errors.New("disk gone"))
 	withdrawal()
 	wait(t, answered, "answer")
 	want(t, "status while nothing can be written", w.Code, http.StatusAccepted)
