--- a/internal/backlog/due.go
+++ b/internal/backlog/due.go
@@ -21,56 +21,56 @@
 }
 
 // more is the next messages of a segment by time, after one; none before the first.
-func (s *Store) entriesDueAfter(seg *state.Segment, after *indexEntry) (r dueList, err error) {
+func (s *Store) entriesDueAfter(segment *state.Segment, after *indexEntry) (earliest dueList, err error) {
 	s.dueScans++
-	err = s.indexes.liveEntries(seg, func(_ uint32, x indexEntry) {
-		if after != nil && compareDue(x, *after) <= 0 || len(r) == dueListLength && compareDue(x, r[dueListLength-1]) >= 0 {
+	err = s.indexes.liveEntries(segment, func(_ uint32, entry indexEntry) {
+		if after != nil && compareDue(entry, *after) <= 0 || len(earliest) == dueListLength && compareDue(entry, earliest[dueListLength-1]) >= 0 {
 			return
 		}
-		i, _ := slices.BinarySearchFunc(r, x, compareDue)
-		if len(r) == dueListLength {
-			r = r[:dueListLength-1]
+		i, _ := slices.BinarySearchFunc(earliest, entry, compareDue)
+		if len(earliest) == dueListLength {
+			earliest = earliest[:dueListLength-1]
 		}
-		r = slices.Insert(r, i, x)
+		earliest = slices.Insert(earliest, i, entry)
 	})
-	return r, err
+	return earliest, err
 }
 
 // runOf is a segment's run; its first is the segment's next.
-func (s *Store) dueListOf(seg *state.Segment) (dueList, error) {
-	if r := s.dueLists[seg]; len(r) > 0 {
+func (s *Store) dueListOf(segment *state.Segment) (dueList, error) {
+	if r := s.dueLists[segment]; len(r) > 0 {
 		return r, nil
 	}
-	r, err := s.entriesDueAfter(seg, nil)
+	r, err := s.entriesDueAfter(segment, nil)
 	if err != nil {
 		return nil, err
 	}
 	if len(s.dueLists) >= maxDueLists {
 		clear(s.dueLists)
 	}
-	s.dueLists[seg] = r
+	s.dueLists[segment] = r
 	return r, nil
 }
 
 // joins tells that a message has come to a segment.
-func (s *Store) messageAdded(seg *state.Segment, due int64) {
-	if r := s.dueLists[seg]; len(r) > 0 && due < r[len(r)-1].due {
-		delete(s.dueLists, seg)
+func (s *Store) messageAdded(segment *state.Segment, due int64) {
+	if r := s.dueLists[segment]; len(r) > 0 && due < r[len(r)-1].due {
+		delete(s.dueLists, segment)
 	}
 }
 
 // parts tells which messages have left a segment.
-func (s *Store) messagesRemoved(seg *state.Segment, left []indexedEntry) {
-	r := s.dueLists[seg]
+func (s *Store) messagesRemoved(segment *state.Segment, removed []indexedEntry) {
+	r := s.dueLists[segment]
 	if r == nil {
 		return
 	}
-	r = slices.DeleteFunc(r, func(x indexEntry) bool {
-		_, gone := slices.BinarySearchFunc(left, x.sequence, func(f indexedEntry, place uint64) int { return cmp.Compare(f.sequence, place) })
-		return gone
+	r = slices.DeleteFunc(r, func(entry indexEntry) bool {
+		_, found := slices.BinarySearchFunc(removed, entry.sequence, func(f indexedEntry, place uint64) int { return cmp.Compare(f.sequence, place) })
+		return found
 	})
-	if s.dueLists[seg] = r; len(r) == 0 {
-		delete(s.dueLists, seg)
+	if s.dueLists[segment] = r; len(r) == 0 {
+		delete(s.dueLists, segment)
 	}
 }
 
@@ -78,21 +78,21 @@
 func (s *Store) NextDue() (due int64, ok bool) {
 	err := s.withRepair(func() error {
 		for {
-			seg := s.state.Earliest()
-			if ok = seg != nil; !ok {
+			segment := s.state.Earliest()
+			if ok = segment != nil; !ok {
 				return nil
 			}
-			r, err := s.dueListOf(seg)
+			r, err := s.dueListOf(segment)
 			if err != nil {
 				return err
 			}
 			if len(r) == 0 {
-				return &damagedSegmentError{seg}
+				return &damagedSegmentError{segment}
 			}
-			if due = r[0].due; due <= seg.EarliestDue {
+			if due = r[0].due; due <= segment.EarliestDue {
 				return nil
 			}
-			s.state.SetEarliestDue(seg, due) // what it was known by had left
+			s.state.SetEarliestDue(segment, due) // what it was known by had left
 		}
 	})
 	if err != nil {
@@ -103,9 +103,9 @@
 }
 
 // Due is what has to have ended by then, earliest first: the first n of it. They stay.
-func (s *Store) Due(before int64, n int) (all []StoredMessage, err error) {
+func (s *Store) Due(before int64, maxMessages int) (all []StoredMessage, err error) {
 	err = s.withRepair(func() error {
-		all, err = s.dueMessages(before, n)
+		all, err = s.dueMessages(before, maxMessages)
 		return err
 	})
 	return all, err
@@ -117,63 +117,63 @@
 	next int
 }
 
-func (s *Store) dueMessages(before int64, n int) (all []StoredMessage, err error) {
+func (s *Store) dueMessages(before int64, maxMessages int) (all []StoredMessage, err error) {
 	before = min(before, noDueTime-1)
 	cursors := map[*state.Segment]*dueCursor{}
-	lost := map[int][]uint64{}
+	unreadable := map[int][]uint64{}
 	defer func() {
-		for seg, c := range cursors {
-			s.state.SetEarliestDue(seg, c.dueList[0].due)
-			s.dueLists[seg] = slices.Clone(c.dueList[:min(len(c.dueList), dueListLength)])
+		for segment, cursor := range cursors {
+			s.state.SetEarliestDue(segment, cursor.dueList[0].due)
+			s.dueLists[segment] = slices.Clone(cursor.dueList[:min(len(cursor.dueList), dueListLength)])
 		}
-		for dest, places := range lost {
+		for dest, places := range unreadable {
 			err = errors.Join(err, s.removeUnreadable(dest, places))
 		}
 	}()
-	for len(all) < n {
-		seg := s.state.Earliest()
-		if seg == nil || seg.EarliestDue > before {
+	for len(all) < maxMessages {
+		segment := s.state.Earliest()
+		if segment == nil || segment.EarliestDue > before {
 			return all, nil
 		}
-		c := cursors[seg]
-		if c == nil {
-			r, err := s.dueListOf(seg)
+		cursor := cursors[segment]
+		if cursor == nil {
+			list, err := s.dueListOf(segment)
 			if err != nil {
 				return nil, err
 			}
-			if len(r) == 0 {
-				return nil, &damagedSegmentError{seg}
+			if len(list) == 0 {
+				return nil, &damagedSegmentError{segment}
 			}
-			c = &dueCursor{dueList: r}
-			cursors[seg] = c
+			cursor = &dueCursor{dueList: list}
+			cursors[segment] = cursor
 		}
-		if c.next == len(c.dueList) {
-			r, err := s.entriesDueAfter(seg, &c.dueList[len(c.dueList)-1])
+		if cursor.next == len(cursor.dueList) {
+			list, err := s.entriesDueAfter(segment, &cursor.dueList[len(cursor.dueList)-1])
 			if err != nil {
 				return nil, err
 			}
-			c.dueList = append(c.dueList, r...)
+			cursor.dueList = append(cursor.dueList, list...)
 		}
-		if c.next == len(c.dueList) {
-			s.state.SetEarliestDue(seg, noDueTime)
+		if cursor.next == len(cursor.dueList) {
+			s.state.SetEarliestDue(segment, noDueTime)
 			continue
 		}
-		x := c.dueList[c.next]
-		if x.due > seg.EarliestDue {
-			s.state.SetEarliestDue(seg, x.due)
+		entry := cursor.dueList[cursor.next]
+		if entry.due > segment.EarliestDue {
+			s.state.SetEarliestDue(segment, entry.due)
 			continue
 		}
-		c.next++
-		h, err := s.readMessage(seg, x)
+		cursor.next++
+		message, err := s.readMessage(segment, entry)
 		if errors.Is(err, errDamagedFrame) {
-			s.reportDamage(&DamageError{Segment: dataFileName(seg), Lost: 1, Reason: "a message cannot be read"})
-			lost[seg.Dest] = append(lost[seg.Dest], x.sequence)
+			s.reportDamage(&DamageError{Segment: dataFileName(segment), Lost: 1, Reason: "a message cannot be read"})
+			unreadable[segment.Dest] = append(unreadable[segment.Dest], entry.sequence)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, h)
+		all = append(all, message)
 	}
 	return all, nil
 }
--- a/internal/backlog/entries.go
+++ b/internal/backlog/entries.go
@@ -33,24 +33,24 @@
 
 func (b *damagedSegmentError) Error() string { return indexFileName(b.segment) + " is damaged" }
 
-func newIndexReader(d *folder) (*indexReader, error) {
-	kept, err := simplelru.NewLRU[cacheKey, []byte](maxCachedBlocks, nil)
-	return &indexReader{d, kept}, err
+func newIndexReader(folder *folder) (*indexReader, error) {
+	cache, err := simplelru.NewLRU[cacheKey, []byte](maxCachedBlocks, nil)
+	return &indexReader{folder, cache}, err
 }
 
 // raw is an entry's 48 bytes.
-func (e *indexReader) entryBytes(s *state.Segment, i uint32) ([]byte, error) {
-	k := cacheKey{s, i / entriesPerBlock}
+func (e *indexReader) entryBytes(segment *state.Segment, i uint32) ([]byte, error) {
+	key := cacheKey{segment, i / entriesPerBlock}
 	from := i / entriesPerBlock * entriesPerBlock
-	b, ok := e.cache.Get(k)
+	block, ok := e.cache.Get(key)
 	if !ok {
-		b = make([]byte, min(entriesPerBlock, s.Entries-from)*state.EntrySize, entriesPerBlock*state.EntrySize)
-		if err := e.read(s, b, from); err != nil {
+		block = make([]byte, min(entriesPerBlock, segment.Entries-from)*state.EntrySize, entriesPerBlock*state.EntrySize)
+		if err := e.read(segment, block, from); err != nil {
 			return nil, err
 		}
-		e.cache.Add(k, b)
+		e.cache.Add(key, block)
 	}
-	return b[(i-from)*state.EntrySize:][:state.EntrySize], nil
+	return block[(i-from)*state.EntrySize:][:state.EntrySize], nil
 }
 
 // read fills b with entries from one on.
@@ -65,78 +65,78 @@
 func entryOffset(i uint32) int64 { return state.HeaderSize + int64(i)*state.EntrySize }
 
 // at is an entry.
-func (e *indexReader) entry(s *state.Segment, i uint32) (indexEntry, error) {
-	b, err := e.entryBytes(s, i)
+func (e *indexReader) entry(segment *state.Segment, i uint32) (indexEntry, error) {
+	b, err := e.entryBytes(segment, i)
 	if err != nil {
 		return indexEntry{}, err
 	}
-	have, ok := decodeEntry(b)
-	if !ok || !validMark(have.mark) {
-		return indexEntry{}, &damagedSegmentError{s}
+	decoded, ok := decodeEntry(b)
+	if !ok || !validMark(decoded.status) {
+		return indexEntry{}, &damagedSegmentError{segment}
 	}
-	return have, nil
+	return decoded, nil
 }
 
 // search finds the entry of a place. Places rise, mostly evenly: so it looks where the place would be then, and halves what is left if it is not.
-func (e *indexReader) find(s *state.Segment, place uint64) (i uint32, have indexEntry, ok bool, err error) {
-	from, to := uint32(0), s.Entries
-	if to == 0 || place < s.First || place > s.Last {
-		return 0, have, false, nil
+func (e *indexReader) find(segment *state.Segment, sequence uint64) (i uint32, entry indexEntry, ok bool, err error) {
+	from, to := uint32(0), segment.Entries
+	if to == 0 || sequence < segment.First || sequence > segment.Last {
+		return 0, entry, false, nil
 	}
-	at := uint32(float64(place-s.First) / float64(s.Last-s.First+1) * float64(to))
+	guess := uint32(float64(sequence-segment.First) / float64(segment.Last-segment.First+1) * float64(to))
 	for from < to {
-		first, last := max(from, at/entriesPerBlock*entriesPerBlock), min(to, (at/entriesPerBlock+1)*entriesPerBlock)
-		low, err := e.entry(s, first)
+		first, last := max(from, guess/entriesPerBlock*entriesPerBlock), min(to, (guess/entriesPerBlock+1)*entriesPerBlock)
+		low, err := e.entry(segment, first)
 		if err != nil {
-			return 0, have, false, err
+			return 0, entry, false, err
 		}
-		high, err := e.entry(s, last-1)
+		high, err := e.entry(segment, last-1)
 		if err != nil {
-			return 0, have, false, err
+			return 0, entry, false, err
 		}
 		switch {
-		case place < low.sequence:
+		case sequence < low.sequence:
 			to = first
-		case place > high.sequence:
+		case sequence > high.sequence:
 			from = last
 		default:
-			return e.findInBlock(s, first, last, place)
+			return e.findInBlock(segment, first, last, sequence)
 		}
-		at = from + (to-from)/2
+		guess = from + (to-from)/2
 	}
-	return 0, have, false, nil
+	return 0, entry, false, nil
 }
 
 // within finds a place among entries of one piece.
-func (e *indexReader) findInBlock(s *state.Segment, from, to uint32, place uint64) (i uint32, have indexEntry, ok bool, err error) {
+func (e *indexReader) findInBlock(segment *state.Segment, from, to uint32, sequence uint64) (i uint32, entry indexEntry, ok bool, err error) {
 	n := sort.Search(int(to-from), func(n int) bool {
 		if err == nil {
-			have, err = e.entry(s, from+uint32(n))
+			entry, err = e.entry(segment, from+uint32(n))
 		}
-		return err != nil || have.sequence >= place
+		return err != nil || entry.sequence >= sequence
 	})
 	if i = from + uint32(n); err == nil && i < to {
-		have, err = e.entry(s, i)
+		entry, err = e.entry(segment, i)
 	}
-	return i, have, err == nil && i < to && have.sequence == place, err
+	return i, entry, err == nil && i < to && entry.sequence == sequence, err
 }
 
 // added notes entries that were written behind the last.
-func (e *indexReader) updateCache(s *state.Segment, from uint32, b []byte) {
+func (e *indexReader) updateCache(segment *state.Segment, from uint32, b []byte) {
 	for ; len(b) > 0; b, from = b[state.EntrySize:], from+1 {
-		k := cacheKey{s, from / entriesPerBlock}
-		if have, ok := e.cache.Peek(k); ok {
-			e.cache.Add(k, append(have[:from%entriesPerBlock*state.EntrySize], b[:state.EntrySize]...))
+		key := cacheKey{segment, from / entriesPerBlock}
+		if block, ok := e.cache.Peek(key); ok {
+			e.cache.Add(key, append(block[:from%entriesPerBlock*state.EntrySize], b[:state.EntrySize]...))
 		}
 	}
 }
 
 // mark writes that an entry is gone.
-func (e *indexReader) markRemoved(s *state.Segment, i uint32) error {
-	if err := e.folder.write(indexFileName(s), littleEndian.AppendUint32(nil, markRemoved), entryOffset(i)+markOffset, false); err != nil {
+func (e *indexReader) markRemoved(segment *state.Segment, i uint32) error {
+	if err := e.folder.write(indexFileName(segment), littleEndian.AppendUint32(nil, markRemoved), entryOffset(i)+markOffset, false); err != nil {
 		return err
 	}
-	if b, err := e.entryBytes(s, i); err == nil {
+	if b, err := e.entryBytes(segment, i); err == nil {
 		littleEndian.PutUint32(b[markOffset:], markRemoved)
 	}
 	return nil
@@ -150,21 +150,21 @@
 }
 
 // all yields a segment's live entries, without keeping pieces.
-func (e *indexReader) liveEntries(s *state.Segment, yield func(i uint32, x indexEntry)) error {
-	if s.Head == s.Entries {
+func (e *indexReader) liveEntries(segment *state.Segment, yield func(i uint32, entry indexEntry)) error {
+	if segment.Head == segment.Entries {
 		return nil
 	}
-	b := make([]byte, int(s.Entries-s.Head)*state.EntrySize)
-	if err := e.read(s, b, s.Head); err != nil {
+	b := make([]byte, int(segment.Entries-segment.Head)*state.EntrySize)
+	if err := e.read(segment, b, segment.Head); err != nil {
 		return err
 	}
-	for i := s.Head; len(b) > 0; b, i = b[state.EntrySize:], i+1 {
-		x, ok := decodeEntry(b)
-		if !ok || !validMark(x.mark) {
-			return &damagedSegmentError{s}
+	for i := segment.Head; len(b) > 0; b, i = b[state.EntrySize:], i+1 {
+		entry, ok := decodeEntry(b)
+		if !ok || !validMark(entry.status) {
+			return &damagedSegmentError{segment}
 		}
-		if !x.removed() {
-			yield(i, x)
+		if !entry.removed() {
+			yield(i, entry)
 		}
 	}
 	return nil
@@ -174,21 +174,21 @@
 var errDamagedFrame = errors.New("damaged frame")
 
 // message reads one's frame.
-func (s *Store) readMessage(seg *state.Segment, x indexEntry) (StoredMessage, error) {
-	b := make([]byte, x.length)
-	n, err := s.folder.read(dataFileName(seg), b, int64(x.offset))
+func (s *Store) readMessage(segment *state.Segment, entry indexEntry) (StoredMessage, error) {
+	b := make([]byte, entry.length)
+	n, err := s.folder.read(dataFileName(segment), b, int64(entry.offset))
 	if errors.Is(err, fs.ErrNotExist) {
-		return StoredMessage{}, &damagedSegmentError{seg}
+		return StoredMessage{}, &damagedSegmentError{segment}
 	}
 	if err != nil {
 		return StoredMessage{}, err
 	}
-	m, place, ok := decodeFrame(b[:n], s.frameSalt)
-	if !ok || place != x.sequence || m.Due != x.due || m.frameSize() != int(x.length) {
+	message, sequence, ok := decodeFrame(b[:n], s.frameSalt)
+	if !ok || sequence != entry.sequence || message.Due != entry.due || message.frameSize() != int(entry.length) {
 		return StoredMessage{}, errDamagedFrame
 	}
-	m.Dest = seg.Dest
-	return StoredMessage{m, place, x.mark == markInDoubt}, nil
+	message.Dest = segment.Dest
+	return StoredMessage{message, sequence, entry.status == markInDoubt}, nil
 }
 
 // later is a time that no message has to have ended before.
--- a/internal/backlog/entry/entry.go
+++ b/internal/backlog/entry/entry.go
@@ -40,64 +40,64 @@
 
 // Pack is what the backlog keeps of a message that was never tried. It is binary, not the journal's JSON: that takes 742 bytes
 // for a body of 200, for it has all names of the terms and the body as text.
-func Pack(e *journal.Entry) backlog.Message {
-	data := make([]byte, 0, 96+len(e.Body))
+func Pack(entry *journal.Entry) backlog.Message {
+	data := make([]byte, 0, 96+len(entry.Body))
 	var flags byte
-	if t := e.Terms; t != nil {
+	if terms := entry.Terms; terms != nil {
 		flags |= hasTerms
-		if t.Class.SameZone {
+		if terms.Class.SameZone {
 			flags |= sameZone
 		}
-		if t.Class.Ordered {
+		if terms.Class.Ordered {
 			flags |= ordered
 		}
-		if t.Class.Name != e.Class {
+		if terms.Class.Name != entry.Class {
 			flags |= differentClassName
 		}
 	}
 	data = append(data, versionOne, flags)
 	text := func(s string) { data = append(binary.AppendUvarint(data, uint64(len(s))), s...) }
-	text(e.Class)
-	text(e.Tenant)
-	text(e.Key)
-	if t := e.Terms; t != nil {
-		if t.Class.Name != e.Class {
-			text(t.Class.Name)
+	text(entry.Class)
+	text(entry.Tenant)
+	text(entry.Key)
+	if terms := entry.Terms; terms != nil {
+		if terms.Class.Name != entry.Class {
+			text(terms.Class.Name)
 		}
-		for _, n := range []int64{int64(t.Attempts), int64(t.Class.Effect), int64(t.Class.Aim), int64(t.Class.Deadline), int64(t.Class.Window)} {
+		for _, n := range []int64{int64(terms.Attempts), int64(terms.Class.Effect), int64(terms.Class.Aim), int64(terms.Class.Deadline), int64(terms.Class.Window)} {
 			data = binary.AppendVarint(data, n)
 		}
-		for _, f := range []float64{t.Class.Worth, t.Class.LateShare} {
+		for _, f := range []float64{terms.Class.Worth, terms.Class.LateShare} {
 			data = binary.LittleEndian.AppendUint64(data, math.Float64bits(f))
 		}
 	}
-	return backlog.Message{ID: e.ID, Dest: e.Dest, Due: e.Due, OrderKey: e.OrderKey, Data: append(data, e.Body...)}
+	return backlog.Message{ID: entry.ID, Dest: entry.Dest, Due: entry.Due, OrderKey: entry.OrderKey, Data: append(data, entry.Body...)}
 }
 
 // Unpack is the message again. One in doubt may have run long ago, as the journal takes it of one whose records are lost.
-func Unpack(h backlog.StoredMessage) (*journal.Entry, error) {
-	e := &journal.Entry{ID: h.ID, Dest: h.Dest, Due: h.Due, OrderKey: h.OrderKey, MayHaveRun: h.InDoubt}
-	r := fieldReader{data: h.Data}
-	version, flags := r.byte(), r.byte()
-	if version != versionOne && r.problem == "" {
-		return nil, &UnreadableError{h.ID, fmt.Sprintf("its data has version %d, this program reads %d", version, versionOne)}
+func Unpack(message backlog.StoredMessage) (*journal.Entry, error) {
+	entry := &journal.Entry{ID: message.ID, Dest: message.Dest, Due: message.Due, OrderKey: message.OrderKey, MayHaveRun: message.InDoubt}
+	fields := fieldReader{data: message.Data}
+	version, flags := fields.byte(), fields.byte()
+	if version != versionOne && fields.problem == "" {
+		return nil, &UnreadableError{message.ID, fmt.Sprintf("its data has version %d, this program reads %d", version, versionOne)}
 	}
-	e.Class, e.Tenant, e.Key = r.text(), r.text(), r.text()
+	entry.Class, entry.Tenant, entry.Key = fields.text(), fields.text(), fields.text()
 	if flags&hasTerms != 0 {
-		t := &choice.Terms{Class: choice.Class{Name: e.Class, SameZone: flags&sameZone != 0, Ordered: flags&ordered != 0}}
+		terms := &choice.Terms{Class: choice.Class{Name: entry.Class, SameZone: flags&sameZone != 0, Ordered: flags&ordered != 0}}
 		if flags&differentClassName != 0 {
-			t.Class.Name = r.text()
+			terms.Class.Name = fields.text()
 		}
-		t.Attempts, t.Class.Effect = int(r.number()), choice.Effect(r.number())
-		t.Class.Aim, t.Class.Deadline, t.Class.Window = time.Duration(r.number()), time.Duration(r.number()), time.Duration(r.number())
-		t.Class.Worth, t.Class.LateShare = r.float(), r.float()
-		e.Terms = t
+		terms.Attempts, terms.Class.Effect = int(fields.number()), choice.Effect(fields.number())
+		terms.Class.Aim, terms.Class.Deadline, terms.Class.Window = time.Duration(fields.number()), time.Duration(fields.number()), time.Duration(fields.number())
+		terms.Class.Worth, terms.Class.LateShare = fields.float(), fields.float()
+		entry.Terms = terms
 	}
-	if r.problem != "" {
-		return nil, &UnreadableError{h.ID, r.problem}
+	if fields.problem != "" {
+		return nil, &UnreadableError{message.ID, fields.problem}
 	}
-	e.Body = r.data
-	return e, nil
+	entry.Body = fields.data
+	return entry, nil
 }
 
 // reader takes fields off the front of data. After the first that is not there it gives nothing more.
@@ -111,9 +111,9 @@
 		r.data, r.problem = nil, "its data is cut short"
 		return nil
 	}
-	taken := r.data[:n]
+	field := r.data[:n]
 	r.data = r.data[n:]
-	return taken
+	return field
 }
 
 func (r *fieldReader) byte() byte {
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -18,16 +18,16 @@
 	injectFault func(op, name string, bytes int) (int, error)
 }
 
-func newFolder(dir string, files int, fault func(string, string, int) (int, error)) (*folder, error) {
-	open, err := simplelru.NewLRU(files, func(_ string, f *os.File) { f.Close() })
+func newFolder(dir string, maxOpenFiles int, injectFault func(string, string, int) (int, error)) (*folder, error) {
+	open, err := simplelru.NewLRU(maxOpenFiles, func(_ string, f *os.File) { f.Close() })
 	if err != nil {
 		return nil, err
 	}
-	return &folder{dir, open, fault}, nil
+	return &folder{dir, open, injectFault}, nil
 }
 
-func (d *folder) fileError(did, name string, err error) error {
-	return &FileError{did, filepath.Join(d.dir, name), err}
+func (d *folder) fileError(problem, name string, err error) error {
+	return &FileError{problem, filepath.Join(d.dir, name), err}
 }
 
 // allow is how much of a change may be done.
@@ -55,19 +55,19 @@
 }
 
 // write puts bytes at a place of a file; it makes the file if it is to be new.
-func (d *folder) write(name string, b []byte, off int64, fresh bool) error {
-	n, fault := d.allowedBytes("write", name, len(b))
-	if fault != nil && n == 0 {
+func (d *folder) write(name string, b []byte, offset int64, create bool) error {
+	allowed, fault := d.allowedBytes("write", name, len(b))
+	if fault != nil && allowed == 0 {
 		return d.fileError("cannot be written", name, fault)
 	}
 	flags := 0
-	if fresh {
+	if create {
 		flags = os.O_CREATE | os.O_TRUNC
 		d.openFiles.Remove(name)
 	}
 	f, err := d.file(name, flags)
 	if err == nil {
-		_, err = f.WriteAt(b[:n], off)
+		_, err = f.WriteAt(b[:allowed], offset)
 	}
 	if err = errors.Join(err, fault); err != nil {
 		return d.fileError("cannot be written", name, err)
@@ -76,12 +76,12 @@
 }
 
 // read fills b as far as the file reaches.
-func (d *folder) read(name string, b []byte, off int64) (int, error) {
+func (d *folder) read(name string, b []byte, offset int64) (int, error) {
 	f, err := d.file(name, 0)
 	if err != nil {
 		return 0, d.fileError("cannot be read", name, err)
 	}
-	n, err := f.ReadAt(b, off)
+	n, err := f.ReadAt(b, offset)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return n, d.fileError("cannot be read", name, err)
 	}
--- a/internal/backlog/format.go
+++ b/internal/backlog/format.go
@@ -40,21 +40,21 @@
 	due             int64
 	idHash, keyHash uint64 // hashes; the key's is zero for none
 	offset, length  uint32
-	mark            uint32
+	status          uint32
 }
 
-func (e *indexEntry) removed() bool { return e.mark == markRemoved }
+func (e *indexEntry) removed() bool { return e.status == markRemoved }
 
 func appendEntry(b []byte, e *indexEntry) []byte {
-	at := len(b)
+	start := len(b)
 	b = littleEndian.AppendUint64(b, e.sequence)
 	b = littleEndian.AppendUint64(b, uint64(e.due))
 	b = littleEndian.AppendUint64(b, e.idHash)
 	b = littleEndian.AppendUint64(b, e.keyHash)
 	b = littleEndian.AppendUint32(b, e.offset)
 	b = littleEndian.AppendUint32(b, e.length)
-	b = littleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoliTable))
-	return littleEndian.AppendUint32(b, e.mark)
+	b = littleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoliTable))
+	return littleEndian.AppendUint32(b, e.status)
 }
 
 // readEntry reads one from its 48 bytes. A mark that is none comes back as it is.
@@ -68,17 +68,17 @@
 func validMark(m uint32) bool { return m == markLive || m == markRemoved || m == markInDoubt }
 
 func appendHeader(b []byte, s *state.Segment, salt []byte) []byte {
-	at := len(b)
+	start := len(b)
 	b = littleEndian.AppendUint32(b, indexMagic)
 	b = littleEndian.AppendUint32(b, s.Rewrites)
 	b = littleEndian.AppendUint64(b, uint64(s.Dest))
 	b = littleEndian.AppendUint64(b, s.First)
-	b = littleEndian.AppendUint32(b, crc32.Checksum(b[at:], castagnoliTable))
-	b = append(b, make([]byte, headOffset-(len(b)-at))...)
+	b = littleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoliTable))
+	b = append(b, make([]byte, headOffset-(len(b)-start))...)
 	b = append(b, encodeHead(s.Head)...)
 	b = append(b, salt...)
 	b = littleEndian.AppendUint32(b, crc32.Checksum(salt, castagnoliTable))
-	return append(b, make([]byte, state.HeaderSize-(len(b)-at))...)
+	return append(b, make([]byte, state.HeaderSize-(len(b)-start))...)
 }
 
 func encodeHead(head uint32) []byte {
@@ -87,7 +87,7 @@
 }
 
 // readHeader checks the header of a segment's entries, and gives its generation and head. A head that is damaged is not known.
-func decodeHeader(b []byte, dest int, first uint64) (gen, head uint32, headKnown, ok bool) {
+func decodeHeader(b []byte, dest int, first uint64) (rewrites, head uint32, headKnown, ok bool) {
 	if len(b) < state.HeaderSize || littleEndian.Uint32(b) != indexMagic || littleEndian.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoliTable) ||
 		littleEndian.Uint64(b[8:]) != uint64(dest) || littleEndian.Uint64(b[16:]) != first {
 		return 0, 0, false, false
@@ -106,31 +106,31 @@
 
 func (m *Message) frameSize() int { return frameHeaderSize + len(m.ID) + len(m.OrderKey) + len(m.Data) }
 
-func appendFrame(b []byte, m *Message, place uint64, salt uint32) []byte {
-	at := len(b)
+func appendFrame(b []byte, m *Message, sequence uint64, salt uint32) []byte {
+	start := len(b)
 	b = littleEndian.AppendUint32(b, uint32(m.frameSize()))
 	b = littleEndian.AppendUint32(b, 0)
-	b = littleEndian.AppendUint64(b, place)
+	b = littleEndian.AppendUint64(b, sequence)
 	b = littleEndian.AppendUint64(b, uint64(m.Due))
 	b = littleEndian.AppendUint16(b, uint16(len(m.ID)))
 	b = littleEndian.AppendUint16(b, uint16(len(m.OrderKey)))
 	b = append(append(append(b, m.ID...), m.OrderKey...), m.Data...)
-	littleEndian.PutUint32(b[at+4:], crc32.Update(salt, castagnoliTable, b[at+8:]))
+	littleEndian.PutUint32(b[start+4:], crc32.Update(salt, castagnoliTable, b[start+8:]))
 	return b
 }
 
 // readFrame reads the frame that b begins with; its message's data is part of b.
-func decodeFrame(b []byte, salt uint32) (m Message, place uint64, ok bool) {
+func decodeFrame(b []byte, salt uint32) (m Message, sequence uint64, ok bool) {
 	if len(b) < frameHeaderSize {
 		return m, 0, false
 	}
-	n := int64(littleEndian.Uint32(b))
-	id, order := int64(littleEndian.Uint16(b[24:])), int64(littleEndian.Uint16(b[26:]))
-	if n > int64(len(b)) || frameHeaderSize+id+order > n || littleEndian.Uint32(b[4:]) != crc32.Update(salt, castagnoliTable, b[8:n]) {
+	size := int64(littleEndian.Uint32(b))
+	idSize, orderKeySize := int64(littleEndian.Uint16(b[24:])), int64(littleEndian.Uint16(b[26:]))
+	if size > int64(len(b)) || frameHeaderSize+idSize+orderKeySize > size || littleEndian.Uint32(b[4:]) != crc32.Update(salt, castagnoliTable, b[8:size]) {
 		return m, 0, false
 	}
-	at := b[frameHeaderSize:n]
-	m = Message{ID: string(at[:id]), OrderKey: string(at[id : id+order]), Data: at[id+order:], Due: int64(littleEndian.Uint64(b[16:]))}
+	rest := b[frameHeaderSize:size]
+	m = Message{ID: string(rest[:idSize]), OrderKey: string(rest[idSize : idSize+orderKeySize]), Data: rest[idSize+orderKeySize:], Due: int64(littleEndian.Uint64(b[16:]))}
 	return m, littleEndian.Uint64(b[8:]), true
 }
 
--- a/internal/backlog/mend.go
+++ b/internal/backlog/mend.go
@@ -18,104 +18,104 @@
 
 // salvage reads what it can of a segment's two files. The entries say what they know; where they are silent the data is
 // searched for frames, whose messages are in doubt.
-func (s *Store) salvage(seg *state.Segment, index, data []byte) (got salvageResult) {
-	_, head, known, ok := decodeHeader(index, seg.Dest, seg.First)
-	known = known && ok
+func (s *Store) salvage(segment *state.Segment, index, data []byte) (result salvageResult) {
+	_, head, headKnown, ok := decodeHeader(index, segment.Dest, segment.First)
+	headKnown = headKnown && ok
 	var covered []indexEntry // what of the data is spoken for
-	bad, passed := 0, uint32(0)
+	unreadable, removedEnd := 0, uint32(0)
 	for i := 0; int(entryOffset(uint32(i+1))) <= len(index); i++ {
-		before := known && i < int(head)
-		x, ok := decodeEntry(index[entryOffset(uint32(i)):])
+		beforeHead := headKnown && i < int(head)
+		entry, ok := decodeEntry(index[entryOffset(uint32(i)):])
 		switch {
-		case !ok || x.sequence < seg.First:
-			if !before {
-				bad++
+		case !ok || entry.sequence < segment.First:
+			if !beforeHead {
+				unreadable++
 			}
 			continue
 		}
-		got.lastSequence = max(got.lastSequence, x.sequence)
+		result.lastSequence = max(result.lastSequence, entry.sequence)
 		switch {
-		case before || x.removed():
-			if before {
-				passed = max(passed, x.offset+x.length)
+		case beforeHead || entry.removed():
+			if beforeHead {
+				removedEnd = max(removedEnd, entry.offset+entry.length)
 			}
-			covered = append(covered, x)
+			covered = append(covered, entry)
 			continue
-		case int64(x.offset)+int64(x.length) > int64(len(data)):
-			got.lost++
+		case int64(entry.offset)+int64(entry.length) > int64(len(data)):
+			result.lost++
 			continue
-		case !known || x.mark != markLive && x.mark != markInDoubt:
-			got.inDoubt++
-			x.mark = markInDoubt
+		case !headKnown || entry.status != markLive && entry.status != markInDoubt:
+			result.inDoubt++
+			entry.status = markInDoubt
 		}
-		covered = append(covered, x)
-		got.live = append(got.live, x)
+		covered = append(covered, entry)
+		result.live = append(result.live, entry)
 	}
 	seen := map[uint64]bool{}
-	for _, x := range covered {
-		seen[x.sequence] = true
+	for _, entry := range covered {
+		seen[entry.sequence] = true
 	}
 	slices.SortFunc(covered, func(a, b indexEntry) int { return cmp.Compare(a.offset, b.offset) })
 	at, end := uint32(0), uint32(len(data))
-	for _, x := range append(covered, indexEntry{offset: end}) {
-		for _, y := range s.findFrames(seg, data, max(at, passed), min(x.offset, end)) {
-			if !seen[y.sequence] {
-				seen[y.sequence] = true
-				got.live = append(got.live, y)
-				got.lastSequence = max(got.lastSequence, y.sequence)
-				got.inDoubt++
-				bad = max(0, bad-1)
+	for _, entry := range append(covered, indexEntry{offset: end}) {
+		for _, found := range s.findFrames(segment, data, max(at, removedEnd), min(entry.offset, end)) {
+			if !seen[found.sequence] {
+				seen[found.sequence] = true
+				result.live = append(result.live, found)
+				result.lastSequence = max(result.lastSequence, found.sequence)
+				result.inDoubt++
+				unreadable = max(0, unreadable-1)
 			}
 		}
-		at = max(at, x.offset+x.length)
+		at = max(at, entry.offset+entry.length)
 	}
-	got.lost += bad
-	slices.SortFunc(got.live, func(a, b indexEntry) int { return cmp.Compare(a.sequence, b.sequence) })
-	return got
+	result.lost += unreadable
+	slices.SortFunc(result.live, func(a, b indexEntry) int { return cmp.Compare(a.sequence, b.sequence) })
+	return result
 }
 
 // search finds whole frames of a segment in a part of its data.
-func (s *Store) findFrames(seg *state.Segment, data []byte, from, to uint32) (all []indexEntry) {
-	for at := from; at+frameHeaderSize <= to; {
-		m, place, ok := decodeFrame(data[at:to], s.frameSalt)
-		if !ok || place < seg.First || place-seg.First > 1<<32-1 {
-			at++
+func (s *Store) findFrames(segment *state.Segment, data []byte, from, to uint32) (all []indexEntry) {
+	for offset := from; offset+frameHeaderSize <= to; {
+		message, sequence, ok := decodeFrame(data[offset:to], s.frameSalt)
+		if !ok || sequence < segment.First || sequence-segment.First > 1<<32-1 {
+			offset++
 			continue
 		}
-		x := indexEntry{sequence: place, due: m.Due, idHash: saltedHash(s.folderSalt, 'i', seg.Dest, m.ID), offset: at, length: uint32(m.frameSize()), mark: markInDoubt}
-		if m.OrderKey != "" {
-			x.keyHash = saltedHash(s.folderSalt, 'k', 0, m.OrderKey)
+		entry := indexEntry{sequence: sequence, due: message.Due, idHash: saltedHash(s.folderSalt, 'i', segment.Dest, message.ID), offset: offset, length: uint32(message.frameSize()), status: markInDoubt}
+		if message.OrderKey != "" {
+			entry.keyHash = saltedHash(s.folderSalt, 'k', 0, message.OrderKey)
 		}
-		all = append(all, x)
-		at += x.length
+		all = append(all, entry)
+		offset += entry.length
 	}
 	return all
 }
 
 // mend saves what is left of a segment that was found damaged, and reports it.
-func (s *Store) repairSegment(seg *state.Segment) error {
-	index, err := s.folder.readFile(indexFileName(seg))
+func (s *Store) repairSegment(segment *state.Segment) error {
+	index, err := s.folder.readFile(indexFileName(segment))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	data, err := s.folder.readFile(dataFileName(seg))
+	data, err := s.folder.readFile(dataFileName(segment))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	// What is on disk behind what the state knows of is of a call that failed.
-	index = index[:min(int64(len(index)), entryOffset(seg.Entries))]
-	data = data[:min(int64(len(data)), seg.DataBytes)]
-	got := s.salvage(seg, index, data)
-	if lost := int(seg.Live) - len(got.live); lost > got.lost {
-		got.lost = lost
+	index = index[:min(int64(len(index)), entryOffset(segment.Entries))]
+	data = data[:min(int64(len(data)), segment.DataBytes)]
+	result := s.salvage(segment, index, data)
+	if lost := int(segment.Live) - len(result.live); lost > result.lost {
+		result.lost = lost
 	}
-	s.reportSalvage(seg, got, false, "entries that cannot be read")
-	return s.rewriteSegment(seg, got.live, data)
+	s.reportSalvage(segment, result, false, "entries that cannot be read")
+	return s.rewriteSegment(segment, result.live, data)
 }
 
-func (s *Store) reportSalvage(seg *state.Segment, got salvageResult, tail bool, why string) {
-	if got.lost > 0 || got.inDoubt > 0 {
-		s.reportDamage(&DamageError{indexFileName(seg), got.lost, got.inDoubt, tail, why})
+func (s *Store) reportSalvage(segment *state.Segment, result salvageResult, atTail bool, reason string) {
+	if result.lost > 0 || result.inDoubt > 0 {
+		s.reportDamage(&DamageError{indexFileName(segment), result.lost, result.inDoubt, atTail, reason})
 	}
 }
 
@@ -123,23 +123,23 @@
 func (s *Store) rebuildTable() error {
 	s.reportDamage(&DamageError{Segment: tableFileName, Reason: "it was built again"})
 	tmp := tableFileName + ".tmp"
-	t := s.newTable(tmp)
-	t.checkSpace = func(int64) error { return nil } // it takes the place of one as large
-	if err := t.create(); err != nil {
+	rebuilt := s.newTable(tmp)
+	rebuilt.checkSpace = func(int64) error { return nil } // it takes the place of one as large
+	if err := rebuilt.create(); err != nil {
 		return err
 	}
-	told := s.committedSequence
+	committed := s.committedSequence
 	s.committedSequence = s.lastSequence // nothing is being put
-	defer func() { s.committedSequence = told }()
+	defer func() { s.committedSequence = committed }()
 	for dest := range s.state.Dests() {
-		for _, seg := range slices.Clone(s.state.Segments(dest)) {
+		for _, segment := range slices.Clone(s.state.Segments(dest)) {
 			var all []indexEntry
-			err := s.indexes.liveEntries(seg, func(_ uint32, x indexEntry) { all = append(all, x) })
+			err := s.indexes.liveEntries(segment, func(_ uint32, entry indexEntry) { all = append(all, entry) })
 			if err != nil {
 				return err // mended by the caller, who tries again
 			}
 			for i := range all {
-				if err := t.addMessage(dest, &all[i]); err != nil {
+				if err := rebuilt.addMessage(dest, &all[i]); err != nil {
 					return err
 				}
 			}
@@ -148,8 +148,8 @@
 	if err := s.folder.rename(tmp, tableFileName); err != nil {
 		return err
 	}
-	t.fileName, t.checkSpace = tableFileName, s.checkSpace
-	s.table = t
+	rebuilt.fileName, rebuilt.checkSpace = tableFileName, s.checkSpace
+	s.table = rebuilt
 	return nil
 }
 
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -15,33 +15,33 @@
 )
 
 // Open takes up what lies in a folder; it makes the folder if there is none.
-func Open(dir string, o Options) (*Store, error) {
+func Open(dir string, options Options) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, &FileError{"cannot be made", dir, err}
 	}
-	d, err := newFolder(dir, cmp.Or(o.MaxOpenFiles, 16), o.injectFault)
+	folder, err := newFolder(dir, cmp.Or(options.MaxOpenFiles, 16), options.injectFault)
 	if err != nil {
 		return nil, err
 	}
-	e, err := newIndexReader(d)
+	indexes, err := newIndexReader(folder)
 	if err != nil {
 		return nil, err
 	}
-	now := o.now
+	now := options.now
 	if now == nil {
 		now = steady.Now
 	}
-	s := &Store{folder: d, indexes: e, dueLists: map[*state.Segment]dueList{}, now: now,
-		state: state.New(state.Limits{DiskBytes: o.DiskBytes, MinSegmentBytes: cmp.Or(o.MinSegmentBytes, 256<<10), MaxSegmentBytes: cmp.Or(o.MaxSegmentBytes, 4<<20)})}
-	all, left, err := s.listSegments()
+	s := &Store{folder: folder, indexes: indexes, dueLists: map[*state.Segment]dueList{}, now: now,
+		state: state.New(state.Limits{DiskBytes: options.DiskBytes, MinSegmentBytes: cmp.Or(options.MinSegmentBytes, 256<<10), MaxSegmentBytes: cmp.Or(options.MaxSegmentBytes, 4<<20)})}
+	segments, leftovers, err := s.listSegments()
 	if err == nil {
-		err = s.readVersion(all)
+		err = s.readVersion(segments)
 	}
 	if err == nil {
-		err = s.loadAll(all)
+		err = s.loadAll(segments)
 	}
-	for i := 0; err == nil && i < len(left); i++ {
-		err = s.folder.remove(left[i])
+	for i := 0; err == nil && i < len(leftovers); i++ {
+		err = s.folder.remove(leftovers[i])
 	}
 	if err != nil {
 		s.Close()
@@ -57,20 +57,20 @@
 }
 
 // name reads a file's name; last is its generation, -1 for entries.
-func parseFileName(of string) (dest int, first uint64, gen int64, ok bool) {
-	stem, suffix, _ := strings.Cut(of, ".")
+func parseFileName(fileName string) (dest int, first uint64, rewrite int64, ok bool) {
+	stem, suffix, _ := strings.Cut(fileName, ".")
 	if n, err := fmt.Sscanf(stem, "%d-%x", &dest, &first); n != 2 || err != nil {
 		return 0, 0, 0, false
 	}
-	var g uint32
-	if gen = -1; suffix != "idx" {
-		if n, err := fmt.Sscanf(suffix, "%d.dat", &g); n != 1 || err != nil {
+	var number uint32
+	if rewrite = -1; suffix != "idx" {
+		if n, err := fmt.Sscanf(suffix, "%d.dat", &number); n != 1 || err != nil {
 			return 0, 0, 0, false
 		}
-		gen = int64(g)
+		rewrite = int64(number)
 	}
-	seg := &state.Segment{Dest: dest, First: first, Rewrites: g}
-	return dest, first, gen, of == dataFileName(seg) || gen < 0 && of == indexFileName(seg)
+	segment := &state.Segment{Dest: dest, First: first, Rewrites: number}
+	return dest, first, rewrite, fileName == dataFileName(segment) || rewrite < 0 && fileName == indexFileName(segment)
 }
 
 type segmentKey struct {
@@ -79,41 +79,41 @@
 }
 
 // list is the segments that there are files of, and what a kill left half written.
-func (s *Store) listSegments() (all map[segmentKey]*segmentFiles, left []string, err error) {
-	list, err := os.ReadDir(s.folder.dir)
+func (s *Store) listSegments() (segments map[segmentKey]*segmentFiles, leftovers []string, err error) {
+	dirEntries, err := os.ReadDir(s.folder.dir)
 	if err != nil {
 		return nil, nil, s.folder.fileError("cannot be read", "", err)
 	}
-	all = map[segmentKey]*segmentFiles{}
-	for _, f := range list {
+	segments = map[segmentKey]*segmentFiles{}
+	for _, f := range dirEntries {
 		if strings.HasSuffix(f.Name(), ".idx.tmp") {
-			left = append(left, f.Name())
+			leftovers = append(leftovers, f.Name())
 		}
-		dest, first, gen, ok := parseFileName(f.Name())
+		dest, first, rewrite, ok := parseFileName(f.Name())
 		if !ok {
 			continue
 		}
-		k := segmentKey{dest, first}
-		if all[k] == nil {
-			all[k] = &segmentFiles{}
+		key := segmentKey{dest, first}
+		if segments[key] == nil {
+			segments[key] = &segmentFiles{}
 		}
-		if gen < 0 {
-			all[k].hasIndex = true
+		if rewrite < 0 {
+			segments[key].hasIndex = true
 		} else {
-			all[k].rewrites = append(all[k].rewrites, uint32(gen))
+			segments[key].rewrites = append(segments[key].rewrites, uint32(rewrite))
 		}
 	}
-	return all, left, nil
+	return segments, leftovers, nil
 }
 
 // readAll takes up the segments, then the table.
-func (s *Store) loadAll(all map[segmentKey]*segmentFiles) error {
-	sorted := slices.SortedFunc(maps.Keys(all), func(a, b segmentKey) int {
+func (s *Store) loadAll(segments map[segmentKey]*segmentFiles) error {
+	sorted := slices.SortedFunc(maps.Keys(segments), func(a, b segmentKey) int {
 		return cmp.Or(cmp.Compare(a.dest, b.dest), cmp.Compare(a.first, b.first))
 	})
-	for i, k := range sorted {
-		tail := i+1 == len(sorted) || sorted[i+1].dest != k.dest
-		if err := s.loadSegment(&state.Segment{Dest: k.dest, First: k.first, Last: k.first, EarliestDue: noDueTime}, all[k], tail); err != nil {
+	for i, key := range sorted {
+		isTail := i+1 == len(sorted) || sorted[i+1].dest != key.dest
+		if err := s.loadSegment(&state.Segment{Dest: key.dest, First: key.first, Last: key.first, EarliestDue: noDueTime}, segments[key], isTail); err != nil {
 			return err
 		}
 	}
--- a/internal/backlog/out.go
+++ b/internal/backlog/out.go
@@ -10,24 +10,24 @@
 const rewriteHoldOffCalls = 1000
 
 // Out has messages lie here no more; ones that don't are passed over. It is written when it returns.
-func (s *Store) Remove(dest int, places ...uint64) error {
-	return s.withRepair(func() error { return s.remove(dest, places) })
+func (s *Store) Remove(dest int, sequences ...uint64) error {
+	return s.withRepair(func() error { return s.remove(dest, sequences) })
 }
 
-func (s *Store) remove(dest int, places []uint64) error {
+func (s *Store) remove(dest int, sequences []uint64) error {
 	s.rewriteHoldOff = max(0, s.rewriteHoldOff-1)
-	places = slices.Sorted(slices.Values(places))
-	for len(places) > 0 {
-		seg := s.state.SegmentOf(dest, places[0])
-		if seg == nil {
-			places = places[1:]
+	sequences = slices.Sorted(slices.Values(sequences))
+	for len(sequences) > 0 {
+		segment := s.state.SegmentOf(dest, sequences[0])
+		if segment == nil {
+			sequences = sequences[1:]
 			continue
 		}
-		n, _ := slices.BinarySearch(places, seg.Last+1)
-		if err := s.removeFromSegment(seg, places[:n]); err != nil {
+		n, _ := slices.BinarySearch(sequences, segment.Last+1)
+		if err := s.removeFromSegment(segment, sequences[:n]); err != nil {
 			return err
 		}
-		places = places[n:]
+		sequences = sequences[n:]
 	}
 	if s.state.Len() == 0 && s.table.pageCount > 1 {
 		return s.table.create()
@@ -41,63 +41,63 @@
 }
 
 // outOf takes messages out of one segment: the head goes past those in order, the others are marked.
-func (s *Store) removeFromSegment(seg *state.Segment, places []uint64) error {
-	var left []indexedEntry
-	for _, place := range slices.Compact(places) {
-		i, x, ok, err := s.indexes.find(seg, place)
+func (s *Store) removeFromSegment(segment *state.Segment, sequences []uint64) error {
+	var removed []indexedEntry
+	for _, sequence := range slices.Compact(sequences) {
+		i, entry, found, err := s.indexes.find(segment, sequence)
 		if err != nil {
 			return err
 		}
-		if ok && i >= seg.Head && !x.removed() {
-			left = append(left, indexedEntry{i, x})
+		if found && i >= segment.Head && !entry.removed() {
+			removed = append(removed, indexedEntry{i, entry})
 		}
 	}
-	if len(left) == 0 {
+	if len(removed) == 0 {
 		return nil
 	}
-	head, before, gone, n := seg.Head, seg.BytesBeforeHead, seg.RemovedBytes, 0
-	for head < seg.Entries {
-		x, err := s.indexes.entry(seg, head)
+	head, bytesBeforeHead, removedBytes, done := segment.Head, segment.BytesBeforeHead, segment.RemovedBytes, 0
+	for head < segment.Entries {
+		entry, err := s.indexes.entry(segment, head)
 		if err != nil {
 			return err
 		}
 		switch {
-		case n < len(left) && left[n].index == head:
-			n++
-		case x.removed():
-			gone -= int64(x.length)
+		case done < len(removed) && removed[done].index == head:
+			done++
+		case entry.removed():
+			removedBytes -= int64(entry.length)
 		default:
 			goto behind
 		}
-		before += int64(x.length)
+		bytesBeforeHead += int64(entry.length)
 		head++
 	}
 behind:
-	if head != seg.Head {
-		if err := s.folder.write(indexFileName(seg), encodeHead(head), headOffset, false); err != nil {
+	if head != segment.Head {
+		if err := s.folder.write(indexFileName(segment), encodeHead(head), headOffset, false); err != nil {
 			return err
 		}
 	}
 	var err error
-	for n < len(left) && err == nil {
-		if err = s.indexes.markRemoved(seg, left[n].index); err == nil {
-			gone += int64(left[n].length)
-			n++
+	for done < len(removed) && err == nil {
+		if err = s.indexes.markRemoved(segment, removed[done].index); err == nil {
+			removedBytes += int64(removed[done].length)
+			done++
 		}
 	}
-	left = left[:n]
-	what := s.state.RemoveMessages(seg, n, head, before, gone)
-	s.messagesRemoved(seg, left)
-	for _, x := range left {
-		if x.keyHash != 0 && err == nil {
-			err = s.table.adjustKeyCount(x.keyHash, seg.Dest, x.sequence, false)
+	removed = removed[:done]
+	action := s.state.RemoveMessages(segment, done, head, bytesBeforeHead, removedBytes)
+	s.messagesRemoved(segment, removed)
+	for _, entry := range removed {
+		if entry.keyHash != 0 && err == nil {
+			err = s.table.adjustKeyCount(entry.keyHash, segment.Dest, entry.sequence, false)
 		}
 	}
 	switch {
-	case what == state.Drop:
-		s.dropSegment(seg)
-	case what == state.Rewrite && s.rewriteHoldOff == 0 && s.checkSpace(seg.DataBytes-seg.BytesBeforeHead) == nil:
-		if s.compactSegment(seg) != nil {
+	case action == state.Drop:
+		s.dropSegment(segment)
+	case action == state.Rewrite && s.rewriteHoldOff == 0 && s.checkSpace(segment.DataBytes-segment.BytesBeforeHead) == nil:
+		if s.compactSegment(segment) != nil {
 			s.rewriteHoldOff = rewriteHoldOffCalls // the old files stand
 		}
 	}
@@ -105,14 +105,14 @@
 }
 
 // dropped deletes a segment's files. One that stays is deleted at the next start: its head tells that all is gone.
-func (s *Store) dropSegment(seg *state.Segment) {
-	s.dropCaches(seg)
-	s.state.RemoveSegment(seg)
-	s.removeFiles(seg)
+func (s *Store) dropSegment(segment *state.Segment) {
+	s.dropCaches(segment)
+	s.state.RemoveSegment(segment)
+	s.removeFiles(segment)
 }
 
-func (s *Store) removeFiles(seg *state.Segment) {
-	for _, name := range []string{dataFileName(seg), indexFileName(seg)} {
+func (s *Store) removeFiles(segment *state.Segment) {
+	for _, name := range []string{dataFileName(segment), indexFileName(segment)} {
 		if err := s.folder.remove(name); err != nil {
 			s.reportDamage(err)
 		}
@@ -120,44 +120,44 @@
 }
 
 // forget has nothing of a segment's entries be kept in memory.
-func (s *Store) dropCaches(seg *state.Segment) {
-	s.indexes.dropCache(seg)
-	delete(s.dueLists, seg)
+func (s *Store) dropCaches(segment *state.Segment) {
+	s.indexes.dropCache(segment)
+	delete(s.dueLists, segment)
 }
 
 // renew writes a segment anew with what is live.
-func (s *Store) compactSegment(seg *state.Segment) error {
+func (s *Store) compactSegment(segment *state.Segment) error {
 	var live []indexEntry
-	if err := s.indexes.liveEntries(seg, func(_ uint32, x indexEntry) { live = append(live, x) }); err != nil {
+	if err := s.indexes.liveEntries(segment, func(_ uint32, entry indexEntry) { live = append(live, entry) }); err != nil {
 		return err
 	}
-	data := make([]byte, seg.DataBytes)
-	n, err := s.folder.read(dataFileName(seg), data, 0)
+	data := make([]byte, segment.DataBytes)
+	n, err := s.folder.read(dataFileName(segment), data, 0)
 	if err != nil {
 		return err
 	}
-	return s.rewriteSegment(seg, live, data[:n])
+	return s.rewriteSegment(segment, live, data[:n])
 }
 
 // rewrite writes a segment with these messages, whose frames are in data, and tells the state. New data comes beside the old, and
 // is the segment's once the entries name it. None at all drops the segment.
-func (s *Store) rewriteSegment(seg *state.Segment, live []indexEntry, data []byte) error {
+func (s *Store) rewriteSegment(segment *state.Segment, live []indexEntry, data []byte) error {
 	if len(live) == 0 {
-		s.dropSegment(seg)
+		s.dropSegment(segment)
 		return nil
 	}
-	next := *seg
+	next := *segment
 	next.Rewrites++
 	next.Head = 0
 	var frames []byte
 	index := appendHeader(nil, &next, s.folderSalt)
 	due := int64(noDueTime)
-	for _, x := range live {
-		from := x.offset
-		x.offset = uint32(len(frames))
-		frames = append(frames, data[from:from+x.length]...)
-		index = appendEntry(index, &x)
-		due = min(due, x.due)
+	for _, entry := range live {
+		from := entry.offset
+		entry.offset = uint32(len(frames))
+		frames = append(frames, data[from:from+entry.length]...)
+		index = appendEntry(index, &entry)
+		due = min(due, entry.due)
 	}
 	err := s.folder.write(dataFileName(&next), frames, 0, true)
 	if err == nil {
@@ -167,10 +167,10 @@
 		s.folder.remove(dataFileName(&next)) // not named by the entries; else deleted at the next start
 		return err
 	}
-	old := dataFileName(seg)
-	s.dropCaches(seg)
-	s.state.SegmentRewritten(seg, uint32(len(live)), int64(len(frames)))
-	s.state.SetEarliestDue(seg, due)
+	old := dataFileName(segment)
+	s.dropCaches(segment)
+	s.state.SegmentRewritten(segment, uint32(len(live)), int64(len(frames)))
+	s.state.SetEarliestDue(segment, due)
 	if err := s.folder.remove(old); err != nil {
 		s.reportDamage(err)
 	}
--- a/internal/backlog/page.go
+++ b/internal/backlog/page.go
@@ -57,11 +57,11 @@
 	return littleEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
 }
 
-func decodePage(b []byte, at uint32) (p page, ok bool) {
+func decodePage(b []byte, index uint32) (p page, ok bool) {
 	if littleEndian.Uint32(b) != pageMagic || littleEndian.Uint32(b[28:]) != crc32.Checksum(b[:28], castagnoliTable) {
 		return p, false
 	}
-	p = page{littleEndian.Uint32(b[4:]), littleEndian.Uint64(b[8:]), littleEndian.Uint64(b[16:]), at}
+	p = page{littleEndian.Uint32(b[4:]), littleEndian.Uint64(b[8:]), littleEndian.Uint64(b[16:]), index}
 	return p, p.depth <= maxDepth && p.prefix<<p.depth == 0
 }
 
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -7,108 +7,108 @@
 
 // Next is the oldest that lie here for a destination, in order: at most n, and of so many bytes, but one if there is any.
 // They stay.
-func (s *Store) Next(dest, n, bytes int) (all []StoredMessage, err error) {
+func (s *Store) Next(dest, maxMessages, maxBytes int) (all []StoredMessage, err error) {
 	err = s.withRepair(func() error {
-		all, err = s.next(dest, n, bytes)
+		all, err = s.next(dest, maxMessages, maxBytes)
 		return err
 	})
 	return all, err
 }
 
-func (s *Store) next(dest, n, bytes int) (all []StoredMessage, err error) {
-	var lost []uint64
-	defer func() { err = errors.Join(err, s.removeUnreadable(dest, lost)) }()
-	for _, seg := range s.state.Segments(dest) {
-		for i := seg.Head; i < seg.Entries; i++ {
-			if len(all) >= n {
+func (s *Store) next(dest, maxMessages, bytesLeft int) (all []StoredMessage, err error) {
+	var unreadable []uint64
+	defer func() { err = errors.Join(err, s.removeUnreadable(dest, unreadable)) }()
+	for _, segment := range s.state.Segments(dest) {
+		for i := segment.Head; i < segment.Entries; i++ {
+			if len(all) >= maxMessages {
 				return all, nil
 			}
-			x, err := s.indexes.entry(seg, i)
+			entry, err := s.indexes.entry(segment, i)
 			if err != nil {
 				return nil, err
 			}
-			if x.removed() {
+			if entry.removed() {
 				continue
 			}
-			if bytes -= int(x.length); bytes < 0 && len(all) > 0 {
+			if bytesLeft -= int(entry.length); bytesLeft < 0 && len(all) > 0 {
 				return all, nil
 			}
-			h, err := s.readMessage(seg, x)
+			message, err := s.readMessage(segment, entry)
 			if errors.Is(err, errDamagedFrame) {
-				s.reportDamage(&DamageError{Segment: dataFileName(seg), Lost: 1, Reason: "a message cannot be read"})
-				lost = append(lost, x.sequence)
+				s.reportDamage(&DamageError{Segment: dataFileName(segment), Lost: 1, Reason: "a message cannot be read"})
+				unreadable = append(unreadable, entry.sequence)
 				continue
 			}
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, h)
+			all = append(all, message)
 		}
 	}
 	return all, nil
 }
 
 // drop has messages be gone that cannot be read. Were it not written, they would be reported again.
-func (s *Store) removeUnreadable(dest int, lost []uint64) error {
-	if len(lost) == 0 {
+func (s *Store) removeUnreadable(dest int, sequences []uint64) error {
+	if len(sequences) == 0 {
 		return nil
 	}
-	return s.remove(dest, lost)
+	return s.remove(dest, sequences)
 }
 
 // Find is a destination's message by its id.
-func (s *Store) Find(dest int, id string) (h StoredMessage, ok bool, err error) {
+func (s *Store) Find(dest int, id string) (message StoredMessage, ok bool, err error) {
 	err = s.withRepair(func() error {
-		h, ok, err = s.find(dest, id)
+		message, ok, err = s.find(dest, id)
 		return err
 	})
-	return h, ok, err
+	return message, ok, err
 }
 
-func (s *Store) find(dest int, id string) (h StoredMessage, ok bool, err error) {
+func (s *Store) find(dest int, id string) (message StoredMessage, ok bool, err error) {
 	if s.state.LenOf(dest) == 0 {
-		return h, false, nil
+		return message, false, nil
 	}
-	var lost []uint64
+	var unreadable []uint64
 	hash := saltedHash(s.folderSalt, 'i', dest, id)
-	var places []uint64
+	var sequences []uint64
 	if err := s.table.find(hash, func(t slot, _ int64) bool {
 		if t.count == 0 && t.dest == dest {
-			places = append(places, t.sequence)
+			sequences = append(sequences, t.sequence)
 		}
 		return true
 	}); err != nil {
-		return h, false, err
+		return message, false, err
 	}
-	for _, place := range places {
-		seg := s.state.SegmentOf(dest, place)
-		if seg == nil {
+	for _, sequence := range sequences {
+		segment := s.state.SegmentOf(dest, sequence)
+		if segment == nil {
 			continue
 		}
-		i, x, have, err := s.indexes.find(seg, place)
+		i, entry, found, err := s.indexes.find(segment, sequence)
 		if err != nil {
-			return h, false, err
+			return message, false, err
 		}
-		if !have || i < seg.Head || x.removed() || x.idHash != hash {
+		if !found || i < segment.Head || entry.removed() || entry.idHash != hash {
 			continue
 		}
-		h, err = s.readMessage(seg, x)
+		message, err = s.readMessage(segment, entry)
 		if errors.Is(err, errDamagedFrame) {
-			s.reportDamage(&DamageError{Segment: dataFileName(seg), Lost: 1, Reason: "a message cannot be read"})
-			lost = append(lost, place)
+			s.reportDamage(&DamageError{Segment: dataFileName(segment), Lost: 1, Reason: "a message cannot be read"})
+			unreadable = append(unreadable, sequence)
 			continue
 		}
-		if err != nil || h.ID == id {
-			return h, err == nil, err
+		if err != nil || message.ID == id {
+			return message, err == nil, err
 		}
 	}
-	return StoredMessage{}, false, s.removeUnreadable(dest, lost)
+	return StoredMessage{}, false, s.removeUnreadable(dest, unreadable)
 }
 
 // Key tells which destination has messages of an ordered class's key here. After a kill or damage it may name one for too long, until
 // what lies there has gone up to where the key's newest would be.
-func (s *Store) DestOfKey(order string) (dest int, ok bool) {
-	hash := saltedHash(s.folderSalt, 'k', 0, order)
+func (s *Store) DestOfKey(orderKey string) (dest int, ok bool) {
+	hash := saltedHash(s.folderSalt, 'k', 0, orderKey)
 	err := s.withRepair(func() error {
 		ok = false
 		return s.table.find(hash, func(t slot, _ int64) bool {
@@ -136,13 +136,13 @@
 }
 
 // mending runs what reads, and once more after what it found damaged has been mended.
-func (s *Store) withRepair(f func() error) error {
+func (s *Store) withRepair(operation func() error) error {
 	for range 4 {
-		err := f()
-		var b *damagedSegmentError
+		err := operation()
+		var damaged *damagedSegmentError
 		switch {
-		case errors.As(err, &b):
-			if err := s.repairSegment(b.segment); err != nil {
+		case errors.As(err, &damaged):
+			if err := s.repairSegment(damaged.segment); err != nil {
 				return err
 			}
 		case errors.Is(err, errDamagedTable):
@@ -180,17 +180,17 @@
 
 // damaged notes what was found; of the same kind in one segment as one.
 func (s *Store) reportDamage(err error) {
-	d, ok := err.(*DamageError)
+	damage, ok := err.(*DamageError)
 	if ok {
-		for _, have := range s.damageReports {
-			if h, ok := have.(*DamageError); ok && h.Segment == d.Segment && h.Reason == d.Reason && h.AtTail == d.AtTail {
-				h.Lost += d.Lost
-				h.InDoubt += d.InDoubt
+		for _, report := range s.damageReports {
+			if earlier, ok := report.(*DamageError); ok && earlier.Segment == damage.Segment && earlier.Reason == damage.Reason && earlier.AtTail == damage.AtTail {
+				earlier.Lost += damage.Lost
+				earlier.InDoubt += damage.InDoubt
 				return
 			}
 		}
 	}
-	if len(s.damageReports) < maxDamageReports || ok && d.Lost+d.InDoubt > 0 {
+	if len(s.damageReports) < maxDamageReports || ok && damage.Lost+damage.InDoubt > 0 {
 		s.damageReports = append(s.damageReports, err)
 	}
 }
--- a/internal/backlog/split.go
+++ b/internal/backlog/split.go
@@ -6,20 +6,20 @@
 // it has to. New pages are written before the old one is given up.
 func (t *table) makeSpace(hash uint64, split bool) error {
 	old := t.directory[t.directoryIndex(hash)]
-	b := make([]byte, pageSize)
-	if n, err := t.folder.read(t.fileName, b, int64(old)*pageSize); err != nil {
+	buffer := make([]byte, pageSize)
+	if n, err := t.folder.read(t.fileName, buffer, int64(old)*pageSize); err != nil {
 		return err
 	} else if n < pageSize {
 		return errDamagedTable
 	}
-	p, ok := decodePage(b, old)
-	if !ok || p.depth > t.depth || p.depth+2 > maxDepth {
+	full, ok := decodePage(buffer, old)
+	if !ok || full.depth > t.depth || full.depth+2 > maxDepth {
 		return errDamagedTable
 	}
 	var live []slot
-	for b = b[slotSize:]; len(b) > 0; b = b[slotSize:] {
-		s, ok := decodeSlot(b)
-		if !ok || s.hash != 0 && p.depth > 0 && (s.hash^p.prefix)>>(64-p.depth) != 0 {
+	for buffer = buffer[slotSize:]; len(buffer) > 0; buffer = buffer[slotSize:] {
+		s, ok := decodeSlot(buffer)
+		if !ok || s.hash != 0 && full.depth > 0 && (s.hash^full.prefix)>>(64-full.depth) != 0 {
 			return errDamagedTable
 		}
 		if s.hash != 0 && t.needed(s) {
@@ -31,43 +31,43 @@
 		bits = 0
 	}
 	next := make([]page, 1<<bits)
-	if need := len(next) - len(t.freePages); need > 0 {
-		if err := t.checkSpace(int64(need) * pageSize); err != nil {
+	if newPages := len(next) - len(t.freePages); newPages > 0 {
+		if err := t.checkSpace(int64(newPages) * pageSize); err != nil {
 			return err
 		}
 	}
 	for i := range next {
-		n := page{depth: p.depth + bits, prefix: p.prefix, index: t.allocatePage()}
+		n := page{depth: full.depth + bits, prefix: full.prefix, index: t.allocatePage()}
 		if n.depth > 0 {
 			n.prefix |= uint64(i) << (64 - n.depth)
 		}
 		t.lastPageSequence++
 		n.sequence = t.lastPageSequence
-		mine := slices.DeleteFunc(slices.Clone(live), func(s slot) bool {
+		slots := slices.DeleteFunc(slices.Clone(live), func(s slot) bool {
 			return n.depth > 0 && (s.hash^n.prefix)>>(64-n.depth) != 0
 		})
-		if next[i] = n; len(mine) > slotsPerPage-maxProbes {
+		if next[i] = n; len(slots) > slotsPerPage-maxProbes {
 			return errDamagedTable
 		}
-		if err := t.folder.write(t.fileName, n.encode(mine), int64(n.index)*pageSize, false); err != nil {
+		if err := t.folder.write(t.fileName, n.encode(slots), int64(n.index)*pageSize, false); err != nil {
 			return t.undoPages(next[:i+1], err)
 		}
 	}
 	if err := t.freePage(old); err != nil {
 		return t.undoPages(next, err)
 	}
-	for t.depth < p.depth+bits {
+	for t.depth < full.depth+bits {
 		t.depth++
-		twice := make([]uint32, 0, 2*len(t.directory))
+		doubled := make([]uint32, 0, 2*len(t.directory))
 		for _, at := range t.directory {
-			twice = append(twice, at, at)
+			doubled = append(doubled, at, at)
 		}
-		t.directory = twice
+		t.directory = doubled
 	}
 	for _, n := range next {
-		of := t.directoryRange(n)
-		for i := range of {
-			of[i] = n.index
+		entries := t.directoryRange(n)
+		for i := range entries {
+			entries[i] = n.index
 		}
 	}
 	return nil
@@ -86,9 +86,9 @@
 // take is a page that is free, or one more at the end.
 func (t *table) allocatePage() uint32 {
 	if n := len(t.freePages); n > 0 {
-		at := t.freePages[n-1]
+		index := t.freePages[n-1]
 		t.freePages = t.freePages[:n-1]
-		return at
+		return index
 	}
 	t.pageCount++
 	t.sizeChanged(int64(t.pageCount) * pageSize)
--- a/internal/backlog/state/loads.go
+++ b/internal/backlog/state/loads.go
@@ -9,11 +9,11 @@
 type destLoads map[int]Load
 
 // with are loads with so much more of a destination.
-func (l destLoads) plus(dest, n, bytes int) destLoads {
+func (l destLoads) plus(dest, messages, bytes int) destLoads {
 	if l == nil {
 		l = destLoads{}
 	}
-	if l[dest] = (Load{l[dest].Messages + n, l[dest].Bytes + bytes}); l[dest].Messages == 0 {
+	if l[dest] = (Load{l[dest].Messages + messages, l[dest].Bytes + bytes}); l[dest].Messages == 0 {
 		delete(l, dest)
 	}
 	return l
@@ -45,10 +45,10 @@
 
 // turn forgets what was served before the last second.
 func (w *Window) advance(now time.Duration) {
-	if s := now.Truncate(time.Second); s > w.secondStart {
-		if w.servedBefore, w.servedNow = w.servedNow, nil; s > w.secondStart+time.Second {
+	if second := now.Truncate(time.Second); second > w.secondStart {
+		if w.servedBefore, w.servedNow = w.servedNow, nil; second > w.secondStart+time.Second {
 			w.servedBefore = nil
 		}
-		w.secondStart = s
+		w.secondStart = second
 	}
 }
--- a/internal/backlog/state/state.go
+++ b/internal/backlog/state/state.go
@@ -73,41 +73,41 @@
 // Size is what a segment's files take of the budget.
 func (s *Segment) FileBytes() int64 { return fileBytes(s.Entries, s.DataBytes) }
 
-func fileBytes(entries uint32, data int64) int64 {
-	return roundUpToBlocks(HeaderSize+EntrySize*int64(entries)) + roundUpToBlocks(data)
+func fileBytes(entries uint32, dataBytes int64) int64 {
+	return roundUpToBlocks(HeaderSize+EntrySize*int64(entries)) + roundUpToBlocks(dataBytes)
 }
 
 // Growth is by how much a segment's files grow with so many more entries and bytes of data. For one that is not there yet, a zero Segment's files count whole.
-func Growth(s *Segment, fresh bool, entries uint32, data int64) int64 {
-	g := fileBytes(s.Entries+entries, s.DataBytes+data)
-	if !fresh {
-		g -= s.FileBytes()
+func Growth(segment *Segment, isNew bool, entries uint32, dataBytes int64) int64 {
+	growth := fileBytes(segment.Entries+entries, segment.DataBytes+dataBytes)
+	if !isNew {
+		growth -= segment.FileBytes()
 	}
-	return g
+	return growth
 }
 
 // Tail is the segment that takes a destination's next message; nil if one is to be begun. To it will have come, of what is not
 // told yet, so many bytes.
-func (b *State) Tail(dest int, place uint64, planned int64) *Segment {
+func (b *State) Tail(dest int, sequence uint64, planned int64) *Segment {
 	q := b.queues[dest]
 	if q == nil {
 		return nil
 	}
 	s := q.segments[len(q.segments)-1]
-	if !b.Accepts(s, place, planned) {
+	if !b.Accepts(s, sequence, planned) {
 		return nil
 	}
 	return s
 }
 
 // Takes tells whether a segment that will have so many bytes more than told takes a message of that place. One grows up to a quarter of its destination's data.
-func (b *State) Accepts(s *Segment, place uint64, planned int64) bool {
-	var data int64
+func (b *State) Accepts(s *Segment, sequence uint64, planned int64) bool {
+	var destBytes int64
 	if q := b.queues[s.Dest]; q != nil {
-		data = q.dataBytes
+		destBytes = q.dataBytes
 	}
-	most := min(max(b.limits.MinSegmentBytes, (data+planned)/4), b.limits.MaxSegmentBytes)
-	return s.DataBytes+planned < most && place-s.First <= math.MaxUint32
+	maxBytes := min(max(b.limits.MinSegmentBytes, (destBytes+planned)/4), b.limits.MaxSegmentBytes)
+	return s.DataBytes+planned < maxBytes && sequence-s.First <= math.MaxUint32
 }
 
 // Begin adds a segment, with what it holds.
@@ -127,13 +127,13 @@
 }
 
 // Grow tells of one more message in a segment.
-func (b *State) AddMessage(s *Segment, place uint64, due, bytes int64) {
+func (b *State) AddMessage(s *Segment, sequence uint64, due, bytes int64) {
 	q := b.queues[s.Dest]
 	b.segmentBytes -= s.FileBytes()
 	s.Entries++
 	s.Live++
 	s.DataBytes += bytes
-	s.Last = place
+	s.Last = sequence
 	q.messages++
 	q.dataBytes += bytes
 	b.messages++
@@ -145,29 +145,29 @@
 
 // Leave tells that live messages have left a segment: how many, where its head is now, how many bytes are before that, and how
 // many behind it are gone. It tells what is to be done: one whose data is half gone out of order is worth writing anew, which copies less than what went.
-func (b *State) RemoveMessages(s *Segment, n int, head uint32, before, gone int64) Action {
+func (b *State) RemoveMessages(s *Segment, removed int, head uint32, bytesBeforeHead, removedBytes int64) Action {
 	q := b.queues[s.Dest]
-	s.Live -= uint32(n)
-	s.Head, s.BytesBeforeHead, s.RemovedBytes = head, before, gone
-	q.messages -= n
-	b.messages -= n
+	s.Live -= uint32(removed)
+	s.Head, s.BytesBeforeHead, s.RemovedBytes = head, bytesBeforeHead, removedBytes
+	q.messages -= removed
+	b.messages -= removed
 	switch {
 	case s.Live == 0:
 		return Drop
-	case 2*gone > s.DataBytes-before && gone >= b.limits.MinSegmentBytes/4:
+	case 2*removedBytes > s.DataBytes-bytesBeforeHead && removedBytes >= b.limits.MinSegmentBytes/4:
 		return Rewrite
 	}
 	return Keep
 }
 
 // Renewed tells that a segment has been written anew with what is live of it alone.
-func (b *State) SegmentRewritten(s *Segment, live uint32, data int64) {
+func (b *State) SegmentRewritten(s *Segment, live uint32, dataBytes int64) {
 	q := b.queues[s.Dest]
 	b.segmentBytes -= s.FileBytes()
-	q.dataBytes += data - s.DataBytes
+	q.dataBytes += dataBytes - s.DataBytes
 	q.messages -= int(s.Live) - int(live)
 	b.messages -= int(s.Live) - int(live)
-	s.Entries, s.Live, s.DataBytes, s.Head, s.BytesBeforeHead, s.RemovedBytes = live, live, data, 0, 0, 0
+	s.Entries, s.Live, s.DataBytes, s.Head, s.BytesBeforeHead, s.RemovedBytes = live, live, dataBytes, 0, 0, 0
 	s.Rewrites++
 	b.segmentBytes += s.FileBytes()
 }
@@ -196,22 +196,22 @@
 }
 
 // Of is the segment that a place would be in; nil if there is none.
-func (b *State) SegmentOf(dest int, place uint64) *Segment {
+func (b *State) SegmentOf(dest int, sequence uint64) *Segment {
 	all := b.Segments(dest)
-	i, ok := slices.BinarySearchFunc(all, place, compareFirst)
+	i, ok := slices.BinarySearchFunc(all, sequence, compareFirst)
 	if !ok {
 		i--
 	}
-	if i < 0 || place > all[i].Last {
+	if i < 0 || sequence > all[i].Last {
 		return nil
 	}
 	return all[i]
 }
 
 // Begun tells whether a destination has anything as old as a place.
-func (b *State) HasSegmentUpTo(dest int, place uint64) bool {
+func (b *State) HasSegmentUpTo(dest int, sequence uint64) bool {
 	all := b.Segments(dest)
-	return len(all) > 0 && all[0].First <= place
+	return len(all) > 0 && all[0].First <= sequence
 }
 
 // Room is what is left of the budget; less than none if it was larger before.
@@ -237,11 +237,11 @@
 // Dests are the destinations that have any.
 func (b *State) Dests() iter.Seq[int] { return maps.Keys(b.queues) }
 
-func compareFirst(s *Segment, place uint64) int {
+func compareFirst(s *Segment, sequence uint64) int {
 	switch {
-	case s.First < place:
+	case s.First < sequence:
 		return -1
-	case s.First > place:
+	case s.First > sequence:
 		return 1
 	}
 	return 0
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -35,53 +35,53 @@
 }
 
 // Put takes messages on, whole or not at all. They are written when it returns.
-func (s *Store) Put(ms ...Message) error {
+func (s *Store) Put(messages ...Message) error {
 	for len(s.partialWrites) > 0 {
 		if err := s.undoWrite(s.partialWrites[0]); err != nil {
 			return err
 		}
 		s.partialWrites = s.partialWrites[1:]
 	}
-	return s.withRepair(func() error { return s.put(ms) })
+	return s.withRepair(func() error { return s.put(messages) })
 }
 
-func (s *Store) put(ms []Message) error {
-	parts, err := s.planWrites(ms)
+func (s *Store) put(messages []Message) error {
+	writes, err := s.planWrites(messages)
 	if err != nil {
 		return err
 	}
-	var need int64
-	for _, p := range parts {
-		need += state.Growth(p.segment, p.create, uint32(len(p.entries)), int64(len(p.frames)))
+	var neededBytes int64
+	for _, write := range writes {
+		neededBytes += state.Growth(write.segment, write.create, uint32(len(write.entries)), int64(len(write.frames)))
 	}
-	if err := s.checkSpace(need); err != nil {
+	if err := s.checkSpace(neededBytes); err != nil {
 		return err
 	}
-	if err := s.addToTable(parts); err != nil {
+	if err := s.addToTable(writes); err != nil {
 		return err
 	}
-	for i, p := range parts {
-		if err := s.writeToSegment(p); err != nil {
-			err = errors.Join(err, s.releaseKeys(parts))
-			for _, p := range parts[:i+1] {
-				if s.undoWrite(p) != nil {
-					s.partialWrites = append(s.partialWrites, p) // the next call has to, before anything else
+	for i, write := range writes {
+		if err := s.writeToSegment(write); err != nil {
+			err = errors.Join(err, s.releaseKeys(writes))
+			for _, write := range writes[:i+1] {
+				if s.undoWrite(write) != nil {
+					s.partialWrites = append(s.partialWrites, write) // the next call has to, before anything else
 				}
 			}
 			return err
 		}
 	}
-	for _, p := range parts {
-		if p.create {
-			s.state.AddSegment(p.segment)
+	for _, write := range writes {
+		if write.create {
+			s.state.AddSegment(write.segment)
 		}
-		from := p.segment.Entries
-		for _, e := range p.entries {
-			s.state.AddMessage(p.segment, e.sequence, e.due, int64(e.length))
-			s.messageAdded(p.segment, e.due)
+		from := write.segment.Entries
+		for _, entry := range write.entries {
+			s.state.AddMessage(write.segment, entry.sequence, entry.due, int64(entry.length))
+			s.messageAdded(write.segment, entry.due)
 		}
-		if !p.create {
-			s.indexes.updateCache(p.segment, from, p.index)
+		if !write.create {
+			s.indexes.updateCache(write.segment, from, write.index)
 		}
 	}
 	s.committedSequence = s.lastSequence
@@ -89,60 +89,60 @@
 }
 
 // plan shares messages out to segments.
-func (s *Store) planWrites(ms []Message) ([]*segmentWrite, error) {
-	var parts []*segmentWrite
-	of := map[int]*segmentWrite{}
-	for i := range ms {
-		m := &ms[i]
-		if err := m.checkSize(); err != nil {
+func (s *Store) planWrites(messages []Message) ([]*segmentWrite, error) {
+	var writes []*segmentWrite
+	lastWrite := map[int]*segmentWrite{}
+	for i := range messages {
+		message := &messages[i]
+		if err := message.checkSize(); err != nil {
 			return nil, err
 		}
 		s.lastSequence++
-		p := of[m.Dest]
-		if p == nil || !s.state.Accepts(p.segment, s.lastSequence, int64(len(p.frames))) {
-			seg := (*state.Segment)(nil)
-			if p == nil {
-				seg = s.state.Tail(m.Dest, s.lastSequence, 0)
+		write := lastWrite[message.Dest]
+		if write == nil || !s.state.Accepts(write.segment, s.lastSequence, int64(len(write.frames))) {
+			segment := (*state.Segment)(nil)
+			if write == nil {
+				segment = s.state.Tail(message.Dest, s.lastSequence, 0)
 			}
-			p = &segmentWrite{segment: seg, create: seg == nil}
-			if p.create {
-				p.segment = &state.Segment{Dest: m.Dest, First: s.lastSequence, Last: s.lastSequence, EarliestDue: noDueTime}
-				p.index = appendHeader(nil, p.segment, s.folderSalt)
+			write = &segmentWrite{segment: segment, create: segment == nil}
+			if write.create {
+				write.segment = &state.Segment{Dest: message.Dest, First: s.lastSequence, Last: s.lastSequence, EarliestDue: noDueTime}
+				write.index = appendHeader(nil, write.segment, s.folderSalt)
 			}
-			of[m.Dest] = p
-			parts = append(parts, p)
+			lastWrite[message.Dest] = write
+			writes = append(writes, write)
 		}
-		e := indexEntry{sequence: s.lastSequence, due: m.Due, idHash: saltedHash(s.folderSalt, 'i', m.Dest, m.ID), offset: uint32(p.segment.DataBytes) + uint32(len(p.frames)),
-			length: uint32(m.frameSize()), mark: markLive}
-		if m.OrderKey != "" {
-			e.keyHash = saltedHash(s.folderSalt, 'k', 0, m.OrderKey)
+		entry := indexEntry{sequence: s.lastSequence, due: message.Due, idHash: saltedHash(s.folderSalt, 'i', message.Dest, message.ID), offset: uint32(write.segment.DataBytes) + uint32(len(write.frames)),
+			length: uint32(message.frameSize()), status: markLive}
+		if message.OrderKey != "" {
+			entry.keyHash = saltedHash(s.folderSalt, 'k', 0, message.OrderKey)
 		}
-		p.entries = append(p.entries, e)
-		p.index = appendEntry(p.index, &e)
-		p.frames = appendFrame(p.frames, m, s.lastSequence, s.frameSalt)
+		write.entries = append(write.entries, entry)
+		write.index = appendEntry(write.index, &entry)
+		write.frames = appendFrame(write.frames, message, s.lastSequence, s.frameSalt)
 	}
-	return parts, nil
+	return writes, nil
 }
 
 // roomFor tells whether the files may grow by so much.
 func (s *Store) checkSpace(bytes int64) error {
-	if room := s.state.FreeBytes(); bytes > room {
-		wait := time.Second
-		if seg := s.state.Earliest(); seg != nil {
-			wait = min(max(wait, time.UnixMilli(seg.EarliestDue).Sub(s.now())), time.Minute)
+	if free := s.state.FreeBytes(); bytes > free {
+		retryAfter := time.Second
+		if segment := s.state.Earliest(); segment != nil {
+			retryAfter = min(max(retryAfter, time.UnixMilli(segment.EarliestDue).Sub(s.now())), time.Minute)
 		}
-		return &FullError{bytes, max(0, room), wait}
+		return &FullError{bytes, max(0, free), retryAfter}
 	}
 	return nil
 }
 
 // index notes in the table where messages are about to be.
-func (s *Store) addToTable(parts []*segmentWrite) error {
-	for i, p := range parts {
-		for j := range p.entries {
-			if err := s.table.addMessage(p.segment.Dest, &p.entries[j]); err != nil {
-				p.entries = p.entries[:j]
-				return errors.Join(err, s.releaseKeys(parts[:i+1]))
+func (s *Store) addToTable(writes []*segmentWrite) error {
+	for i, write := range writes {
+		for j := range write.entries {
+			if err := s.table.addMessage(write.segment.Dest, &write.entries[j]); err != nil {
+				write.entries = write.entries[:j]
+				return errors.Join(err, s.releaseKeys(writes[:i+1]))
 			}
 		}
 	}
@@ -150,11 +150,11 @@
 }
 
 // unkey has messages that are not taken on count for their keys no more.
-func (s *Store) releaseKeys(parts []*segmentWrite) (err error) {
-	for _, p := range parts {
-		for _, e := range p.entries {
-			if e.keyHash != 0 {
-				err = errors.Join(err, s.table.adjustKeyCount(e.keyHash, p.segment.Dest, e.sequence, false))
+func (s *Store) releaseKeys(writes []*segmentWrite) (err error) {
+	for _, write := range writes {
+		for _, entry := range write.entries {
+			if entry.keyHash != 0 {
+				err = errors.Join(err, s.table.adjustKeyCount(entry.keyHash, write.segment.Dest, entry.sequence, false))
 			}
 		}
 	}
@@ -162,23 +162,23 @@
 }
 
 // add writes a part: entries first, so that a frame without one is never a kill's work.
-func (s *Store) writeToSegment(p *segmentWrite) error {
-	at := int64(0)
-	if !p.create {
-		at = entryOffset(p.segment.Entries)
+func (s *Store) writeToSegment(write *segmentWrite) error {
+	offset := int64(0)
+	if !write.create {
+		offset = entryOffset(write.segment.Entries)
 	}
-	if err := s.folder.write(indexFileName(p.segment), p.index, at, p.create); err != nil {
+	if err := s.folder.write(indexFileName(write.segment), write.index, offset, write.create); err != nil {
 		return err
 	}
-	return s.folder.write(dataFileName(p.segment), p.frames, p.segment.DataBytes, p.create)
+	return s.folder.write(dataFileName(write.segment), write.frames, write.segment.DataBytes, write.create)
 }
 
 // undo takes a part back that may have been written; data first, for the same reason.
-func (s *Store) undoWrite(p *segmentWrite) error {
-	if p.create {
-		return errors.Join(s.folder.remove(dataFileName(p.segment)), s.folder.remove(indexFileName(p.segment)))
+func (s *Store) undoWrite(write *segmentWrite) error {
+	if write.create {
+		return errors.Join(s.folder.remove(dataFileName(write.segment)), s.folder.remove(indexFileName(write.segment)))
 	}
-	return errors.Join(s.folder.truncate(dataFileName(p.segment), p.segment.DataBytes), s.folder.truncate(indexFileName(p.segment), entryOffset(p.segment.Entries)))
+	return errors.Join(s.folder.truncate(dataFileName(write.segment), write.segment.DataBytes), s.folder.truncate(indexFileName(write.segment), entryOffset(write.segment.Entries)))
 }
 
 // Close gives the files up.
--- a/internal/backlog/table.go
+++ b/internal/backlog/table.go
@@ -47,13 +47,13 @@
 // load reads the headers of all pages of a file of that size.
 func (t *table) load(size int64) error {
 	t.pageCount, t.freePages = uint32(size/pageSize), nil
-	var all []page
+	var pages []page
 	for at := range t.pageCount {
 		if _, err := t.folder.read(t.fileName, t.buffer[:slotSize], int64(at)*pageSize); err != nil {
 			return err
 		}
 		if p, ok := decodePage(t.buffer[:], at); ok {
-			all = append(all, p)
+			pages = append(pages, p)
 			t.depth = max(t.depth, p.depth)
 			t.lastPageSequence = max(t.lastPageSequence, p.sequence)
 		} else {
@@ -61,22 +61,22 @@
 		}
 	}
 	// A kill as a page was split leaves both it and what it was split into: it counts, the others may be half.
-	slices.SortFunc(all, func(a, b page) int { return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.sequence, b.sequence)) })
-	if t.depth > 0 && int64(len(all))<<8 < 1<<t.depth {
+	slices.SortFunc(pages, func(a, b page) int { return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.sequence, b.sequence)) })
+	if t.depth > 0 && int64(len(pages))<<8 < 1<<t.depth {
 		return errDamagedTable // deeper than a table with so few pages grows: not written by this program
 	}
 	const none = ^uint32(0)
 	t.directory = slices.Repeat([]uint32{none}, 1<<t.depth)
-	for _, p := range all {
-		of := t.directoryRange(p)
-		if slices.ContainsFunc(of, func(at uint32) bool { return at != none }) {
+	for _, p := range pages {
+		entries := t.directoryRange(p)
+		if slices.ContainsFunc(entries, func(at uint32) bool { return at != none }) {
 			if err := t.freePage(p.index); err != nil {
 				return err
 			}
 			continue
 		}
-		for i := range of {
-			of[i] = p.index
+		for i := range entries {
+			entries[i] = p.index
 		}
 	}
 	if slices.Contains(t.directory, none) {
@@ -87,9 +87,9 @@
 }
 
 // span is the part of the directory that leads to a page.
-func (t *table) directoryRange(p page) []uint32 {
-	from := t.directoryIndex(p.prefix)
-	return t.directory[from : from+1<<(t.depth-p.depth)]
+func (t *table) directoryRange(page page) []uint32 {
+	from := t.directoryIndex(page.prefix)
+	return t.directory[from : from+1<<(t.depth-page.depth)]
 }
 
 func (t *table) directoryIndex(hash uint64) uint64 {
@@ -99,23 +99,23 @@
 	return hash >> (64 - t.depth)
 }
 
-func (t *table) freePage(at uint32) error {
-	if err := t.folder.write(t.fileName, make([]byte, slotSize), int64(at)*pageSize, false); err != nil {
+func (t *table) freePage(index uint32) error {
+	if err := t.folder.write(t.fileName, make([]byte, slotSize), int64(index)*pageSize, false); err != nil {
 		return err
 	}
-	t.freePages = append(t.freePages, at)
+	t.freePages = append(t.freePages, index)
 	return nil
 }
 
 // walk yields the slots from a hash's first on, up to a free one or until it has enough; with each, where it is in the file.
-func (t *table) probe(hash uint64, most int, yield func(slot, int64) bool) error {
+func (t *table) probe(hash uint64, maxSlots int, yield func(slot, int64) bool) error {
 	if t.unusable {
 		return errDamagedTable
 	}
 	page := int64(t.directory[t.directoryIndex(hash)]) * pageSize
-	for i, n := hash%slotsPerPage, 0; n < most; {
-		k := min(slotsPerRead, slotsPerPage-i)
-		b := t.buffer[:k*slotSize]
+	for i, probed := hash%slotsPerPage, 0; probed < maxSlots; {
+		count := min(slotsPerRead, slotsPerPage-i)
+		b := t.buffer[:count*slotSize]
 		got, err := t.folder.read(t.fileName, b, page+int64(i+1)*slotSize)
 		if err != nil {
 			return err
@@ -131,7 +131,7 @@
 			if !yield(s, page+int64(i+1)*slotSize) || s.hash == 0 {
 				return nil
 			}
-			i, n = i+1, n+1
+			i, probed = i+1, probed+1
 		}
 		i %= slotsPerPage
 	}
@@ -143,61 +143,61 @@
 	return t.probe(hash, slotsPerPage, func(s slot, at int64) bool { return s.hash != hash || yield(s, at) })
 }
 
-func (t *table) writeSlot(s slot, at int64) error {
-	return t.folder.write(t.fileName, s.encode(), at, false)
+func (t *table) writeSlot(s slot, offset int64) error {
+	return t.folder.write(t.fileName, s.encode(), offset, false)
 }
 
 // insert adds a slot.
 func (t *table) insert(s slot) error {
-	for again := false; ; again = true {
-		at := int64(-1)
-		if err := t.probe(s.hash, maxProbes, func(have slot, where int64) bool {
-			if have.hash == 0 {
-				at = where
+	for retry := false; ; retry = true {
+		freeOffset := int64(-1)
+		if err := t.probe(s.hash, maxProbes, func(existing slot, position int64) bool {
+			if existing.hash == 0 {
+				freeOffset = position
 			}
 			return true
 		}); err != nil {
 			return err
 		}
-		if at >= 0 {
-			return t.writeSlot(s, at)
+		if freeOffset >= 0 {
+			return t.writeSlot(s, freeOffset)
 		}
-		if err := t.makeSpace(s.hash, again); err != nil {
+		if err := t.makeSpace(s.hash, retry); err != nil {
 			return err
 		}
 	}
 }
 
 // add notes where a message is.
-func (t *table) addMessage(dest int, e *indexEntry) error {
-	if err := t.insert(slot{hash: e.idHash, sequence: e.sequence, dest: dest}); err != nil || e.keyHash == 0 {
+func (t *table) addMessage(dest int, entry *indexEntry) error {
+	if err := t.insert(slot{hash: entry.idHash, sequence: entry.sequence, dest: dest}); err != nil || entry.keyHash == 0 {
 		return err
 	}
-	return t.adjustKeyCount(e.keyHash, dest, e.sequence, true)
+	return t.adjustKeyCount(entry.keyHash, dest, entry.sequence, true)
 }
 
 // count notes one message more of a key in a destination, or one less. Of one more its place is the newest.
-func (t *table) adjustKeyCount(hash uint64, dest int, place uint64, more bool) error {
-	var have slot
-	at := int64(-1)
-	if err := t.find(hash, func(s slot, where int64) bool {
+func (t *table) adjustKeyCount(hash uint64, dest int, sequence uint64, increment bool) error {
+	var existing slot
+	offset := int64(-1)
+	if err := t.find(hash, func(s slot, position int64) bool {
 		if s.count > 0 && s.dest == dest {
-			have, at = s, where
+			existing, offset = s, position
 		}
-		return at < 0
+		return offset < 0
 	}); err != nil {
 		return err
 	}
 	switch {
-	case more && at < 0:
-		return t.insert(slot{hash, place, dest, 2})
-	case more && !t.needed(have):
-		return t.writeSlot(slot{hash, place, dest, 2}, at)
-	case more:
-		return t.writeSlot(slot{hash, place, dest, have.count + 1}, at)
-	case at >= 0 && have.count > 1:
-		have.count--
-		return t.writeSlot(have, at)
+	case increment && offset < 0:
+		return t.insert(slot{hash, sequence, dest, 2})
+	case increment && !t.needed(existing):
+		return t.writeSlot(slot{hash, sequence, dest, 2}, offset)
+	case increment:
+		return t.writeSlot(slot{hash, sequence, dest, existing.count + 1}, offset)
+	case offset >= 0 && existing.count > 1:
+		existing.count--
+		return t.writeSlot(existing, offset)
 	}
 	return nil
 }
--- a/internal/backlog/version.go
+++ b/internal/backlog/version.go
@@ -57,24 +57,24 @@
 
 // damagedVersion tells a line of this format that is cut or flipped from another's.
 func isDamagedVersion(line string) bool {
-	own := string(versionText(make([]byte, saltSize)))
+	sample := string(versionText(make([]byte, saltSize)))
 	salt, sum := line, ""
 	if i := strings.LastIndexByte(line, ' '); i > 0 {
 		salt, sum = line[:i+1], line[i+1:]
 	}
-	whole := sum == fmt.Sprintf("%08x\n", crc32.Checksum([]byte(salt), castagnoliTable))
-	return !whole && (len(line) == len(own) || strings.HasPrefix(versionPrefix, line) || strings.HasPrefix(line, versionPrefix))
+	intact := sum == fmt.Sprintf("%08x\n", crc32.Checksum([]byte(salt), castagnoliTable))
+	return !intact && (len(line) == len(sample) || strings.HasPrefix(versionPrefix, line) || strings.HasPrefix(line, versionPrefix))
 }
 
 // saltOf is the salt that the segments have; nil if none is readable.
 func (s *Store) segmentSalt(segments map[segmentKey]*segmentFiles) []byte {
-	for k, has := range segments {
-		if !has.hasIndex {
+	for key, files := range segments {
+		if !files.hasIndex {
 			continue
 		}
 		b := make([]byte, state.HeaderSize)
-		n, err := s.folder.read(indexFileName(&state.Segment{Dest: k.dest, First: k.first}), b, 0)
-		if _, _, _, ok := decodeHeader(b[:n], k.dest, k.first); err == nil && ok && littleEndian.Uint32(b[saltOffset+saltSize:]) == crc32.Checksum(b[saltOffset:saltOffset+saltSize], castagnoliTable) {
+		n, err := s.folder.read(indexFileName(&state.Segment{Dest: key.dest, First: key.first}), b, 0)
+		if _, _, _, ok := decodeHeader(b[:n], key.dest, key.first); err == nil && ok && littleEndian.Uint32(b[saltOffset+saltSize:]) == crc32.Checksum(b[saltOffset:saltOffset+saltSize], castagnoliTable) {
 			return b[saltOffset : saltOffset+saltSize]
 		}
 	}
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -17,52 +17,52 @@
 		buf = appendFrame(buf, Record{Op: OpAccepted, Entry: e})
 		order = append(order, orderEntry{e.ID, e.sequence})
 	}
-	for id, h := range j.outages {
-		if steady.Since(h.At) > outageExpiry { // its host may be gone from the list since
+	for id, record := range j.outages {
+		if steady.Since(record.At) > outageExpiry { // its host may be gone from the list since
 			j.compactedBytes -= historyBytes
 			delete(j.outages, id)
 			continue
 		}
-		buf = appendFrame(buf, h)
+		buf = appendFrame(buf, record)
 	}
-	for id, h := range j.disabledHosts {
-		if !h.Flag && steady.Since(h.At) > outageExpiry { // warm long since
+	for id, record := range j.disabledHosts {
+		if !record.Flag && steady.Since(record.At) > outageExpiry { // warm long since
 			j.compactedBytes -= historyBytes
 			delete(j.disabledHosts, id)
 			continue
 		}
-		buf = appendFrame(buf, h)
+		buf = appendFrame(buf, record)
 	}
-	for id, h := range j.retryAfters {
-		if steady.Since(h.At) > time.Duration(h.WaitMs)*time.Millisecond {
+	for id, record := range j.retryAfters {
+		if steady.Since(record.At) > time.Duration(record.WaitMs)*time.Millisecond {
 			j.compactedBytes -= historyBytes
 			delete(j.retryAfters, id)
 			continue
 		}
-		buf = appendFrame(buf, h)
+		buf = appendFrame(buf, record)
 	}
-	for _, m := range j.groups {
-		buf = appendFrame(buf, Record{Op: OpGroupState, GroupState: &m})
+	for _, state := range j.groups {
+		buf = appendFrame(buf, Record{Op: OpGroupState, GroupState: &state})
 	}
 	// A file of a larger budget may leave no room for its copy. It stays all the same until that is whole: what was taken on is
 	// still owed if the copy cannot be written, or a kill comes between.
-	f, err := os.OpenFile(j.path+".next", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
+	file, err := os.OpenFile(j.path+".next", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return diskFailure("it could not be written anew", err)
 	}
-	_, err = f.Write(buf)
+	_, err = file.Write(buf)
 	if err == nil {
 		err = os.Rename(j.path+".next", j.path)
 	}
 	if err != nil {
-		f.Close()
+		file.Close()
 		os.Remove(j.path + ".next")
 		return diskFailure("it could not be written anew", err)
 	}
 	if j.file != nil {
 		j.file.Close()
 	}
-	j.file, j.fileBytes, j.order, j.writeError, j.partialRecord, j.stopped = f, int64(len(buf)), order, nil, false, false
+	j.file, j.fileBytes, j.order, j.writeError, j.partialRecord, j.stopped = file, int64(len(buf)), order, nil, false, false
 	return nil
 }
 
@@ -71,15 +71,15 @@
 
 // goOn opens the file as it stands, for the journal to be appended to it: its sound part is so long. What that cannot do now is
 // tried again by usable.
-func (j *Journal) openExisting(sound int64) {
-	j.fileBytes = sound
-	f, err := os.OpenFile(j.path, os.O_CREATE|os.O_RDWR, 0o600)
+func (j *Journal) openExisting(intactBytes int64) {
+	j.fileBytes = intactBytes
+	file, err := os.OpenFile(j.path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		j.writeError = diskFailure("it could not be opened", err)
 		return
 	}
-	j.file = f
-	if err := f.Truncate(sound); err != nil {
+	j.file = file
+	if err := file.Truncate(intactBytes); err != nil {
 		j.partialRecord, j.writeError = true, diskFailure("half a record of before could not be cut off", err)
 	}
 }
@@ -113,8 +113,8 @@
 // All are the messages that are owed their end or its notice, in the order in which they were taken on.
 func (j *Journal) All() iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
-		for _, p := range j.order {
-			if e := j.entries[p.id]; e != nil && e.sequence == p.sequence && !yield(e) {
+		for _, position := range j.order {
+			if entry := j.entries[position.id]; entry != nil && entry.sequence == position.sequence && !yield(entry) {
 				return
 			}
 		}
--- a/internal/journal/copies.go
+++ b/internal/journal/copies.go
@@ -22,25 +22,25 @@
 // CopyMost is what an owner may hold, in bytes as CopySize counts them, so that a copy of a budget has room for all that may
 // follow: the file as compacted and what it holds (each as large as that at the most), one batch, and the reserve.
 func MaxCopyBytes(budget int64) int64 {
-	usable := usableBytes(budget)
-	batch := CopyBatchBytes(budget)
-	return max(0, (usable-usable/copyReserveDivisor-(1+acceptedGrowth)*batch)/2)
+	available := usableBytes(budget)
+	batchBytes := CopyBatchBytes(budget)
+	return max(0, (available-available/copyReserveDivisor-(1+acceptedGrowth)*batchBytes)/2)
 }
 
 // CopySize is what a message takes of a copy at the most, in bytes: its record may come with the history that it has by then,
 // and has room for more.
-func EntryCopyBytes(e *Entry) int64 {
-	return int64(len(appendFrame(nil, Record{Op: OpAccepted, Entry: e}))) + 2*historyBytes
+func EntryCopyBytes(entry *Entry) int64 {
+	return int64(len(appendFrame(nil, Record{Op: OpAccepted, Entry: entry}))) + 2*historyBytes
 }
 
 // CopyHeld is what a copy of an estate takes at the most, in bytes: its messages, and what is known of endpoints.
-func (j *Journal) GroupCopyBytes(estate uint64) int64 {
-	return j.copyBytes[estate] + int64(len(j.disabledHosts)+len(j.retryAfters))*historyBytes + groupStateBytes
+func (j *Journal) GroupCopyBytes(group uint64) int64 {
+	return j.copyBytes[group] + int64(len(j.disabledHosts)+len(j.retryAfters))*historyBytes + groupStateBytes
 }
 
 // letGo takes a message that ends out of what its estate holds.
-func (j *Journal) releaseCopyBytes(e *Entry) {
-	if j.copyBytes[e.Group] -= e.compactedBytes + historyBytes; j.copyBytes[e.Group] == 0 {
-		delete(j.copyBytes, e.Group)
+func (j *Journal) releaseCopyBytes(entry *Entry) {
+	if j.copyBytes[entry.Group] -= entry.compactedBytes + historyBytes; j.copyBytes[entry.Group] == 0 {
+		delete(j.copyBytes, entry.Group)
 	}
 }
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -23,6 +23,6 @@
 func (f *Failure) Remedy() string { return f.Advice }
 
 // onDisk is a failure of the folder.
-func diskFailure(what string, err error) error {
-	return &Failure{what, err, "see whether the folder that lasts can be written and has room; nothing is taken on until then"}
+func diskFailure(problem string, err error) error {
+	return &Failure{problem, err, "see whether the folder that lasts can be written and has room; nothing is taken on until then"}
 }
--- a/internal/journal/estates.go
+++ b/internal/journal/estates.go
@@ -9,18 +9,18 @@
 // What a journal keeps of estates, by their owner or a holder.
 
 // mark notes where an estate stands.
-func (j *Journal) setGroupState(m GroupState) {
-	_, known := j.groups[m.Group]
+func (j *Journal) setGroupState(state GroupState) {
+	_, known := j.groups[state.Group]
 	switch {
-	case m.Removed && known:
-		delete(j.groups, m.Group)
+	case state.Removed && known:
+		delete(j.groups, state.Group)
 		j.compactedBytes -= groupStateBytes
-	case m.Removed:
+	case state.Removed:
 	default:
 		if !known {
 			j.compactedBytes += groupStateBytes
 		}
-		j.groups[m.Group] = m
+		j.groups[state.Group] = state
 	}
 }
 
@@ -29,85 +29,85 @@
 
 // Mark is what is kept of an estate.
 func (j *Journal) GroupState(id uint64) (GroupState, bool) {
-	m, ok := j.groups[id]
-	return m, ok
+	state, ok := j.groups[id]
+	return state, ok
 }
 
 // Waits are what hosts told, where that may not be over.
 func (j *Journal) RetryAfters() iter.Seq2[string, Record] { return maps.All(j.retryAfters) }
 
 // Whole is all that is kept of an estate, as records that begin a copy of it. What is known of endpoints goes along.
-func (j *Journal) GroupRecords(id uint64) (all []Record) {
+func (j *Journal) GroupRecords(group uint64) (records []Record) {
 	for e := range j.All() {
-		if e.Group == id {
-			c := *e
-			all = append(all, Record{Op: OpAccepted, Entry: &c})
+		if e.Group == group {
+			entry := *e
+			records = append(records, Record{Op: OpAccepted, Entry: &entry})
 		}
 	}
-	for _, of := range []map[string]Record{j.disabledHosts, j.retryAfters} {
-		for _, name := range slices.Sorted(maps.Keys(of)) {
-			all = append(all, of[name])
+	for _, recordsByHost := range []map[string]Record{j.disabledHosts, j.retryAfters} {
+		for _, name := range slices.Sorted(maps.Keys(recordsByHost)) {
+			records = append(records, recordsByHost[name])
 		}
 	}
-	return all
+	return records
 }
 
 // Replace puts records in the place of all that there is, whole or not at all.
-func (j *Journal) Replace(recs ...Record) error {
-	next := newJournal(j.path, j.budgetBytes, j.reserveBytes)
-	for _, r := range recs {
-		next.apply(r, int64(len(appendFrame(nil, r))))
+func (j *Journal) Replace(records ...Record) error {
+	replacement := newJournal(j.path, j.budgetBytes, j.reserveBytes)
+	for _, r := range records {
+		replacement.apply(r, int64(len(appendFrame(nil, r))))
 	}
-	if next.compactedBytes+j.fileBytes > j.budgetBytes {
+	if replacement.compactedBytes+j.fileBytes > j.budgetBytes {
 		if err := j.Compact(); err != nil {
 			return err
 		}
 	}
-	if next.compactedBytes+j.fileBytes > j.budgetBytes {
+	if replacement.compactedBytes+j.fileBytes > j.budgetBytes {
 		return ErrFull
 	}
-	next.fileBytes = j.fileBytes // the old file stands until the new one takes its place
-	if err := next.Compact(); err != nil {
+	replacement.fileBytes = j.fileBytes // the old file stands until the new one takes its place
+	if err := replacement.Compact(); err != nil {
 		return err
 	}
 	if j.file != nil {
 		j.file.Close()
 	}
-	*j = *next
+	*j = *replacement
 	return nil
 }
 
 // Forget ends all messages of an estate without a word: they are another relay's. It returns the records of that.
-func (j *Journal) RecordsToForget(id uint64) (recs []Record) {
+func (j *Journal) RecordsToForget(group uint64) (records []Record) {
 	for e := range j.All() {
-		if e.Group == id {
-			recs = append(recs, Record{Op: OpEnd, ID: e.ID})
+		if e.Group == group {
+			records = append(records, Record{Op: OpEnd, ID: e.ID})
 		}
 	}
-	return append(recs, Record{Op: OpGroupState, GroupState: &GroupState{Group: id, Removed: true}})
+	return append(records, Record{Op: OpGroupState, GroupState: &GroupState{Group: group, Removed: true}})
 }
 
 // Shifted is a record with its stamps by another clock, which shows so many milliseconds more.
-func (r Record) Shifted(by int64) Record {
-	move := func(at *int64) {
+func (r Record) Shifted(offsetMs int64) Record {
+	shift := func(at *int64) {
 		if *at != 0 {
-			*at += by
+			*at += offsetMs
 		}
 	}
-	move(&r.At)
+	shift(&r.At)
 	if r.Entry != nil {
-		r.Entry = r.Entry.Shifted(by)
+		r.Entry = r.Entry.Shifted(offsetMs)
 	}
 	return r
 }
 
 // Shifted is a message with its stamps by another clock.
-func (e *Entry) Shifted(by int64) *Entry {
-	c := *e
-	for _, at := range []*int64{&c.Due, &c.MayHaveRunAt, &c.LastTryAt} {
+func (e *Entry) Shifted(offsetMs int64) *Entry {
+	shifted := *e
+	for _, at := range []*int64{&shifted.Due, &shifted.MayHaveRunAt, &shifted.LastTryAt} {
 		if *at != 0 {
-			*at += by
+			*at += offsetMs
 		}
 	}
-	return &c
+	return &shifted
 }
--- a/internal/journal/fence.go
+++ b/internal/journal/fence.go
@@ -13,7 +13,7 @@
 
 // Fence keeps versions of the program that do not know what else is in the folder from starting on it: a directory with a
 // file stands where they must remove a file. The file says why; its name stands in nobody's way.
-func FenceOlderVersions(dir, why string) error {
+func FenceOlderVersions(dir, reason string) error {
 	path := filepath.Join(dir, fenceName)
 	if err := removeLeftover(path); err != nil {
 		return err
@@ -21,7 +21,7 @@
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return diskFailure("older versions could not be kept from the folder", err)
 	}
-	if err := os.WriteFile(filepath.Join(path, "WHY"), []byte(why+"\n"), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(path, "WHY"), []byte(reason+"\n"), 0o644); err != nil {
 		return diskFailure("older versions could not be kept from the folder", err)
 	}
 	return nil
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -77,31 +77,31 @@
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	sound := 0 // bytes up to the end of the last sound record
-	for at := 0; at < len(data); {
-		r, n, err := decodeFrame(data[at:])
+	intactBytes := 0 // bytes up to the end of the last sound record
+	for offset := 0; offset < len(data); {
+		r, n, err := decodeFrame(data[offset:])
 		if err != nil {
 			// The tail that was being written when the process died, or damage: what can be read
 			// behind it still tells of messages that are owed their end.
-			skip := findNextFrame(data[at:])
-			if skip < 0 {
+			skipped := findNextFrame(data[offset:])
+			if skipped < 0 {
 				break
 			}
-			slog.Warn("journal is damaged", "at", at, "bytes", skip, "err", err)
+			slog.Warn("journal is damaged", "at", offset, "bytes", skipped, "err", err)
 			j.markInDoubt()
 			j.damaged = true
-			at += skip
+			offset += skipped
 			continue
 		}
 		j.apply(r, int64(n))
-		at += n
-		sound = at
+		offset += n
+		intactBytes = offset
 	}
 	// A leftover copy is of a compaction that a kill cut short: the old file still holds all.
 	j.fileBytes = int64(len(data))
 	if err := j.Compact(); err != nil {
 		slog.Error("the old journal goes on", "err", err, "remedy", remedy.Of(err))
-		j.openExisting(int64(sound))
+		j.openExisting(int64(intactBytes))
 	}
 	return j, nil
 }
@@ -117,8 +117,8 @@
 }
 
 // apply brings the entries up to date with one record.
-func (j *Journal) apply(r Record, n int64) {
-	e := j.entries[r.ID]
+func (j *Journal) apply(r Record, recordBytes int64) {
+	entry := j.entries[r.ID]
 	switch {
 	case r.Op == OpHealth && r.Flag:
 		if _, ok := j.outages[r.ID]; !ok {
@@ -143,68 +143,68 @@
 	case r.Op == OpGroupState && r.GroupState != nil:
 		j.setGroupState(*r.GroupState)
 	case r.Op == OpGroupNext:
-		if m, ok := j.groups[r.Group]; ok {
-			m.Next = max(m.Next, r.NextRecord)
-			j.groups[r.Group] = m
+		if state, ok := j.groups[r.Group]; ok {
+			state.Next = max(state.Next, r.NextRecord)
+			j.groups[r.Group] = state
 		}
 	case r.Op == OpAccepted && r.Entry != nil && j.entries[r.Entry.ID] == nil:
-		e = r.Entry
-		e.compactedBytes = n + historyBytes
-		j.compactedBytes += e.compactedBytes
-		j.copyBytes[e.Group] += e.compactedBytes + historyBytes
-		j.entries[e.ID] = e
+		entry = r.Entry
+		entry.compactedBytes = recordBytes + historyBytes
+		j.compactedBytes += entry.compactedBytes
+		j.copyBytes[entry.Group] += entry.compactedBytes + historyBytes
+		j.entries[entry.ID] = entry
 		j.lastSequence++
-		e.sequence = j.lastSequence
-		j.order = append(j.order, orderEntry{e.ID, e.sequence})
-	case e == nil:
+		entry.sequence = j.lastSequence
+		j.order = append(j.order, orderEntry{entry.ID, entry.sequence})
+	case entry == nil:
 	case r.Op == OpTry:
-		e.Tries++
-		e.InFlight, e.LastTryAt, e.LastTryZone, e.TimeoutMs = true, r.At, r.Zone, r.WaitMs
-	case r.Op == OpOutcome && e.InFlight:
-		e.InFlight = false
-		if r.Flag && !e.MayHaveRun {
-			e.MayHaveRun, e.MayHaveRunAt, e.Zone = true, e.LastTryAt, e.LastTryZone
+		entry.Tries++
+		entry.InFlight, entry.LastTryAt, entry.LastTryZone, entry.TimeoutMs = true, r.At, r.Zone, r.WaitMs
+	case r.Op == OpOutcome && entry.InFlight:
+		entry.InFlight = false
+		if r.Flag && !entry.MayHaveRun {
+			entry.MayHaveRun, entry.MayHaveRunAt, entry.Zone = true, entry.LastTryAt, entry.LastTryZone
 		}
 	case r.Op == OpNotice:
-		e.NoticeStatus, e.RetryAfterMs, e.Body, e.InFlight = r.Status, r.RetryAfterMs, nil, false
+		entry.NoticeStatus, entry.RetryAfterMs, entry.Body, entry.InFlight = r.Status, r.RetryAfterMs, nil, false
 	case r.Op == OpEnd:
-		j.compactedBytes -= e.compactedBytes
-		j.releaseCopyBytes(e)
+		j.compactedBytes -= entry.compactedBytes
+		j.releaseCopyBytes(entry)
 		delete(j.entries, r.ID)
 	}
 }
 
 // Append writes records and applies them. When it fails nothing was recorded.
-func (j *Journal) Append(recs ...Record) error {
+func (j *Journal) Append(records ...Record) error {
 	if err := j.checkWritable(); err != nil {
 		return err
 	}
 	var buf []byte
-	var grows, spare int64
-	ends := make([]int64, len(recs))
-	for i, r := range recs {
-		before := len(buf)
+	var growth, reserve int64
+	recordBytes := make([]int64, len(records))
+	for i, r := range records {
+		start := len(buf)
 		buf = appendFrame(buf, r)
-		ends[i] = int64(len(buf) - before)
+		recordBytes[i] = int64(len(buf) - start)
 		switch r.Op {
 		case OpAccepted:
-			grows += ends[i] + historyBytes
-			spare = j.reserveBytes
+			growth += recordBytes[i] + historyBytes
+			reserve = j.reserveBytes
 		case OpHealth, OpDisabled, OpRetryAfter:
-			grows += historyBytes
+			growth += historyBytes
 		case OpGroupState:
-			grows += groupStateBytes
+			growth += groupStateBytes
 		}
 	}
-	n := int64(len(buf))
+	written := int64(len(buf))
 	// The file and its compacted copy must fit together at any time. What is taken on must leave that so once everything
 	// held has all of its history: a record of its end could not be written otherwise.
 	fits := func() bool {
-		file, live := j.fileBytes+n, j.compactedBytes+grows
-		if spare > 0 {
+		file, live := j.fileBytes+written, j.compactedBytes+growth
+		if reserve > 0 {
 			file = max(file, live)
 		}
-		return file+live+spare <= j.budgetBytes
+		return file+live+reserve <= j.budgetBytes
 	}
 	if !fits() {
 		if err := j.Compact(); err != nil {
@@ -216,15 +216,15 @@
 	}
 	if _, err := j.file.WriteAt(buf, j.fileBytes); err != nil {
 		// Half a record would hide all that follows it from a replay.
-		if terr := j.file.Truncate(j.fileBytes); terr != nil {
+		if truncateErr := j.file.Truncate(j.fileBytes); truncateErr != nil {
 			j.partialRecord = true
-			j.writeError = diskFailure("half a record was written, and could not be cut back", errors.Join(err, terr))
+			j.writeError = diskFailure("half a record was written, and could not be cut back", errors.Join(err, truncateErr))
 		}
 		return diskFailure("a record could not be written", err)
 	}
-	j.fileBytes += n
-	for i, r := range recs {
-		j.apply(r, ends[i])
+	j.fileBytes += written
+	for i, r := range records {
+		j.apply(r, recordBytes[i])
 	}
 	return nil
 }
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -111,9 +111,9 @@
 
 // nextFrame finds the next sound record behind a damaged one, or returns -1.
 func findNextFrame(data []byte) int {
-	for at := 1; at+frameHeaderSize < len(data); at++ {
-		if _, _, err := decodeFrame(data[at:]); err == nil {
-			return at
+	for offset := 1; offset+frameHeaderSize < len(data); offset++ {
+		if _, _, err := decodeFrame(data[offset:]); err == nil {
+			return offset
 		}
 	}
 	return -1
