--- a/internal/backlog/due.go
+++ b/internal/backlog/due.go
@@ -8,19 +8,19 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// run is the first live messages of a segment by their times, so that its entries are looked through once for many of them.
+// dueList holds the first live entries of a segment by due time, so that one scan of the segment's index serves many of them.
 type dueList []indexEntry
 
 const (
 	dueListLength = 64
-	maxDueLists   = 2048 // segments that have one: with 48 bytes a message 6 MiB
+	maxDueLists   = 2048 // segments that have a list; with 48 bytes for each message this takes 6 MiB
 )
 
 func compareDue(a, b indexEntry) int {
 	return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.sequence, b.sequence))
 }
 
-// more is the next messages of a segment by time, after one; none before the first.
+// entriesDueAfter returns the next entries of a segment by due time after the given one, or the first ones if it is nil.
 func (s *Store) entriesDueAfter(segment *state.Segment, after *indexEntry) (earliest dueList, err error) {
 	s.dueScans++
 	err = s.indexes.liveEntries(segment, func(_ uint32, entry indexEntry) {
@@ -36,7 +36,7 @@
 	return earliest, err
 }
 
-// runOf is a segment's run; its first is the segment's next.
+// dueListOf returns the due list of a segment and builds it if necessary. Its first entry is the segment's next one due.
 func (s *Store) dueListOf(segment *state.Segment) (dueList, error) {
 	if r := s.dueLists[segment]; len(r) > 0 {
 		return r, nil
@@ -52,14 +52,14 @@
 	return r, nil
 }
 
-// joins tells that a message has come to a segment.
+// messageAdded updates the due list of a segment to which a message was added.
 func (s *Store) messageAdded(segment *state.Segment, due int64) {
 	if r := s.dueLists[segment]; len(r) > 0 && due < r[len(r)-1].due {
 		delete(s.dueLists, segment)
 	}
 }
 
-// parts tells which messages have left a segment.
+// messagesRemoved drops removed messages from the due list of their segment. The entries are sorted by sequence.
 func (s *Store) messagesRemoved(segment *state.Segment, removed []indexedEntry) {
 	r := s.dueLists[segment]
 	if r == nil {
@@ -74,7 +74,8 @@
 	}
 }
 
-// NextDue is when the first has to have ended.
+// NextDue returns the earliest due time in Unix milliseconds; ok is false if the store is empty or cannot be read, which
+// TakeDamageReports then tells.
 func (s *Store) NextDue() (due int64, ok bool) {
 	err := s.withRepair(func() error {
 		for {
@@ -92,7 +93,7 @@
 			if due = r[0].due; due <= segment.EarliestDue {
 				return nil
 			}
-			s.state.SetEarliestDue(segment, due) // what it was known by had left
+			s.state.SetEarliestDue(segment, due) // the message that set the earlier time was removed
 		}
 	})
 	if err != nil {
@@ -102,7 +103,8 @@
 	return due, ok
 }
 
-// Due is what has to have ended by then, earliest first: the first n of it. They stay.
+// Due returns the messages that are due at or before a time in Unix milliseconds, earliest first and at most maxMessages.
+// They stay in the store.
 func (s *Store) Due(before int64, maxMessages int) (all []StoredMessage, err error) {
 	err = s.withRepair(func() error {
 		all, err = s.dueMessages(before, maxMessages)
@@ -111,7 +113,7 @@
 	return all, err
 }
 
-// cursor is how far a call of Due is in a segment.
+// dueCursor is the position of one call of Due in a segment.
 type dueCursor struct {
 	dueList
 	next int
--- a/internal/backlog/entries.go
+++ b/internal/backlog/entries.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// entries reads what segments' files of entries say, by pieces of which it keeps a few.
+// indexReader reads the entries of index files in blocks, a few of which it caches.
 type indexReader struct {
 	folder *folder
 	cache  *simplelru.LRU[cacheKey, []byte]
@@ -22,13 +22,13 @@
 	block   uint32
 }
 
-// pieces of 64 entries, of which 64 are kept: 192 KiB.
+// A block has 64 entries, and 64 blocks are cached: 192 KiB in all.
 const (
 	entriesPerBlock = 64
 	maxCachedBlocks = 64
 )
 
-// brokenSegment is that a segment's entries have to be mended before they can be used.
+// damagedSegmentError tells that the index of a segment must be repaired before it can be used.
 type damagedSegmentError struct{ segment *state.Segment }
 
 func (b *damagedSegmentError) Error() string { return indexFileName(b.segment) + " is damaged" }
@@ -38,7 +38,7 @@
 	return &indexReader{folder, cache}, err
 }
 
-// raw is an entry's 48 bytes.
+// entryBytes returns the 48 encoded bytes of an entry.
 func (e *indexReader) entryBytes(segment *state.Segment, i uint32) ([]byte, error) {
 	key := cacheKey{segment, i / entriesPerBlock}
 	from := i / entriesPerBlock * entriesPerBlock
@@ -53,7 +53,7 @@
 	return block[(i-from)*state.EntrySize:][:state.EntrySize], nil
 }
 
-// read fills b with entries from one on.
+// read fills b with encoded entries, starting with the given one.
 func (e *indexReader) read(s *state.Segment, b []byte, from uint32) error {
 	n, err := e.folder.read(indexFileName(s), b, entryOffset(from))
 	if errors.Is(err, fs.ErrNotExist) || err == nil && n < len(b) {
@@ -64,7 +64,7 @@
 
 func entryOffset(i uint32) int64 { return state.HeaderSize + int64(i)*state.EntrySize }
 
-// at is an entry.
+// entry decodes one entry of a segment.
 func (e *indexReader) entry(segment *state.Segment, i uint32) (indexEntry, error) {
 	b, err := e.entryBytes(segment, i)
 	if err != nil {
@@ -77,7 +77,8 @@
 	return decoded, nil
 }
 
-// search finds the entry of a place. Places rise, mostly evenly: so it looks where the place would be then, and halves what is left if it is not.
+// find returns the entry with a sequence number. Sequence numbers are spread almost evenly over a segment, so the first
+// probe is at the interpolated position, and the search goes on by bisection.
 func (e *indexReader) find(segment *state.Segment, sequence uint64) (i uint32, entry indexEntry, ok bool, err error) {
 	from, to := uint32(0), segment.Entries
 	if to == 0 || sequence < segment.First || sequence > segment.Last {
@@ -107,7 +108,7 @@
 	return 0, entry, false, nil
 }
 
-// within finds a place among entries of one piece.
+// findInBlock searches the entries of one block for a sequence number.
 func (e *indexReader) findInBlock(segment *state.Segment, from, to uint32, sequence uint64) (i uint32, entry indexEntry, ok bool, err error) {
 	n := sort.Search(int(to-from), func(n int) bool {
 		if err == nil {
@@ -121,7 +122,7 @@
 	return i, entry, err == nil && i < to && entry.sequence == sequence, err
 }
 
-// added notes entries that were written behind the last.
+// updateCache adds entries that were appended to an index file to the cached block that they belong to.
 func (e *indexReader) updateCache(segment *state.Segment, from uint32, b []byte) {
 	for ; len(b) > 0; b, from = b[state.EntrySize:], from+1 {
 		key := cacheKey{segment, from / entriesPerBlock}
@@ -131,7 +132,7 @@
 	}
 }
 
-// mark writes that an entry is gone.
+// markRemoved writes to the index file that an entry was removed.
 func (e *indexReader) markRemoved(segment *state.Segment, i uint32) error {
 	if err := e.folder.write(indexFileName(segment), littleEndian.AppendUint32(nil, markRemoved), entryOffset(i)+markOffset, false); err != nil {
 		return err
@@ -142,14 +143,14 @@
 	return nil
 }
 
-// forget has nothing of a segment be kept.
+// dropCache drops the cached blocks of a segment.
 func (e *indexReader) dropCache(s *state.Segment) {
 	for n := uint32(0); n <= s.Entries/entriesPerBlock; n++ {
 		e.cache.Remove(cacheKey{s, n})
 	}
 }
 
-// all yields a segment's live entries, without keeping pieces.
+// liveEntries yields the live entries of a segment without using the cache.
 func (e *indexReader) liveEntries(segment *state.Segment, yield func(i uint32, entry indexEntry)) error {
 	if segment.Head == segment.Entries {
 		return nil
@@ -170,10 +171,10 @@
 	return nil
 }
 
-// errDamaged is a frame that cannot be read: that message is lost.
+// errDamagedFrame tells that a frame cannot be read; its message is lost.
 var errDamagedFrame = errors.New("damaged frame")
 
-// message reads one's frame.
+// readMessage reads the frame of an entry.
 func (s *Store) readMessage(segment *state.Segment, entry indexEntry) (StoredMessage, error) {
 	b := make([]byte, entry.length)
 	n, err := s.folder.read(dataFileName(segment), b, int64(entry.offset))
@@ -191,5 +192,5 @@
 	return StoredMessage{message, sequence, entry.status == markInDoubt}, nil
 }
 
-// later is a time that no message has to have ended before.
+// noDueTime is later than the due time of any message.
 const noDueTime = math.MaxInt64
--- a/internal/backlog/entry/entry.go
+++ b/internal/backlog/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry turns messages of the journal into what the backlog keeps of them, and back. It has no files and no clock.
+// Package entry converts messages between the form of the journal and that of the backlog. It uses neither files nor a clock.
 package entry
 
 import (
@@ -12,18 +12,19 @@
 	"larchrouter/internal/journal"
 )
 
-// The first byte says how the rest is to be read. Later versions read all earlier ones; a relay that is older than what it
-// finds leaves it alone. Numbers are varints, texts have their length before them, the body is the rest.
+// The first byte is the version of the encoding. Later versions of the program read all earlier encodings; a program that
+// is older than the data it finds leaves it alone. Numbers are varints, strings follow their length, and the body is the
+// remainder.
 const (
 	versionOne = 1
 
 	hasTerms = 1 << iota
 	sameZone
 	ordered
-	differentClassName // the class of the terms has another name than the message's
+	differentClassName // the class in the terms has another name than the class of the message
 )
 
-// Unreadable is a message whose data this version of the program cannot read.
+// UnreadableError reports a message whose data this version of the program cannot read.
 type UnreadableError struct {
 	ID     string
 	Reason string
@@ -33,13 +34,13 @@
 	return fmt.Sprintf("message %s of the backlog: %s", u.ID, u.Reason)
 }
 
-// Remedy says what an operator can do.
+// Remedy tells what an operator can do.
 func (u *UnreadableError) Remedy() string {
 	return "it ends as undeliverable, have its sender ask; if a later version of the program wrote it, go back to that one"
 }
 
-// Pack is what the backlog keeps of a message that was never tried. It is binary, not the journal's JSON: that takes 742 bytes
-// for a body of 200, for it has all names of the terms and the body as text.
+// Pack converts a message that was never tried to the form of the backlog. The encoding is binary because the journal's
+// JSON takes 742 bytes for a body of 200: it spells out the names of all fields of the terms and has the body as text.
 func Pack(entry *journal.Entry) backlog.Message {
 	data := make([]byte, 0, 96+len(entry.Body))
 	var flags byte
@@ -74,7 +75,8 @@
 	return backlog.Message{ID: entry.ID, Dest: entry.Dest, Due: entry.Due, OrderKey: entry.OrderKey, Data: append(data, entry.Body...)}
 }
 
-// Unpack is the message again. One in doubt may have run long ago, as the journal takes it of one whose records are lost.
+// Unpack restores the message; its error is an UnreadableError. A message in doubt counts as one that may have run at an
+// unknown time, as in a journal whose records of it are lost.
 func Unpack(message backlog.StoredMessage) (*journal.Entry, error) {
 	entry := &journal.Entry{ID: message.ID, Dest: message.Dest, Due: message.Due, OrderKey: message.OrderKey, MayHaveRun: message.InDoubt}
 	fields := fieldReader{data: message.Data}
@@ -100,7 +102,7 @@
 	return entry, nil
 }
 
-// reader takes fields off the front of data. After the first that is not there it gives nothing more.
+// fieldReader removes fields from the front of data. After the first field that is missing all others are zero.
 type fieldReader struct {
 	data    []byte
 	problem string
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -10,11 +10,12 @@
 	"github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// folder is the files of a backlog, of which only a few are open.
+// folder gives access to the files of a backlog and keeps only a few of them open.
 type folder struct {
 	dir       string
 	openFiles *simplelru.LRU[string, *os.File]
-	// fault is asked before each change, how much of it may be done; then the error holds. For tests; nil for none.
+	// injectFault is called before each change and returns how many of its bytes may be written. If it returns an error,
+	// the change fails with it afterwards. Only tests set it.
 	injectFault func(op, name string, bytes int) (int, error)
 }
 
@@ -30,7 +31,7 @@
 	return &FileError{problem, filepath.Join(d.dir, name), err}
 }
 
-// allow is how much of a change may be done.
+// allowedBytes returns how many bytes of a change may be written.
 func (d *folder) allowedBytes(op, name string, bytes int) (int, error) {
 	if d.injectFault == nil {
 		return bytes, nil
@@ -38,7 +39,7 @@
 	return d.injectFault(op, name, bytes)
 }
 
-// file is an open file; one that may only be read will fail to be written.
+// file returns an open file. One without write permission is opened for reading, and writes to it fail.
 func (d *folder) file(name string, flags int) (*os.File, error) {
 	if f, ok := d.openFiles.Get(name); ok {
 		return f, nil
@@ -54,7 +55,7 @@
 	return f, err
 }
 
-// write puts bytes at a place of a file; it makes the file if it is to be new.
+// write writes b at an offset of a file; with create it creates the file or truncates an existing one.
 func (d *folder) write(name string, b []byte, offset int64, create bool) error {
 	allowed, fault := d.allowedBytes("write", name, len(b))
 	if fault != nil && allowed == 0 {
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// read fills b as far as the file reaches.
+// read fills b and returns the number of bytes read, which is less than len(b) at the end of the file.
 func (d *folder) read(name string, b []byte, offset int64) (int, error) {
 	f, err := d.file(name, 0)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return n, nil
 }
 
-// whole is all of a file.
+// readFile returns the content of a file.
 func (d *folder) readFile(name string) ([]byte, error) {
 	b, err := os.ReadFile(filepath.Join(d.dir, name))
 	if err != nil {
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// remove deletes a file; one that is not there is no error.
+// remove deletes a file; a missing file is no error.
 func (d *folder) remove(name string) error {
 	_, err := d.allowedBytes("remove", name, 0)
 	if err == nil {
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// replace writes a file whole, beside the old one until it is.
+// replace replaces a file atomically: it writes a temporary file and renames it.
 func (d *folder) replace(name string, b []byte) error {
 	tmp := name + ".tmp"
 	err := d.write(tmp, b, 0, true)
--- a/internal/backlog/format.go
+++ b/internal/backlog/format.go
@@ -10,13 +10,15 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// What the files hold; all numbers little-endian. docs/backlog.md has the reasons.
+// Format of the files. All numbers are little-endian. docs/backlog.md has the reasons.
 //
-// A frame: its length (4 bytes), CRC32 of all behind it (4), place (8), due time (8), lengths of id and key (2 each), id,
-// key, data. The CRC starts from the folder's salt, so what clients send cannot pass for a frame.
+// A frame in a data file: its length (4 bytes), CRC32 of all that follows (4), sequence (8), due time (8), lengths of id
+// and ordering key (2 each), id, ordering key, data. The CRC starts with the folder's salt, so data that a client sends
+// cannot pass for a frame.
 //
-// A file of entries: a header of 64 bytes (word, generation, destination, first place, CRC32; at 32 the head and its CRC32, then salt and its CRC32), then entries of
-// 48 (place 8, due 8, hash of id 8, hash of key or zero 8, offset 4 and length 4 of the frame, CRC32 of that 4, mark 4).
+// An index file: a header of 64 bytes (magic number, number of rewrites, destination, first sequence, CRC32; at offset 32
+// the head and its CRC32, then the salt and its CRC32), then entries of 48 bytes (sequence 8, due time 8, hash of the id
+// 8, hash of the ordering key or zero 8, offset 4 and length 4 of the frame, CRC32 of these 4, mark 4).
 
 const (
 	frameHeaderSize = 28
@@ -34,11 +36,11 @@
 
 var littleEndian = binary.LittleEndian
 
-// entry is what a segment's entries say of a message.
+// indexEntry is the entry of a message in the index file of its segment.
 type indexEntry struct {
 	sequence        uint64
 	due             int64
-	idHash, keyHash uint64 // hashes; the key's is zero for none
+	idHash, keyHash uint64 // salted hashes; keyHash is zero for a message without an ordering key
 	offset, length  uint32
 	status          uint32
 }
@@ -57,7 +59,7 @@
 	return littleEndian.AppendUint32(b, e.status)
 }
 
-// readEntry reads one from its 48 bytes. A mark that is none comes back as it is.
+// decodeEntry decodes an entry from its 48 bytes. It does not validate the mark, which the CRC32 does not cover.
 func decodeEntry(b []byte) (e indexEntry, ok bool) {
 	if littleEndian.Uint32(b[40:]) != crc32.Checksum(b[:40], castagnoliTable) {
 		return e, false
@@ -86,7 +88,8 @@
 	return littleEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
 }
 
-// readHeader checks the header of a segment's entries, and gives its generation and head. A head that is damaged is not known.
+// decodeHeader checks the header of an index file and returns its number of rewrites and its head. headKnown is false if
+// the head is damaged.
 func decodeHeader(b []byte, dest int, first uint64) (rewrites, head uint32, headKnown, ok bool) {
 	if len(b) < state.HeaderSize || littleEndian.Uint32(b) != indexMagic || littleEndian.Uint32(b[24:]) != crc32.Checksum(b[:24], castagnoliTable) ||
 		littleEndian.Uint64(b[8:]) != uint64(dest) || littleEndian.Uint64(b[16:]) != first {
@@ -95,7 +98,7 @@
 	return littleEndian.Uint32(b[4:]), littleEndian.Uint32(b[headOffset:]), littleEndian.Uint32(b[headOffset+4:]) == crc32.Checksum(b[headOffset:headOffset+4], castagnoliTable), true
 }
 
-// check tells whether a message fits the format.
+// checkSize returns a TooLargeError for a message that exceeds the limits of the format.
 func (m *Message) checkSize() error {
 	switch {
 	case len(m.ID) > math.MaxUint16, len(m.OrderKey) > math.MaxUint16, len(m.Data) > maxDataBytes:
@@ -119,7 +122,7 @@
 	return b
 }
 
-// readFrame reads the frame that b begins with; its message's data is part of b.
+// decodeFrame decodes the frame at the start of b. The data of the message is a slice of b.
 func decodeFrame(b []byte, salt uint32) (m Message, sequence uint64, ok bool) {
 	if len(b) < frameHeaderSize {
 		return m, 0, false
@@ -134,7 +137,8 @@
 	return m, littleEndian.Uint64(b[8:]), true
 }
 
-// hashOf is a name's hash in a folder, never zero. Salted, so nobody finds names that share one.
+// saltedHash returns the hash of a name in this folder; it is never zero. The salt keeps clients from finding names with
+// equal hashes.
 func saltedHash(salt []byte, kind byte, dest int, name string) uint64 {
 	b := append(make([]byte, 0, 128), salt...)
 	b = append(littleEndian.AppendUint64(append(b, kind), uint64(dest)), name...)
--- a/internal/backlog/take.go
+++ b/internal/backlog/load.go
@@ -10,8 +10,8 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// take takes up a segment from its files. What is in order costs one pass over its entries.
-// It may be the tail of its queue, where a process that dies as it writes leaves less than it began.
+// loadSegment loads a segment from its files. An intact segment costs one pass over its entries. A process killed while
+// writing may leave an incomplete write at the end of a queue, so isTail decides how missing data is reported.
 func (s *Store) loadSegment(segment *state.Segment, files *segmentFiles, isTail bool) error {
 	var index []byte
 	if files.hasIndex {
@@ -23,9 +23,9 @@
 	rewrites, head, headKnown, ok := decodeHeader(index, segment.Dest, segment.First)
 	if len(files.rewrites) > 0 && !(ok && slices.Contains(files.rewrites, rewrites)) {
 		if ok || len(files.rewrites) > 1 {
-			index = nil // what entries say of other data says nothing of this
+			index = nil // the entries belong to another data file
 		}
-		rewrites, ok = slices.Min(files.rewrites), false // a later one may be half written
+		rewrites, ok = slices.Min(files.rewrites), false // a later one may be incomplete
 	}
 	segment.Rewrites = rewrites
 	for _, rewrite := range files.rewrites {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// count goes through a segment's entries and tells whether they and the data agree, but for what a kill may leave: entries at the end
-// without their frames, which it counts as lost.
+// countEntries reads the entries of a segment and reports whether they agree with the data. Entries at the end without
+// frames, which a kill may leave, are allowed and counted as lost.
 func countEntries(segment *state.Segment, index []byte, dataBytes int64) (lost int, ok bool) {
 	n := uint32((len(index) - state.HeaderSize) / state.EntrySize)
 	if segment.Head > n {
@@ -99,11 +99,11 @@
 			segment.EarliestDue = min(segment.EarliestDue, entry.due)
 		}
 	}
-	// Of one that was being dropped the data goes first.
+	// When a segment is dropped, its data file is deleted first.
 	return lost, lost > 0 || segment.DataBytes == dataBytes || segment.Live == 0 && dataBytes < segment.DataBytes
 }
 
-// takeDamaged takes up what can be read of a segment, and writes that anew.
+// loadDamagedSegment recovers what can be read of a segment and rewrites it.
 func (s *Store) loadDamagedSegment(segment *state.Segment, index []byte) error {
 	data, err := s.folder.readFile(dataFileName(segment))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -14,7 +14,8 @@
 	"larchrouter/internal/steady"
 )
 
-// Open takes up what lies in a folder; it makes the folder if there is none.
+// Open opens the backlog in a folder and creates the folder if it does not exist. A folder of another format is a
+// VersionError. Damage is repaired and can be read with TakeDamageReports.
 func Open(dir string, options Options) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, &FileError{"cannot be made", dir, err}
@@ -50,13 +51,13 @@
 	return s, nil
 }
 
-// files is what a folder has of one segment.
+// segmentFiles lists the files that a folder has of one segment.
 type segmentFiles struct {
 	hasIndex bool
-	rewrites []uint32 // of data
+	rewrites []uint32 // number of rewrites of each data file
 }
 
-// name reads a file's name; last is its generation, -1 for entries.
+// parseFileName parses the name of a segment's file. rewrite is the number of rewrites of a data file, -1 for an index file.
 func parseFileName(fileName string) (dest int, first uint64, rewrite int64, ok bool) {
 	stem, suffix, _ := strings.Cut(fileName, ".")
 	if n, err := fmt.Sscanf(stem, "%d-%x", &dest, &first); n != 2 || err != nil {
@@ -78,7 +79,7 @@
 	first uint64
 }
 
-// list is the segments that there are files of, and what a kill left half written.
+// listSegments returns the files of each segment, and the temporary index files that a killed process left.
 func (s *Store) listSegments() (segments map[segmentKey]*segmentFiles, leftovers []string, err error) {
 	dirEntries, err := os.ReadDir(s.folder.dir)
 	if err != nil {
@@ -106,7 +107,7 @@
 	return segments, leftovers, nil
 }
 
-// readAll takes up the segments, then the table.
+// loadAll loads the segments, then the table.
 func (s *Store) loadAll(segments map[segmentKey]*segmentFiles) error {
 	sorted := slices.SortedFunc(maps.Keys(segments), func(a, b segmentKey) int {
 		return cmp.Or(cmp.Compare(a.dest, b.dest), cmp.Compare(a.first, b.first))
--- a/internal/backlog/page.go
+++ b/internal/backlog/page.go
@@ -4,8 +4,9 @@
 	"hash/crc32"
 )
 
-// A page of the table of ids and keys: a header of 32 bytes (word 4, depth 4, prefix 8, number 8, zero 4, CRC32 4), then slots of 32
-// (hash 8, place 8, destination 8, count 4, CRC32 4). A slot of zeros is free; one is never freed alone, so a search ends at the first free one.
+// A page of the table of ids and keys: a header of 32 bytes (magic number 4, depth 4, prefix 8, sequence 8, zero 4,
+// CRC32 4), then slots of 32 bytes (hash 8, sequence of the message 8, destination 8, count 4, CRC32 4). A slot of zeros is
+// free. Slots are never freed one by one, so a search ends at the first free one.
 const (
 	pageSize     = 32 << 10
 	slotSize     = 32
@@ -13,7 +14,8 @@
 	pageMagic    = 0x3150424c // "LBP1"
 )
 
-// slot leads from a hash to a place. An id's has count zero, a key's one more than its messages here.
+// slot maps a hash to a sequence number. The count of an id's slot is zero, that of an ordering key's is one more than its
+// number of messages in the destination.
 type slot struct {
 	hash     uint64
 	sequence uint64
@@ -29,7 +31,7 @@
 	return littleEndian.AppendUint32(b, crc32.Checksum(b, castagnoliTable))
 }
 
-// readSlot reads one. Of none but zeros, hash is zero.
+// decodeSlot decodes a slot. The hash of a free slot is zero.
 func decodeSlot(b []byte) (s slot, ok bool) {
 	if [slotSize]byte(b) == [slotSize]byte{} {
 		return s, true
@@ -40,12 +42,12 @@
 	return slot{littleEndian.Uint64(b), littleEndian.Uint64(b[8:]), int(int64(littleEndian.Uint64(b[16:]))), littleEndian.Uint32(b[24:])}, true
 }
 
-// page is which hashes a page has: those that begin with the depth first bits of prefix.
+// page identifies the hashes of a page: those that begin with the first depth bits of prefix.
 type page struct {
 	depth    uint32
-	prefix   uint64 // in the first bits, zeros behind
-	sequence uint64 // rises; of two for the same hashes the older is whole
-	index    uint32 // its place in the file
+	prefix   uint64 // in the most significant bits; the others are zero
+	sequence uint64 // increases; of two pages for the same hashes the older one is complete
+	index    uint32 // position in the file, in pages
 }
 
 func (p *page) encodeHeader() []byte {
@@ -65,7 +67,7 @@
 	return p, p.depth <= maxDepth && p.prefix<<p.depth == 0
 }
 
-// fill is a page with slots.
+// encode returns the bytes of a page with the given slots.
 func (p *page) encode(all []slot) []byte {
 	b := make([]byte, pageSize)
 	copy(b, p.encodeHeader())
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -5,8 +5,8 @@
 	"iter"
 )
 
-// Next is the oldest that lie here for a destination, in order: at most n, and of so many bytes, but one if there is any.
-// They stay.
+// Next returns the oldest messages of a destination in order: at most maxMessages, and at most maxBytes of frames except
+// for the first message. They stay in the store.
 func (s *Store) Next(dest, maxMessages, maxBytes int) (all []StoredMessage, err error) {
 	err = s.withRepair(func() error {
 		all, err = s.next(dest, maxMessages, maxBytes)
@@ -48,7 +48,7 @@
 	return all, nil
 }
 
-// drop has messages be gone that cannot be read. Were it not written, they would be reported again.
+// removeUnreadable removes messages that cannot be read; otherwise they would be reported again.
 func (s *Store) removeUnreadable(dest int, sequences []uint64) error {
 	if len(sequences) == 0 {
 		return nil
@@ -56,7 +56,7 @@
 	return s.remove(dest, sequences)
 }
 
-// Find is a destination's message by its id.
+// Find returns the message of a destination with an id; ok is false if there is none.
 func (s *Store) Find(dest int, id string) (message StoredMessage, ok bool, err error) {
 	err = s.withRepair(func() error {
 		message, ok, err = s.find(dest, id)
@@ -105,8 +105,8 @@
 	return StoredMessage{}, false, s.removeUnreadable(dest, unreadable)
 }
 
-// Key tells which destination has messages of an ordered class's key here. After a kill or damage it may name one for too long, until
-// what lies there has gone up to where the key's newest would be.
+// DestOfKey returns the destination that has stored messages with an ordering key. After a kill or damage it may name one
+// that has none left, until the messages up to the sequence of the key's newest one were removed.
 func (s *Store) DestOfKey(orderKey string) (dest int, ok bool) {
 	hash := saltedHash(s.folderSalt, 'k', 0, orderKey)
 	err := s.withRepair(func() error {
@@ -124,10 +124,10 @@
 	return dest, ok
 }
 
-// alive tells whether a slot of the table may still lead to something.
+// slotNeeded reports whether a slot of the table may still refer to a stored message.
 func (s *Store) slotNeeded(t slot) bool {
 	if t.sequence > s.committedSequence {
-		return true // of what is just being put
+		return true // belongs to a Put in progress
 	}
 	if t.count > 0 {
 		return t.count > 1 && s.state.HasSegmentUpTo(t.dest, t.sequence)
@@ -135,7 +135,7 @@
 	return s.state.SegmentOf(t.dest, t.sequence) != nil
 }
 
-// mending runs what reads, and once more after what it found damaged has been mended.
+// withRepair runs an operation, and again after each repair of the damage that it met; at most four times in all.
 func (s *Store) withRepair(operation func() error) error {
 	for range 4 {
 		err := operation()
@@ -156,29 +156,30 @@
 	return s.folder.fileError("is damaged again and again", "", errDamagedFrame)
 }
 
-// Len is how many lie here.
+// Len returns the number of stored messages.
 func (s *Store) Len() int { return s.state.Len() }
 
-// LenOf is how many lie here for a destination.
+// LenOf returns the number of stored messages of a destination.
 func (s *Store) LenOf(dest int) int { return s.state.LenOf(dest) }
 
-// Dests are those that something lies here for.
+// Dests iterates over the destinations that have stored messages.
 func (s *Store) Dests() iter.Seq[int] { return s.state.Dests() }
 
-// Bytes is what the files take of the budget.
+// Bytes returns how much of the disk budget the files use.
 func (s *Store) Bytes() int64 { return s.state.UsedBytes() }
 
-// Damage is what was found unreadable since the last call.
+// TakeDamageReports returns the errors found since its last call.
 func (s *Store) TakeDamageReports() []error {
 	all := s.damageReports
 	s.damageReports = nil
 	return all
 }
 
-// damageMost is how many errors wait to be asked for. Ones that tell of lost messages, one for each segment, do so beyond it.
+// maxDamageReports limits the errors that wait for TakeDamageReports. Reports of lost messages or messages in doubt, of
+// which there is one for each segment and reason, are added beyond it.
 const maxDamageReports = 100
 
-// damaged notes what was found; of the same kind in one segment as one.
+// reportDamage records an error; a DamageError for the same segment and reason is merged with the earlier one.
 func (s *Store) reportDamage(err error) {
 	damage, ok := err.(*DamageError)
 	if ok {
--- a/internal/backlog/out.go
+++ b/internal/backlog/remove.go
@@ -6,10 +6,10 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// holdOff is how many calls of Out go by after a segment could not be written anew, before one is tried again.
+// rewriteHoldOffCalls is the number of calls of Remove after a failed rewrite of a segment before the next rewrite is tried.
 const rewriteHoldOffCalls = 1000
 
-// Out has messages lie here no more; ones that don't are passed over. It is written when it returns.
+// Remove removes messages by their sequence numbers; unknown numbers are ignored. The change is written when it returns.
 func (s *Store) Remove(dest int, sequences ...uint64) error {
 	return s.withRepair(func() error { return s.remove(dest, sequences) })
 }
@@ -40,7 +40,7 @@
 	indexEntry
 }
 
-// outOf takes messages out of one segment: the head goes past those in order, the others are marked.
+// removeFromSegment removes messages of one segment: it advances the head past a prefix and marks the others as removed.
 func (s *Store) removeFromSegment(segment *state.Segment, sequences []uint64) error {
 	var removed []indexedEntry
 	for _, sequence := range slices.Compact(sequences) {
@@ -98,13 +98,14 @@
 		s.dropSegment(segment)
 	case action == state.Rewrite && s.rewriteHoldOff == 0 && s.checkSpace(segment.DataBytes-segment.BytesBeforeHead) == nil:
 		if s.compactSegment(segment) != nil {
-			s.rewriteHoldOff = rewriteHoldOffCalls // the old files stand
+			s.rewriteHoldOff = rewriteHoldOffCalls // the old files stay valid
 		}
 	}
 	return err
 }
 
-// dropped deletes a segment's files. One that stays is deleted at the next start: its head tells that all is gone.
+// dropSegment deletes the files of a segment. A file that cannot be deleted now is deleted at the next start, as the head
+// tells that all messages were removed.
 func (s *Store) dropSegment(segment *state.Segment) {
 	s.dropCaches(segment)
 	s.state.RemoveSegment(segment)
@@ -119,13 +120,13 @@
 	}
 }
 
-// forget has nothing of a segment's entries be kept in memory.
+// dropCaches drops what is cached in memory of a segment's entries.
 func (s *Store) dropCaches(segment *state.Segment) {
 	s.indexes.dropCache(segment)
 	delete(s.dueLists, segment)
 }
 
-// renew writes a segment anew with what is live.
+// compactSegment rewrites a segment with its live messages.
 func (s *Store) compactSegment(segment *state.Segment) error {
 	var live []indexEntry
 	if err := s.indexes.liveEntries(segment, func(_ uint32, entry indexEntry) { live = append(live, entry) }); err != nil {
@@ -139,8 +140,9 @@
 	return s.rewriteSegment(segment, live, data[:n])
 }
 
-// rewrite writes a segment with these messages, whose frames are in data, and tells the state. New data comes beside the old, and
-// is the segment's once the entries name it. None at all drops the segment.
+// rewriteSegment rewrites a segment with the given entries, whose frames are in data, and updates the state. The new data
+// file is written beside the old one and is in effect once the new index file refers to it. Without entries the segment is
+// dropped.
 func (s *Store) rewriteSegment(segment *state.Segment, live []indexEntry, data []byte) error {
 	if len(live) == 0 {
 		s.dropSegment(segment)
@@ -164,7 +166,7 @@
 		err = s.folder.replace(indexFileName(&next), index)
 	}
 	if err != nil {
-		s.folder.remove(dataFileName(&next)) // not named by the entries; else deleted at the next start
+		s.folder.remove(dataFileName(&next)) // the index does not refer to it; if this fails, the next start deletes it
 		return err
 	}
 	old := dataFileName(segment)
--- a/internal/backlog/mend.go
+++ b/internal/backlog/repair.go
@@ -9,19 +9,19 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// salvaged is what is found of a damaged segment: messages by place, all of which are live or in doubt.
+// salvageResult is what was recovered from a damaged segment; its entries are sorted by sequence and live or in doubt.
 type salvageResult struct {
 	live          []indexEntry
 	lost, inDoubt int
-	lastSequence  uint64 // place of the newest that is known of
+	lastSequence  uint64 // highest sequence number found
 }
 
-// salvage reads what it can of a segment's two files. The entries say what they know; where they are silent the data is
-// searched for frames, whose messages are in doubt.
+// salvage recovers the messages of a segment from its two files. Readable index entries decide about their messages. The
+// data that no entry covers is searched for frames, whose messages are in doubt.
 func (s *Store) salvage(segment *state.Segment, index, data []byte) (result salvageResult) {
 	_, head, headKnown, ok := decodeHeader(index, segment.Dest, segment.First)
 	headKnown = headKnown && ok
-	var covered []indexEntry // what of the data is spoken for
+	var covered []indexEntry // entries whose part of the data is accounted for
 	unreadable, removedEnd := 0, uint32(0)
 	for i := 0; int(entryOffset(uint32(i+1))) <= len(index); i++ {
 		beforeHead := headKnown && i < int(head)
@@ -74,7 +74,7 @@
 	return result
 }
 
-// search finds whole frames of a segment in a part of its data.
+// findFrames returns an entry for each complete frame of a segment in a part of its data.
 func (s *Store) findFrames(segment *state.Segment, data []byte, from, to uint32) (all []indexEntry) {
 	for offset := from; offset+frameHeaderSize <= to; {
 		message, sequence, ok := decodeFrame(data[offset:to], s.frameSalt)
@@ -92,7 +92,7 @@
 	return all
 }
 
-// mend saves what is left of a segment that was found damaged, and reports it.
+// repairSegment rewrites a damaged segment with the messages that can be recovered, and reports the damage.
 func (s *Store) repairSegment(segment *state.Segment) error {
 	index, err := s.folder.readFile(indexFileName(segment))
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -102,7 +102,7 @@
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
-	// What is on disk behind what the state knows of is of a call that failed.
+	// Anything on disk beyond the recorded sizes was left by a call that failed.
 	index = index[:min(int64(len(index)), entryOffset(segment.Entries))]
 	data = data[:min(int64(len(data)), segment.DataBytes)]
 	result := s.salvage(segment, index, data)
@@ -119,24 +119,24 @@
 	}
 }
 
-// rebuild makes the table anew from all segments' entries, beside the one that is there.
+// rebuildTable builds the table anew from the index files, beside the existing one, and then replaces that.
 func (s *Store) rebuildTable() error {
 	s.reportDamage(&DamageError{Segment: tableFileName, Reason: "it was built again"})
 	tmp := tableFileName + ".tmp"
 	rebuilt := s.newTable(tmp)
-	rebuilt.checkSpace = func(int64) error { return nil } // it takes the place of one as large
+	rebuilt.checkSpace = func(int64) error { return nil } // it replaces a file of the same size
 	if err := rebuilt.create(); err != nil {
 		return err
 	}
 	committed := s.committedSequence
-	s.committedSequence = s.lastSequence // nothing is being put
+	s.committedSequence = s.lastSequence // all entries are in segments: no Put is in progress
 	defer func() { s.committedSequence = committed }()
 	for dest := range s.state.Dests() {
 		for _, segment := range slices.Clone(s.state.Segments(dest)) {
 			var all []indexEntry
 			err := s.indexes.liveEntries(segment, func(_ uint32, entry indexEntry) { all = append(all, entry) })
 			if err != nil {
-				return err // mended by the caller, who tries again
+				return err // the caller repairs the segment and retries
 			}
 			for i := range all {
 				if err := rebuilt.addMessage(dest, &all[i]); err != nil {
--- a/internal/backlog/split.go
+++ b/internal/backlog/split.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// relieve makes room in the page of a hash: it leaves out what is needed no more, and splits the page in four if that is little or
-// it has to. New pages are written before the old one is given up.
+// makeSpace frees slots in the page of a hash: it drops slots that are no longer needed, and splits the page in four if
+// more than half of the slots stay or split is set. New pages are written before the old one is freed.
 func (t *table) makeSpace(hash uint64, split bool) error {
 	old := t.directory[t.directoryIndex(hash)]
 	buffer := make([]byte, pageSize)
@@ -73,7 +73,8 @@
 	return nil
 }
 
-// undo gives up pages that were written beside the one that stays. Were one left, it could pass for a later one.
+// undoPages frees pages that were written beside the one that stays. If one stayed too, a later start could take it for a
+// newer page.
 func (t *table) undoPages(pages []page, err error) error {
 	for _, p := range pages {
 		if t.freePage(p.index) != nil {
@@ -83,7 +84,7 @@
 	return err
 }
 
-// take is a page that is free, or one more at the end.
+// allocatePage returns a free page, or extends the file by one.
 func (t *table) allocatePage() uint32 {
 	if n := len(t.freePages); n > 0 {
 		index := t.freePages[n-1]
--- a/internal/backlog/state/times.go
+++ b/internal/backlog/state/due.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// times is a heap of segments by the time before which none of their messages is due.
+// dueHeap is a heap of segments by the time before which none of their messages is due.
 type dueHeap []*Segment
 
 func (t dueHeap) Len() int { return len(t) }
@@ -26,7 +26,7 @@
 	return s
 }
 
-// Earliest is the segment with the least time; nil if there is none.
+// Earliest returns the segment with the earliest due time, nil if there is none.
 func (b *State) Earliest() *Segment {
 	if len(b.byDue) == 0 {
 		return nil
@@ -34,7 +34,7 @@
 	return b.byDue[0]
 }
 
-// SetDue tells before when none of a segment's messages is due.
+// SetEarliestDue sets the time, in Unix milliseconds, before which no message of a segment is due.
 func (b *State) SetEarliestDue(s *Segment, due int64) {
 	s.EarliestDue = due
 	heap.Fix(&b.byDue, s.heapIndex)
--- a/internal/backlog/state/loads.go
+++ b/internal/backlog/state/loads.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Load is messages and their bytes.
+// Load is a number of messages and their bytes.
 type Load struct{ Messages, Bytes int }
 
-// loads are those of destinations that have any.
+// destLoads has the loads of destinations that have any messages.
 type destLoads map[int]Load
 
-// with are loads with so much more of a destination.
+// plus returns the loads with a change of one destination added.
 func (l destLoads) plus(dest, messages, bytes int) destLoads {
 	if l == nil {
 		l = destLoads{}
@@ -19,23 +19,24 @@
 	return l
 }
 
-// Window tells how many messages of a destination the decisions may hold: the dynamic threshold of switches
-// that share a buffer (Choudhury and Hahne, 1998), of what is free, and twice what was served in a second.
-// Held is at most Total, one for each destination, and two seconds of what is served.
+// Window limits how many messages of a destination are in memory. The limit is a dynamic threshold as in switches that
+// share a buffer (Choudhury and Hahne, 1998), Alpha times the free capacity, or twice what was served in a second if that
+// is more. All together the pending messages are at most Capacity, one for each destination, and what is served in two
+// seconds.
 type Window struct {
-	Capacity                         Load    // of all destinations
-	Alpha                            float64 // of what is free, for each
+	Capacity                         Load    // of all destinations together
+	Alpha                            float64 // factor of the free capacity that one destination may use
 	pendingTotal                     Load
-	pending, servedNow, servedBefore destLoads // held; served in the present second and the last
+	pending, servedNow, servedBefore destLoads // pending; served in the current second and in the previous one
 	secondStart                      time.Duration
 }
 
-// Enter tells that a message came in.
+// Add records that a message became pending.
 func (w *Window) Add(dest, bytes int) {
 	w.pending, w.pendingTotal = w.pending.plus(dest, 1, bytes), Load{w.pendingTotal.Messages + 1, w.pendingTotal.Bytes + bytes}
 }
 
-// Leave tells that one went, and whether its destination took it.
+// Remove records that a pending message left, and whether its destination served it.
 func (w *Window) Remove(dest, bytes int, served bool, now time.Duration) {
 	w.pending, w.pendingTotal = w.pending.plus(dest, -1, -bytes), Load{w.pendingTotal.Messages - 1, w.pendingTotal.Bytes - bytes}
 	if w.advance(now); served {
@@ -43,7 +44,7 @@
 	}
 }
 
-// turn forgets what was served before the last second.
+// advance starts a new second if one has begun, and drops what was served before the previous one.
 func (w *Window) advance(now time.Duration) {
 	if second := now.Truncate(time.Second); second > w.secondStart {
 		if w.servedBefore, w.servedNow = w.servedNow, nil; second > w.secondStart+time.Second {
--- a/internal/backlog/state/state.go
+++ b/internal/backlog/state/state.go
@@ -1,5 +1,6 @@
-// Package state is what a backlog decides: which segment takes a message, when one is dropped or written anew, which has the
-// next time, what fits the budget, and how many messages of a destination its window holds. It knows neither files nor clock.
+// Package state makes the decisions of a backlog: which segment gets a message, when a segment is dropped or rewritten,
+// which one has the next due time, what fits the disk budget, and how many messages of a destination may be in memory. It
+// uses neither files nor a clock.
 package state
 
 import (
@@ -10,39 +11,40 @@
 	"slices"
 )
 
-// Sizes of what lies on disk, in bytes.
+// Sizes on disk, in bytes.
 const (
-	BlockSize  = 512 // each file counts in whole ones
-	HeaderSize = 64  // of a file of entries
+	BlockSize  = 512 // each file counts in whole blocks
+	HeaderSize = 64  // header of an index file
 	EntrySize  = 48
 )
 
 // Limits bound a backlog.
 type Limits struct {
-	DiskBytes                        int64 // bytes for all files
-	MinSegmentBytes, MaxSegmentBytes int64 // bytes of data at which a segment takes no more
+	DiskBytes                        int64 // limit for all files together
+	MinSegmentBytes, MaxSegmentBytes int64 // bounds of the data size at which a segment accepts no more messages
 }
 
-// Segment is one run of a destination's messages, in the order of taking on. Nothing is kept of each message.
+// Segment is a sequence of messages of one destination in the order in which they were accepted. It has no data about
+// single messages.
 type Segment struct {
 	Dest            int
-	First           uint64 // place that it is named by; none in it is before
-	Last            uint64 // place of its newest
-	EarliestDue     int64  // Unix ms; none that is live has to have ended before
+	First           uint64 // sequence number in its file names; no message has a lower one
+	Last            uint64 // sequence number of its newest message
+	EarliestDue     int64  // Unix milliseconds; no live message is due before
 	DataBytes       int64  // bytes of frames
 	BytesBeforeHead int64  // bytes of frames before the head
-	RemovedBytes    int64  // bytes of frames that are gone behind the head
+	RemovedBytes    int64  // bytes of removed frames behind the head
 	Entries         uint32
-	Head            uint32 // entries before it are gone
+	Head            uint32 // number of entries at the front that are all removed
 	Live            uint32
-	Rewrites        uint32 // how often it was written anew
-	heapIndex       int    // in the heap of times
+	Rewrites        uint32 // number of times it was rewritten
+	heapIndex       int    // index in State.byDue
 }
 
-// What is to be done with a segment.
+// Action tells what to do with a segment.
 type Action int
 
-// Keep leaves it, Drop deletes it, Renew writes what is live of it anew.
+// Keep leaves the segment as it is, Drop deletes it, Rewrite writes its live messages to new files.
 const (
 	Keep Action = iota
 	Drop
@@ -50,34 +52,35 @@
 )
 
 type queue struct {
-	segments  []*Segment // by First
+	segments  []*Segment // sorted by First
 	messages  int
 	dataBytes int64 // bytes of frames
 }
 
-// State is all segments.
+// State has the segments of all destinations.
 type State struct {
 	limits       Limits
 	queues       map[int]*queue
 	byDue        dueHeap
-	fixedBytes   int64 // bytes of files that are no segment's
+	fixedBytes   int64 // bytes of files that belong to no segment
 	segmentBytes int64
 	messages     int
 }
 
-// New is a backlog with nothing in it.
+// New returns the state of an empty backlog.
 func New(l Limits) *State { return &State{limits: l, queues: map[int]*queue{}} }
 
 func roundUpToBlocks(n int64) int64 { return (n + BlockSize - 1) / BlockSize * BlockSize }
 
-// Size is what a segment's files take of the budget.
+// FileBytes returns how much of the budget the files of a segment use, in whole blocks.
 func (s *Segment) FileBytes() int64 { return fileBytes(s.Entries, s.DataBytes) }
 
 func fileBytes(entries uint32, dataBytes int64) int64 {
 	return roundUpToBlocks(HeaderSize+EntrySize*int64(entries)) + roundUpToBlocks(dataBytes)
 }
 
-// Growth is by how much a segment's files grow with so many more entries and bytes of data. For one that is not there yet, a zero Segment's files count whole.
+// Growth returns by how much the files of a segment grow in the budget with more entries and bytes of data. The files of a
+// new segment count from zero.
 func Growth(segment *Segment, isNew bool, entries uint32, dataBytes int64) int64 {
 	growth := fileBytes(segment.Entries+entries, segment.DataBytes+dataBytes)
 	if !isNew {
@@ -86,8 +89,8 @@
 	return growth
 }
 
-// Tail is the segment that takes a destination's next message; nil if one is to be begun. To it will have come, of what is not
-// told yet, so many bytes.
+// Tail returns the segment that accepts the next message of a destination, nil if a new segment must be started. planned
+// is the number of bytes that are about to be added to it and are not recorded yet.
 func (b *State) Tail(dest int, sequence uint64, planned int64) *Segment {
 	q := b.queues[dest]
 	if q == nil {
@@ -100,7 +103,8 @@
 	return s
 }
 
-// Takes tells whether a segment that will have so many bytes more than told takes a message of that place. One grows up to a quarter of its destination's data.
+// Accepts reports whether a segment with planned more bytes accepts a message with that sequence number. A segment grows
+// up to a quarter of its destination's data, within the limits.
 func (b *State) Accepts(s *Segment, sequence uint64, planned int64) bool {
 	var destBytes int64
 	if q := b.queues[s.Dest]; q != nil {
@@ -110,7 +114,7 @@
 	return s.DataBytes+planned < maxBytes && sequence-s.First <= math.MaxUint32
 }
 
-// Begin adds a segment, with what it holds.
+// AddSegment adds a segment with the messages that it has.
 func (b *State) AddSegment(s *Segment) {
 	q := b.queues[s.Dest]
 	if q == nil {
@@ -126,7 +130,7 @@
 	heap.Push(&b.byDue, s)
 }
 
-// Grow tells of one more message in a segment.
+// AddMessage records that a message was added to a segment.
 func (b *State) AddMessage(s *Segment, sequence uint64, due, bytes int64) {
 	q := b.queues[s.Dest]
 	b.segmentBytes -= s.FileBytes()
@@ -143,8 +147,9 @@
 	}
 }
 
-// Leave tells that live messages have left a segment: how many, where its head is now, how many bytes are before that, and how
-// many behind it are gone. It tells what is to be done: one whose data is half gone out of order is worth writing anew, which copies less than what went.
+// RemoveMessages records that live messages of a segment were removed: their number, the new head, the bytes before the
+// head and the removed bytes behind it. It returns what to do with the segment. A segment is rewritten once more than half
+// of the data behind its head is removed, so a rewrite copies less than was removed.
 func (b *State) RemoveMessages(s *Segment, removed int, head uint32, bytesBeforeHead, removedBytes int64) Action {
 	q := b.queues[s.Dest]
 	s.Live -= uint32(removed)
@@ -160,7 +165,7 @@
 	return Keep
 }
 
-// Renewed tells that a segment has been written anew with what is live of it alone.
+// SegmentRewritten records that a segment was rewritten and has only its live messages.
 func (b *State) SegmentRewritten(s *Segment, live uint32, dataBytes int64) {
 	q := b.queues[s.Dest]
 	b.segmentBytes -= s.FileBytes()
@@ -172,7 +177,7 @@
 	b.segmentBytes += s.FileBytes()
 }
 
-// Remove forgets a segment that has been dropped.
+// RemoveSegment removes a dropped segment.
 func (b *State) RemoveSegment(s *Segment) {
 	q := b.queues[s.Dest]
 	i, _ := slices.BinarySearchFunc(q.segments, s.First, compareFirst)
@@ -187,7 +192,7 @@
 	}
 }
 
-// Segments are a destination's, the oldest first.
+// Segments returns the segments of a destination, the oldest first.
 func (b *State) Segments(dest int) []*Segment {
 	if q := b.queues[dest]; q != nil {
 		return q.segments
@@ -195,7 +200,7 @@
 	return nil
 }
 
-// Of is the segment that a place would be in; nil if there is none.
+// SegmentOf returns the segment whose range has a sequence number, nil if there is none.
 func (b *State) SegmentOf(dest int, sequence uint64) *Segment {
 	all := b.Segments(dest)
 	i, ok := slices.BinarySearchFunc(all, sequence, compareFirst)
@@ -208,25 +213,25 @@
 	return all[i]
 }
 
-// Begun tells whether a destination has anything as old as a place.
+// HasSegmentUpTo reports whether a destination has a segment that starts at or before a sequence number.
 func (b *State) HasSegmentUpTo(dest int, sequence uint64) bool {
 	all := b.Segments(dest)
 	return len(all) > 0 && all[0].First <= sequence
 }
 
-// Room is what is left of the budget; less than none if it was larger before.
+// FreeBytes returns what is left of the budget. It is negative if the budget was lowered below what is used.
 func (b *State) FreeBytes() int64 { return b.limits.DiskBytes - b.UsedBytes() }
 
-// Used is what all files take.
+// UsedBytes returns how much of the budget all files use.
 func (b *State) UsedBytes() int64 { return b.segmentBytes + roundUpToBlocks(b.fixedBytes) }
 
-// Fixed tells how many bytes files take that are no segment's.
+// SetFixedBytes sets the size of the files that belong to no segment.
 func (b *State) SetFixedBytes(n int64) { b.fixedBytes = n }
 
-// Len is how many messages there are.
+// Len returns the number of messages.
 func (b *State) Len() int { return b.messages }
 
-// LenOf is how many there are for a destination.
+// LenOf returns the number of messages of a destination.
 func (b *State) LenOf(dest int) int {
 	if q := b.queues[dest]; q != nil {
 		return q.messages
@@ -234,7 +239,7 @@
 	return 0
 }
 
-// Dests are the destinations that have any.
+// Dests iterates over the destinations that have segments.
 func (b *State) Dests() iter.Seq[int] { return maps.Keys(b.queues) }
 
 func compareFirst(s *Segment, sequence uint64) int {
--- a/internal/backlog/state/window.go
+++ b/internal/backlog/state/window.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Room is how many more of a destination may come in. Bytes of those that are in count, the next one's don't.
+// Available returns how many more messages of a destination may become pending. The bytes of pending messages count, those
+// of the next message do not.
 func (w *Window) Available(dest int, now time.Duration) int {
 	w.advance(now)
 	pending, before, current := w.pending[dest], w.servedBefore[dest], w.servedNow[dest]
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -7,25 +7,25 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// Store is a backlog in a folder.
+// Store is the backlog in one folder.
 type Store struct {
 	folder            *folder
 	state             *state.State
 	indexes           *indexReader
 	table             *table
 	dueLists          map[*state.Segment]dueList
-	frameSalt         uint32 // of frames
-	folderSalt        []byte // of hashes
-	lastSequence      uint64 // highest place given
-	committedSequence uint64 // highest place that the state knows of
-	rewriteHoldOff    int    // calls of Out until a segment is written anew again, after one could not be
+	frameSalt         uint32 // start value of the CRC of frames: the first four bytes of folderSalt
+	folderSalt        []byte // salt of the hashes of ids and ordering keys
+	lastSequence      uint64 // highest sequence number assigned
+	committedSequence uint64 // highest sequence number that is recorded in state
+	rewriteHoldOff    int    // calls of Remove until the next rewrite is tried, after one failed
 	damageReports     []error
-	partialWrites     []*segmentWrite // what calls that failed wrote and could not take back
-	dueScans          int             // how often a segment's entries were gone through for a run
+	partialWrites     []*segmentWrite // writes of failed calls of Put that could not be undone yet
+	dueScans          int             // number of scans of a segment's index for a due list
 	now               func() time.Time
 }
 
-// part is what a call of Put adds to one segment.
+// segmentWrite is what one call of Put adds to one segment.
 type segmentWrite struct {
 	segment *state.Segment
 	create  bool
@@ -34,7 +34,8 @@
 	frames  []byte
 }
 
-// Put takes messages on, whole or not at all. They are written when it returns.
+// Put stores messages, all of them or none. They are written when it returns. Its errors are FullError, TooLargeError and
+// FileError.
 func (s *Store) Put(messages ...Message) error {
 	for len(s.partialWrites) > 0 {
 		if err := s.undoWrite(s.partialWrites[0]); err != nil {
@@ -65,7 +66,7 @@
 			err = errors.Join(err, s.releaseKeys(writes))
 			for _, write := range writes[:i+1] {
 				if s.undoWrite(write) != nil {
-					s.partialWrites = append(s.partialWrites, write) // the next call has to, before anything else
+					s.partialWrites = append(s.partialWrites, write) // the next call of Put undoes it first
 				}
 			}
 			return err
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// plan shares messages out to segments.
+// planWrites assigns sequence numbers to messages and distributes them to segments.
 func (s *Store) planWrites(messages []Message) ([]*segmentWrite, error) {
 	var writes []*segmentWrite
 	lastWrite := map[int]*segmentWrite{}
@@ -124,7 +125,7 @@
 	return writes, nil
 }
 
-// roomFor tells whether the files may grow by so much.
+// checkSpace returns a FullError if the files may not grow by that many bytes.
 func (s *Store) checkSpace(bytes int64) error {
 	if free := s.state.FreeBytes(); bytes > free {
 		retryAfter := time.Second
@@ -136,7 +137,7 @@
 	return nil
 }
 
-// index notes in the table where messages are about to be.
+// addToTable adds the messages that are about to be written to the table.
 func (s *Store) addToTable(writes []*segmentWrite) error {
 	for i, write := range writes {
 		for j := range write.entries {
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// unkey has messages that are not taken on count for their keys no more.
+// releaseKeys subtracts messages that were not stored from the counts of their ordering keys.
 func (s *Store) releaseKeys(writes []*segmentWrite) (err error) {
 	for _, write := range writes {
 		for _, entry := range write.entries {
@@ -161,7 +162,7 @@
 	return err
 }
 
-// add writes a part: entries first, so that a frame without one is never a kill's work.
+// writeToSegment writes the index entries before the frames, so that a kill never leaves a frame without an entry.
 func (s *Store) writeToSegment(write *segmentWrite) error {
 	offset := int64(0)
 	if !write.create {
@@ -173,7 +174,7 @@
 	return s.folder.write(dataFileName(write.segment), write.frames, write.segment.DataBytes, write.create)
 }
 
-// undo takes a part back that may have been written; data first, for the same reason.
+// undoWrite undoes a write that may have been done in part. The data goes first, for the same reason as in writeToSegment.
 func (s *Store) undoWrite(write *segmentWrite) error {
 	if write.create {
 		return errors.Join(s.folder.remove(dataFileName(write.segment)), s.folder.remove(indexFileName(write.segment)))
@@ -181,7 +182,7 @@
 	return errors.Join(s.folder.truncate(dataFileName(write.segment), write.segment.DataBytes), s.folder.truncate(indexFileName(write.segment), entryOffset(write.segment.Entries)))
 }
 
-// Close gives the files up.
+// Close closes the open files.
 func (s *Store) Close() error {
 	s.folder.openFiles.Purge()
 	return nil
--- a/internal/backlog/table.go
+++ b/internal/backlog/table.go
@@ -6,34 +6,34 @@
 	"slices"
 )
 
-// table finds places by hashes of ids and keys: an extendible hash table (Fagin et al., 1979) in one file. Only its directory
-// is in memory.
+// table maps hashes of ids and ordering keys to sequence numbers. It is an extendible hash table (Fagin et al., 1979) in
+// one file; only its directory is in memory.
 type table struct {
 	folder           *folder
 	fileName         string
-	directory        []uint32 // page of each prefix of depth bits
+	directory        []uint32 // page of each hash prefix of depth bits
 	depth            uint32
-	pageCount        uint32 // in the file
+	pageCount        uint32 // number of pages in the file
 	freePages        []uint32
 	lastPageSequence uint64
-	unusable         bool // by a change that could be neither made nor undone
+	unusable         bool // a change could be neither completed nor undone
 	buffer           [slotsPerRead * slotSize]byte
-	needed           func(slot) bool   // whether a slot is still needed
-	checkSpace       func(int64) error // whether the file may grow by so much
-	sizeChanged      func(bytes int64) // is told the file's size
+	needed           func(slot) bool   // reports whether a slot is still needed
+	checkSpace       func(int64) error // returns an error if the file may not grow by that many bytes
+	sizeChanged      func(bytes int64) // receives the new size of the file
 }
 
 const (
-	slotsPerRead  = 16 // slots read at once
-	maxProbes     = 64 // a page where a search for a free slot takes longer is full; at random that is at some 80%
+	slotsPerRead  = 16 // number of slots read at once
+	maxProbes     = 64 // a page where the search for a free slot takes more probes is full: at about 80% with random hashes
 	maxDepth      = 28
 	tableFileName = "ids"
 )
 
-// errTable is that the table has to be built again.
+// errDamagedTable tells that the table must be rebuilt.
 var errDamagedTable = errors.New("the table of ids is damaged")
 
-// begin makes the file anew, with nothing in it.
+// create creates the file with one empty page.
 func (t *table) create() error {
 	p := page{sequence: 1}
 	if err := t.folder.write(t.fileName, p.encode(nil), 0, true); err != nil {
@@ -44,7 +44,7 @@
 	return nil
 }
 
-// load reads the headers of all pages of a file of that size.
+// load reads the headers of all pages of a file with that size.
 func (t *table) load(size int64) error {
 	t.pageCount, t.freePages = uint32(size/pageSize), nil
 	var pages []page
@@ -60,10 +60,10 @@
 			t.freePages = append(t.freePages, at)
 		}
 	}
-	// A kill as a page was split leaves both it and what it was split into: it counts, the others may be half.
+	// A kill during a split leaves both the old page and new ones. The old page is valid, the new ones may be incomplete.
 	slices.SortFunc(pages, func(a, b page) int { return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.sequence, b.sequence)) })
 	if t.depth > 0 && int64(len(pages))<<8 < 1<<t.depth {
-		return errDamagedTable // deeper than a table with so few pages grows: not written by this program
+		return errDamagedTable // this program never writes so deep a table with so few pages
 	}
 	const none = ^uint32(0)
 	t.directory = slices.Repeat([]uint32{none}, 1<<t.depth)
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// span is the part of the directory that leads to a page.
+// directoryRange returns the part of the directory that refers to a page.
 func (t *table) directoryRange(page page) []uint32 {
 	from := t.directoryIndex(page.prefix)
 	return t.directory[from : from+1<<(t.depth-page.depth)]
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// walk yields the slots from a hash's first on, up to a free one or until it has enough; with each, where it is in the file.
+// probe yields the slots from the first one of a hash on, with their offsets in the file, until a free slot was yielded,
+// maxSlots were, or yield returns false.
 func (t *table) probe(hash uint64, maxSlots int, yield func(slot, int64) bool) error {
 	if t.unusable {
 		return errDamagedTable
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// find gives the slots of a hash, until told to stop.
+// find yields the slots of a hash until yield returns false.
 func (t *table) find(hash uint64, yield func(slot, int64) bool) error {
 	return t.probe(hash, slotsPerPage, func(s slot, at int64) bool { return s.hash != hash || yield(s, at) })
 }
@@ -147,7 +148,7 @@
 	return t.folder.write(t.fileName, s.encode(), offset, false)
 }
 
-// insert adds a slot.
+// insert adds a slot and makes space in its page if that is full.
 func (t *table) insert(s slot) error {
 	for retry := false; ; retry = true {
 		freeOffset := int64(-1)
@@ -168,7 +169,7 @@
 	}
 }
 
-// add notes where a message is.
+// addMessage adds the slot of a message's id and counts its ordering key.
 func (t *table) addMessage(dest int, entry *indexEntry) error {
 	if err := t.insert(slot{hash: entry.idHash, sequence: entry.sequence, dest: dest}); err != nil || entry.keyHash == 0 {
 		return err
@@ -176,7 +177,8 @@
 	return t.adjustKeyCount(entry.keyHash, dest, entry.sequence, true)
 }
 
-// count notes one message more of a key in a destination, or one less. Of one more its place is the newest.
+// adjustKeyCount adds one message to the count of an ordering key in a destination, or subtracts one. An added message
+// becomes the newest of its key.
 func (t *table) adjustKeyCount(hash uint64, dest int, sequence uint64, increment bool) error {
 	var existing slot
 	offset := int64(-1)
--- a/internal/backlog/version.go
+++ b/internal/backlog/version.go
@@ -13,8 +13,8 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// VERSION says the format of the folder's files and the folder's salt, which each segment has too. Other formats have to
-// begin with another line.
+// The file VERSION has the format of the folder's files and the folder's salt, which is in each index file too. Other
+// formats must begin with another line.
 const (
 	versionFileName = "VERSION"
 	versionPrefix   = "larchrouter backlog 1 "
@@ -26,7 +26,8 @@
 	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b, castagnoliTable))
 }
 
-// readVersion checks whose folder it is, and marks one that is new. Of one that is damaged the segments know the salt.
+// readVersion checks the format of the folder and writes the file for a new folder. A damaged file is written anew with
+// the salt from the index files.
 func (s *Store) readVersion(segments map[segmentKey]*segmentFiles) error {
 	b, err := s.folder.readFile(versionFileName)
 	missing := errors.Is(err, fs.ErrNotExist)
@@ -55,7 +56,7 @@
 	s.folderSalt, s.frameSalt = salt, littleEndian.Uint32(salt)
 }
 
-// damagedVersion tells a line of this format that is cut or flipped from another's.
+// isDamagedVersion distinguishes a damaged line of this format from an intact line of another format.
 func isDamagedVersion(line string) bool {
 	sample := string(versionText(make([]byte, saltSize)))
 	salt, sum := line, ""
@@ -66,7 +67,7 @@
 	return !intact && (len(line) == len(sample) || strings.HasPrefix(versionPrefix, line) || strings.HasPrefix(line, versionPrefix))
 }
 
-// saltOf is the salt that the segments have; nil if none is readable.
+// segmentSalt returns the salt from the index files, nil if none is readable.
 func (s *Store) segmentSalt(segments map[segmentKey]*segmentFiles) []byte {
 	for key, files := range segments {
 		if !files.hasIndex {
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/steady"
 )
 
-// Compact writes what is still owed to a new file and puts it in the old one's place.
+// Compact writes all that is still needed to a new file and replaces the old one with it.
 func (j *Journal) Compact() error {
 	var buf []byte
 	order := j.order[:0:0]
@@ -18,7 +18,7 @@
 		order = append(order, orderEntry{e.ID, e.sequence})
 	}
 	for id, record := range j.outages {
-		if steady.Since(record.At) > outageExpiry { // its host may be gone from the list since
+		if steady.Since(record.At) > outageExpiry { // its host may have been removed from the discovery list since
 			j.compactedBytes -= historyBytes
 			delete(j.outages, id)
 			continue
@@ -26,7 +26,7 @@
 		buf = appendFrame(buf, record)
 	}
 	for id, record := range j.disabledHosts {
-		if !record.Flag && steady.Since(record.At) > outageExpiry { // warm long since
+		if !record.Flag && steady.Since(record.At) > outageExpiry { // the host was enabled long ago and is warm
 			j.compactedBytes -= historyBytes
 			delete(j.disabledHosts, id)
 			continue
@@ -44,8 +44,8 @@
 	for _, state := range j.groups {
 		buf = appendFrame(buf, Record{Op: OpGroupState, GroupState: &state})
 	}
-	// A file of a larger budget may leave no room for its copy. It stays all the same until that is whole: what was taken on is
-	// still owed if the copy cannot be written, or a kill comes between.
+	// A file written under a larger budget may leave no space for its copy within this one. It stays until the copy is
+	// complete: accepted messages are still due if the copy cannot be written or the process is killed in between.
 	file, err := os.OpenFile(j.path+".next", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
 		return diskFailure("it could not be written anew", err)
@@ -66,11 +66,12 @@
 	return nil
 }
 
-// Break has nothing more be written: the file may be another process's by now. A compaction that goes well ends it.
+// StopWriting makes all further writes fail with err, as another process may own the file by now. A successful Compact
+// ends this state.
 func (j *Journal) StopWriting(err error) { j.writeError, j.partialRecord, j.stopped = err, false, true }
 
-// goOn opens the file as it stands, for the journal to be appended to it: its sound part is so long. What that cannot do now is
-// tried again by usable.
+// openExisting opens the file as it is, to append after its intact part of that many bytes. checkWritable later retries
+// what fails here.
 func (j *Journal) openExisting(intactBytes int64) {
 	j.fileBytes = intactBytes
 	file, err := os.OpenFile(j.path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -84,8 +85,8 @@
 	}
 }
 
-// usable tells why nothing can be written. What stood in the way is tried again first: a file that could not be opened, half a
-// record that could not be cut back.
+// checkWritable returns the error that keeps records from being written. It first retries what failed before: to open the
+// file, or to truncate a partial record.
 func (j *Journal) checkWritable() error {
 	if j.stopped {
 		return j.writeError
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// Close gives the file up.
+// Close closes the file.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
@@ -110,7 +111,7 @@
 	return j.file.Close()
 }
 
-// All are the messages that are owed their end or its notice, in the order in which they were taken on.
+// All iterates over the messages whose end or notice is due, in the order in which they were accepted.
 func (j *Journal) All() iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
 		for _, position := range j.order {
@@ -121,26 +122,27 @@
 	}
 }
 
-// Entry is what is held of a message; nil if it has ended.
+// Entry returns the entry of a pending message, nil if there is none or it has ended.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
-// Damaged tells whether records that had been written could not be read as it was opened.
+// Damaged reports whether intact records could not be read when the journal was opened.
 func (j *Journal) Damaged() bool { return j.damaged }
 
-// Len is how many messages are held.
+// Len returns the number of pending messages.
 func (j *Journal) Len() int { return len(j.entries) }
 
-// Crowded tells whether what is held takes three eighths of the budget: the file and its copy need half of what is left, too.
+// NearlyFull reports whether the pending messages use more than three eighths of the budget. The file and its copy need
+// half of the remainder, too.
 func (j *Journal) NearlyFull() bool { return 8*j.compactedBytes > 3*j.budgetBytes }
 
-// Size is the length of the file in bytes.
+// Size returns the length of the file in bytes.
 func (j *Journal) Size() int64 { return j.fileBytes }
 
-// Unwell are hosts in an outage, or cold after it.
+// Outages iterates over the hosts that are in an outage or cold after one.
 func (j *Journal) Outages() iter.Seq2[string, Record] { return maps.All(j.outages) }
 
-// ByHand are hosts that operators took out, or gave back not long ago.
+// DisabledHosts iterates over the hosts that operators disabled or recently enabled again.
 func (j *Journal) DisabledHosts() iter.Seq2[string, Record] { return maps.All(j.disabledHosts) }
 
-// Out tells whether operators have taken a host out.
+// Disabled reports whether operators have disabled a host.
 func (j *Journal) Disabled(host string) bool { return j.disabledHosts[host].Flag }
--- a/internal/journal/errors.go
+++ b/internal/journal/errors.go
@@ -1,12 +1,12 @@
 package journal
 
-// ErrFull says that the journal has no room for one more message.
+// ErrFull tells that the journal has no space for one more message.
 var ErrFull = &Failure{What: "disk budget used up", Advice: "give the relay more disk_mb, or see why what it holds does not end"}
 
-// Failure is something that a journal could not do.
+// Failure is an operation of a journal that failed.
 type Failure struct {
-	What   string // could not be done
-	Err    error  // the system's word; nil if it has none
+	What   string // the problem
+	Err    error  // error of the operating system; nil if there is none
 	Advice string // what an operator can do
 }
 
@@ -19,10 +19,10 @@
 
 func (f *Failure) Unwrap() error { return f.Err }
 
-// Remedy says what an operator can do.
+// Remedy tells what an operator can do.
 func (f *Failure) Remedy() string { return f.Advice }
 
-// onDisk is a failure of the folder.
+// diskFailure returns the Failure for an error of the file system.
 func diskFailure(problem string, err error) error {
 	return &Failure{problem, err, "see whether the folder that lasts can be written and has room; nothing is taken on until then"}
 }
--- a/internal/journal/present.go
+++ b/internal/journal/exists.go
@@ -5,10 +5,10 @@
 	"path/filepath"
 )
 
-// fileName is the journal's file in the folder that lasts.
+// fileName is the name of the journal in the state folder.
 const fileName = "journal"
 
-// Present tells whether a folder has a journal: whether a process has used it before.
+// Exists reports whether a folder has a journal, that is whether a process has used it before.
 func Exists(dir string) bool {
 	_, err := os.Stat(filepath.Join(dir, fileName))
 	return err == nil
--- a/internal/journal/fence.go
+++ b/internal/journal/fence.go
@@ -7,12 +7,13 @@
 	"path/filepath"
 )
 
-// oldNext is where versions before the backlog wrote a journal anew. They remove what is there at their start, and do not
+// fenceName is the file to which versions without a backlog rewrote a journal. They remove it when they start, and do not
 // start if they cannot.
 const fenceName = "journal.tmp"
 
-// Fence keeps versions of the program that do not know what else is in the folder from starting on it: a directory with a
-// file stands where they must remove a file. The file says why; its name stands in nobody's way.
+// FenceOlderVersions keeps versions of the program that do not know the other files of the folder from starting with it: it
+// creates a non-empty directory where they must remove a file. A file in it has the reason; its name has no meaning to any
+// version.
 func FenceOlderVersions(dir, reason string) error {
 	path := filepath.Join(dir, fenceName)
 	if err := removeLeftover(path); err != nil {
@@ -27,10 +28,10 @@
 	return nil
 }
 
-// Unfence has older versions start again.
+// RemoveFence lets older versions start again.
 func RemoveFence(dir string) error { return os.RemoveAll(filepath.Join(dir, fenceName)) }
 
-// unfenced removes what an older version left as it was killed; a fence stays.
+// removeLeftover removes the file that a killed older version left. A fence stays.
 func removeLeftover(path string) error {
 	info, err := os.Lstat(path)
 	if errors.Is(err, fs.ErrNotExist) || err == nil && info.IsDir() {
--- a/internal/journal/estates.go
+++ b/internal/journal/groups.go
@@ -6,9 +6,9 @@
 	"slices"
 )
 
-// What a journal keeps of estates, by their owner or a holder.
+// Records of replication groups, in the journal of the owner or of a replica.
 
-// mark notes where an estate stands.
+// setGroupState records the state of a group, or removes it.
 func (j *Journal) setGroupState(state GroupState) {
 	_, known := j.groups[state.Group]
 	switch {
@@ -24,19 +24,19 @@
 	}
 }
 
-// Marks are the estates that something is kept of.
+// GroupStates returns a copy of the states of all groups in the journal.
 func (j *Journal) GroupStates() map[uint64]GroupState { return maps.Clone(j.groups) }
 
-// Mark is what is kept of an estate.
+// GroupState returns the state of a group; the second result is false if the journal has none.
 func (j *Journal) GroupState(id uint64) (GroupState, bool) {
 	state, ok := j.groups[id]
 	return state, ok
 }
 
-// Waits are what hosts told, where that may not be over.
+// RetryAfters iterates over the waits that hosts asked for and that may not have expired.
 func (j *Journal) RetryAfters() iter.Seq2[string, Record] { return maps.All(j.retryAfters) }
 
-// Whole is all that is kept of an estate, as records that begin a copy of it. What is known of endpoints goes along.
+// GroupRecords returns the records that begin a copy of a group: its messages, and what is recorded of endpoints.
 func (j *Journal) GroupRecords(group uint64) (records []Record) {
 	for e := range j.All() {
 		if e.Group == group {
@@ -52,7 +52,7 @@
 	return records
 }
 
-// Replace puts records in the place of all that there is, whole or not at all.
+// Replace replaces the content of the journal with records, all of them or none.
 func (j *Journal) Replace(records ...Record) error {
 	replacement := newJournal(j.path, j.budgetBytes, j.reserveBytes)
 	for _, r := range records {
@@ -66,7 +66,7 @@
 	if replacement.compactedBytes+j.fileBytes > j.budgetBytes {
 		return ErrFull
 	}
-	replacement.fileBytes = j.fileBytes // the old file stands until the new one takes its place
+	replacement.fileBytes = j.fileBytes // the old file exists until the new one replaces it
 	if err := replacement.Compact(); err != nil {
 		return err
 	}
@@ -77,7 +77,8 @@
 	return nil
 }
 
-// Forget ends all messages of an estate without a word: they are another relay's. It returns the records of that.
+// RecordsToForget returns the records that end all messages of a group without a notice, as they belong to another relay
+// now, and remove the group's state. It writes nothing.
 func (j *Journal) RecordsToForget(group uint64) (records []Record) {
 	for e := range j.All() {
 		if e.Group == group {
@@ -87,7 +88,7 @@
 	return append(records, Record{Op: OpGroupState, GroupState: &GroupState{Group: group, Removed: true}})
 }
 
-// Shifted is a record with its stamps by another clock, which shows so many milliseconds more.
+// Shifted returns a copy of a record with its times converted to a clock that is ahead by offsetMs milliseconds.
 func (r Record) Shifted(offsetMs int64) Record {
 	shift := func(at *int64) {
 		if *at != 0 {
@@ -101,7 +102,7 @@
 	return r
 }
 
-// Shifted is a message with its stamps by another clock.
+// Shifted returns a copy of an entry with its times converted to a clock that is ahead by offsetMs milliseconds.
 func (e *Entry) Shifted(offsetMs int64) *Entry {
 	shifted := *e
 	for _, at := range []*int64{&shifted.Due, &shifted.MayHaveRunAt, &shifted.LastTryAt} {
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal is the durable record of the messages that a relay owes their end, and of what it has to
-// remember of endpoints across its processes: one append-only file that a start replays and compacts.
+// Package journal is the durable record of the messages whose end a relay is responsible for, and of what it must know of
+// endpoints across restarts: one append-only file that is replayed and compacted when it is opened.
 package journal
 
 import (
@@ -12,43 +12,43 @@
 	"larchrouter/internal/remedy"
 )
 
-// The file holds records: length, CRC32, JSON. What write(2) has taken outlasts
-// the process, so nothing is synced. Times in it are Unix milliseconds.
+// The file is a sequence of records: length, CRC32, JSON. What write(2) has accepted outlives the process, so nothing is
+// synced. Times are Unix milliseconds.
 
 const (
 	frameHeaderSize   = 8
 	maxRecordBytes    = 256 << 10
 	blockSize         = 512     // each file counts in whole blocks
-	historyBytes      = 384     // room for an entry's history beyond what it was taken on with
-	relayReserveBytes = 1 << 17 // of a relay's own journal, kept for records of messages already held
-	// forgetUnwell is when an outage last heard of is over for a relay that starts.
+	historyBytes      = 384     // bytes for the history of an entry beyond the record that accepted it
+	relayReserveBytes = 1 << 17 // bytes of a relay's own journal that are reserved for records of pending messages
+	// outageExpiry is the age at which a recorded outage counts as over when the journal is compacted.
 	outageExpiry    = 5 * time.Minute
-	groupStateBytes = 4 << 10 // room for an estate's mark
+	groupStateBytes = 4 << 10 // bytes for the state of a replication group
 )
 
-// Journal is one relay's, open in one process. It is not safe for concurrent use.
+// Journal is the journal of one relay, or of one copy. Only one process may have it open. It is not safe for concurrent use.
 type Journal struct {
 	path           string
-	budgetBytes    int64 // for all files together
+	budgetBytes    int64 // limit for all files together
 	file           *os.File
 	fileBytes      int64
-	reserveBytes   int64            // of the budget, kept for records of messages already held
-	compactedBytes int64            // what a compacted journal takes at most
-	copyBytes      map[uint64]int64 // what messages take of a copy at the most, by estate
+	reserveBytes   int64            // part of the budget reserved for records of pending messages
+	compactedBytes int64            // maximum size of a compacted journal
+	copyBytes      map[uint64]int64 // maximum number of bytes of the messages in a copy, by group
 	entries        map[string]*Entry
-	outages        map[string]Record     // hosts in an outage, or cold after it
-	disabledHosts  map[string]Record     // hosts that operators took out, or gave back not long ago
-	retryAfters    map[string]Record     // told by hosts, and not over
-	groups         map[uint64]GroupState // of estates
-	order          []orderEntry          // as taken on; ended ones are dropped by compaction, and an id may come again before that
+	outages        map[string]Record     // hosts in an outage or cold after one
+	disabledHosts  map[string]Record     // hosts that operators disabled or recently enabled again
+	retryAfters    map[string]Record     // waits that hosts asked for
+	groups         map[uint64]GroupState // states of replication groups
+	order          []orderEntry          // order of acceptance; compaction drops ended messages, and an id may be accepted again before that
 	lastSequence   uint64
-	damaged        bool  // what was read had other bytes than were written
-	writeError     error // nothing can be written
-	stopped        bool  // the file may be another process's
-	partialRecord  bool  // for a failed write left half a record, which could not be cut back yet
+	damaged        bool  // intact records followed bytes that could not be read
+	writeError     error // why nothing can be written
+	stopped        bool  // by StopWriting: another process may own the file
+	partialRecord  bool  // a failed write left part of a record that could not be truncated yet
 }
 
-// place is where a message stands in the order.
+// orderEntry is a message in the order of acceptance.
 type orderEntry struct {
 	id       string
 	sequence uint64
@@ -59,35 +59,35 @@
 		retryAfters: map[string]Record{}, groups: map[uint64]GroupState{}}
 }
 
-// Open replays what an earlier process left and starts a compacted file. While the folder cannot be written it goes on with
-// the old one.
+// Open replays the journal that an earlier process left and compacts it. While the folder cannot be written it continues
+// with the existing file.
 func Open(dir string, budget int64) (*Journal, error) {
 	return openWithReserve(dir, budget, relayReserveBytes)
 }
 
-// usableOf is what records may take of a budget: both files count in whole blocks.
+// usableBytes returns how much of a budget records may use, as both files count in whole blocks.
 func usableBytes(budget int64) int64 { return budget - 4*blockSize }
 
 func openWithReserve(dir string, budget, reserve int64) (*Journal, error) {
 	j := newJournal(filepath.Join(dir, fileName), usableBytes(budget), reserve)
 	if err := removeLeftover(filepath.Join(dir, fenceName)); err != nil {
-		slog.Warn("journal", "err", err, "remedy", remedy.Of(err))
+		slog.Warn("leftover file of an older version could not be removed", "err", err, "remedy", remedy.Of(err))
 	}
 	data, err := os.ReadFile(j.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	intactBytes := 0 // bytes up to the end of the last sound record
+	intactBytes := 0 // bytes up to the end of the last intact record
 	for offset := 0; offset < len(data); {
 		r, n, err := decodeFrame(data[offset:])
 		if err != nil {
-			// The tail that was being written when the process died, or damage: what can be read
-			// behind it still tells of messages that are owed their end.
+			// This is the end of the file that was being written when the process was killed, or damage: intact records behind it
+			// still belong to messages whose end is due.
 			skipped := findNextFrame(data[offset:])
 			if skipped < 0 {
 				break
 			}
-			slog.Warn("journal is damaged", "at", offset, "bytes", skipped, "err", err)
+			slog.Warn("journal is damaged; skipping unreadable bytes", "at", offset, "bytes", skipped, "err", err)
 			j.markInDoubt()
 			j.damaged = true
 			offset += skipped
@@ -97,17 +97,17 @@
 		offset += n
 		intactBytes = offset
 	}
-	// A leftover copy is of a compaction that a kill cut short: the old file still holds all.
+	// A leftover copy is of a compaction that a kill interrupted: the old file is still complete.
 	j.fileBytes = int64(len(data))
 	if err := j.Compact(); err != nil {
-		slog.Error("the old journal goes on", "err", err, "remedy", remedy.Of(err))
+		slog.Error("journal could not be compacted; continuing with the existing file", "err", err, "remedy", remedy.Of(err))
 		j.openExisting(int64(intactBytes))
 	}
 	return j, nil
 }
 
-// doubt takes it that each message known so far was sent, long ago, in records that are lost:
-// it may not go again where a repeat does harm, and is given back where it does none.
+// markInDoubt assumes that each message known so far was sent, long ago, in records that are lost: it may not be sent again
+// where a repeat does harm, and is rejected to its sender where a repeat does none.
 func (j *Journal) markInDoubt() {
 	for _, e := range j.entries {
 		if e.NoticeStatus == "" {
@@ -116,7 +116,7 @@
 	}
 }
 
-// apply brings the entries up to date with one record.
+// apply updates the state with one record of recordBytes bytes.
 func (j *Journal) apply(r Record, recordBytes int64) {
 	entry := j.entries[r.ID]
 	switch {
@@ -174,7 +174,7 @@
 	}
 }
 
-// Append writes records and applies them. When it fails nothing was recorded.
+// Append writes records and applies them. If it fails, none was recorded. Without space it returns ErrFull.
 func (j *Journal) Append(records ...Record) error {
 	if err := j.checkWritable(); err != nil {
 		return err
@@ -197,8 +197,8 @@
 		}
 	}
 	written := int64(len(buf))
-	// The file and its compacted copy must fit together at any time. What is taken on must leave that so once everything
-	// held has all of its history: a record of its end could not be written otherwise.
+	// The file and its compacted copy must fit the budget together at any time. Accepting a message must preserve that even
+	// after all pending messages have their full history: their ends could not be recorded otherwise.
 	fits := func() bool {
 		file, live := j.fileBytes+written, j.compactedBytes+growth
 		if reserve > 0 {
@@ -215,7 +215,7 @@
 		}
 	}
 	if _, err := j.file.WriteAt(buf, j.fileBytes); err != nil {
-		// Half a record would hide all that follows it from a replay.
+		// A partial record would hide all records behind it from a replay.
 		if truncateErr := j.file.Truncate(j.fileBytes); truncateErr != nil {
 			j.partialRecord = true
 			j.writeError = diskFailure("half a record was written, and could not be cut back", errors.Join(err, truncateErr))
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -10,7 +10,7 @@
 	estates "larchrouter/internal/estate/state"
 )
 
-// Entry is all that is needed to send a message again, or to end it.
+// Entry has all that is needed to send a message again, or to end it.
 type Entry struct {
 	ID           string        `json:"id"`
 	Class        string        `json:"class"`
@@ -20,38 +20,39 @@
 	Due          int64         `json:"due"`
 	Body         []byte        `json:"body,omitempty"`
 	Tries        int           `json:"tries,omitempty"`
-	TimeoutMs    int64         `json:"wait,omitempty"` // time-out of the last try, ms
-	MayHaveRun   bool          `json:"ran,omitempty"`  // an attempt may have run
+	TimeoutMs    int64         `json:"wait,omitempty"` // timeout of the last try, milliseconds
+	MayHaveRun   bool          `json:"ran,omitempty"`  // an attempt may have run at the destination
 	MayHaveRunAt int64         `json:"ran_at,omitempty"`
-	Zone         int           `json:"zone,omitempty"` // of the host that may have run it
-	InFlight     bool          `json:"out,omitempty"`  // the last try has no outcome
+	Zone         int           `json:"zone,omitempty"` // zone of the host that may have run it
+	InFlight     bool          `json:"out,omitempty"`  // the last try has no outcome yet
 	LastTryAt    int64         `json:"out_at,omitempty"`
-	LastTryZone  int           `json:"out_to,omitempty"` // zone of its host
-	Terms        *choice.Terms `json:"terms,omitempty"`  // it came under
-	NoticeStatus string        `json:"status,omitempty"` // of the notice that is owed
+	LastTryZone  int           `json:"out_to,omitempty"` // zone of the host of the last try
+	Terms        *choice.Terms `json:"terms,omitempty"`  // terms under which the message was accepted
+	NoticeStatus string        `json:"status,omitempty"` // status of the notice that is due; empty while the message is pending
 	RetryAfterMs int64         `json:"again,omitempty"`
-	Group        uint64        `json:"estate,omitempty"` // that it belongs to; 0 for none, in a relay that copies nothing
-	OrderKey     string        `json:"order,omitempty"`  // key of an ordered class; the protocol on sockets has no field for one yet
+	Group        uint64        `json:"estate,omitempty"` // replication group of the message; 0 for none, in a relay without copies
+	OrderKey     string        `json:"order,omitempty"`  // ordering key of an ordered class; the socket protocol has no field for it yet
 
-	sequence       uint64 // in the order of the journal that has it
-	compactedBytes int64  // bytes that it takes in a compacted journal at most
+	sequence       uint64 // position in the order of acceptance of the journal that has it
+	compactedBytes int64  // maximum size in a compacted journal
 }
 
-// What a record tells of a message.
+// Values of Record.Op. They are stored in the file.
 const (
-	OpAccepted   = "taken"   // Entry: taken on, or carried over by compaction
-	OpTry        = "try"     // an attempt is about to go
-	OpOutcome    = "outcome" // it ended
-	OpNotice     = "notice"  // the message ended undelivered; its notice is owed
-	OpEnd        = "end"     // nothing more is owed
-	OpHealth     = "health"  // ID is a host: an outage was seen there (Ran), or has passed
-	OpDisabled   = "hand"    // ID is a host: operators took it out (Ran), or gave it back, at At
-	OpRetryAfter = "wait"    // ID is a host: it told at At to be sent nothing for Wait ms
-	OpGroupState = "mark"    // Mark: where an estate stands
-	OpGroupNext  = "count"   // Estate has as many records as Next says, those of this write among them
+	OpAccepted   = "taken"   // Entry was accepted, or copied by a compaction
+	OpTry        = "try"     // an attempt is about to be sent
+	OpOutcome    = "outcome" // the attempt ended; Flag: it may have run
+	OpNotice     = "notice"  // the message ended undelivered; its notice is due
+	OpEnd        = "end"     // the message is finished
+	OpHealth     = "health"  // ID is a host; Flag: it is in an outage, else the outage is over
+	OpDisabled   = "hand"    // ID is a host; Flag: operators disabled it at At, else enabled it
+	OpRetryAfter = "wait"    // ID is a host that at At asked to be sent nothing for WaitMs
+	OpGroupState = "mark"    // GroupState is the state of a replication group
+	OpGroupNext  = "count"   // Group has NextRecord records, including those of this write
 )
 
-// Record is one thing that happened.
+// Record is one event of a message, a host or a replication group. Times are Unix milliseconds; the meaning of the fields
+// depends on Op.
 type Record struct {
 	Op           string      `json:"op"`
 	ID           string      `json:"i,omitempty"`
@@ -68,29 +69,29 @@
 	GroupState   *GroupState `json:"m,omitempty"`
 }
 
-// Mark is what is kept of an estate beside its messages, by its owner or by a holder.
+// GroupState is what the owner or a replica records of a replication group besides its messages.
 type GroupState struct {
 	estates.Copy
 	Group   uint64        `json:"estate"`
 	Name    string        `json:"name,omitempty"`
 	Main    bool          `json:"main,omitempty"`
 	Copies  int           `json:"copies,omitempty"`
-	Sets    []estates.Set `json:"sets,omitempty"` // that may have what counts
-	Removed bool          `json:"over,omitempty"` // nothing is kept of it any more
+	Sets    []estates.Set `json:"sets,omitempty"` // replica sets that may have the committed records
+	Removed bool          `json:"over,omitempty"` // the group is removed from the journal
 }
 
 func appendFrame(buf []byte, r Record) []byte {
 	payload, err := json.Marshal(r)
 	if err != nil {
-		panic(err) // no field of a record can fail
+		panic(err) // no field of a record can fail to encode
 	}
 	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(payload)))
 	buf = binary.LittleEndian.AppendUint32(buf, crc32.ChecksumIEEE(payload))
 	return append(buf, payload...)
 }
 
-// unframe reads the record at the start of data and tells how long it is. A
-// torn or corrupt one is an error: where the next begins cannot be told from it.
+// decodeFrame decodes the record at the start of data and returns its length. For a truncated or corrupt record it returns
+// an error; the start of the next record cannot be derived from it.
 func decodeFrame(data []byte) (r Record, n int, err error) {
 	if len(data) < frameHeaderSize {
 		return r, 0, errors.New("torn header")
@@ -109,7 +110,7 @@
 	return r, frameHeaderSize + int(size), nil
 }
 
-// nextFrame finds the next sound record behind a damaged one, or returns -1.
+// findNextFrame returns the offset of the next intact record behind a damaged one, or -1.
 func findNextFrame(data []byte) int {
 	for offset := 1; offset+frameHeaderSize < len(data); offset++ {
 		if _, _, err := decodeFrame(data[offset:]); err == nil {
