--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -12,9 +12,10 @@
 	"testing"
 )
 
-var damageStepBytes = flag.Int("backlog.step", 29, "which bytes are cut and flipped: each so many-th")
+var damageStepBytes = flag.Int("backlog.step", 29, "distance in bytes between the positions that are truncated at or flipped")
 
-// lived is a folder with messages of two destinations in several segments, of which some have left in order and some out of it.
+// churnedFolder returns a folder with messages of two destinations in several segments, some of which were removed in order
+// and some out of order; gone has the ids of these.
 func churnedFolder(t testing.TB) (dir string, m queueModel, gone map[string]bool) {
 	dir, m, gone = tempDir(t), queueModel{}, map[string]bool{}
 	s := mustOpen(t, dir, smallOptions(&killSwitch{}))
@@ -46,8 +47,8 @@
 	return dir, m, gone
 }
 
-// survives checks what is left of a folder after damage: at most so many messages are missing, each is told of, what has left comes back in doubt or not at all, order stays,
-// and all can be taken out.
+// checkSurvives checks a folder after damage: at most that many messages are missing and each is reported, removed messages
+// stay removed or come back in doubt, the order is preserved, and all messages can be removed.
 func checkSurvives(t testing.TB, what, dir string, m queueModel, gone map[string]bool, most int) {
 	t.Helper()
 	s, err := Open(dir, smallOptions(&killSwitch{}))
@@ -75,7 +76,7 @@
 			}
 			for _, x := range g[:i] {
 				if !x.InDoubt || !gone[x.ID] {
-					t.Fatalf("%s: %s comes before %s", what, x.ID, h.ID)
+					t.Fatalf("%s: %s precedes %s", what, x.ID, h.ID)
 				}
 			}
 			x := g[i]
@@ -83,21 +84,21 @@
 				doubt--
 			}
 			if x.InDoubt = false; !sameMessage(x, h) || x.Sequence != h.Sequence {
-				t.Fatalf("%s: %+v is %+v", what, h, x)
+				t.Fatalf("%s: message %+v was read as %+v", what, h, x)
 			}
 			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || f.Sequence != h.Sequence {
-				t.Fatalf("%s: %s is found as %v %v %v", what, h.ID, f, ok, err)
+				t.Fatalf("%s: Find of %s returned %v %v %v", what, h.ID, f, ok, err)
 			}
 			g = g[i+1:]
 		}
 		for _, x := range g {
 			if !x.InDoubt || !gone[x.ID] {
-				t.Fatalf("%s: %s is there", what, x.ID)
+				t.Fatalf("%s: removed message %s is back without being in doubt", what, x.ID)
 			}
 		}
 	}
 	if missing > most || missing > lost || doubt < 0 {
-		t.Fatalf("%s: %d missing (at most %d), %d told of; %d in doubt untold", what, missing, most, lost, -doubt)
+		t.Fatalf("%s: %d messages missing (at most %d), %d reported as lost; %d in doubt not reported", what, missing, most, lost, -doubt)
 	}
 	for dest, q := range got {
 		for _, h := range q {
@@ -125,7 +126,7 @@
 	}
 }
 
-// with is a copy of a folder with another content of a file; none if nil.
+// copyWithFile returns a copy of a folder in which one file has other content, or is deleted if b is nil.
 func copyWithFile(t testing.TB, dir, name string, b []byte) string {
 	to := copyDir(t, dir)
 	err := os.Remove(filepath.Join(to, name))
@@ -138,7 +139,7 @@
 	return to
 }
 
-// Guards against one flipped bit that loses more than its record, is not told, or has come again what had left.
+// Guards against a flipped bit that loses more than its record, is not reported, or brings back a removed message.
 func TestFlippedBits(t *testing.T) {
 	dir, m, gone := churnedFolder(t)
 	forEachFile(t, dir, func(name string, b []byte) {
@@ -146,7 +147,7 @@
 			t.Parallel()
 			for i := 0; i < len(b); i += *damageStepBytes {
 				if name == tableFileName && b[i] == 0 && i%(16*slotSize) != 0 {
-					continue // most of it is free
+					continue // most of the table is free slots
 				}
 				c := slices.Clone(b)
 				c[i] ^= 1 << (i % 8)
@@ -156,26 +157,26 @@
 	})
 }
 
-// Guards against a file that is cut and takes more than what was in the part that is missing, or is silent about it.
+// Guards against a truncated or deleted file that loses more than the messages in the missing part, or does not report it.
 func TestTruncatedFiles(t *testing.T) {
 	dir, m, gone := churnedFolder(t)
 	forEachFile(t, dir, func(name string, b []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			checkSurvives(t, "gone", copyWithFile(t, dir, name, nil), m, gone, 30)
+			checkSurvives(t, "deleted", copyWithFile(t, dir, name, nil), m, gone, 30)
 			step := *damageStepBytes
 			if name == tableFileName {
 				step *= 100
 			}
 			for n := 0; n < len(b); n += step {
 				if name == versionFileName && n == 0 {
-					continue // TestOtherVersion
+					continue // covered by TestOtherFormatVersion
 				}
 				most := 0
 				if strings.HasSuffix(name, ".dat") {
 					most = 1 + (len(b)-n)/frameHeaderSize
 				}
-				checkSurvives(t, fmt.Sprint("cut at ", n), copyWithFile(t, dir, name, b[:n]), m, gone, most)
+				checkSurvives(t, fmt.Sprint("truncated at ", n), copyWithFile(t, dir, name, b[:n]), m, gone, most)
 			}
 		})
 	})
--- a/internal/backlog/entry/entry_test.go
+++ b/internal/backlog/entry/entry_test.go
@@ -21,7 +21,8 @@
 			Deadline: 6 * time.Second, Worth: 1, LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 4 * time.Second, Ordered: true}}}
 }
 
-// Guards against a message that comes back as another: of any texts, terms or body; and one in doubt that passes for untried.
+// Guards against a message that changes when it is packed and unpacked, for any strings, terms or body, and against a
+// message in doubt that counts as untried.
 func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringN(0, 40, -1)
@@ -41,7 +42,7 @@
 		want := *e
 		want.MayHaveRun = doubt
 		if a, b := describe(got), describe(&want); a != b {
-			t.Fatalf("put\n%s\ncame back\n%s", b, a)
+			t.Fatalf("packed\n%s\nunpacked\n%s", b, a)
 		}
 	})
 }
@@ -55,7 +56,7 @@
 	return fmt.Sprintf("%+v terms %s", c, terms)
 }
 
-// Guards against a field that a class or its terms get and the data does not: it would be lost by way of the disk.
+// Guards against a new field of a class or its terms that Pack does not encode: it would be lost in the backlog.
 func TestPackKeepsEveryTermsField(t *testing.T) {
 	e := sampleEntry()
 	got, err := Unpack(backlog.StoredMessage{Message: Pack(e)})
@@ -71,14 +72,14 @@
 	}
 }
 
-// Guards against data that wedges, panics or passes for whole when it is cut or of a later version.
+// Guards against an endless loop, a panic, or acceptance of data that is truncated or of a later version.
 func TestUnpackUnreadableData(t *testing.T) {
 	whole := Pack(sampleEntry())
 	head := len(whole.Data) - 200
 	for n := range head {
 		_, err := Unpack(backlog.StoredMessage{Message: backlog.Message{ID: "m", Data: whole.Data[:n]}})
 		if u := (*UnreadableError)(nil); !errors.As(err, &u) || u.ID != "m" || u.Remedy() == "" {
-			t.Fatalf("cut at %d of %d: %v", n, head, err)
+			t.Fatalf("truncated at %d of %d: %v", n, head, err)
 		}
 	}
 	later := append([]byte{versionOne + 1}, whole.Data[1:]...)
@@ -92,16 +93,17 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		e, err := Unpack(backlog.StoredMessage{Message: backlog.Message{ID: "m", Data: data}})
 		if err == nil && len(e.Body) > len(data) {
-			t.Fatal("more came back than was there")
+			t.Fatal("the body is longer than the data")
 		}
 	})
 }
 
-// Guards against data that grows: with what the store adds, bytes written for each byte taken in are to be below 3.
+// Guards against packed data that grows: together with the store's overhead, fewer than 3 bytes may be written for each
+// byte accepted.
 func TestPackedDataIsShort(t *testing.T) {
 	e := sampleEntry()
 	taken := len(e.Body) + len(e.ID) + len(e.Class) + len(e.Tenant) + len(e.Key)
 	if n := len(Pack(e).Data); n > taken+40 {
-		t.Errorf("%d bytes for %d taken in", n, taken)
+		t.Errorf("%d bytes of data for %d bytes accepted", n, taken)
 	}
 }
--- a/internal/backlog/folder_test.go
+++ b/internal/backlog/folder_test.go
@@ -46,7 +46,7 @@
 	return filepath.Join(to, "d")
 }
 
-// filled is a store with a few messages for each of some destinations.
+// openFilled returns a store with some messages for each of some destinations, and the model of it.
 func openFilled(t testing.TB, dir string, o Options, dests, each int) (*Store, queueModel) {
 	s, m := mustOpen(t, dir, o), queueModel{}
 	for i := range dests * each {
@@ -59,8 +59,8 @@
 	return s, m
 }
 
-// Guards against a disk that fails in any write of a call, is full or may not be written: nothing of it is kept, nothing else lost, and it goes on
-// once the disk does.
+// Guards against a Put that fails at any of its writes because the disk is full, read-only or broken: it must store none of
+// its messages and lose no other, and must succeed once the disk works again.
 func TestFailingDisk(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
 		for _, undo := range []bool{true, false} {
@@ -117,7 +117,7 @@
 	}
 }
 
-// Guards against an Out that fails and is not as if it had not been, or can't be made again.
+// Guards against a Remove that fails with part of its effect, or that cannot be repeated.
 func TestFailingRemove(t *testing.T) {
 	for at := range 6 {
 		n, on := 0, false
@@ -150,7 +150,7 @@
 	}
 }
 
-// Guards against a folder whose older copy does not open as what it was then.
+// Guards against an older copy of a folder that does not open with the content it had when it was copied.
 func TestOpenOlderCopy(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "b")
 	s, m := openFilled(t, dir, smallOptions(&killSwitch{}), 3, 20)
@@ -173,13 +173,13 @@
 	}
 }
 
-// Guards against a budget that is smaller than what is there and loses it, or takes more.
+// Guards against a budget below what is stored that loses messages, or accepts more.
 func TestSmallerBudget(t *testing.T) {
 	dir := t.TempDir()
 	s, m := openFilled(t, dir, smallOptions(&killSwitch{}), 2, 60)
 	s.Close()
 	o := smallOptions(&killSwitch{})
-	o.DiskBytes = 48 << 10 // of which the table has 32
+	o.DiskBytes = 48 << 10 // of which the table uses 32 KiB
 	s = mustOpen(t, dir, o)
 	defer s.Close()
 	checkEqual(t, s, m)
@@ -196,11 +196,11 @@
 	}
 	checkEqual(t, s, m)
 	if err := s.Put(Message{ID: "x", Dest: 1}); err != nil {
-		t.Fatalf("with room again, %d bytes of %d: %v", s.Bytes(), diskBytes(t, dir), err)
+		t.Fatalf("with free space again, %d bytes used, %d on disk: %v", s.Bytes(), diskBytes(t, dir), err)
 	}
 }
 
-// Guards against a folder of another format that is read, or changed, as if it were this one's.
+// Guards against a folder of another format that is read or changed as if it had this one.
 func TestOtherFormatVersion(t *testing.T) {
 	salt := make([]byte, saltSize)
 	next := strings.Replace(string(versionText(salt)[:len(versionPrefix)+2*saltSize+1]), "backlog 1", "backlog 2", 1)
@@ -227,7 +227,7 @@
 	}
 	var f *FileError
 	if _, err := Open(file, Options{DiskBytes: 1}); !errors.As(err, &f) || f.Remedy() == "" {
-		t.Fatalf("a file for a folder: %v", err)
+		t.Fatalf("a file instead of a folder: %v", err)
 	}
 }
 
@@ -247,18 +247,18 @@
 		t.Fatal(err)
 	}
 	if dest, ok := s.DestOfKey("k"); ok {
-		t.Fatalf("known of %d", dest)
+		t.Fatalf("the key of refused messages is bound to destination %d", dest)
 	}
 	on = false
 	if err := s.Put(ms...); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Put(Message{ID: "other", Dest: 1}); err != nil { // so that the queue outlasts the key
+	if err := s.Put(Message{ID: "other", Dest: 1}); err != nil { // keeps the queue alive after the last message with the key
 		t.Fatal(err)
 	}
 	for left := 2; left >= 0; left-- {
 		if _, ok := s.DestOfKey("k"); ok != (left > 0) {
-			t.Fatalf("with %d left known: %v", left, ok)
+			t.Fatalf("with %d messages of the key left it is known: %v", left, ok)
 		}
 		all, err := s.Next(1, 1, 1)
 		if err != nil || len(all) != 1 {
--- a/internal/backlog/fuzz_test.go
+++ b/internal/backlog/fuzz_test.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// parts are a segment's two files and the salt that they are read with, as written.
+// writtenFiles returns the two files of a segment, the table, and the salt of the folder.
 func writtenFiles(f *testing.F) (index, data, table []byte, salt []byte) {
 	dir := f.TempDir()
 	s := mustOpen(f, dir, smallOptions(&killSwitch{}))
@@ -39,7 +39,7 @@
 	return index, data, table, salt
 }
 
-// drains opens a folder, asks all that can be asked, and takes all out: nothing panics or comes twice, and nothing is left.
+// checkDrains opens a folder, calls every reading method and removes all messages: nothing may panic, come twice or stay.
 func checkDrains(t *testing.T, dir string) {
 	s, err := Open(dir, smallOptions(&killSwitch{}))
 	if err != nil {
@@ -62,7 +62,7 @@
 		last := uint64(0)
 		for _, h := range all {
 			if h.Sequence <= last {
-				t.Fatalf("places %d, %d", last, h.Sequence)
+				t.Fatalf("sequence numbers %d, %d are out of order", last, h.Sequence)
 			}
 			last = h.Sequence
 			if err := s.Remove(dest, h.Sequence); err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-// seal makes checksums right, so that what they guard is read.
+// fixChecksums corrects the checksums, so that the fuzzer reaches the fields that they protect.
 func fixChecksums(index, data, salt []byte) ([]byte, []byte) {
 	index, data = slices.Clone(index), slices.Clone(data)
 	sum := func(b []byte, at int) { littleEndian.PutUint32(b[at:], crc32.Checksum(b[:at], castagnoliTable)) }
@@ -103,7 +103,7 @@
 	return index, data
 }
 
-// FuzzSegment reads any files for a segment's.
+// FuzzSegment opens a folder with arbitrary files of a segment.
 func FuzzSegment(f *testing.F) {
 	index, data, table, salt := writtenFiles(f)
 	for _, right := range []bool{false, true} {
@@ -115,10 +115,10 @@
 	}
 	other := slices.Clone(index)
 	other[0]++
-	f.Add(other, data[:60], false) // a header that is damaged, and data that is cut
+	f.Add(other, data[:60], false) // a damaged header and truncated data
 	middle := slices.Clone(index)
 	middle[state.HeaderSize+state.EntrySize]++
-	f.Add(middle, data, false) // an entry that is damaged, with its frame there
+	f.Add(middle, data, false) // a damaged entry whose frame is intact
 	f.Fuzz(func(t *testing.T, index, data []byte, right bool) {
 		if right {
 			index, data = fixChecksums(index, data, salt)
@@ -133,14 +133,14 @@
 	})
 }
 
-// FuzzIndex reads any file for the table of ids.
+// FuzzIndex opens a folder with an arbitrary table file.
 func FuzzIndex(f *testing.F) {
 	index, data, table, salt := writtenFiles(f)
 	f.Add(table)
 	f.Add(table[:100])
 	f.Add([]byte{})
 	f.Add([]byte(strings.Repeat("x", pageSize)))
-	f.Add(append(slices.Clone(table[:slotSize]), strings.Repeat("x", pageSize-slotSize)...)) // a page of slots that are none
+	f.Add(append(slices.Clone(table[:slotSize]), strings.Repeat("x", pageSize-slotSize)...)) // a page of invalid slots
 	f.Fuzz(func(t *testing.T, table []byte) {
 		dir := t.TempDir()
 		for name, b := range map[string][]byte{"1-1.idx": index, "1-1.0.dat": data, tableFileName: table, versionFileName: versionText(salt)} {
--- a/internal/backlog/kill_test.go
+++ b/internal/backlog/kill_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// step is one call of a script and what it may leave behind when killed.
+// scriptStep is one call of a script; it returns what the call may leave behind if it is killed.
 type scriptStep func(s *Store, m queueModel) (interruptedCall, error)
 
 func putMessages(dest, n, size int, name string) scriptStep {
@@ -26,7 +26,7 @@
 	}
 }
 
-// refresh takes over places.
+// adoptSequences sets the sequence numbers of a destination's messages in the model to those of the store.
 func adoptSequences(s *Store, m queueModel, dest int) {
 	if all, err := s.Next(dest, 1000, 1<<30); err == nil && len(all) == len(m[dest]) {
 		m[dest] = all
@@ -48,8 +48,9 @@
 	}
 }
 
-// Guards against a kill that takes anything confirmed, brings back what has left, or leaves a folder that does not open: at each byte of each write,
-// of putting, taking out in and out of order, of writing anew, of dropping.
+// Guards against a kill that loses a confirmed message, brings back a removed one, or leaves a folder that does not open.
+// The process is killed at each byte of each write, while messages are stored, removed in order and out of order, and while
+// segments are rewritten and dropped.
 func TestKillAtAnyByte(t *testing.T) {
 	script := []scriptStep{
 		putMessages(1, 3, 10, "a"), putMessages(2, 1, 10, "b"), removeMessages(1, func(i int) bool { return i == 0 }),
--- a/internal/backlog/many_test.go
+++ b/internal/backlog/many_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Guards against thousands of destinations with a little each that take a descriptor each, or a walk over all.
+// Guards against thousands of destinations with few messages each that use a file descriptor each.
 func TestManySmallDestinations(t *testing.T) {
 	const dests = 1000
 	dir, before := t.TempDir(), countOpenFiles(t)
@@ -18,7 +18,7 @@
 		}
 	}
 	if n := countOpenFiles(t) - before; n > 8 {
-		t.Fatalf("%d files are open", n)
+		t.Fatalf("%d more files are open", n)
 	}
 	all, err := s.Due(5000, 300)
 	if err != nil || len(all) != 300 || all[0].Due != 5000-2*dests+1 || all[299].Due != 5000-2*dests+300 {
@@ -46,7 +46,8 @@
 	return len(all)
 }
 
-// Guards against messages due together that come out of order, more than once, or at the cost of looking at all of them each time.
+// Guards against messages due together that are returned out of order or more than once, or that cost a scan of all entries
+// for each call.
 func TestManyDueTogether(t *testing.T) {
 	const n = 6000
 	var read int
@@ -67,7 +68,7 @@
 		}
 		for _, h := range all {
 			if seen[h.ID] || h.Due < last {
-				t.Fatalf("%s comes again or too late, after %d", h.ID, len(seen))
+				t.Fatalf("%s is returned again or too late, after %d messages", h.ID, len(seen))
 			}
 			seen[h.ID], last = true, h.Due
 			if err := s.Remove(h.Dest, h.Sequence); err != nil {
@@ -80,6 +81,6 @@
 		t.Fatalf("%d calls, %d left", read, s.Len())
 	}
 	if s.dueScans > 2*n/dueListLength {
-		t.Fatalf("a segment's entries were gone through %d times for %d messages", s.dueScans, n)
+		t.Fatalf("segments were scanned %d times for %d messages", s.dueScans, n)
 	}
 }
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// model is a backlog without files: the queues.
+// queueModel is a backlog without files: the queue of each destination.
 type queueModel map[int][]StoredMessage
 
 func (m queueModel) remove(dest int, places ...uint64) {
@@ -31,7 +31,7 @@
 	return a.ID == b.ID && a.Dest == b.Dest && a.Due == b.Due && a.OrderKey == b.OrderKey && bytes.Equal(a.Data, b.Data) && a.InDoubt == b.InDoubt
 }
 
-// has is all that a store has, by Next.
+// storedMessages returns all messages of a store, as read by Next.
 func storedMessages(t testFailer, s *Store) queueModel {
 	m := queueModel{}
 	for dest := range s.Dests() {
@@ -52,7 +52,7 @@
 	Helper()
 }
 
-// same checks all that a store says against the model.
+// checkEqual checks the answers of all reading methods of a store against the model.
 func checkEqual(t testFailer, s *Store, m queueModel) {
 	t.Helper()
 	n, least := 0, int64(math.MaxInt64)
@@ -66,15 +66,15 @@
 		}
 		for i, h := range got {
 			if h.Sequence == 0 || i > 0 && h.Sequence <= got[i-1].Sequence {
-				t.Fatalf("places of destination %d do not rise: %s", dest, describe(got))
+				t.Fatalf("sequence numbers of destination %d do not increase: %s", dest, describe(got))
 			}
 			m[dest][i].Sequence = h.Sequence
 			least = min(least, h.Due)
 			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || !sameMessage(f, h) || f.Sequence != h.Sequence {
-				t.Fatalf("%s of destination %d is found as %v %v %v", h.ID, dest, f, ok, err)
+				t.Fatalf("Find of %s of destination %d returned %v %v %v", h.ID, dest, f, ok, err)
 			}
 			if d, ok := s.DestOfKey(h.OrderKey); h.OrderKey != "" && (!ok || d != dest) {
-				t.Fatalf("key %s of destination %d is known as of %d, %v", h.OrderKey, dest, d, ok)
+				t.Fatalf("key %s of destination %d is bound to %d, %v", h.OrderKey, dest, d, ok)
 			}
 		}
 		n += len(q)
@@ -99,12 +99,12 @@
 
 var errKilled = errors.New("killed")
 
-// killer lets a number of bytes and changes through, and nothing after these.
+// killSwitch simulates a kill: once armed it lets a number of bytes and changes through, and then fails all others.
 type killSwitch struct {
 	budget          int
 	armed           bool
 	killed          bool
-	tearSmallWrites bool // heads, marks and slots too, as a disk may
+	tearSmallWrites bool // also tears writes of heads, marks and slots, as a disk may
 }
 
 func (k *killSwitch) fault(op, name string, n int) (int, error) {
@@ -116,14 +116,14 @@
 	}
 	cost := max(1, n)
 	if n >= pageSize {
-		cost = 64 // of the table: not cut at each byte
+		cost = 64 // writes of whole table pages are not cut at each byte
 	}
 	if k.budget -= cost; k.budget >= 0 {
 		return n, nil
 	}
 	k.killed = true
 	if op != "write" || n <= slotSize && !k.tearSmallWrites {
-		return 0, errKilled // a write within a page is not cut by a kill; heads, marks and slots are aligned
+		return 0, errKilled // a kill does not tear a write within a memory page; heads, marks and slots are aligned
 	}
 	return n * (cost + k.budget) / cost, errKilled
 }
@@ -141,14 +141,14 @@
 	return s
 }
 
-// pending is what a killed call may or may not have done.
+// interruptedCall is what a killed call may have done or not.
 type interruptedCall struct {
 	put    []StoredMessage
 	dest   int
 	remove []uint64
 }
 
-// settle takes over what a store has after a kill, if it is what may be.
+// adoptAfterKill checks that a store has a state that the killed call may leave, and sets the model to it.
 func adoptAfterKill(t testFailer, s *Store, m queueModel, p interruptedCall) {
 	t.Helper()
 	for _, err := range s.TakeDamageReports() {
@@ -170,7 +170,7 @@
 				want = append(slices.Clone(want), h)
 			}
 		}
-		// What is there is a part of what may be; what is missing was on its way in or out.
+		// The stored messages must be a subsequence of the possible ones; a missing one was being stored or removed.
 		i := 0
 		for _, h := range want {
 			if i < len(q) && sameMessage(q[i], h) {
@@ -180,10 +180,10 @@
 			if h.Sequence == 0 && slices.ContainsFunc(p.put, func(x StoredMessage) bool { return x.ID == h.ID }) || dest == p.dest && slices.Contains(p.remove, h.Sequence) {
 				continue
 			}
-			t.Fatalf("after a kill destination %d has %s; %s is missing of %s", dest, describe(q), h.ID, describe(want))
+			t.Fatalf("after a kill destination %d has %s; %s of %s is missing", dest, describe(q), h.ID, describe(want))
 		}
 		if i < len(q) {
-			t.Fatalf("after a kill destination %d has %s, of which %s was not to be", dest, describe(q), q[i].ID)
+			t.Fatalf("after a kill destination %d has %s, of which %s is unexpected", dest, describe(q), q[i].ID)
 		}
 		if m[dest] = q; len(q) == 0 {
 			delete(m, dest)
--- a/internal/backlog/queues_test.go
+++ b/internal/backlog/queues_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against a store that differs from plain queues, over any operations, restarts and kills at any byte.
+// Guards against a store that differs from plain queues after any operations, restarts and kills at any byte.
 func TestStoreEqualsQueues(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		dir, k := tempDir(t), &killSwitch{}
@@ -97,12 +97,12 @@
 					key := fmt.Sprint("k", dest, i)
 					there := slices.ContainsFunc(m[dest], func(h StoredMessage) bool { return h.OrderKey == key })
 					if _, ok := s.DestOfKey(key); ok != there && !(ok && killed && len(m[dest]) > 0) {
-						t.Fatalf("key %s is known: %v; its messages are there: %v", key, ok, there)
+						t.Fatalf("key %s is known: %v; it has messages: %v", key, ok, there)
 					}
 				}
 			}
 			if used := diskBytes(t, dir); s.Bytes() != used {
-				t.Fatalf("the files have %d bytes, it says %d", used, s.Bytes())
+				t.Fatalf("the files have %d bytes, Bytes returns %d", used, s.Bytes())
 			}
 		}
 		if d := s.TakeDamageReports(); len(d) > 0 {
@@ -111,7 +111,7 @@
 	})
 }
 
-// Guards against a wait that is none, and a refusal that keeps something.
+// Guards against a FullError without a useful delay, and against a refused Put that stores some of its messages.
 func TestFullBacklogRefusesAtomically(t *testing.T) {
 	o := smallOptions(&killSwitch{})
 	o.DiskBytes, o.now = 64<<10, func() time.Time { return time.UnixMilli(1000) }
--- a/internal/backlog/scale_test.go
+++ b/internal/backlog/scale_test.go
@@ -15,22 +15,22 @@
 )
 
 var (
-	scaleMaxMessages = flag.Int("backlog.most", 100_000, "most messages of BenchmarkScaleBacklog")
-	scaleDir         = flag.String("backlog.dir", "", "folder for its files; a temporary one if empty")
+	scaleMaxMessages = flag.Int("backlog.most", 100_000, "maximum number of messages in BenchmarkScaleBacklog")
+	scaleDir         = flag.String("backlog.dir", "", "folder for the files of BenchmarkScaleBacklog; the default temporary folder if empty")
 )
 
-// scale is what one play of a backlog of a size measures.
+// scaleResult is what one run with a backlog of some size measures.
 type scaleResult struct {
-	put, findMissing, findPresent, open, next, remove, due time.Duration // of one message; open of all
-	writtenBytes, dirtiedBytes, acceptedBytes, diskBytes   int64         // bytes: by write(2), by pages of the file cache, of messages, of files
-	heapBytes, heapAfterOpen, rssBytes                     int64         // bytes beyond an empty process
+	put, findMissing, findPresent, open, next, remove, due time.Duration // mean time per message; open: of the whole backlog
+	writtenBytes, dirtiedBytes, acceptedBytes, diskBytes   int64         // bytes written by write(2), written back from the file cache, of accepted messages, of all files
+	heapBytes, heapAfterOpen, rssBytes                     int64         // bytes more than before the store was opened
 	files                                                  int
 	putLatencies                                           *hdrhistogram.Histogram // ns
 }
 
 const (
 	scaleBodyBytes = 200
-	scaleDueSpan   = 60_000 // ms over which times are out
+	scaleDueSpan   = 60_000 // milliseconds over which due times are spread
 )
 
 func scaleMessage(i, dests int) Message {
@@ -48,7 +48,7 @@
 	return int64(m.HeapAlloc)
 }
 
-// procNow is a figure of a file of /proc/self; zero where there is none.
+// procFigure returns a figure from a file of /proc/self, zero if there is none.
 func procFigure(file, key string) int64 {
 	b, _ := os.ReadFile("/proc/self/" + file)
 	for line := range strings.Lines(string(b)) {
@@ -62,8 +62,8 @@
 
 func perItem(n int, from time.Time) time.Duration { return time.Since(from) / time.Duration(max(1, n)) }
 
-// playScale fills a backlog with n messages for so many destinations, looks some up, opens it as after a kill (nothing is closed), takes part of it out by time and the
-// rest in order, and checks what comes.
+// runScale stores n messages for some destinations, looks some up, opens the store again as after a kill (nothing is
+// closed), removes some messages by due time and others in order, and checks what it reads.
 func runScale(t testing.TB, n, dests int) (got scaleResult) {
 	dir, err := os.MkdirTemp(*scaleDir, "scale")
 	if err != nil {
@@ -93,7 +93,7 @@
 	from = time.Now()
 	for i := range few {
 		if _, ok, err := s.Find(i%dests, fmt.Sprint("none", i)); ok || err != nil {
-			t.Fatalf("found what is not there: %v", err)
+			t.Fatalf("Find returned a message that was never stored: %v", err)
 		}
 	}
 	got.findMissing = perItem(few, from)
@@ -121,7 +121,7 @@
 	if s.Len() != n || len(s.TakeDamageReports()) > 0 {
 		t.Fatalf("%d messages of %d after it is opened again", s.Len(), n)
 	}
-	// A tenth by time, a thousand at once, but not more than 100,000; then in order, up to two million.
+	// A tenth is removed by due time, a thousand at once, but at most 100,000; then at most two million in order.
 	taken, last := 0, int64(0)
 	timed := min(n/10, 100_000)
 	from = time.Now()
@@ -133,7 +133,7 @@
 		places := map[int][]uint64{}
 		for _, h := range all {
 			if h.Due < last {
-				t.Fatal("out of the order of times")
+				t.Fatal("messages are not in the order of due times")
 			}
 			last = h.Due
 			places[h.Dest] = append(places[h.Dest], h.Sequence)
@@ -171,26 +171,27 @@
 	got.next /= time.Duration(ordered)
 	got.remove /= time.Duration(ordered)
 	if left != 0 || s.Len() != n-taken-ordered {
-		t.Fatalf("%d messages too many or too few, %d here", left, s.Len())
+		t.Fatalf("%d messages were not removed, %d are left", left, s.Len())
 	}
 	if rest, _ := filepath.Glob(filepath.Join(dir, "*.dat")); s.Len() == 0 && len(rest) > 0 {
-		t.Fatalf("%d segments left of nothing", len(rest))
+		t.Fatalf("%d segments are left of an empty backlog", len(rest))
 	}
 	got.dirtiedBytes = procFigure("io", "write_bytes") - dirty
 	return got
 }
 
-// The smallest size of the benchmark, as a test: all comes back once, in order, and nothing is left.
+// Runs the smallest size of the benchmark as a test: all messages are read once, in order, and none is left.
 func TestScaleBacklogSmallest(t *testing.T) {
 	for _, dests := range []int{7, 500} {
 		got := runScale(t, 5_000, dests)
 		if x := float64(got.writtenBytes) / float64(got.acceptedBytes); x > 3 {
-			t.Errorf("%d destinations: %.2f bytes written for each taken in", dests, x)
+			t.Errorf("%d destinations: %.2f bytes written for each byte accepted", dests, x)
 		}
 	}
 }
 
-// BenchmarkScaleBacklog measures a backlog by messages and destinations; run it with -benchtime 1x, for the slope with -backlog.most.
+// BenchmarkScaleBacklog measures backlogs by the number of messages and of destinations. Run it with -benchtime 1x; set
+// -backlog.most for larger backlogs.
 func BenchmarkScaleBacklog(b *testing.B) {
 	for _, dests := range []int{7, 12_920} {
 		for n := 10_000; n <= *scaleMaxMessages; n *= 10 {
--- a/internal/backlog/state/state_test.go
+++ b/internal/backlog/state/state_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// msg is a message of the naive model.
+// modelMessage is a message of the model.
 type modelMessage struct {
 	sequence uint64
 	due      int64
@@ -17,7 +17,7 @@
 	removed  bool
 }
 
-// Guards against counts, budget, times or a verdict on a segment that differ from what follows from all messages.
+// Guards against counts, budget, due times or actions for a segment that differ from a model with all messages.
 func TestStateEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{DiskBytes: 1 << 20, MinSegmentBytes: 400, MaxSegmentBytes: 1600}
@@ -41,7 +41,7 @@
 				grows := Growth(s, false, 1, m.bytes)
 				b.AddMessage(s, place, m.due, m.bytes)
 				if of[s] = append(of[s], m); b.UsedBytes()-before != grows {
-					t.Fatalf("grew by %d, not %d", b.UsedBytes()-before, grows)
+					t.Fatalf("the files grew by %d bytes, want %d", b.UsedBytes()-before, grows)
 				}
 				put += m.bytes
 			case 2:
@@ -75,7 +75,7 @@
 					want = Rewrite
 				}
 				if what != want {
-					t.Fatalf("%d live, %d gone: %d, not %d", live, gone, what, want)
+					t.Fatalf("%d bytes live, %d removed: action %d, want %d", live, gone, what, want)
 				}
 				switch what {
 				case Drop:
@@ -90,7 +90,7 @@
 			checkAgainstModel(t, b, of)
 		}
 		if copied > put {
-			t.Fatalf("%d bytes written anew of %d", copied, put)
+			t.Fatalf("%d bytes were rewritten, %d stored", copied, put)
 		}
 	})
 }
@@ -108,7 +108,7 @@
 				least = min(least, m.due)
 			}
 			if b.SegmentOf(s.Dest, m.sequence) != s || !b.HasSegmentUpTo(s.Dest, m.sequence) {
-				t.Fatalf("place %d is not where it was put", m.sequence)
+				t.Fatalf("sequence number %d is not in its segment", m.sequence)
 			}
 		}
 		used += (HeaderSize+EntrySize*int64(len(all))+511)/512*512 + (data+511)/512*512
@@ -125,11 +125,11 @@
 		t.Fatalf("destinations %v, want %v", slices.Collect(b.Dests()), dests)
 	}
 	if s := b.Earliest(); (s == nil) != (n == 0) || s != nil && s.EarliestDue > least {
-		t.Fatalf("the earliest is %+v, of %d messages the least time %d", s, n, least)
+		t.Fatalf("the earliest segment is %+v; the earliest due time of %d messages is %d", s, n, least)
 	}
 	for s := range of {
 		if s.EarliestDue < b.Earliest().EarliestDue {
-			t.Fatal("the earliest is not")
+			t.Fatal("Earliest did not return the earliest segment")
 		}
 	}
 }
--- a/internal/backlog/state/window_test.go
+++ b/internal/backlog/state/window_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// Guards against destinations that are down and fill the room of one that is served: thousands keep about one each, and what is held is bounded.
+// Guards against destinations that are down and fill the window of one that is served: each of thousands has about one
+// message pending, and the total is bounded.
 func TestUnservedDestinationsLeaveSpace(t *testing.T) {
 	w := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
 	in := 0
@@ -20,45 +21,46 @@
 		}
 	}
 	if in > 1000+3000 || in < 3000 {
-		t.Fatalf("%d are held", in)
+		t.Fatalf("%d messages are pending", in)
 	}
-	// One that is served keeps twice what it took in a second, though nothing is free.
+	// A destination that is served may have twice what it served in a second pending, though no capacity is free.
 	w.Add(9999, 10)
 	for i := range 500 {
 		w.Add(9999, 10)
 		w.Remove(9999, 10, true, time.Duration(i)*time.Millisecond)
 	}
 	if n := w.Available(9999, time.Second); n != 2*500-1 {
-		t.Fatalf("room for %d of one that took 500 in the last second", n)
+		t.Fatalf("%d messages available to a destination that served 500 in the last second", n)
 	}
 	if n := w.Available(9999, 2500*time.Millisecond); n != 0 {
-		t.Fatalf("room for %d of one that has taken none for a second", n)
+		t.Fatalf("%d messages available to a destination that served none for a second", n)
 	}
 	if n := w.Available(77_777, 0); n != 1 {
-		t.Fatalf("room for %d of one that is new", n)
+		t.Fatalf("%d messages available to a new destination", n)
 	}
 }
 
-// Guards against bytes that are not counted: few large ones fill the room as many small ones do, and one always comes in.
+// Guards against bytes that are not counted: a few large messages fill the window as many small ones do, and one message of
+// any size is always allowed.
 func TestLargeMessagesFillWindow(t *testing.T) {
 	w := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
 	if n := w.Available(1, 0); n == 0 {
-		t.Fatal("none of 10 MiB may come in")
+		t.Fatal("a message of 10 MiB is not allowed")
 	}
 	w.Add(1, 10<<20)
 	if n := w.Available(1, 0); n != 0 {
-		t.Fatalf("%d more", n)
+		t.Fatalf("%d more messages available beyond the byte limit", n)
 	}
 	if n := w.Available(2, 0); n == 0 {
-		t.Fatal("none of another may come in")
+		t.Fatal("no message of another destination is allowed")
 	}
 	w.Remove(1, 10<<20, false, 0)
 	if n := w.Available(1, 0); n != 1000 {
-		t.Fatalf("room for %d when all is free", n)
+		t.Fatalf("%d messages available when the window is empty", n)
 	}
 }
 
-// Guards against a rule that differs from its formula, over any entering, leaving and time.
+// Guards against a limit that differs from its formula after any sequence of messages that enter and leave.
 func TestWindowEqualsFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := Window{Capacity: Load{20, 1 << 30}, Alpha: rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "alpha")}
@@ -73,7 +75,7 @@
 			want := max(1, int(w.Alpha*float64(20-used)), 2*max(of[second], of[second-1])) - in[dest]
 			got := w.Available(dest, now)
 			if got != max(0, want) {
-				t.Fatalf("room for %d, want %d: %d of it in, %d in all, served %v at %v", got, want, in[dest], used, of, now)
+				t.Fatalf("%d messages available, want %d: %d of the destination pending, %d in all, served %v at %v", got, want, in[dest], used, of, now)
 			}
 			if got > 0 && rapid.Bool().Draw(t, "enters") {
 				w.Add(dest, 1)
@@ -93,7 +95,7 @@
 			}
 		}
 		if len(w.pending) > 5 || len(w.servedNow)+len(w.servedBefore) > 10 {
-			t.Fatal("what is over is kept")
+			t.Fatal("loads of earlier seconds or of idle destinations are retained")
 		}
 	})
 }
--- a/internal/backlog/table_test.go
+++ b/internal/backlog/table_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// tableIn is a table in a folder, as a start finds it.
+// openTable returns the table of a folder, loaded as at a start, or a new one.
 func openTable(t testing.TB, dir string, k *killSwitch, fresh bool) *table {
 	t.Helper()
 	d, err := newFolder(dir, 2, k.fault)
@@ -44,7 +44,7 @@
 	return n, place, count
 }
 
-// Guards against a slot that is lost as pages are split, left out what is needed no more, or read anew.
+// Guards against a slot that is lost when pages are split, when unneeded slots are dropped, or when the table is loaded.
 func TestTableFindsEverySlot(t *testing.T) {
 	dir := t.TempDir()
 	tab := openTable(t, dir, &killSwitch{}, true)
@@ -75,7 +75,7 @@
 	for range 2 {
 		for h, place := range of {
 			if n, at, _ := findSlots(t, tab, h); place%5 > 0 && (n != 1 || at != place) || n > 1 {
-				t.Fatalf("place %d is found %d times, as %d", place, n, at)
+				t.Fatalf("sequence number %d is found %d times, as %d", place, n, at)
 			}
 		}
 		for h, n := range keys {
@@ -87,15 +87,16 @@
 	}
 }
 
-// Guards against a kill between the steps of a split that loses a slot or leaves one that misleads: four pages, and the old one
-// given up. Where most slots are needed no more, it is one page.
+// Guards against a kill between the steps of a split that loses a slot or leaves one that misleads: four pages are written
+// and the old one is freed. If most slots are no longer needed, only one page is written.
 func TestTableKilledDuringSplit(t *testing.T) {
 	t.Run("split", func(t *testing.T) { checkKilledSplits(t, 5, 1, 0) })
 	t.Run("rid", func(t *testing.T) { checkKilledSplits(t, 2, 0, 1) })
 }
 
-// killSplits adds slots, of which two in three are stale if rest is zero, until a page is full for the first time after so many. The
-// second time it is written where an older one was, so that half of it is not cut off.
+// checkKilledSplits adds slots, of which two in three are stale if rest is zero, until a page is full for the first time
+// after passed others. If passed is 1, the page is written where an older one was, so a partial write is not at the end of
+// the file.
 func checkKilledSplits(t *testing.T, steps, rest, passed int) {
 	for at := range steps + 1 {
 		dir := t.TempDir()
--- a/internal/journal/disk_test.go
+++ b/internal/journal/disk_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// blocked has no journal be written anew in a folder, as on a disk that fails, until the returned function is called.
+// blockRewrites makes each compaction in a folder fail, as on a failing disk, until the returned function is called.
 func blockRewrites(t *testing.T, dir string) (unblock func()) {
 	t.Helper()
 	path := filepath.Join(dir, "journal.next")
@@ -31,8 +31,8 @@
 	j.Close()
 }
 
-// Guards against a start that fails, or forgets, because the folder cannot be written for a while: what was taken on is still
-// owed, and its history goes on as far as the old file can be written.
+// Guards against a start that fails or loses messages because the folder cannot be written for a while: accepted messages
+// are still due, and their history is recorded as long as the old file can be written.
 func TestOpenUnwritableFolder(t *testing.T) {
 	dir := t.TempDir()
 	fillJournal(t, dir, 3e6, 200, 100)
@@ -41,7 +41,7 @@
 	wantEqual(t, "messages after the start", j.Len(), 200)
 	mustAppend(t, j, Record{Op: OpTry, ID: "m0", At: 5}, Record{Op: OpEnd, ID: "m1"})
 	j.Close()
-	j = mustOpen(t, dir, 3e6) // a kill, and it cannot be written still
+	j = mustOpen(t, dir, 3e6) // restarts after a kill, and the folder still cannot be written
 	wantEqual(t, "messages after another", j.Len(), 199)
 	wantEqual(t, "tries of the first", j.Entry("m0").Tries, 1)
 	unblock()
@@ -53,7 +53,8 @@
 	wantEqual(t, "messages at the end", mustOpen(t, dir, 3e6).Len(), 200)
 }
 
-// Guards against half a record, left by a kill, that hides what is written behind it while the file cannot be written anew.
+// Guards against a partial record, left by a kill, that hides the records written behind it while the journal cannot be
+// compacted.
 func TestTornTailInUnwritableFolder(t *testing.T) {
 	dir := t.TempDir()
 	fillJournal(t, dir, 3e6, 3, 100)
@@ -74,8 +75,8 @@
 	wantEqual(t, "damage", j.Damaged(), false)
 }
 
-// Guards against messages that are lost because the budget was lowered and the new file cannot be written: the old one goes only
-// once there is a new one.
+// Guards against messages that are lost because the budget was lowered and the new file cannot be written: the old file may
+// be deleted only once there is a new one.
 func TestLoweredBudgetLosesNothing(t *testing.T) {
 	dir := t.TempDir()
 	fillJournal(t, dir, 8e6, 200, 4000)
@@ -89,12 +90,12 @@
 	wantEqual(t, "messages once it can", mustOpen(t, dir, 1e6).Len(), 200)
 }
 
-// Guards against a folder without a journal file that cannot be written at first: the relay starts, takes nothing on, and
-// does so once it can.
+// Guards against a folder without a journal that cannot be written at first: the journal opens, accepts nothing, and does
+// so once the folder can be written.
 func TestNewUnwritableFolder(t *testing.T) {
 	dir := t.TempDir()
 	unblock := blockRewrites(t, dir)
-	if err := os.Symlink(filepath.Join(dir, "absent", "journal"), filepath.Join(dir, "journal")); err != nil { // nor can the file be made
+	if err := os.Symlink(filepath.Join(dir, "absent", "journal"), filepath.Join(dir, "journal")); err != nil { // the file cannot be created either
 		t.Fatal(err)
 	}
 	j, err := Open(dir, 3e6)
@@ -102,7 +103,7 @@
 		t.Fatal(err)
 	}
 	if err := j.Append(acceptedRecord("a", 10)); err == nil {
-		t.Error("taken on with no file")
+		t.Error("a message was accepted without a file")
 	}
 	unblock()
 	if err := os.RemoveAll(filepath.Join(dir, "journal")); err != nil {
--- a/internal/journal/fence_test.go
+++ b/internal/journal/fence_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// Guards against a fence that keeps this version out too, that does not outlast starts and compactions, or that does not keep
-// out older versions, which remove a file of that name before they start.
+// Guards against a fence that also blocks this version, that does not survive starts and compactions, or that does not block
+// older versions, which remove a file of that name before they start.
 func TestFenceBlocksOlderVersions(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, "journal.tmp"), []byte("half"), 0o600); err != nil { // of one that was killed
+	if err := os.WriteFile(filepath.Join(dir, "journal.tmp"), []byte("half"), 0o600); err != nil { // left by a killed older version
 		t.Fatal(err)
 	}
 	for range 2 {
@@ -28,12 +28,12 @@
 	}
 	why, err := os.ReadFile(filepath.Join(dir, "journal.tmp", "WHY"))
 	if err != nil || string(why) != "a later version's\n" {
-		t.Errorf("it says %q, %v", why, err)
+		t.Errorf("WHY has %q, %v", why, err)
 	}
 	if err := RemoveFence(dir); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "journal.tmp")); !os.IsNotExist(err) {
-		t.Errorf("it still stands: %v", err)
+		t.Errorf("the fence still exists: %v", err)
 	}
 }
--- a/internal/journal/full_test.go
+++ b/internal/journal/full_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Guards against a journal that takes on more messages than it has room for the history of: what it holds could then never
-// be ended, for that takes a record, too.
+// Guards against a journal that accepts more messages than it has space for the history of: their ends could then never be
+// recorded, as that takes a record, too.
 func TestFullJournalRecordsHistory(t *testing.T) {
 	for _, size := range []int{0, 300, 3000} {
 		j, err := Open(t.TempDir(), 3e6)
@@ -28,7 +28,7 @@
 		of := func(what string, recs func(id string) []Record) {
 			for n := range held {
 				if err := j.Append(recs(fmt.Sprintf("%016x", n))...); err != nil {
-					t.Fatalf("bodies of %d bytes, %d held: %s of message %d: %v", size, held, what, n, err)
+					t.Fatalf("bodies of %d bytes, %d pending: %s of message %d: %v", size, held, what, n, err)
 				}
 			}
 		}
@@ -41,6 +41,6 @@
 			return []Record{{Op: OpNotice, ID: id, Status: "undeliverable", RetryAfterMs: 2000}}
 		})
 		of("end", func(id string) []Record { return []Record{{Op: OpEnd, ID: id}} })
-		t.Logf("bodies of %d bytes: %d held", size, held)
+		t.Logf("bodies of %d bytes: %d pending", size, held)
 	}
 }
--- a/internal/journal/groups_test.go
+++ b/internal/journal/groups_test.go
@@ -35,8 +35,8 @@
 	return j
 }
 
-// Guards against an estate that a restart or a compaction takes for another: where it stands, what is in it, and that it is
-// over are as they were.
+// Guards against a restart or a compaction that changes a replication group: its state, its messages, and its removal must
+// be preserved.
 func TestGroupStatesSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
 	j := reopen(t, dir, nil)
@@ -48,11 +48,11 @@
 		j = reopen(t, dir, j)
 		m, ok := j.GroupState(7)
 		if !ok || m.Next != 4 || m.Epoch != 3 || m.From != "w" || len(j.GroupStates()) != 2 {
-			t.Fatalf("estate 7 stands at %+v, %v", m, ok)
+			t.Fatalf("the state of group 7 is %+v, %v", m, ok)
 		}
 		whole := j.GroupRecords(7)
 		if len(whole) != 2 || whole[0].Entry.ID != "a" || whole[1].ID != "h" {
-			t.Fatalf("the whole of estate 7 is %+v", whole)
+			t.Fatalf("the records of group 7 are %+v", whole)
 		}
 	}
 	if err := j.Append(j.RecordsToForget(7)...); err != nil {
@@ -60,11 +60,12 @@
 	}
 	j = reopen(t, dir, j)
 	if _, ok := j.GroupState(7); ok || j.Entry("a") != nil || j.Entry("b") == nil {
-		t.Errorf("after it is forgotten: known %v, a %v, b %v", ok, j.Entry("a"), j.Entry("b"))
+		t.Errorf("after the group was removed: known %v, a %v, b %v", ok, j.Entry("a"), j.Entry("b"))
 	}
 }
 
-// Guards against a copy that is neither the old nor the new: what does not fit, or is cut off anywhere, leaves the old.
+// Guards against a copy with neither the old nor the new content: records that do not fit, or an interrupted replacement,
+// must leave the old content.
 func TestReplaceIsAtomic(t *testing.T) {
 	dir := t.TempDir()
 	j := reopen(t, dir, nil)
@@ -78,7 +79,7 @@
 	err := j.Replace(much...)
 	var f *Failure
 	if !errors.Is(err, ErrFull) || !errors.As(err, &f) || f.Remedy() == "" || j.Entry("old") == nil {
-		t.Fatalf("more than there is room for: %v, the old is there: %v", err, j.Entry("old") != nil)
+		t.Fatalf("more records than fit: %v, the old message is there: %v", err, j.Entry("old") != nil)
 	}
 	for _, left := range []string{"journal.next", "journal.tmp"} {
 		if err := os.WriteFile(filepath.Join(dir, left), []byte("half"), 0o600); err != nil {
@@ -87,7 +88,7 @@
 	}
 	j = reopen(t, dir, j)
 	if j.Entry("old") == nil {
-		t.Fatal("a copy that was cut off took the old one's place")
+		t.Fatal("an incomplete copy replaced the old journal")
 	}
 	if err := j.Replace(acceptedInGroup("new", 1, 10), groupStateRecord(1, 9)); err != nil {
 		t.Fatal(err)
@@ -97,11 +98,12 @@
 	}
 	j = reopen(t, dir, j)
 	if m, _ := j.GroupState(1); j.Entry("old") != nil || j.Entry("new") == nil || m.Next != 10 {
-		t.Errorf("after it: old %v, new %v, next %d", j.Entry("old"), j.Entry("new"), m.Next)
+		t.Errorf("after the replacement: old %v, new %v, next record %d", j.Entry("old"), j.Entry("new"), m.Next)
 	}
 }
 
-// Guards against a holder's journal that is another than its writer's, whatever it was told and wherever it was compacted.
+// Guards against a replica's journal that differs from its writer's, whichever records it received and wherever it was
+// compacted.
 func TestCopyEqualsSource(t *testing.T) {
 	dir := t.TempDir()
 	n := 0
@@ -137,7 +139,7 @@
 				if err := copied.Compact(); err != nil {
 					t.Fatal(err)
 				}
-			case 1: // the whole, by another clock and back
+			case 1: // all records, converted to another clock and back
 				var recs []Record
 				for _, r := range own.GroupRecords(1) {
 					recs = append(recs, r.Shifted(-700).Shifted(700))
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -39,7 +39,7 @@
 		Record{Op: OpTry, ID: "a", At: 9, Zone: 1}, Record{Op: OpOutcome, ID: "a", Flag: true})
 	mustAppend(t, j, Record{Op: OpTry, ID: "b", At: 6, Zone: 1}, Record{Op: OpEnd, ID: "c"},
 		Record{Op: OpNotice, ID: "d", Status: "deferred", RetryAfterMs: 700}, Record{Op: OpHealth, ID: "s-1", Flag: true, Base: 2, At: time.Now().UnixMilli()})
-	for range 2 { // the second time from the compacted file
+	for range 2 { // the second time reads the compacted file
 		j = mustOpen(t, dir, 3e6)
 		wantEqual(t, "entries", len(j.entries), 3)
 		a, b, d := j.entries["a"], j.entries["b"], j.entries["d"]
@@ -50,7 +50,7 @@
 	}
 }
 
-// Guards against a crash, or the loss of what came before, after a write that a kill cut short.
+// Guards against a crash, or the loss of earlier records, after a write that a kill interrupted.
 func TestTornJournal(t *testing.T) {
 	whole := appendFrame(appendFrame(nil, acceptedRecord("a", 10)), acceptedRecord("b", 10))
 	one := len(appendFrame(nil, acceptedRecord("a", 10)))
@@ -63,7 +63,7 @@
 		if err := os.WriteFile(filepath.Join(dir, "journal"), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for _, left := range []string{"journal.next", "journal.tmp"} { // by this version, and by one before the fence
+		for _, left := range []string{"journal.next", "journal.tmp"} { // left by this version, and by one before the fence
 			if err := os.WriteFile(filepath.Join(dir, left), whole, 0o600); err != nil {
 				t.Fatal(err)
 			}
@@ -75,8 +75,8 @@
 	}
 }
 
-// Guards against the loss of all messages behind a damaged record, and against sending again what
-// the lost record may have told was sent.
+// Guards against the loss of all messages behind a damaged record, and against sending a message again that the lost record
+// may have recorded as sent.
 func TestDamagedJournalKeepsReadableRecords(t *testing.T) {
 	first := appendFrame(nil, acceptedRecord("a", 10))
 	for name, damage := range map[string]func(second []byte) []byte{
@@ -101,8 +101,8 @@
 	}
 }
 
-// Guards against going over disk_mb, with which a relay has crashed, and against a full
-// journal that cannot record how the messages in it end.
+// Guards against exceeding disk_mb, which has crashed a relay, and against a full journal that cannot record the ends of its
+// messages.
 func TestDiskBudget(t *testing.T) {
 	const budget = 1 << 20
 	j := mustOpen(t, t.TempDir(), budget)
@@ -111,7 +111,7 @@
 	for ; err == nil; n++ {
 		err = j.Append(acceptedRecord(fmt.Sprint("m", n), 5000))
 		if sum := j.fileBytes + j.compactedBytes + 2*blockSize; sum > budget {
-			t.Fatalf("file and copy may take %d of %d", sum, budget)
+			t.Fatalf("the file and its copy may use %d of %d bytes", sum, budget)
 		}
 	}
 	if !errors.Is(err, ErrFull) {
@@ -128,7 +128,7 @@
 	mustAppend(t, j, acceptedRecord("again", 5000))
 }
 
-// readOnly is a journal's file, opened so that each write to it fails.
+// openReadOnly returns the journal's file, opened so that each write to it fails.
 func openReadOnly(t *testing.T, j *Journal) *os.File {
 	t.Helper()
 	f, err := os.Open(j.path)
@@ -139,7 +139,7 @@
 	return f
 }
 
-// Guards against holding for recorded what could not be written.
+// Guards against counting as recorded what could not be written.
 func TestFailedWrite(t *testing.T) {
 	dir := t.TempDir()
 	j := mustOpen(t, dir, 3e6)
@@ -147,7 +147,7 @@
 	good, ro := j.file, openReadOnly(t, j)
 	j.file = ro
 	if err := j.Append(acceptedRecord("b", 10)); err == nil {
-		t.Fatal("a write to a read-only file went well")
+		t.Fatal("a write to a read-only file succeeded")
 	}
 	wantEqual(t, "entries", len(j.entries), 1)
 	j.file, j.writeError = good, nil
@@ -155,8 +155,9 @@
 	wantEqual(t, "entries after the next start", len(mustOpen(t, dir, 3e6).entries), 2)
 }
 
-// Guards against a journal that takes nothing more once the disk failed for a moment, over half a record that could not be cut
-// back then; against records behind that half, which a replay does not read; and against a cut of another process's file.
+// Guards against a journal that accepts nothing more after a temporary disk failure, because of a partial record that could
+// not be truncated then; against records behind such a partial record, which a replay does not read; and against truncating
+// a file that another process owns.
 func TestPartialRecordIsTruncatedLater(t *testing.T) {
 	dir := t.TempDir()
 	j := mustOpen(t, dir, 3e6)
@@ -169,7 +170,7 @@
 	j.file = ro
 	for range 2 {
 		if err := j.Append(acceptedRecord("b", 10)); err == nil {
-			t.Fatal("a write to a read-only file went well")
+			t.Fatal("a write to a read-only file succeeded")
 		}
 	}
 	j.file = good
@@ -179,12 +180,12 @@
 	j = mustOpen(t, dir, 3e6)
 	good, j.file = j.file, ro
 	if err := j.Append(acceptedRecord("e", 10)); err == nil {
-		t.Fatal("a write to a read-only file went well")
+		t.Fatal("a write to a read-only file succeeded")
 	}
 	j.file = good
-	j.StopWriting(errors.New("another process's"))
+	j.StopWriting(errors.New("another process owns the file"))
 	if err := j.Append(acceptedRecord("e", 10)); err == nil {
-		t.Error("a record was written to a file that may be another process's")
+		t.Error("a record was written to a file that another process may own")
 	}
 }
 
@@ -207,8 +208,8 @@
 	})
 }
 
-// Guards against outages that are kept for ever, of hosts that left the list before they were well again:
-// each takes room from the messages, and one more comes with every release.
+// Guards against outages that are stored for ever, of hosts that left the discovery list before they recovered: each takes
+// space from the messages, and each release of the destination adds one.
 func TestOldOutagesExpire(t *testing.T) {
 	j := mustOpen(t, t.TempDir(), 3e6)
 	long := time.Now().Add(-2 * outageExpiry).UnixMilli()
@@ -220,7 +221,7 @@
 		t.Fatal(err)
 	}
 	wantEqual(t, "outages", len(j.outages), 1)
-	wantEqual(t, "room that they take", j.compactedBytes, int64(historyBytes))
+	wantEqual(t, "bytes that they use", j.compactedBytes, int64(historyBytes))
 }
 
 func wantEqual[T comparable](t *testing.T, what string, got, want T) {
--- a/internal/journal/scale_test.go
+++ b/internal/journal/scale_test.go
@@ -16,7 +16,7 @@
 //
 //	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./internal/journal
 
-// sizes are those of a benchmark; the last ones are left out with -short.
+// benchmarkSizes returns the sizes of a benchmark, without the last ones with -short.
 func benchmarkSizes(long int, all ...int) []int {
 	if testing.Short() {
 		return all[:len(all)-long]
@@ -24,7 +24,7 @@
 	return all
 }
 
-// entry is a message of 200 bytes with the terms that a relay records.
+// entryWithTerms returns the record of an accepted message of 200 bytes, with terms as a relay records them.
 func entryWithTerms(id string) Record {
 	return Record{Op: OpAccepted, Entry: &Entry{ID: id, Class: "job-order", Dest: 7, Tenant: "acme", Key: "5c0f6e1a2b3d4c59a8b7c6d5" + id,
 		Due: time.Now().Add(time.Hour).UnixMilli(), Body: bytes.Repeat([]byte("x"), 200),
@@ -32,7 +32,7 @@
 			LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 15 * time.Second}, Attempts: 6}}}
 }
 
-// filled is a journal with room for so many bytes that holds so many messages.
+// openFilled returns a journal with that budget in bytes and that many pending messages.
 func openFilled(tb testing.TB, dir string, budget int64, messages int) *Journal {
 	tb.Helper()
 	j, err := Open(dir, budget)
@@ -51,8 +51,8 @@
 	return j
 }
 
-// pass has one message be taken on, tried and ended, and returns the bytes written for it, and those written again by
-// compactions on the way.
+// passMessage accepts, tries and ends one message. It returns the bytes written for it, and the bytes that compactions on
+// the way wrote again.
 func passMessage(tb testing.TB, j *Journal, n int) (written, again int64) {
 	id := fmt.Sprintf("pass%08d", n)
 	for _, r := range []Record{entryWithTerms(id), {Op: OpTry, ID: id, At: 1, WaitMs: 2000}, {Op: OpEnd, ID: id}} {
@@ -68,8 +68,8 @@
 	return written, again
 }
 
-// BenchmarkScaleBytesByHeld is what a message writes that passes while so many others are held, in a journal with room for
-// 16 MB: its own records, and what compactions write again.
+// BenchmarkScaleBytesByHeld measures the bytes written for a message while others are pending, in a journal with a budget
+// of 16 MB: its own records, and its share of what compactions write again.
 func BenchmarkScaleBytesByHeld(b *testing.B) {
 	const budget = 16e6
 	for _, n := range []int{60, 600, 3_000, 6_000} {
@@ -83,11 +83,11 @@
 				written, again = written+w, again+a
 				i++
 			}
-			for again == 0 { // to the first compaction
+			for again == 0 { // up to the first compaction
 				one()
 			}
 			written, again, i = 0, 0, 0
-			for again == 0 { // and to the next: what lies between is what each of them is for
+			for again == 0 { // up to the next one, whose cost the messages in between share
 				one()
 			}
 			own, rewritten := float64(written)/float64(i), float64(again)/float64(i)
@@ -100,8 +100,8 @@
 	}
 }
 
-// BenchmarkScaleStartByHeld is what a start takes with so many messages held: time, what is allocated on the way, and what
-// stays. The file is in the machine's cache.
+// BenchmarkScaleStartByHeld measures a start by the number of pending messages: its time, the bytes it allocates, and those
+// that stay allocated. The file is in the page cache.
 func BenchmarkScaleStartByHeld(b *testing.B) {
 	for _, n := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -139,7 +139,7 @@
 	}
 }
 
-// BenchmarkScaleCompactByHeld is how long the loop stands still while a journal of so many messages is written anew.
+// BenchmarkScaleCompactByHeld measures how long a compaction blocks the loop, by the number of pending messages.
 func BenchmarkScaleCompactByHeld(b *testing.B) {
 	for _, n := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -155,7 +155,8 @@
 	}
 }
 
-// Guards the benchmarks above: what passes leaves what is held, compactions come and are counted, and a start finds all.
+// Guards the setup of the benchmarks above: passing messages leave the pending ones, compactions happen and are counted, and
+// a start finds all messages.
 func TestScaleBenchmarkSetup(t *testing.T) {
 	dir := t.TempDir()
 	j := openFilled(t, dir, 1e6, 100)
@@ -167,10 +168,10 @@
 		n++
 	}
 	if j.Len() != 100 || n < 500 || written < 700*int64(n) || again < 100*500 || again > 100*1000 {
-		t.Errorf("%d messages held, want 100; %d passed with %d bytes, and %d were written again", j.Len(), n, written, again)
+		t.Errorf("%d messages pending, want 100; %d passed with %d bytes, and %d bytes were written again", j.Len(), n, written, again)
 	}
 	if err := j.Compact(); err != nil || j.Len() != 100 {
-		t.Errorf("%d messages held after it was written anew, %v", j.Len(), err)
+		t.Errorf("%d messages pending after compaction, %v", j.Len(), err)
 	}
 	j.Close()
 	if j = openFilled(t, dir, 1e6, 0); j.Len() != 100 {
