--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -15,94 +15,94 @@
 var damageStepBytes = flag.Int("backlog.step", 29, "distance in bytes between the positions that are truncated at or flipped")
 
 // churnedFolder returns a folder with messages of two destinations in several segments, some of which were removed in order
-// and some out of order; gone has the ids of these.
-func churnedFolder(t testing.TB) (dir string, m queueModel, gone map[string]bool) {
-	dir, m, gone = tempDir(t), queueModel{}, map[string]bool{}
+// and some out of order; removed has the ids of these.
+func churnedFolder(t testing.TB) (dir string, model queueModel, removed map[string]bool) {
+	dir, model, removed = tempDir(t), queueModel{}, map[string]bool{}
 	s := mustOpen(t, dir, smallOptions(&killSwitch{}))
 	defer s.Close()
 	for i := range 60 {
-		h := Message{ID: fmt.Sprint("m", i), Dest: 1 + i%2, Due: int64(i), Data: bytes.Repeat([]byte{byte(i)}, 20+i*3)}
+		message := Message{ID: fmt.Sprint("m", i), Dest: 1 + i%2, Due: int64(i), Data: bytes.Repeat([]byte{byte(i)}, 20+i*3)}
 		if i%3 == 0 {
-			h.OrderKey = fmt.Sprint("k", h.Dest)
+			message.OrderKey = fmt.Sprint("k", message.Dest)
 		}
-		if err := s.Put(h); err != nil {
+		if err := s.Put(message); err != nil {
 			t.Fatal(err)
 		}
-		m[h.Dest] = append(m[h.Dest], StoredMessage{Message: h})
+		model[message.Dest] = append(model[message.Dest], StoredMessage{Message: message})
 	}
-	checkEqual(t, s, m)
-	for dest, q := range m {
-		var out []uint64
-		for i, h := range q {
+	checkEqual(t, s, model)
+	for dest, queue := range model {
+		var sequences []uint64
+		for i, message := range queue {
 			if i < 3 || i%7 == 5 || i > 25 && i < 28 {
-				out, gone[h.ID] = append(out, h.Sequence), true
+				sequences, removed[message.ID] = append(sequences, message.Sequence), true
 			}
 		}
-		if err := s.Remove(dest, out...); err != nil {
+		if err := s.Remove(dest, sequences...); err != nil {
 			t.Fatal(err)
 		}
-		m.remove(dest, out...)
+		model.remove(dest, sequences...)
 	}
-	checkEqual(t, s, m)
-	return dir, m, gone
+	checkEqual(t, s, model)
+	return dir, model, removed
 }
 
 // checkSurvives checks a folder after damage: at most that many messages are missing and each is reported, removed messages
 // stay removed or come back in doubt, the order is preserved, and all messages can be removed.
-func checkSurvives(t testing.TB, what, dir string, m queueModel, gone map[string]bool, most int) {
+func checkSurvives(t testing.TB, what, dir string, model queueModel, removed map[string]bool, maxMissing int) {
 	t.Helper()
 	s, err := Open(dir, smallOptions(&killSwitch{}))
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
 	defer s.Close()
-	got := storedMessages(t, s)
-	lost, doubt, table := 0, 0, false
+	stored := storedMessages(t, s)
+	lost, inDoubt, tableReported := 0, 0, false
 	for _, err := range s.TakeDamageReports() {
-		var d *DamageError
-		if !errors.As(err, &d) || d.Remedy() == "" {
+		var damage *DamageError
+		if !errors.As(err, &damage) || damage.Remedy() == "" {
 			t.Fatalf("%s: %v", what, err)
 		}
-		lost, doubt, table = lost+d.Lost, doubt+d.InDoubt, table || d.Segment == tableFileName
+		lost, inDoubt, tableReported = lost+damage.Lost, inDoubt+damage.InDoubt, tableReported || damage.Segment == tableFileName
 	}
 	missing := 0
-	for dest, q := range m {
-		g := got[dest]
-		for _, h := range q {
-			i := slices.IndexFunc(g, func(x StoredMessage) bool { return x.ID == h.ID })
+	for dest, queue := range model {
+		rest := stored[dest]
+		for _, message := range queue {
+			i := slices.IndexFunc(rest, func(x StoredMessage) bool { return x.ID == message.ID })
 			if i < 0 {
 				missing++
 				continue
 			}
-			for _, x := range g[:i] {
-				if !x.InDoubt || !gone[x.ID] {
-					t.Fatalf("%s: %s precedes %s", what, x.ID, h.ID)
+			for _, x := range rest[:i] {
+				if !x.InDoubt || !removed[x.ID] {
+					t.Fatalf("%s: %s precedes %s", what, x.ID, message.ID)
 				}
 			}
-			x := g[i]
+			x := rest[i]
 			if x.InDoubt {
-				doubt--
+				inDoubt--
 			}
-			if x.InDoubt = false; !sameMessage(x, h) || x.Sequence != h.Sequence {
-				t.Fatalf("%s: message %+v was read as %+v", what, h, x)
+			if x.InDoubt = false; !sameMessage(x, message) || x.Sequence != message.Sequence {
+				t.Fatalf("%s: message %+v was read as %+v", what, message, x)
 			}
-			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || f.Sequence != h.Sequence {
-				t.Fatalf("%s: Find of %s returned %v %v %v", what, h.ID, f, ok, err)
+			if f, ok, err := s.Find(dest, message.ID); err != nil || !ok || f.Sequence != message.Sequence {
+				t.Fatalf("%s: Find of %s returned %v %v %v", what, message.ID, f, ok, err)
 			}
-			g = g[i+1:]
+			rest = rest[i+1:]
 		}
-		for _, x := range g {
-			if !x.InDoubt || !gone[x.ID] {
+		for _, x := range rest {
+			if !x.InDoubt || !removed[x.ID] {
 				t.Fatalf("%s: removed message %s is back without being in doubt", what, x.ID)
 			}
 		}
 	}
-	if missing > most || missing > lost || doubt < 0 {
-		t.Fatalf("%s: %d messages missing (at most %d), %d reported as lost; %d in doubt not reported", what, missing, most, lost, -doubt)
+	if missing > maxMissing || missing > lost || inDoubt < 0 {
+		t.Fatalf("%s: %d messages missing (at most %d), %d reported as lost; %d in doubt not reported", what, missing, maxMissing, lost, -inDoubt)
 	}
-	for dest, q := range got {
-		for _, h := range q {
-			if err := s.Remove(dest, h.Sequence); err != nil {
+	for dest, queue := range stored {
+		for _, message := range queue {
+			if err := s.Remove(dest, message.Sequence); err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 		}
@@ -128,20 +128,20 @@
 
 // copyWithFile returns a copy of a folder in which one file has other content, or is deleted if b is nil.
 func copyWithFile(t testing.TB, dir, name string, b []byte) string {
-	to := copyDir(t, dir)
-	err := os.Remove(filepath.Join(to, name))
+	copied := copyDir(t, dir)
+	err := os.Remove(filepath.Join(copied, name))
 	if b != nil {
-		err = os.WriteFile(filepath.Join(to, name), b, 0o600)
+		err = os.WriteFile(filepath.Join(copied, name), b, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return to
+	return copied
 }
 
 // Guards against a flipped bit that loses more than its record, is not reported, or brings back a removed message.
 func TestFlippedBits(t *testing.T) {
-	dir, m, gone := churnedFolder(t)
+	dir, model, removed := churnedFolder(t)
 	forEachFile(t, dir, func(name string, b []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -149,9 +149,9 @@
 				if name == tableFileName && b[i] == 0 && i%(16*slotSize) != 0 {
 					continue // most of the table is free slots
 				}
-				c := slices.Clone(b)
-				c[i] ^= 1 << (i % 8)
-				checkSurvives(t, fmt.Sprint("bit flipped at ", i), copyWithFile(t, dir, name, c), m, gone, 1)
+				flipped := slices.Clone(b)
+				flipped[i] ^= 1 << (i % 8)
+				checkSurvives(t, fmt.Sprint("bit flipped at ", i), copyWithFile(t, dir, name, flipped), model, removed, 1)
 			}
 		})
 	})
@@ -159,24 +159,24 @@
 
 // Guards against a truncated or deleted file that loses more than the messages in the missing part, or does not report it.
 func TestTruncatedFiles(t *testing.T) {
-	dir, m, gone := churnedFolder(t)
+	dir, model, removed := churnedFolder(t)
 	forEachFile(t, dir, func(name string, b []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			checkSurvives(t, "deleted", copyWithFile(t, dir, name, nil), m, gone, 30)
+			checkSurvives(t, "gone", copyWithFile(t, dir, name, nil), model, removed, 30)
 			step := *damageStepBytes
 			if name == tableFileName {
 				step *= 100
 			}
-			for n := 0; n < len(b); n += step {
-				if name == versionFileName && n == 0 {
+			for size := 0; size < len(b); size += step {
+				if name == versionFileName && size == 0 {
 					continue // covered by TestOtherFormatVersion
 				}
-				most := 0
+				maxMissing := 0
 				if strings.HasSuffix(name, ".dat") {
-					most = 1 + (len(b)-n)/frameHeaderSize
+					maxMissing = 1 + (len(b)-size)/frameHeaderSize
 				}
-				checkSurvives(t, fmt.Sprint("truncated at ", n), copyWithFile(t, dir, name, b[:n]), m, gone, most)
+				checkSurvives(t, fmt.Sprint("truncated at ", size), copyWithFile(t, dir, name, b[:size]), model, removed, maxMissing)
 			}
 		})
 	})
--- a/internal/backlog/due.go
+++ b/internal/backlog/due.go
@@ -66,7 +66,7 @@
 		return
 	}
 	r = slices.DeleteFunc(r, func(entry indexEntry) bool {
-		_, found := slices.BinarySearchFunc(removed, entry.sequence, func(f indexedEntry, place uint64) int { return cmp.Compare(f.sequence, place) })
+		_, found := slices.BinarySearchFunc(removed, entry.sequence, func(f indexedEntry, sequence uint64) int { return cmp.Compare(f.sequence, sequence) })
 		return found
 	})
 	if s.dueLists[segment] = r; len(r) == 0 {
@@ -128,8 +128,8 @@
 			s.state.SetEarliestDue(segment, cursor.dueList[0].due)
 			s.dueLists[segment] = slices.Clone(cursor.dueList[:min(len(cursor.dueList), dueListLength)])
 		}
-		for dest, places := range unreadable {
-			err = errors.Join(err, s.removeUnreadable(dest, places))
+		for dest, sequences := range unreadable {
+			err = errors.Join(err, s.removeUnreadable(dest, sequences))
 		}
 	}()
 	for len(all) < maxMessages {
--- a/internal/backlog/entries.go
+++ b/internal/backlog/entries.go
@@ -71,7 +71,7 @@
 		return indexEntry{}, err
 	}
 	decoded, ok := decodeEntry(b)
-	if !ok || !validMark(decoded.status) {
+	if !ok || !validMark(decoded.mark) {
 		return indexEntry{}, &damagedSegmentError{segment}
 	}
 	return decoded, nil
@@ -161,7 +161,7 @@
 	}
 	for i := segment.Head; len(b) > 0; b, i = b[state.EntrySize:], i+1 {
 		entry, ok := decodeEntry(b)
-		if !ok || !validMark(entry.status) {
+		if !ok || !validMark(entry.mark) {
 			return &damagedSegmentError{segment}
 		}
 		if !entry.removed() {
@@ -176,7 +176,7 @@
 
 // readMessage reads the frame of an entry.
 func (s *Store) readMessage(segment *state.Segment, entry indexEntry) (StoredMessage, error) {
-	b := make([]byte, entry.length)
+	b := make([]byte, entry.len)
 	n, err := s.folder.read(dataFileName(segment), b, int64(entry.offset))
 	if errors.Is(err, fs.ErrNotExist) {
 		return StoredMessage{}, &damagedSegmentError{segment}
@@ -185,11 +185,11 @@
 		return StoredMessage{}, err
 	}
 	message, sequence, ok := decodeFrame(b[:n], s.frameSalt)
-	if !ok || sequence != entry.sequence || message.Due != entry.due || message.frameSize() != int(entry.length) {
+	if !ok || sequence != entry.sequence || message.Due != entry.due || message.frameSize() != int(entry.len) {
 		return StoredMessage{}, errDamagedFrame
 	}
 	message.Dest = segment.Dest
-	return StoredMessage{message, sequence, entry.status == markInDoubt}, nil
+	return StoredMessage{message, sequence, entry.mark == markInDoubt}, nil
 }
 
 // noDueTime is later than the due time of any message.
--- a/internal/backlog/entry/entry_test.go
+++ b/internal/backlog/entry/entry_test.go
@@ -34,13 +34,13 @@
 				Aim: span("aim"), Deadline: span("deadline"), Window: span("window"), Worth: rapid.Float64().Draw(t, "worth"), LateShare: rapid.Float64().Draw(t, "late"),
 				Effect: choice.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), SameZone: rapid.Bool().Draw(t, "zone"), Ordered: rapid.Bool().Draw(t, "ordered")}}
 		}
-		doubt := rapid.Bool().Draw(t, "doubt")
-		got, err := Unpack(backlog.StoredMessage{Message: Pack(e), Sequence: 1, InDoubt: doubt})
+		inDoubt := rapid.Bool().Draw(t, "doubt")
+		got, err := Unpack(backlog.StoredMessage{Message: Pack(e), Sequence: 1, InDoubt: inDoubt})
 		if err != nil {
 			t.Fatal(err)
 		}
 		want := *e
-		want.MayHaveRun = doubt
+		want.MayHaveRun = inDoubt
 		if a, b := describe(got), describe(&want); a != b {
 			t.Fatalf("packed\n%s\nunpacked\n%s", b, a)
 		}
@@ -102,8 +102,8 @@
 // byte accepted.
 func TestPackedDataIsShort(t *testing.T) {
 	e := sampleEntry()
-	taken := len(e.Body) + len(e.ID) + len(e.Class) + len(e.Tenant) + len(e.Key)
-	if n := len(Pack(e).Data); n > taken+40 {
-		t.Errorf("%d bytes of data for %d bytes accepted", n, taken)
+	accepted := len(e.Body) + len(e.ID) + len(e.Class) + len(e.Tenant) + len(e.Key)
+	if n := len(Pack(e).Data); n > accepted+40 {
+		t.Errorf("%d bytes of data for %d bytes accepted", n, accepted)
 	}
 }
--- a/internal/backlog/folder_test.go
+++ b/internal/backlog/folder_test.go
@@ -47,65 +47,65 @@
 }
 
 // openFilled returns a store with some messages for each of some destinations, and the model of it.
-func openFilled(t testing.TB, dir string, o Options, dests, each int) (*Store, queueModel) {
-	s, m := mustOpen(t, dir, o), queueModel{}
+func openFilled(t testing.TB, dir string, options Options, dests, each int) (*Store, queueModel) {
+	s, model := mustOpen(t, dir, options), queueModel{}
 	for i := range dests * each {
-		h := Message{ID: fmt.Sprint("m", i), Dest: i % dests, Due: int64(i), Data: make([]byte, 100)}
-		if err := s.Put(h); err != nil {
+		message := Message{ID: fmt.Sprint("m", i), Dest: i % dests, Due: int64(i), Data: make([]byte, 100)}
+		if err := s.Put(message); err != nil {
 			t.Fatal(err)
 		}
-		m[h.Dest] = append(m[h.Dest], StoredMessage{Message: h})
+		model[message.Dest] = append(model[message.Dest], StoredMessage{Message: message})
 	}
-	return s, m
+	return s, model
 }
 
 // Guards against a Put that fails at any of its writes because the disk is full, read-only or broken: it must store none of
 // its messages and lose no other, and must succeed once the disk works again.
 func TestFailingDisk(t *testing.T) {
 	for _, cause := range []error{syscall.ENOSPC, syscall.EROFS, syscall.EIO} {
-		for _, undo := range []bool{true, false} {
-			for at := 0; ; at++ {
-				n, on := 0, false
-				o := smallOptions(&killSwitch{})
-				o.injectFault = func(op, _ string, bytes int) (int, error) {
-					if !on || op != "write" && undo {
+		for _, undoWorks := range []bool{true, false} {
+			for failAfter := 0; ; failAfter++ {
+				changes, failing := 0, false
+				options := smallOptions(&killSwitch{})
+				options.injectFault = func(op, _ string, bytes int) (int, error) {
+					if !failing || op != "write" && undoWorks {
 						return bytes, nil
 					}
-					if n++; n > at {
+					if changes++; changes > failAfter {
 						return bytes / 2, cause
 					}
 					return bytes, nil
 				}
 				dir := t.TempDir()
-				s, m := openFilled(t, dir, o, 3, 5)
-				on = true
-				var ms []Message
+				s, model := openFilled(t, dir, options, 3, 5)
+				failing = true
+				var messages []Message
 				for i := range 12 {
-					ms = append(ms, Message{ID: fmt.Sprint("x", i), Dest: i % 5, Due: 5, OrderKey: "k", Data: make([]byte, 400)})
+					messages = append(messages, Message{ID: fmt.Sprint("x", i), Dest: i % 5, Due: 5, OrderKey: "k", Data: make([]byte, 400)})
 				}
-				err := s.Put(ms...)
-				on = false
+				err := s.Put(messages...)
+				failing = false
 				if err == nil {
-					if at < 5 {
-						t.Fatalf("no write failed after %d", at)
+					if failAfter < 5 {
+						t.Fatalf("no write failed after %d", failAfter)
 					}
 					break
 				}
 				var f *FileError
 				if !errors.Is(err, cause) || !errors.As(err, &f) || f.Remedy() == "" {
-					t.Fatalf("write %d: %v", at, err)
+					t.Fatalf("write %d: %v", failAfter, err)
 				}
-				checkEqual(t, s, m)
-				if err := s.Put(ms...); err != nil {
-					t.Fatalf("after write %d failed: %v", at, err)
+				checkEqual(t, s, model)
+				if err := s.Put(messages...); err != nil {
+					t.Fatalf("after write %d failed: %v", failAfter, err)
 				}
-				for _, h := range ms {
-					m[h.Dest] = append(m[h.Dest], StoredMessage{Message: h})
+				for _, h := range messages {
+					model[h.Dest] = append(model[h.Dest], StoredMessage{Message: h})
 				}
 				for range 2 {
-					for dest, q := range m {
-						if got, err := s.Next(dest, 1000, 1<<30); err != nil || !slices.EqualFunc(got, q, sameMessage) {
-							t.Fatalf("after write %d failed destination %d has %s: %v", at, dest, describe(got), err)
+					for dest, queue := range model {
+						if got, err := s.Next(dest, 1000, 1<<30); err != nil || !slices.EqualFunc(got, queue, sameMessage) {
+							t.Fatalf("after write %d failed destination %d has %s: %v", failAfter, dest, describe(got), err)
 						}
 					}
 					s.Close()
@@ -119,33 +119,33 @@
 
 // Guards against a Remove that fails with part of its effect, or that cannot be repeated.
 func TestFailingRemove(t *testing.T) {
-	for at := range 6 {
-		n, on := 0, false
-		o := smallOptions(&killSwitch{})
-		o.injectFault = func(op, _ string, bytes int) (int, error) {
-			if n++; on && n > at {
+	for failAfter := range 6 {
+		changes, failing := 0, false
+		options := smallOptions(&killSwitch{})
+		options.injectFault = func(op, _ string, bytes int) (int, error) {
+			if changes++; failing && changes > failAfter {
 				return 0, syscall.EROFS
 			}
 			return bytes, nil
 		}
-		s, m := openFilled(t, t.TempDir(), o, 2, 8)
-		checkEqual(t, s, m)
-		var out []uint64
-		for i, h := range m[1] {
+		s, model := openFilled(t, t.TempDir(), options, 2, 8)
+		checkEqual(t, s, model)
+		var sequences []uint64
+		for i, h := range model[1] {
 			if i != 2 && i != 5 {
-				out = append(out, h.Sequence)
+				sequences = append(sequences, h.Sequence)
 			}
 		}
-		n, on = 0, true
-		err := s.Remove(1, out...)
-		if on = false; err == nil && at < 2 {
-			t.Fatalf("no write failed after %d", at)
+		changes, failing = 0, true
+		err := s.Remove(1, sequences...)
+		if failing = false; err == nil && failAfter < 2 {
+			t.Fatalf("no write failed after %d", failAfter)
 		}
-		if err := s.Remove(1, out...); err != nil {
+		if err := s.Remove(1, sequences...); err != nil {
 			t.Fatal(err)
 		}
-		m.remove(1, out...)
-		checkEqual(t, s, m)
+		model.remove(1, sequences...)
+		checkEqual(t, s, model)
 		s.Close()
 	}
 }
@@ -153,11 +153,11 @@
 // Guards against an older copy of a folder that does not open with the content it had when it was copied.
 func TestOpenOlderCopy(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "b")
-	s, m := openFilled(t, dir, smallOptions(&killSwitch{}), 3, 20)
-	checkEqual(t, s, m)
+	s, model := openFilled(t, dir, smallOptions(&killSwitch{}), 3, 20)
+	checkEqual(t, s, model)
 	copied := copyDir(t, dir)
-	for dest, q := range m {
-		if err := s.Remove(dest, q[0].Sequence, q[3].Sequence, q[4].Sequence); err != nil {
+	for dest, queue := range model {
+		if err := s.Remove(dest, queue[0].Sequence, queue[3].Sequence, queue[4].Sequence); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -167,7 +167,7 @@
 	s.Close()
 	s = mustOpen(t, copied, smallOptions(&killSwitch{}))
 	defer s.Close()
-	checkEqual(t, s, m)
+	checkEqual(t, s, model)
 	if d := s.TakeDamageReports(); len(d) > 0 {
 		t.Fatal(d)
 	}
@@ -176,25 +176,25 @@
 // Guards against a budget below what is stored that loses messages, or accepts more.
 func TestSmallerBudget(t *testing.T) {
 	dir := t.TempDir()
-	s, m := openFilled(t, dir, smallOptions(&killSwitch{}), 2, 60)
+	s, model := openFilled(t, dir, smallOptions(&killSwitch{}), 2, 60)
 	s.Close()
-	o := smallOptions(&killSwitch{})
-	o.DiskBytes = 48 << 10 // of which the table uses 32 KiB
-	s = mustOpen(t, dir, o)
+	options := smallOptions(&killSwitch{})
+	options.DiskBytes = 48 << 10 // of which the table uses 32 KiB
+	s = mustOpen(t, dir, options)
 	defer s.Close()
-	checkEqual(t, s, m)
+	checkEqual(t, s, model)
 	if err := s.Put(Message{ID: "x", Dest: 1}); !errors.Is(err, ErrFull) {
 		t.Fatalf("beyond the budget: %v", err)
 	}
-	for dest, q := range m {
-		for _, h := range slices.Clone(q[:55]) {
+	for dest, queue := range model {
+		for _, h := range slices.Clone(queue[:55]) {
 			if err := s.Remove(dest, h.Sequence); err != nil {
 				t.Fatal(err)
 			}
-			m.remove(dest, h.Sequence)
+			model.remove(dest, h.Sequence)
 		}
 	}
-	checkEqual(t, s, m)
+	checkEqual(t, s, model)
 	if err := s.Put(Message{ID: "x", Dest: 1}); err != nil {
 		t.Fatalf("with free space again, %d bytes used, %d on disk: %v", s.Bytes(), diskBytes(t, dir), err)
 	}
@@ -233,24 +233,24 @@
 
 // Guards against a key that stays bound to a destination by messages that were refused.
 func TestKeyOfRefusedMessages(t *testing.T) {
-	o, on := smallOptions(&killSwitch{}), true
-	o.injectFault = func(_, name string, bytes int) (int, error) {
-		if on && strings.HasSuffix(name, ".dat") {
+	options, failing := smallOptions(&killSwitch{}), true
+	options.injectFault = func(_, name string, bytes int) (int, error) {
+		if failing && strings.HasSuffix(name, ".dat") {
 			return bytes / 2, syscall.ENOSPC
 		}
 		return bytes, nil
 	}
-	s := mustOpen(t, t.TempDir(), o)
+	s := mustOpen(t, t.TempDir(), options)
 	defer s.Close()
-	ms := []Message{{ID: "a", Dest: 1, OrderKey: "k"}, {ID: "b", Dest: 1, OrderKey: "k"}}
-	if err := s.Put(ms...); !errors.Is(err, syscall.ENOSPC) {
+	messages := []Message{{ID: "a", Dest: 1, OrderKey: "k"}, {ID: "b", Dest: 1, OrderKey: "k"}}
+	if err := s.Put(messages...); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatal(err)
 	}
 	if dest, ok := s.DestOfKey("k"); ok {
 		t.Fatalf("the key of refused messages is bound to destination %d", dest)
 	}
-	on = false
-	if err := s.Put(ms...); err != nil {
+	failing = false
+	if err := s.Put(messages...); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Put(Message{ID: "other", Dest: 1}); err != nil { // keeps the queue alive after the last message with the key
--- a/internal/backlog/format.go
+++ b/internal/backlog/format.go
@@ -41,11 +41,11 @@
 	sequence        uint64
 	due             int64
 	idHash, keyHash uint64 // salted hashes; keyHash is zero for a message without an ordering key
-	offset, length  uint32
-	status          uint32
+	offset, len     uint32
+	mark            uint32
 }
 
-func (e *indexEntry) removed() bool { return e.status == markRemoved }
+func (e *indexEntry) removed() bool { return e.mark == markRemoved }
 
 func appendEntry(b []byte, e *indexEntry) []byte {
 	start := len(b)
@@ -54,9 +54,9 @@
 	b = littleEndian.AppendUint64(b, e.idHash)
 	b = littleEndian.AppendUint64(b, e.keyHash)
 	b = littleEndian.AppendUint32(b, e.offset)
-	b = littleEndian.AppendUint32(b, e.length)
+	b = littleEndian.AppendUint32(b, e.len)
 	b = littleEndian.AppendUint32(b, crc32.Checksum(b[start:], castagnoliTable))
-	return littleEndian.AppendUint32(b, e.status)
+	return littleEndian.AppendUint32(b, e.mark)
 }
 
 // decodeEntry decodes an entry from its 48 bytes. It does not validate the mark, which the CRC32 does not cover.
--- a/internal/backlog/fuzz_test.go
+++ b/internal/backlog/fuzz_test.go
@@ -106,21 +106,21 @@
 // FuzzSegment opens a folder with arbitrary files of a segment.
 func FuzzSegment(f *testing.F) {
 	index, data, table, salt := writtenFiles(f)
-	for _, right := range []bool{false, true} {
-		f.Add(index, data, right)
-		f.Add(index, []byte{}, right)
-		f.Add([]byte{}, data, right)
-		f.Add(index[:state.HeaderSize+100], data, right)
-		f.Add(index, data[:60], right)
+	for _, fixSums := range []bool{false, true} {
+		f.Add(index, data, fixSums)
+		f.Add(index, []byte{}, fixSums)
+		f.Add([]byte{}, data, fixSums)
+		f.Add(index[:state.HeaderSize+100], data, fixSums)
+		f.Add(index, data[:60], fixSums)
 	}
-	other := slices.Clone(index)
-	other[0]++
-	f.Add(other, data[:60], false) // a damaged header and truncated data
-	middle := slices.Clone(index)
-	middle[state.HeaderSize+state.EntrySize]++
-	f.Add(middle, data, false) // a damaged entry whose frame is intact
-	f.Fuzz(func(t *testing.T, index, data []byte, right bool) {
-		if right {
+	damagedHeader := slices.Clone(index)
+	damagedHeader[0]++
+	f.Add(damagedHeader, data[:60], false) // a damaged header and truncated data
+	damagedEntry := slices.Clone(index)
+	damagedEntry[state.HeaderSize+state.EntrySize]++
+	f.Add(damagedEntry, data, false) // a damaged entry whose frame is intact
+	f.Fuzz(func(t *testing.T, index, data []byte, fixSums bool) {
+		if fixSums {
 			index, data = fixChecksums(index, data, salt)
 		}
 		dir := t.TempDir()
--- a/internal/backlog/kill_test.go
+++ b/internal/backlog/kill_test.go
@@ -11,40 +11,40 @@
 
 func putMessages(dest, n, size int, name string) scriptStep {
 	return func(s *Store, m queueModel) (interruptedCall, error) {
-		var p interruptedCall
-		var ms []Message
+		var interrupted interruptedCall
+		var messages []Message
 		for i := range n {
-			h := Message{ID: fmt.Sprint(name, i), Dest: dest, Due: int64(i), OrderKey: fmt.Sprint("k", dest), Data: bytes.Repeat([]byte{byte(i)}, size)}
-			ms, p.put = append(ms, h), append(p.put, StoredMessage{Message: h})
+			message := Message{ID: fmt.Sprint(name, i), Dest: dest, Due: int64(i), OrderKey: fmt.Sprint("k", dest), Data: bytes.Repeat([]byte{byte(i)}, size)}
+			messages, interrupted.put = append(messages, message), append(interrupted.put, StoredMessage{Message: message})
 		}
-		err := s.Put(ms...)
+		err := s.Put(messages...)
 		if err == nil {
-			m[dest] = append(m[dest], p.put...)
+			m[dest] = append(m[dest], interrupted.put...)
 			adoptSequences(s, m, dest)
 		}
-		return p, err
+		return interrupted, err
 	}
 }
 
 // adoptSequences sets the sequence numbers of a destination's messages in the model to those of the store.
-func adoptSequences(s *Store, m queueModel, dest int) {
-	if all, err := s.Next(dest, 1000, 1<<30); err == nil && len(all) == len(m[dest]) {
-		m[dest] = all
+func adoptSequences(s *Store, model queueModel, dest int) {
+	if all, err := s.Next(dest, 1000, 1<<30); err == nil && len(all) == len(model[dest]) {
+		model[dest] = all
 	}
 }
 
-func removeMessages(dest int, which func(i int) bool) scriptStep {
-	return func(s *Store, m queueModel) (p interruptedCall, err error) {
-		p.dest = dest
-		for i, h := range m[dest] {
-			if which(i) {
-				p.remove = append(p.remove, h.Sequence)
+func removeMessages(dest int, selected func(i int) bool) scriptStep {
+	return func(s *Store, m queueModel) (interrupted interruptedCall, err error) {
+		interrupted.dest = dest
+		for i, message := range m[dest] {
+			if selected(i) {
+				interrupted.remove = append(interrupted.remove, message.Sequence)
 			}
 		}
-		if err = s.Remove(dest, p.remove...); err == nil {
-			m.remove(dest, p.remove...)
+		if err = s.Remove(dest, interrupted.remove...); err == nil {
+			m.remove(dest, interrupted.remove...)
 		}
-		return p, err
+		return interrupted, err
 	}
 }
 
@@ -57,37 +57,37 @@
 		putMessages(1, 6, 20, "c"), removeMessages(1, func(i int) bool { return i%3 != 0 }), removeMessages(2, func(int) bool { return true }),
 		putMessages(1, 2, 300, "d"), removeMessages(1, func(i int) bool { return i < 2 }), putMessages(2, 2, 0, "e"),
 	}
-	o := func(k *killSwitch) Options {
-		return Options{DiskBytes: 1 << 20, MinSegmentBytes: 256, MaxSegmentBytes: 512, MaxOpenFiles: 3, injectFault: k.fault}
+	options := func(kill *killSwitch) Options {
+		return Options{DiskBytes: 1 << 20, MinSegmentBytes: 256, MaxSegmentBytes: 512, MaxOpenFiles: 3, injectFault: kill.fault}
 	}
 	const shards = 8
 	for shard := range shards {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
-			for at := shard; ; at += shards {
-				dir, k, m := t.TempDir(), &killSwitch{budget: at, armed: true}, queueModel{}
-				var p interruptedCall
-				s, err := Open(dir, o(k))
+			for killAfter := shard; ; killAfter += shards {
+				dir, kill, model := t.TempDir(), &killSwitch{budget: killAfter, armed: true}, queueModel{}
+				var interrupted interruptedCall
+				s, err := Open(dir, options(kill))
 				for i := 0; i < len(script) && err == nil; i++ {
-					p, err = script[i](s, m)
+					interrupted, err = script[i](s, model)
 				}
 				if s != nil {
 					s.Close()
 				}
-				if !k.killed {
-					if at < 2000 {
-						t.Fatalf("the script ends after %d bytes", at)
+				if !kill.killed {
+					if killAfter < 2000 {
+						t.Fatalf("the script ends after %d bytes", killAfter)
 					}
 					return
 				}
-				s = mustOpen(t, dir, o(&killSwitch{}))
-				adoptAfterKill(t, s, m, p)
-				checkEqual(t, s, m)
+				s = mustOpen(t, dir, options(&killSwitch{}))
+				adoptAfterKill(t, s, model, interrupted)
+				checkEqual(t, s, model)
 				if err := s.Put(Message{ID: "after", Dest: 1, Data: []byte("x")}); err != nil {
 					t.Fatal(err)
 				}
-				m[1] = append(m[1], StoredMessage{Message: Message{ID: "after", Dest: 1, Data: []byte("x")}})
-				checkEqual(t, s, m)
+				model[1] = append(model[1], StoredMessage{Message: Message{ID: "after", Dest: 1, Data: []byte("x")}})
+				checkEqual(t, s, model)
 				s.Close()
 			}
 		})
--- a/internal/backlog/load.go
+++ b/internal/backlog/load.go
@@ -74,11 +74,11 @@
 	}
 	for i := range n {
 		entry, ok := decodeEntry(index[entryOffset(i):])
-		if !ok || !validMark(entry.status) || entry.sequence < segment.Last || entry.sequence == segment.Last && i > 0 {
+		if !ok || !validMark(entry.mark) || entry.sequence < segment.Last || entry.sequence == segment.Last && i > 0 {
 			return 0, false
 		}
 		removed := i < segment.Head || entry.removed()
-		if lost > 0 || !removed && segment.DataBytes+int64(entry.length) > dataBytes {
+		if lost > 0 || !removed && segment.DataBytes+int64(entry.len) > dataBytes {
 			if !removed {
 				lost++
 			}
@@ -87,13 +87,13 @@
 		if int64(entry.offset) != segment.DataBytes {
 			return 0, false
 		}
-		segment.DataBytes, segment.Last = segment.DataBytes+int64(entry.length), entry.sequence
+		segment.DataBytes, segment.Last = segment.DataBytes+int64(entry.len), entry.sequence
 		segment.Entries++
 		switch {
 		case i < segment.Head:
-			segment.BytesBeforeHead += int64(entry.length)
+			segment.BytesBeforeHead += int64(entry.len)
 		case removed:
-			segment.RemovedBytes += int64(entry.length)
+			segment.RemovedBytes += int64(entry.len)
 		default:
 			segment.Live++
 			segment.EarliestDue = min(segment.EarliestDue, entry.due)
--- a/internal/backlog/many_test.go
+++ b/internal/backlog/many_test.go
@@ -9,7 +9,7 @@
 // Guards against thousands of destinations with few messages each that use a file descriptor each.
 func TestManySmallDestinations(t *testing.T) {
 	const dests = 1000
-	dir, before := t.TempDir(), countOpenFiles(t)
+	dir, openBefore := t.TempDir(), countOpenFiles(t)
 	s := mustOpen(t, dir, Options{DiskBytes: 64 << 20, MaxOpenFiles: 8})
 	defer s.Close()
 	for i := range 2 * dests {
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := countOpenFiles(t) - before; n > 8 {
+	if n := countOpenFiles(t) - openBefore; n > 8 {
 		t.Fatalf("%d more files are open", n)
 	}
 	all, err := s.Due(5000, 300)
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 	}
-	if n := countOpenFiles(t) - before; n > 8 || s.Len() > 0 || s.Bytes() > 64<<10 {
+	if n := countOpenFiles(t) - openBefore; n > 8 || s.Len() > 0 || s.Bytes() > 64<<10 {
 		t.Fatalf("%d files are open, %d messages and %d bytes left", n, s.Len(), s.Bytes())
 	}
 }
@@ -50,14 +50,14 @@
 // for each call.
 func TestManyDueTogether(t *testing.T) {
 	const n = 6000
-	var read int
+	var calls int
 	s := mustOpen(t, t.TempDir(), Options{DiskBytes: 64 << 20, MinSegmentBytes: 64 << 10, MaxSegmentBytes: 64 << 10})
 	defer s.Close()
-	var ms []Message
+	var messages []Message
 	for i := range n {
-		ms = append(ms, Message{ID: fmt.Sprint(i), Dest: i % 3, Due: int64(1000 + i*7919%1000), Data: make([]byte, 30)})
+		messages = append(messages, Message{ID: fmt.Sprint(i), Dest: i % 3, Due: int64(1000 + i*7919%1000), Data: make([]byte, 30)})
 	}
-	if err := s.Put(ms...); err != nil {
+	if err := s.Put(messages...); err != nil {
 		t.Fatal(err)
 	}
 	seen, last := map[string]bool{}, int64(0)
@@ -75,10 +75,10 @@
 				t.Fatal(err)
 			}
 		}
-		read++
+		calls++
 	}
-	if read != n/100 || s.Len() != 0 {
-		t.Fatalf("%d calls, %d left", read, s.Len())
+	if calls != n/100 || s.Len() != 0 {
+		t.Fatalf("%d calls, %d left", calls, s.Len())
 	}
 	if s.dueScans > 2*n/dueListLength {
 		t.Fatalf("segments were scanned %d times for %d messages", s.dueScans, n)
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -12,8 +12,8 @@
 // queueModel is a backlog without files: the queue of each destination.
 type queueModel map[int][]StoredMessage
 
-func (m queueModel) remove(dest int, places ...uint64) {
-	m[dest] = slices.DeleteFunc(m[dest], func(h StoredMessage) bool { return slices.Contains(places, h.Sequence) })
+func (m queueModel) remove(dest int, sequences ...uint64) {
+	m[dest] = slices.DeleteFunc(m[dest], func(h StoredMessage) bool { return slices.Contains(sequences, h.Sequence) })
 	if len(m[dest]) == 0 {
 		delete(m, dest)
 	}
@@ -33,17 +33,17 @@
 
 // storedMessages returns all messages of a store, as read by Next.
 func storedMessages(t testFailer, s *Store) queueModel {
-	m := queueModel{}
+	model := queueModel{}
 	for dest := range s.Dests() {
 		all, err := s.Next(dest, math.MaxInt, math.MaxInt)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(all) > 0 {
-			m[dest] = all
+			model[dest] = all
 		}
 	}
-	return m
+	return model
 }
 
 type testFailer interface {
@@ -53,37 +53,37 @@
 }
 
 // checkEqual checks the answers of all reading methods of a store against the model.
-func checkEqual(t testFailer, s *Store, m queueModel) {
+func checkEqual(t testFailer, s *Store, model queueModel) {
 	t.Helper()
-	n, least := 0, int64(math.MaxInt64)
-	for dest, q := range m {
+	n, earliest := 0, int64(math.MaxInt64)
+	for dest, queue := range model {
 		got, err := s.Next(dest, math.MaxInt, math.MaxInt)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.EqualFunc(got, q, sameMessage) || s.LenOf(dest) != len(q) {
-			t.Fatalf("destination %d has %s (%d), want %s", dest, describe(got), s.LenOf(dest), describe(q))
+		if !slices.EqualFunc(got, queue, sameMessage) || s.LenOf(dest) != len(queue) {
+			t.Fatalf("destination %d has %s (%d), want %s", dest, describe(got), s.LenOf(dest), describe(queue))
 		}
-		for i, h := range got {
-			if h.Sequence == 0 || i > 0 && h.Sequence <= got[i-1].Sequence {
+		for i, message := range got {
+			if message.Sequence == 0 || i > 0 && message.Sequence <= got[i-1].Sequence {
 				t.Fatalf("sequence numbers of destination %d do not increase: %s", dest, describe(got))
 			}
-			m[dest][i].Sequence = h.Sequence
-			least = min(least, h.Due)
-			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || !sameMessage(f, h) || f.Sequence != h.Sequence {
-				t.Fatalf("Find of %s of destination %d returned %v %v %v", h.ID, dest, f, ok, err)
+			model[dest][i].Sequence = message.Sequence
+			earliest = min(earliest, message.Due)
+			if found, ok, err := s.Find(dest, message.ID); err != nil || !ok || !sameMessage(found, message) || found.Sequence != message.Sequence {
+				t.Fatalf("Find of %s of destination %d returned %v %v %v", message.ID, dest, found, ok, err)
 			}
-			if d, ok := s.DestOfKey(h.OrderKey); h.OrderKey != "" && (!ok || d != dest) {
-				t.Fatalf("key %s of destination %d is bound to %d, %v", h.OrderKey, dest, d, ok)
+			if d, ok := s.DestOfKey(message.OrderKey); message.OrderKey != "" && (!ok || d != dest) {
+				t.Fatalf("key %s of destination %d is bound to %d, %v", message.OrderKey, dest, d, ok)
 			}
 		}
-		n += len(q)
+		n += len(queue)
 	}
-	if s.Len() != n || len(slices.Collect(s.Dests())) != len(m) {
-		t.Fatalf("%d messages of %d destinations, want %d of %d", s.Len(), len(slices.Collect(s.Dests())), n, len(m))
+	if s.Len() != n || len(slices.Collect(s.Dests())) != len(model) {
+		t.Fatalf("%d messages of %d destinations, want %d of %d", s.Len(), len(slices.Collect(s.Dests())), n, len(model))
 	}
-	if due, ok := s.NextDue(); ok != (n > 0) || ok && due != least {
-		t.Fatalf("next due %d %v, want %d", due, ok, least)
+	if due, ok := s.NextDue(); ok != (n > 0) || ok && due != earliest {
+		t.Fatalf("next due %d %v, want %d", due, ok, earliest)
 	}
 }
 
@@ -149,44 +149,44 @@
 }
 
 // adoptAfterKill checks that a store has a state that the killed call may leave, and sets the model to it.
-func adoptAfterKill(t testFailer, s *Store, m queueModel, p interruptedCall) {
+func adoptAfterKill(t testFailer, s *Store, model queueModel, interrupted interruptedCall) {
 	t.Helper()
 	for _, err := range s.TakeDamageReports() {
 		var d *DamageError
-		if !errors.As(err, &d) || !d.AtTail || d.InDoubt > 0 || d.Lost > len(p.put) {
+		if !errors.As(err, &d) || !d.AtTail || d.InDoubt > 0 || d.Lost > len(interrupted.put) {
 			if d == nil || d.Segment != tableFileName {
 				t.Fatalf("after a kill: %v (%+v)", err, d)
 			}
 		}
 	}
-	got := storedMessages(t, s)
-	for dest := range m {
-		got[dest] = append([]StoredMessage{}, got[dest]...)
+	stored := storedMessages(t, s)
+	for dest := range model {
+		stored[dest] = append([]StoredMessage{}, stored[dest]...)
 	}
-	for dest, q := range got {
-		want := m[dest]
-		for _, h := range p.put {
-			if h.Dest == dest {
-				want = append(slices.Clone(want), h)
+	for dest, queue := range stored {
+		want := model[dest]
+		for _, message := range interrupted.put {
+			if message.Dest == dest {
+				want = append(slices.Clone(want), message)
 			}
 		}
 		// The stored messages must be a subsequence of the possible ones; a missing one was being stored or removed.
 		i := 0
-		for _, h := range want {
-			if i < len(q) && sameMessage(q[i], h) {
+		for _, message := range want {
+			if i < len(queue) && sameMessage(queue[i], message) {
 				i++
 				continue
 			}
-			if h.Sequence == 0 && slices.ContainsFunc(p.put, func(x StoredMessage) bool { return x.ID == h.ID }) || dest == p.dest && slices.Contains(p.remove, h.Sequence) {
+			if message.Sequence == 0 && slices.ContainsFunc(interrupted.put, func(x StoredMessage) bool { return x.ID == message.ID }) || dest == interrupted.dest && slices.Contains(interrupted.remove, message.Sequence) {
 				continue
 			}
-			t.Fatalf("after a kill destination %d has %s; %s of %s is missing", dest, describe(q), h.ID, describe(want))
+			t.Fatalf("after a kill destination %d has %s; %s of %s is missing", dest, describe(queue), message.ID, describe(want))
 		}
-		if i < len(q) {
-			t.Fatalf("after a kill destination %d has %s, of which %s is unexpected", dest, describe(q), q[i].ID)
+		if i < len(queue) {
+			t.Fatalf("after a kill destination %d has %s, of which %s is unexpected", dest, describe(queue), queue[i].ID)
 		}
-		if m[dest] = q; len(q) == 0 {
-			delete(m, dest)
+		if model[dest] = queue; len(queue) == 0 {
+			delete(model, dest)
 		}
 	}
 }
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -30,7 +30,7 @@
 			if entry.removed() {
 				continue
 			}
-			if bytesLeft -= int(entry.length); bytesLeft < 0 && len(all) > 0 {
+			if bytesLeft -= int(entry.len); bytesLeft < 0 && len(all) > 0 {
 				return all, nil
 			}
 			message, err := s.readMessage(segment, entry)
--- a/internal/backlog/remove.go
+++ b/internal/backlog/remove.go
@@ -65,11 +65,11 @@
 		case done < len(removed) && removed[done].index == head:
 			done++
 		case entry.removed():
-			removedBytes -= int64(entry.length)
+			removedBytes -= int64(entry.len)
 		default:
 			goto behind
 		}
-		bytesBeforeHead += int64(entry.length)
+		bytesBeforeHead += int64(entry.len)
 		head++
 	}
 behind:
@@ -81,7 +81,7 @@
 	var err error
 	for done < len(removed) && err == nil {
 		if err = s.indexes.markRemoved(segment, removed[done].index); err == nil {
-			removedBytes += int64(removed[done].length)
+			removedBytes += int64(removed[done].len)
 			done++
 		}
 	}
@@ -157,7 +157,7 @@
 	for _, entry := range live {
 		from := entry.offset
 		entry.offset = uint32(len(frames))
-		frames = append(frames, data[from:from+entry.length]...)
+		frames = append(frames, data[from:from+entry.len]...)
 		index = appendEntry(index, &entry)
 		due = min(due, entry.due)
 	}
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -37,16 +37,16 @@
 		switch {
 		case beforeHead || entry.removed():
 			if beforeHead {
-				removedEnd = max(removedEnd, entry.offset+entry.length)
+				removedEnd = max(removedEnd, entry.offset+entry.len)
 			}
 			covered = append(covered, entry)
 			continue
-		case int64(entry.offset)+int64(entry.length) > int64(len(data)):
+		case int64(entry.offset)+int64(entry.len) > int64(len(data)):
 			result.lost++
 			continue
-		case !headKnown || entry.status != markLive && entry.status != markInDoubt:
+		case !headKnown || entry.mark != markLive && entry.mark != markInDoubt:
 			result.inDoubt++
-			entry.status = markInDoubt
+			entry.mark = markInDoubt
 		}
 		covered = append(covered, entry)
 		result.live = append(result.live, entry)
@@ -67,7 +67,7 @@
 				unreadable = max(0, unreadable-1)
 			}
 		}
-		at = max(at, entry.offset+entry.length)
+		at = max(at, entry.offset+entry.len)
 	}
 	result.lost += unreadable
 	slices.SortFunc(result.live, func(a, b indexEntry) int { return cmp.Compare(a.sequence, b.sequence) })
@@ -82,12 +82,12 @@
 			offset++
 			continue
 		}
-		entry := indexEntry{sequence: sequence, due: message.Due, idHash: saltedHash(s.folderSalt, 'i', segment.Dest, message.ID), offset: offset, length: uint32(message.frameSize()), status: markInDoubt}
+		entry := indexEntry{sequence: sequence, due: message.Due, idHash: saltedHash(s.folderSalt, 'i', segment.Dest, message.ID), offset: offset, len: uint32(message.frameSize()), mark: markInDoubt}
 		if message.OrderKey != "" {
 			entry.keyHash = saltedHash(s.folderSalt, 'k', 0, message.OrderKey)
 		}
 		all = append(all, entry)
-		offset += entry.length
+		offset += entry.len
 	}
 	return all
 }
--- a/internal/backlog/scale_test.go
+++ b/internal/backlog/scale_test.go
@@ -64,120 +64,120 @@
 
 // runScale stores n messages for some destinations, looks some up, opens the store again as after a kill (nothing is
 // closed), removes some messages by due time and others in order, and checks what it reads.
-func runScale(t testing.TB, n, dests int) (got scaleResult) {
+func runScale(t testing.TB, n, dests int) (result scaleResult) {
 	dir, err := os.MkdirTemp(*scaleDir, "scale")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	o := Options{DiskBytes: 1 << 40, injectFault: func(op, _ string, bytes int) (int, error) {
-		got.writtenBytes += int64(bytes)
+	options := Options{DiskBytes: 1 << 40, injectFault: func(op, _ string, bytes int) (int, error) {
+		result.writtenBytes += int64(bytes)
 		return bytes, nil
 	}}
 	empty, rss, dirty := heapInUse(), procFigure("status", "VmRSS")<<10, procFigure("io", "write_bytes")
-	s := mustOpen(t, dir, o)
-	got.putLatencies = hdrhistogram.New(100, 1e11, 2)
-	from := time.Now()
+	s := mustOpen(t, dir, options)
+	result.putLatencies = hdrhistogram.New(100, 1e11, 2)
+	start := time.Now()
 	for i := range n {
 		m := scaleMessage(i, dests)
-		got.acceptedBytes += int64(len(m.ID) + len(m.OrderKey) + len(m.Data))
+		result.acceptedBytes += int64(len(m.ID) + len(m.OrderKey) + len(m.Data))
 		began := time.Now()
 		if err := s.Put(m); err != nil {
 			t.Fatal(err)
 		}
-		got.putLatencies.RecordValue(time.Since(began).Nanoseconds())
+		result.putLatencies.RecordValue(time.Since(began).Nanoseconds())
 	}
-	got.put = perItem(n, from)
-	got.heapBytes = heapInUse() - empty
-	few := min(n, 10_000)
-	from = time.Now()
-	for i := range few {
+	result.put = perItem(n, start)
+	result.heapBytes = heapInUse() - empty
+	lookups := min(n, 10_000)
+	start = time.Now()
+	for i := range lookups {
 		if _, ok, err := s.Find(i%dests, fmt.Sprint("none", i)); ok || err != nil {
 			t.Fatalf("Find returned a message that was never stored: %v", err)
 		}
 	}
-	got.findMissing = perItem(few, from)
-	from = time.Now()
-	for i := range few {
+	result.findMissing = perItem(lookups, start)
+	start = time.Now()
+	for i := range lookups {
 		at := (i * 7919) % n
 		if h, ok, err := s.Find(at%dests, scaleMessage(at, dests).ID); !ok || err != nil || h.Due != scaleMessage(at, dests).Due {
 			t.Fatalf("message %d: %v %v %v", at, h, ok, err)
 		}
 	}
-	got.findPresent = perItem(few, from)
-	got.diskBytes = s.Bytes()
+	result.findPresent = perItem(lookups, start)
+	result.diskBytes = s.Bytes()
 	s, s.dueLists = nil, nil
 	s = nil
 	empty = min(empty, heapInUse())
-	from = time.Now()
-	s = mustOpen(t, dir, o)
-	got.open = time.Since(from)
-	got.heapAfterOpen = heapInUse() - empty
-	got.rssBytes = procFigure("status", "VmRSS")<<10 - rss
+	start = time.Now()
+	s = mustOpen(t, dir, options)
+	result.open = time.Since(start)
+	result.heapAfterOpen = heapInUse() - empty
+	result.rssBytes = procFigure("status", "VmRSS")<<10 - rss
 	defer s.Close()
 	if all, err := os.ReadDir(dir); err == nil {
-		got.files = len(all)
+		result.files = len(all)
 	}
 	if s.Len() != n || len(s.TakeDamageReports()) > 0 {
 		t.Fatalf("%d messages of %d after it is opened again", s.Len(), n)
 	}
 	// A tenth is removed by due time, a thousand at once, but at most 100,000; then at most two million in order.
-	taken, last := 0, int64(0)
+	removed, last := 0, int64(0)
 	timed := min(n/10, 100_000)
-	from = time.Now()
-	for taken < timed {
-		all, err := s.Due(1<<60, min(1000, timed-taken))
+	start = time.Now()
+	for removed < timed {
+		all, err := s.Due(1<<60, min(1000, timed-removed))
 		if err != nil || len(all) == 0 {
 			t.Fatalf("%d due: %v", len(all), err)
 		}
-		places := map[int][]uint64{}
+		sequences := map[int][]uint64{}
 		for _, h := range all {
 			if h.Due < last {
 				t.Fatal("messages are not in the order of due times")
 			}
 			last = h.Due
-			places[h.Dest] = append(places[h.Dest], h.Sequence)
+			sequences[h.Dest] = append(sequences[h.Dest], h.Sequence)
 		}
-		for dest, p := range places {
-			if err := s.Remove(dest, p...); err != nil {
+		for dest, removeNow := range sequences {
+			if err := s.Remove(dest, removeNow...); err != nil {
 				t.Fatal(err)
 			}
 		}
-		taken += len(all)
+		removed += len(all)
 	}
-	got.due = perItem(taken, from)
-	left := min(n-taken, 2_000_000)
+	result.due = perItem(removed, start)
+	left := min(n-removed, 2_000_000)
 	ordered := left
 	for dest := range dests {
 		for left > 0 && s.LenOf(dest) > 0 {
-			from = time.Now()
+			start = time.Now()
 			all, err := s.Next(dest, min(100, left), 1<<20)
 			if err != nil || len(all) == 0 {
 				t.Fatalf("%d next: %v", len(all), err)
 			}
-			got.next += time.Since(from)
-			places := make([]uint64, 0, len(all))
+			result.next += time.Since(start)
+			sequences := make([]uint64, 0, len(all))
 			for _, h := range all {
-				places = append(places, h.Sequence)
+				sequences = append(sequences, h.Sequence)
 			}
-			from = time.Now()
-			if err := s.Remove(dest, places...); err != nil {
+			start = time.Now()
+			if err := s.Remove(dest, sequences...); err != nil {
 				t.Fatal(err)
 			}
-			got.remove += time.Since(from)
+			result.remove += time.Since(start)
 			left -= len(all)
 		}
 	}
-	got.next /= time.Duration(ordered)
-	got.remove /= time.Duration(ordered)
-	if left != 0 || s.Len() != n-taken-ordered {
+	result.next /= time.Duration(ordered)
+	result.remove /= time.Duration(ordered)
+	if left != 0 || s.Len() != n-removed-ordered {
 		t.Fatalf("%d messages were not removed, %d are left", left, s.Len())
 	}
 	if rest, _ := filepath.Glob(filepath.Join(dir, "*.dat")); s.Len() == 0 && len(rest) > 0 {
 		t.Fatalf("%d segments are left of an empty backlog", len(rest))
 	}
-	got.dirtiedBytes = procFigure("io", "write_bytes") - dirty
-	return got
+	result.dirtiedBytes = procFigure("io", "write_bytes") - dirty
+	return result
 }
 
 // Runs the smallest size of the benchmark as a test: all messages are read once, in order, and none is left.
--- a/internal/backlog/state/loads.go
+++ b/internal/backlog/state/loads.go
@@ -32,7 +32,7 @@
 }
 
 // Add records that a message became pending.
-func (w *Window) Add(dest, bytes int) {
+func (w *Window) Admit(dest, bytes int) {
 	w.pending, w.pendingTotal = w.pending.plus(dest, 1, bytes), Load{w.pendingTotal.Messages + 1, w.pendingTotal.Bytes + bytes}
 }
 
--- a/internal/backlog/state/state_test.go
+++ b/internal/backlog/state/state_test.go
@@ -20,115 +20,115 @@
 // Guards against counts, budget, due times or actions for a segment that differ from a model with all messages.
 func TestStateEqualsModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := Limits{DiskBytes: 1 << 20, MinSegmentBytes: 400, MaxSegmentBytes: 1600}
-		b := New(l)
-		b.SetFixedBytes(700)
-		of := map[*Segment][]modelMessage{}
-		var put, copied int64 // bytes
-		place := uint64(0)
+		limits := Limits{DiskBytes: 1 << 20, MinSegmentBytes: 400, MaxSegmentBytes: 1600}
+		state := New(limits)
+		state.SetFixedBytes(700)
+		model := map[*Segment][]modelMessage{}
+		var stored, copied int64 // bytes
+		sequence := uint64(0)
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			dest := rapid.IntRange(0, 3).Draw(t, "dest")
 			switch rapid.IntRange(0, 2).Draw(t, "do") {
 			case 0, 1:
-				place++
-				m := modelMessage{place, rapid.Int64Range(0, 99).Draw(t, "due"), rapid.Int64Range(1, 300).Draw(t, "bytes"), false}
-				s := b.Tail(dest, place, 0)
-				if s == nil {
-					s = &Segment{Dest: dest, First: place, Last: place, EarliestDue: math.MaxInt64}
-					b.AddSegment(s)
+				sequence++
+				message := modelMessage{sequence, rapid.Int64Range(0, 99).Draw(t, "due"), rapid.Int64Range(1, 300).Draw(t, "bytes"), false}
+				segment := state.Tail(dest, sequence, 0)
+				if segment == nil {
+					segment = &Segment{Dest: dest, First: sequence, Last: sequence, EarliestDue: math.MaxInt64}
+					state.AddSegment(segment)
 				}
-				before := b.UsedBytes()
-				grows := Growth(s, false, 1, m.bytes)
-				b.AddMessage(s, place, m.due, m.bytes)
-				if of[s] = append(of[s], m); b.UsedBytes()-before != grows {
-					t.Fatalf("the files grew by %d bytes, want %d", b.UsedBytes()-before, grows)
+				bytesBeforeHead := state.UsedBytes()
+				growth := Growth(segment, false, 1, message.bytes)
+				state.AddMessage(segment, sequence, message.due, message.bytes)
+				if model[segment] = append(model[segment], message); state.UsedBytes()-bytesBeforeHead != growth {
+					t.Fatalf("the files grew by %d bytes, want %d", state.UsedBytes()-bytesBeforeHead, growth)
 				}
-				put += m.bytes
+				stored += message.bytes
 			case 2:
-				all := b.Segments(dest)
+				all := state.Segments(dest)
 				if len(all) == 0 {
 					continue
 				}
-				s := rapid.SampledFrom(all).Draw(t, "segment")
+				segment := rapid.SampledFrom(all).Draw(t, "segment")
 				n := 0
-				for i := range of[s] {
-					if m := &of[s][i]; !m.removed && rapid.IntRange(0, 2).Draw(t, "goes") > 0 {
-						m.removed = true
+				for i := range model[segment] {
+					if message := &model[segment][i]; !message.removed && rapid.IntRange(0, 2).Draw(t, "goes") > 0 {
+						message.removed = true
 						n++
 					}
 				}
-				head, before, gone, live := uint32(0), int64(0), int64(0), int64(0)
-				for i, m := range of[s] {
+				head, bytesBeforeHead, removed, live := uint32(0), int64(0), int64(0), int64(0)
+				for i, message := range model[segment] {
 					switch {
-					case m.removed && int(head) == i:
-						head, before = head+1, before+m.bytes
-					case m.removed:
-						gone += m.bytes
+					case message.removed && int(head) == i:
+						head, bytesBeforeHead = head+1, bytesBeforeHead+message.bytes
+					case message.removed:
+						removed += message.bytes
 					default:
-						live += m.bytes
+						live += message.bytes
 					}
 				}
-				what, want := b.RemoveMessages(s, n, head, before, gone), Keep
+				action, want := state.RemoveMessages(segment, n, head, bytesBeforeHead, removed), Keep
 				if live == 0 {
 					want = Drop
-				} else if gone > live && gone >= l.MinSegmentBytes/4 {
+				} else if removed > live && removed >= limits.MinSegmentBytes/4 {
 					want = Rewrite
 				}
-				if what != want {
-					t.Fatalf("%d bytes live, %d removed: action %d, want %d", live, gone, what, want)
+				if action != want {
+					t.Fatalf("%d bytes live, %d removed: action %d, want %d", live, removed, action, want)
 				}
-				switch what {
+				switch action {
 				case Drop:
-					b.RemoveSegment(s)
-					delete(of, s)
+					state.RemoveSegment(segment)
+					delete(model, segment)
 				case Rewrite:
-					of[s] = slices.DeleteFunc(of[s], func(m modelMessage) bool { return m.removed })
-					b.SegmentRewritten(s, uint32(len(of[s])), live)
+					model[segment] = slices.DeleteFunc(model[segment], func(message modelMessage) bool { return message.removed })
+					state.SegmentRewritten(segment, uint32(len(model[segment])), live)
 					copied += live
 				}
 			}
-			checkAgainstModel(t, b, of)
+			checkAgainstModel(t, state, model)
 		}
-		if copied > put {
-			t.Fatalf("%d bytes were rewritten, %d stored", copied, put)
+		if copied > stored {
+			t.Fatalf("%d bytes were rewritten, %d stored", copied, stored)
 		}
 	})
 }
 
-func checkAgainstModel(t *rapid.T, b *State, of map[*Segment][]modelMessage) {
-	n, used, least := 0, int64(1024), int64(math.MaxInt64)
+func checkAgainstModel(t *rapid.T, state *State, model map[*Segment][]modelMessage) {
+	n, used, earliest := 0, int64(1024), int64(math.MaxInt64)
 	dests := map[int]int{}
-	for s, all := range of {
+	for s, all := range model {
 		var data int64
 		for _, m := range all {
 			data += m.bytes
 			if !m.removed {
 				n++
 				dests[s.Dest]++
-				least = min(least, m.due)
+				earliest = min(earliest, m.due)
 			}
-			if b.SegmentOf(s.Dest, m.sequence) != s || !b.HasSegmentUpTo(s.Dest, m.sequence) {
+			if state.SegmentOf(s.Dest, m.sequence) != s || !state.HasSegmentUpTo(s.Dest, m.sequence) {
 				t.Fatalf("sequence number %d is not in its segment", m.sequence)
 			}
 		}
 		used += (HeaderSize+EntrySize*int64(len(all))+511)/512*512 + (data+511)/512*512
 	}
-	if b.Len() != n || b.UsedBytes() != used || b.FreeBytes() != 1<<20-used {
-		t.Fatalf("%d messages and %d bytes, want %d and %d", b.Len(), b.UsedBytes(), n, used)
+	if state.Len() != n || state.UsedBytes() != used || state.FreeBytes() != 1<<20-used {
+		t.Fatalf("%d messages and %d bytes, want %d and %d", state.Len(), state.UsedBytes(), n, used)
 	}
 	for dest := range 4 {
-		if b.LenOf(dest) != dests[dest] || !slices.IsSortedFunc(b.Segments(dest), func(x, y *Segment) int { return cmp.Compare(x.First, y.First) }) {
-			t.Fatalf("destination %d has %d, want %d", dest, b.LenOf(dest), dests[dest])
+		if state.LenOf(dest) != dests[dest] || !slices.IsSortedFunc(state.Segments(dest), func(x, y *Segment) int { return cmp.Compare(x.First, y.First) }) {
+			t.Fatalf("destination %d has %d, want %d", dest, state.LenOf(dest), dests[dest])
 		}
 	}
-	if len(slices.Collect(b.Dests())) != len(dests) {
-		t.Fatalf("destinations %v, want %v", slices.Collect(b.Dests()), dests)
+	if len(slices.Collect(state.Dests())) != len(dests) {
+		t.Fatalf("destinations %v, want %v", slices.Collect(state.Dests()), dests)
 	}
-	if s := b.Earliest(); (s == nil) != (n == 0) || s != nil && s.EarliestDue > least {
-		t.Fatalf("the earliest segment is %+v; the earliest due time of %d messages is %d", s, n, least)
+	if s := state.Earliest(); (s == nil) != (n == 0) || s != nil && s.EarliestDue > earliest {
+		t.Fatalf("the earliest segment is %+v; the earliest due time of %d messages is %d", s, n, earliest)
 	}
-	for s := range of {
-		if s.EarliestDue < b.Earliest().EarliestDue {
+	for s := range model {
+		if s.EarliestDue < state.Earliest().EarliestDue {
 			t.Fatal("Earliest did not return the earliest segment")
 		}
 	}
--- a/internal/backlog/state/window_test.go
+++ b/internal/backlog/state/window_test.go
@@ -10,32 +10,32 @@
 // Guards against destinations that are down and fill the window of one that is served: each of thousands has about one
 // message pending, and the total is bounded.
 func TestUnservedDestinationsLeaveSpace(t *testing.T) {
-	w := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
-	in := 0
+	window := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
+	pending := 0
 	for range 3 {
 		for dest := range 3000 {
-			for range w.Available(dest, 0) {
-				w.Add(dest, 10)
-				in++
+			for range window.Available(dest, 0) {
+				window.Admit(dest, 10)
+				pending++
 			}
 		}
 	}
-	if in > 1000+3000 || in < 3000 {
-		t.Fatalf("%d messages are pending", in)
+	if pending > 1000+3000 || pending < 3000 {
+		t.Fatalf("%d messages are pending", pending)
 	}
 	// A destination that is served may have twice what it served in a second pending, though no capacity is free.
-	w.Add(9999, 10)
+	window.Admit(9999, 10)
 	for i := range 500 {
-		w.Add(9999, 10)
-		w.Remove(9999, 10, true, time.Duration(i)*time.Millisecond)
+		window.Admit(9999, 10)
+		window.Remove(9999, 10, true, time.Duration(i)*time.Millisecond)
 	}
-	if n := w.Available(9999, time.Second); n != 2*500-1 {
+	if n := window.Available(9999, time.Second); n != 2*500-1 {
 		t.Fatalf("%d messages available to a destination that served 500 in the last second", n)
 	}
-	if n := w.Available(9999, 2500*time.Millisecond); n != 0 {
+	if n := window.Available(9999, 2500*time.Millisecond); n != 0 {
 		t.Fatalf("%d messages available to a destination that served none for a second", n)
 	}
-	if n := w.Available(77_777, 0); n != 1 {
+	if n := window.Available(77_777, 0); n != 1 {
 		t.Fatalf("%d messages available to a new destination", n)
 	}
 }
@@ -43,19 +43,19 @@
 // Guards against bytes that are not counted: a few large messages fill the window as many small ones do, and one message of
 // any size is always allowed.
 func TestLargeMessagesFillWindow(t *testing.T) {
-	w := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
-	if n := w.Available(1, 0); n == 0 {
+	window := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
+	if n := window.Available(1, 0); n == 0 {
 		t.Fatal("a message of 10 MiB is not allowed")
 	}
-	w.Add(1, 10<<20)
-	if n := w.Available(1, 0); n != 0 {
+	window.Admit(1, 10<<20)
+	if n := window.Available(1, 0); n != 0 {
 		t.Fatalf("%d more messages available beyond the byte limit", n)
 	}
-	if n := w.Available(2, 0); n == 0 {
+	if n := window.Available(2, 0); n == 0 {
 		t.Fatal("no message of another destination is allowed")
 	}
-	w.Remove(1, 10<<20, false, 0)
-	if n := w.Available(1, 0); n != 1000 {
+	window.Remove(1, 10<<20, false, 0)
+	if n := window.Available(1, 0); n != 1000 {
 		t.Fatalf("%d messages available when the window is empty", n)
 	}
 }
@@ -63,38 +63,38 @@
 // Guards against a limit that differs from its formula after any sequence of messages that enter and leave.
 func TestWindowEqualsFormula(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Window{Capacity: Load{20, 1 << 30}, Alpha: rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "alpha")}
-		in, served := map[int]int{}, map[int]map[int64]int{}
+		window := Window{Capacity: Load{20, 1 << 30}, Alpha: rapid.SampledFrom([]float64{0.5, 1, 2}).Draw(t, "alpha")}
+		pending, served := map[int]int{}, map[int]map[int64]int{}
 		var now time.Duration
 		used := 0
 		for range rapid.IntRange(1, 100).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 700).Draw(t, "ms")) * time.Millisecond
 			dest := rapid.IntRange(0, 4).Draw(t, "dest")
 			second := int64(now / time.Second)
-			of := served[dest]
-			want := max(1, int(w.Alpha*float64(20-used)), 2*max(of[second], of[second-1])) - in[dest]
-			got := w.Available(dest, now)
+			servedBySecond := served[dest]
+			want := max(1, int(window.Alpha*float64(20-used)), 2*max(servedBySecond[second], servedBySecond[second-1])) - pending[dest]
+			got := window.Available(dest, now)
 			if got != max(0, want) {
-				t.Fatalf("%d messages available, want %d: %d of the destination pending, %d in all, served %v at %v", got, want, in[dest], used, of, now)
+				t.Fatalf("%d messages available, want %d: %d of the destination pending, %d in all, served %v at %v", got, want, pending[dest], used, servedBySecond, now)
 			}
 			if got > 0 && rapid.Bool().Draw(t, "enters") {
-				w.Add(dest, 1)
-				in[dest]++
+				window.Admit(dest, 1)
+				pending[dest]++
 				used++
-			} else if in[dest] > 0 {
+			} else if pending[dest] > 0 {
 				ok := rapid.Bool().Draw(t, "served")
-				w.Remove(dest, 1, ok, now)
-				in[dest]--
+				window.Remove(dest, 1, ok, now)
+				pending[dest]--
 				used--
 				if ok {
-					if of == nil {
+					if servedBySecond == nil {
 						served[dest] = map[int64]int{}
 					}
 					served[dest][second]++
 				}
 			}
 		}
-		if len(w.pending) > 5 || len(w.servedNow)+len(w.servedBefore) > 10 {
+		if len(window.pending) > 5 || len(window.servedNow)+len(window.servedBefore) > 10 {
 			t.Fatal("loads of earlier seconds or of idle destinations are retained")
 		}
 	})
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -78,7 +78,7 @@
 		}
 		from := write.segment.Entries
 		for _, entry := range write.entries {
-			s.state.AddMessage(write.segment, entry.sequence, entry.due, int64(entry.length))
+			s.state.AddMessage(write.segment, entry.sequence, entry.due, int64(entry.len))
 			s.messageAdded(write.segment, entry.due)
 		}
 		if !write.create {
@@ -114,7 +114,7 @@
 			writes = append(writes, write)
 		}
 		entry := indexEntry{sequence: s.lastSequence, due: message.Due, idHash: saltedHash(s.folderSalt, 'i', message.Dest, message.ID), offset: uint32(write.segment.DataBytes) + uint32(len(write.frames)),
-			length: uint32(message.frameSize()), status: markLive}
+			len: uint32(message.frameSize()), mark: markLive}
 		if message.OrderKey != "" {
 			entry.keyHash = saltedHash(s.folderSalt, 'k', 0, message.OrderKey)
 		}
--- a/internal/backlog/table_test.go
+++ b/internal/backlog/table_test.go
@@ -9,16 +9,16 @@
 )
 
 // openTable returns the table of a folder, loaded as at a start, or a new one.
-func openTable(t testing.TB, dir string, k *killSwitch, fresh bool) *table {
+func openTable(t testing.TB, dir string, kill *killSwitch, isNew bool) *table {
 	t.Helper()
-	d, err := newFolder(dir, 2, k.fault)
+	d, err := newFolder(dir, 2, kill.fault)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { d.openFiles.Purge() })
 	tab := &table{folder: d, fileName: tableFileName, needed: func(s slot) bool { return s.sequence%5 > 0 || s.count > 0 },
 		checkSpace: func(int64) error { return nil }, sizeChanged: func(int64) {}}
-	if fresh {
+	if isNew {
 		err = tab.create()
 	} else {
 		f, e := os.Stat(filepath.Join(dir, tableFileName))
@@ -33,34 +33,34 @@
 	return tab
 }
 
-func findSlots(t testing.TB, tab *table, hash uint64) (n int, place, count uint64) {
+func findSlots(t testing.TB, table *table, hash uint64) (n int, sequence, count uint64) {
 	t.Helper()
-	if err := tab.find(hash, func(s slot, _ int64) bool {
-		n, place, count = n+1, s.sequence, uint64(s.count)
+	if err := table.find(hash, func(s slot, _ int64) bool {
+		n, sequence, count = n+1, s.sequence, uint64(s.count)
 		return true
 	}); err != nil {
 		t.Fatal(err)
 	}
-	return n, place, count
+	return n, sequence, count
 }
 
 // Guards against a slot that is lost when pages are split, when unneeded slots are dropped, or when the table is loaded.
 func TestTableFindsEverySlot(t *testing.T) {
 	dir := t.TempDir()
-	tab := openTable(t, dir, &killSwitch{}, true)
+	table := openTable(t, dir, &killSwitch{}, true)
 	r := rand.New(rand.NewPCG(1, 2))
-	of := map[uint64]uint64{}
+	sequences := map[uint64]uint64{}
 	for i := range uint64(12_000) {
 		h := max(1, r.Uint64())
-		if err := tab.insert(slot{hash: h, sequence: i + 1, dest: 3}); err != nil {
+		if err := table.insert(slot{hash: h, sequence: i + 1, dest: 3}); err != nil {
 			t.Fatal(err)
 		}
-		of[h] = i + 1
+		sequences[h] = i + 1
 	}
 	keys := map[uint64]uint64{}
 	for i := range uint64(3_000) {
 		h, more := 1<<60+i%100, i%3 > 0
-		if err := tab.adjustKeyCount(h, 3, i, more); err != nil {
+		if err := table.adjustKeyCount(h, 3, i, more); err != nil {
 			t.Fatal(err)
 		}
 		if more {
@@ -69,21 +69,21 @@
 			keys[h]--
 		}
 	}
-	if tab.depth < 2 || len(tab.freePages) == 0 {
-		t.Fatalf("no page was split: depth %d", tab.depth)
+	if table.depth < 2 || len(table.freePages) == 0 {
+		t.Fatalf("no page was split: depth %d", table.depth)
 	}
 	for range 2 {
-		for h, place := range of {
-			if n, at, _ := findSlots(t, tab, h); place%5 > 0 && (n != 1 || at != place) || n > 1 {
-				t.Fatalf("sequence number %d is found %d times, as %d", place, n, at)
+		for h, sequence := range sequences {
+			if n, found, _ := findSlots(t, table, h); sequence%5 > 0 && (n != 1 || found != sequence) || n > 1 {
+				t.Fatalf("sequence number %d is found %d times, as %d", sequence, n, found)
 			}
 		}
 		for h, n := range keys {
-			if _, _, count := findSlots(t, tab, h); count != n+1 {
+			if _, _, count := findSlots(t, table, h); count != n+1 {
 				t.Fatalf("a key of %d messages has %d", n, int(count)-1)
 			}
 		}
-		tab = openTable(t, dir, &killSwitch{}, false)
+		table = openTable(t, dir, &killSwitch{}, false)
 	}
 }
 
@@ -94,22 +94,22 @@
 	t.Run("rid", func(t *testing.T) { checkKilledSplits(t, 2, 0, 1) })
 }
 
-// checkKilledSplits adds slots, of which two in three are stale if rest is zero, until a page is full for the first time
-// after passed others. If passed is 1, the page is written where an older one was, so a partial write is not at the end of
+// checkKilledSplits adds slots, of which two in three are stale if remainder is zero, until a page is full for the first
+// time after splitsBefore others. If splitsBefore is 1, the page is written where an older one was, so a partial write is not at the end of
 // the file.
-func checkKilledSplits(t *testing.T, steps, rest, passed int) {
-	for at := range steps + 1 {
+func checkKilledSplits(t *testing.T, steps, remainder, splitsBefore int) {
+	for killStep := range steps + 1 {
 		dir := t.TempDir()
 		tab := openTable(t, dir, &killSwitch{}, true)
-		n, killed, left := -1, false, passed
+		step, killed, splitsLeft := -1, false, splitsBefore
 		tab.folder.injectFault = func(_, _ string, bytes int) (int, error) {
-			if n < 0 && bytes == pageSize {
-				left--
+			if step < 0 && bytes == pageSize {
+				splitsLeft--
 			}
-			if left >= 0 {
+			if splitsLeft >= 0 {
 				return bytes, nil
 			}
-			if n++; n < at || n >= steps {
+			if step++; step < killStep || step >= steps {
 				return bytes, nil
 			}
 			killed = true
@@ -119,34 +119,34 @@
 			return bytes / 2, errKilled
 		}
 		r := rand.New(rand.NewPCG(3, 4))
-		var all []uint64
-		placeOf := func(i int) uint64 {
+		var hashes []uint64
+		sequenceOf := func(i int) uint64 {
 			if i%3 == 0 {
 				return uint64(5*i + 1)
 			}
-			return uint64(5*i + rest)
+			return uint64(5*i + remainder)
 		}
 		add := func(tab *table) error {
 			h := max(1, r.Uint64())
-			err := tab.insert(slot{hash: h, sequence: placeOf(len(all)), dest: 3})
+			err := tab.insert(slot{hash: h, sequence: sequenceOf(len(hashes)), dest: 3})
 			if err == nil {
-				all = append(all, h)
+				hashes = append(hashes, h)
 			}
 			return err
 		}
-		for n < steps-1 && !killed {
+		for step < steps-1 && !killed {
 			if err := add(tab); err != nil && !errors.Is(err, errKilled) {
 				t.Fatal(err)
 			}
 		}
-		if killed != (at < steps) {
-			t.Fatalf("step %d was killed: %v", at, killed)
+		if killed != (killStep < steps) {
+			t.Fatalf("step %d was killed: %v", killStep, killed)
 		}
 		for range 2 {
 			tab = openTable(t, dir, &killSwitch{}, false)
-			for i, h := range all {
-				if n, place, _ := findSlots(t, tab, h); placeOf(i)%5 > 0 && n != 1 || n > 1 || n == 1 && place != placeOf(i) {
-					t.Fatalf("killed at step %d: slot %d of %d is found %d times", at, i, len(all), n)
+			for i, h := range hashes {
+				if step, sequence, _ := findSlots(t, tab, h); sequenceOf(i)%5 > 0 && step != 1 || step > 1 || step == 1 && sequence != sequenceOf(i) {
+					t.Fatalf("killed at step %d: slot %d of %d is found %d times", killStep, i, len(hashes), step)
 				}
 			}
 			for range 3000 {
--- a/internal/journal/full_test.go
+++ b/internal/journal/full_test.go
@@ -15,9 +15,9 @@
 			t.Fatal(err)
 		}
 		defer j.Close()
-		held := 0
-		for ; ; held++ {
-			err := j.Append(Record{Op: OpAccepted, Entry: &Entry{ID: fmt.Sprintf("%016x", held), Class: "payment", Dest: 7, Due: 1764655555555, Body: make([]byte, size)}})
+		pending := 0
+		for ; ; pending++ {
+			err := j.Append(Record{Op: OpAccepted, Entry: &Entry{ID: fmt.Sprintf("%016x", pending), Class: "payment", Dest: 7, Due: 1764655555555, Body: make([]byte, size)}})
 			if errors.Is(err, ErrFull) {
 				break
 			}
@@ -25,22 +25,22 @@
 				t.Fatal(err)
 			}
 		}
-		of := func(what string, recs func(id string) []Record) {
-			for n := range held {
-				if err := j.Append(recs(fmt.Sprintf("%016x", n))...); err != nil {
-					t.Fatalf("bodies of %d bytes, %d pending: %s of message %d: %v", size, held, what, n, err)
+		appendForAll := func(what string, records func(id string) []Record) {
+			for n := range pending {
+				if err := j.Append(records(fmt.Sprintf("%016x", n))...); err != nil {
+					t.Fatalf("bodies of %d bytes, %d pending: %s of message %d: %v", size, pending, what, n, err)
 				}
 			}
 		}
 		for range 8 {
-			of("attempt", func(id string) []Record {
+			appendForAll("attempt", func(id string) []Record {
 				return []Record{{Op: OpTry, ID: id, At: 1764655555555, WaitMs: 12345, Zone: 2}, {Op: OpOutcome, ID: id, Flag: true}}
 			})
 		}
-		of("notice", func(id string) []Record {
+		appendForAll("notice", func(id string) []Record {
 			return []Record{{Op: OpNotice, ID: id, Status: "undeliverable", RetryAfterMs: 2000}}
 		})
-		of("end", func(id string) []Record { return []Record{{Op: OpEnd, ID: id}} })
-		t.Logf("bodies of %d bytes: %d pending", size, held)
+		appendForAll("end", func(id string) []Record { return []Record{{Op: OpEnd, ID: id}} })
+		t.Logf("bodies of %d bytes: %d pending", size, pending)
 	}
 }
--- a/internal/journal/groups_test.go
+++ b/internal/journal/groups_test.go
@@ -13,12 +13,12 @@
 	estates "larchrouter/internal/estate/state"
 )
 
-func acceptedInGroup(id string, estate uint64, body int) Record {
-	return Record{Op: OpAccepted, Entry: &Entry{ID: id, Due: 5000, Body: make([]byte, body), Group: estate}}
+func acceptedInGroup(id string, group uint64, body int) Record {
+	return Record{Op: OpAccepted, Entry: &Entry{ID: id, Due: 5000, Body: make([]byte, body), Group: group}}
 }
 
-func groupStateRecord(estate, next uint64) Record {
-	return Record{Op: OpGroupState, GroupState: &GroupState{Group: estate, Name: "r", Copy: estates.Copy{Epoch: 3, Writer: "w", From: "w", Have: 3, Next: next}}}
+func groupStateRecord(group, next uint64) Record {
+	return Record{Op: OpGroupState, GroupState: &GroupState{Group: group, Name: "r", Copy: estates.Copy{Epoch: 3, Writer: "w", From: "w", Have: 3, Next: next}}}
 }
 
 func reopen(t testing.TB, dir string, j *Journal) *Journal {
@@ -72,17 +72,17 @@
 	if err := j.Append(groupStateRecord(1, 1), acceptedInGroup("old", 1, 1000)); err != nil {
 		t.Fatal(err)
 	}
-	var much []Record
+	var tooMany []Record
 	for i := range 30 {
-		much = append(much, acceptedInGroup(fmt.Sprint("m", i), 1, 60<<10))
+		tooMany = append(tooMany, acceptedInGroup(fmt.Sprint("m", i), 1, 60<<10))
 	}
-	err := j.Replace(much...)
+	err := j.Replace(tooMany...)
 	var f *Failure
 	if !errors.Is(err, ErrFull) || !errors.As(err, &f) || f.Remedy() == "" || j.Entry("old") == nil {
 		t.Fatalf("more records than fit: %v, the old message is there: %v", err, j.Entry("old") != nil)
 	}
-	for _, left := range []string{"journal.next", "journal.tmp"} {
-		if err := os.WriteFile(filepath.Join(dir, left), []byte("half"), 0o600); err != nil {
+	for _, leftover := range []string{"journal.next", "journal.tmp"} {
+		if err := os.WriteFile(filepath.Join(dir, leftover), []byte("half"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -120,18 +120,18 @@
 			}
 			return j
 		}
-		own, copied := open("own"), open("copy")
-		defer func() { own.Close(); copied.Close() }()
+		source, copied := open("own"), open("copy")
+		defer func() { source.Close(); copied.Close() }()
 		for i := range 40 {
 			id := fmt.Sprint("m", rapid.IntRange(0, 6).Draw(t, "id"))
 			r := rapid.SampledFrom([]Record{acceptedInGroup(id, 1, i), {Op: OpTry, ID: id, At: int64(i), WaitMs: 9}, {Op: OpOutcome, ID: id, Flag: true}, {Op: OpOutcome, ID: id},
 				{Op: OpNotice, ID: id, Status: "deferred"}, {Op: OpEnd, ID: id}}).Draw(t, "record")
-			again := r
+			duplicate := r
 			if r.Entry != nil {
 				e := *r.Entry
-				again.Entry = &e
+				duplicate.Entry = &e
 			}
-			if err := errors.Join(own.Append(r), copied.Append(again)); err != nil {
+			if err := errors.Join(source.Append(r), copied.Append(duplicate)); err != nil {
 				t.Fatal(err)
 			}
 			switch rapid.IntRange(0, 8).Draw(t, "do") {
@@ -141,14 +141,14 @@
 				}
 			case 1: // all records, converted to another clock and back
 				var recs []Record
-				for _, r := range own.GroupRecords(1) {
+				for _, r := range source.GroupRecords(1) {
 					recs = append(recs, r.Shifted(-700).Shifted(700))
 				}
 				if err := copied.Replace(recs...); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if a, b := fmt.Sprint(entryTexts(own)), fmt.Sprint(entryTexts(copied)); a != b {
+			if a, b := fmt.Sprint(entryTexts(source)), fmt.Sprint(entryTexts(copied)); a != b {
 				t.Fatalf("after record %d\n%s\nthe copy has\n%s", i, a, b)
 			}
 		}
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -71,7 +71,7 @@
 func openWithReserve(dir string, budget, reserve int64) (*Journal, error) {
 	j := newJournal(filepath.Join(dir, fileName), usableBytes(budget), reserve)
 	if err := removeLeftover(filepath.Join(dir, fenceName)); err != nil {
-		slog.Warn("leftover file of an older version could not be removed", "err", err, "remedy", remedy.Of(err))
+		slog.Warn("journal", "err", err, "remedy", remedy.Of(err))
 	}
 	data, err := os.ReadFile(j.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -20,9 +20,9 @@
 	return j
 }
 
-func mustAppend(t *testing.T, j *Journal, recs ...Record) {
+func mustAppend(t *testing.T, j *Journal, records ...Record) {
 	t.Helper()
-	if err := j.Append(recs...); err != nil {
+	if err := j.Append(records...); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -63,8 +63,8 @@
 		if err := os.WriteFile(filepath.Join(dir, "journal"), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		for _, left := range []string{"journal.next", "journal.tmp"} { // left by this version, and by one before the fence
-			if err := os.WriteFile(filepath.Join(dir, left), whole, 0o600); err != nil {
+		for _, leftover := range []string{"journal.next", "journal.tmp"} { // left by this version, and by one before the fence
+			if err := os.WriteFile(filepath.Join(dir, leftover), whole, 0o600); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -144,13 +144,13 @@
 	dir := t.TempDir()
 	j := mustOpen(t, dir, 3e6)
 	mustAppend(t, j, acceptedRecord("a", 10))
-	good, ro := j.file, openReadOnly(t, j)
-	j.file = ro
+	writable, unwritable := j.file, openReadOnly(t, j)
+	j.file = unwritable
 	if err := j.Append(acceptedRecord("b", 10)); err == nil {
 		t.Fatal("a write to a read-only file succeeded")
 	}
 	wantEqual(t, "entries", len(j.entries), 1)
-	j.file, j.writeError = good, nil
+	j.file, j.writeError = writable, nil
 	mustAppend(t, j, acceptedRecord("c", 10))
 	wantEqual(t, "entries after the next start", len(mustOpen(t, dir, 3e6).entries), 2)
 }
@@ -162,27 +162,27 @@
 	dir := t.TempDir()
 	j := mustOpen(t, dir, 3e6)
 	mustAppend(t, j, acceptedRecord("a", 10))
-	good, ro := j.file, openReadOnly(t, j)
+	writable, unwritable := j.file, openReadOnly(t, j)
 	half := appendFrame(nil, acceptedRecord("b", 10))[:20]
-	if _, err := good.WriteAt(half, j.fileBytes); err != nil {
+	if _, err := writable.WriteAt(half, j.fileBytes); err != nil {
 		t.Fatal(err)
 	}
-	j.file = ro
+	j.file = unwritable
 	for range 2 {
 		if err := j.Append(acceptedRecord("b", 10)); err == nil {
 			t.Fatal("a write to a read-only file succeeded")
 		}
 	}
-	j.file = good
+	j.file = writable
 	mustAppend(t, j, acceptedRecord("c", 10), acceptedRecord("d", 500))
 	wantEqual(t, "entries after the next start", len(mustOpen(t, dir, 3e6).entries), 3)
 
 	j = mustOpen(t, dir, 3e6)
-	good, j.file = j.file, ro
+	writable, j.file = j.file, unwritable
 	if err := j.Append(acceptedRecord("e", 10)); err == nil {
 		t.Fatal("a write to a read-only file succeeded")
 	}
-	j.file = good
+	j.file = writable
 	j.StopWriting(errors.New("another process owns the file"))
 	if err := j.Append(acceptedRecord("e", 10)); err == nil {
 		t.Error("a record was written to a file that another process may own")
@@ -212,9 +212,9 @@
 // space from the messages, and each release of the destination adds one.
 func TestOldOutagesExpire(t *testing.T) {
 	j := mustOpen(t, t.TempDir(), 3e6)
-	long := time.Now().Add(-2 * outageExpiry).UnixMilli()
+	expired := time.Now().Add(-2 * outageExpiry).UnixMilli()
 	for i := range 500 {
-		mustAppend(t, j, Record{Op: OpHealth, ID: fmt.Sprint("s-", i), Flag: true, At: long})
+		mustAppend(t, j, Record{Op: OpHealth, ID: fmt.Sprint("s-", i), Flag: true, At: expired})
 	}
 	mustAppend(t, j, Record{Op: OpHealth, ID: "s-new", Flag: true, At: time.Now().UnixMilli()})
 	if err := j.Compact(); err != nil {
--- a/internal/journal/scale_test.go
+++ b/internal/journal/scale_test.go
@@ -40,11 +40,11 @@
 		tb.Fatal(err)
 	}
 	for i := 0; i < messages; {
-		var recs []Record
-		for ; i < messages && len(recs) < 1000; i++ {
-			recs = append(recs, entryWithTerms(fmt.Sprintf("held%08d", i)))
+		var records []Record
+		for ; i < messages && len(records) < 1000; i++ {
+			records = append(records, entryWithTerms(fmt.Sprintf("held%08d", i)))
 		}
-		if err := j.Append(recs...); err != nil {
+		if err := j.Append(records...); err != nil {
 			tb.Fatal(i, err)
 		}
 	}
@@ -53,7 +53,7 @@
 
 // passMessage accepts, tries and ends one message. It returns the bytes written for it, and the bytes that compactions on
 // the way wrote again.
-func passMessage(tb testing.TB, j *Journal, n int) (written, again int64) {
+func passMessage(tb testing.TB, j *Journal, n int) (written, rewritten int64) {
 	id := fmt.Sprintf("pass%08d", n)
 	for _, r := range []Record{entryWithTerms(id), {Op: OpTry, ID: id, At: 1, WaitMs: 2000}, {Op: OpEnd, ID: id}} {
 		size := int64(len(appendFrame(nil, r)))
@@ -62,10 +62,10 @@
 			tb.Fatal(err)
 		}
 		if written += size; j.fileBytes != before+size {
-			again += j.fileBytes - size
+			rewritten += j.fileBytes - size
 		}
 	}
-	return written, again
+	return written, rewritten
 }
 
 // BenchmarkScaleBytesByHeld measures the bytes written for a message while others are pending, in a journal with a budget
@@ -76,26 +76,26 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			j := openFilled(b, b.TempDir(), budget, n)
 			defer j.Close()
-			var written, again int64
+			var written, rewritten int64
 			i := 0
-			one := func() {
+			passOne := func() {
 				w, a := passMessage(b, j, i)
-				written, again = written+w, again+a
+				written, rewritten = written+w, rewritten+a
 				i++
 			}
-			for again == 0 { // up to the first compaction
-				one()
+			for rewritten == 0 { // up to the first compaction
+				passOne()
 			}
-			written, again, i = 0, 0, 0
-			for again == 0 { // up to the next one, whose cost the messages in between share
-				one()
+			written, rewritten, i = 0, 0, 0
+			for rewritten == 0 { // up to the next one, whose cost the messages in between share
+				passOne()
 			}
-			own, rewritten := float64(written)/float64(i), float64(again)/float64(i)
+			ownPerMessage, rewrittenPerMessage := float64(written)/float64(i), float64(rewritten)/float64(i)
 			for b.Loop() {
-				one()
+				passOne()
 			}
-			b.ReportMetric(own, "B/msg")
-			b.ReportMetric(rewritten, "again-B/msg")
+			b.ReportMetric(ownPerMessage, "B/msg")
+			b.ReportMetric(rewrittenPerMessage, "again-B/msg")
 		})
 	}
 }
@@ -122,7 +122,7 @@
 			allocated := after.TotalAlloc - before.TotalAlloc
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			held := float64(after.HeapAlloc) - float64(before.HeapAlloc)
+			retained := float64(after.HeapAlloc) - float64(before.HeapAlloc)
 			j.Close()
 			for b.Loop() {
 				j, err := Open(dir, 4e9)
@@ -133,7 +133,7 @@
 			}
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/held")
 			b.ReportMetric(float64(info.Size())/float64(n), "file-B/held")
-			b.ReportMetric(held/float64(n), "B/held")
+			b.ReportMetric(retained/float64(n), "B/held")
 			b.ReportMetric(float64(allocated)/float64(n), "alloc-B/held")
 		})
 	}
@@ -160,15 +160,15 @@
 func TestScaleBenchmarkSetup(t *testing.T) {
 	dir := t.TempDir()
 	j := openFilled(t, dir, 1e6, 100)
-	var written, again int64
+	var written, rewritten int64
 	n := 0
-	for again == 0 {
+	for rewritten == 0 {
 		w, a := passMessage(t, j, n)
-		written, again = written+w, again+a
+		written, rewritten = written+w, rewritten+a
 		n++
 	}
-	if j.Len() != 100 || n < 500 || written < 700*int64(n) || again < 100*500 || again > 100*1000 {
-		t.Errorf("%d messages pending, want 100; %d passed with %d bytes, and %d bytes were written again", j.Len(), n, written, again)
+	if j.Len() != 100 || n < 500 || written < 700*int64(n) || rewritten < 100*500 || rewritten > 100*1000 {
+		t.Errorf("%d messages pending, want 100; %d passed with %d bytes, and %d bytes were written again", j.Len(), n, written, rewritten)
 	}
 	if err := j.Compact(); err != nil || j.Len() != 100 {
 		t.Errorf("%d messages pending after compaction, %v", j.Len(), err)
--- a/internal/relay/overflow.go
+++ b/internal/relay/overflow.go
@@ -111,7 +111,7 @@
 func (o *overflow) enter(m *message) {
 	if o != nil && m.cost == 0 {
 		m.cost, m.twice = ownCost+len(m.Body)*4/3, m.twice || o.again.has(m.ID)
-		o.window.Add(m.Dest, m.cost)
+		o.window.Admit(m.Dest, m.cost)
 	}
 }
 
