--- a/internal/backlog/entries.go
+++ b/internal/backlog/entries.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// indexReader reads the entries of index files in blocks, a few of which it caches.
+// indexReader reads the entries of index files in blocks and caches some of these.
 type indexReader struct {
 	folder *folder
 	cache  *simplelru.LRU[cacheKey, []byte]
--- a/internal/backlog/files.go
+++ b/internal/backlog/files.go
@@ -108,7 +108,7 @@
 		err = f.Truncate(size)
 	}
 	if err != nil {
-		return d.fileError("cannot be cut", name, err)
+		return d.fileError("cannot be truncated", name, err)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 		err = os.Rename(filepath.Join(d.dir, from), filepath.Join(d.dir, to))
 	}
 	if err != nil {
-		return d.fileError("cannot be put in place", to, err)
+		return d.fileError("cannot be renamed", to, err)
 	}
 	return nil
 }
--- a/internal/backlog/load.go
+++ b/internal/backlog/load.go
@@ -48,7 +48,7 @@
 		return s.loadDamagedSegment(segment, index)
 	}
 	s.lastSequence = max(s.lastSequence, segment.Last)
-	s.reportSalvage(segment, salvageResult{lost: lost}, isTail, "entries without data at its end")
+	s.reportSalvage(segment, salvageResult{lost: lost}, isTail, "entries at the end have no data")
 	if segment.Live == 0 {
 		s.removeFiles(segment)
 		return nil
@@ -110,7 +110,7 @@
 		return err
 	}
 	result := s.salvage(segment, index, data)
-	s.reportSalvage(segment, result, false, "entries that cannot be read")
+	s.reportSalvage(segment, result, false, "some entries cannot be read")
 	*segment = state.Segment{Dest: segment.Dest, First: segment.First, Last: max(segment.First, result.lastSequence), Rewrites: segment.Rewrites, EarliestDue: noDueTime}
 	s.lastSequence = max(s.lastSequence, segment.Last)
 	s.state.AddSegment(segment)
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -18,7 +18,7 @@
 // VersionError. Damage is repaired and can be read with TakeDamageReports.
 func Open(dir string, options Options) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, &FileError{"cannot be made", dir, err}
+		return nil, &FileError{"cannot be created", dir, err}
 	}
 	folder, err := newFolder(dir, cmp.Or(options.MaxOpenFiles, 16), options.injectFault)
 	if err != nil {
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -153,7 +153,7 @@
 			return err
 		}
 	}
-	return s.folder.fileError("is damaged again and again", "", errDamagedFrame)
+	return s.folder.fileError("is still damaged after repairs", "", errDamagedFrame)
 }
 
 // Len returns the number of stored messages.
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -109,7 +109,7 @@
 	if lost := int(segment.Live) - len(result.live); lost > result.lost {
 		result.lost = lost
 	}
-	s.reportSalvage(segment, result, false, "entries that cannot be read")
+	s.reportSalvage(segment, result, false, "some entries cannot be read")
 	return s.rewriteSegment(segment, result.live, data)
 }
 
@@ -119,9 +119,9 @@
 	}
 }
 
-// rebuildTable builds the table anew from the index files, beside the existing one, and then replaces that.
+// rebuildTable builds a new table from the index files in a temporary file, which then replaces the existing table.
 func (s *Store) rebuildTable() error {
-	s.reportDamage(&DamageError{Segment: tableFileName, Reason: "it was built again"})
+	s.reportDamage(&DamageError{Segment: tableFileName, Reason: "it was rebuilt"})
 	tmp := tableFileName + ".tmp"
 	rebuilt := s.newTable(tmp)
 	rebuilt.checkSpace = func(int64) error { return nil } // it replaces a file of the same size
--- a/internal/backlog/state/loads.go
+++ b/internal/backlog/state/loads.go
@@ -19,10 +19,10 @@
 	return l
 }
 
-// Window limits how many messages of a destination are in memory. The limit is a dynamic threshold as in switches that
-// share a buffer (Choudhury and Hahne, 1998), Alpha times the free capacity, or twice what was served in a second if that
-// is more. All together the pending messages are at most Capacity, one for each destination, and what is served in two
-// seconds.
+// Window limits how many messages of a destination may be in memory, where the decisions see them. The limit is a dynamic
+// threshold as in switches that share a buffer (Choudhury and Hahne, 1998), Alpha times the free capacity, or twice what was
+// served in a second if that is more. All together the pending messages are at most Capacity, one for each destination, and
+// what is served in two seconds.
 type Window struct {
 	Capacity                         Load    // of all destinations together
 	Alpha                            float64 // factor of the free capacity that one destination may use
--- a/internal/backlog/version.go
+++ b/internal/backlog/version.go
@@ -26,8 +26,8 @@
 	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b, castagnoliTable))
 }
 
-// readVersion checks the format of the folder and writes the file for a new folder. A damaged file is written anew with
-// the salt from the index files.
+// readVersion checks the format of the folder and writes the file for a new folder. A damaged file is rewritten with the
+// salt from the index files.
 func (s *Store) readVersion(segments map[segmentKey]*segmentFiles) error {
 	b, err := s.folder.readFile(versionFileName)
 	missing := errors.Is(err, fs.ErrNotExist)
@@ -47,7 +47,7 @@
 	if salt = s.segmentSalt(segments); salt == nil || !isDamagedVersion(string(b)) {
 		return &VersionError{filepath.Join(s.folder.dir, versionFileName), strings.TrimSpace(string(b[:min(len(b), 64)])), strings.TrimSpace(versionPrefix)}
 	}
-	s.reportDamage(&DamageError{Segment: versionFileName, Reason: "it was written anew"})
+	s.reportDamage(&DamageError{Segment: versionFileName, Reason: "it was rewritten"})
 	s.setSalt(salt)
 	return s.folder.replace(versionFileName, versionText(salt))
 }
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -125,7 +125,7 @@
 // Entry returns the entry of a pending message, nil if there is none or it has ended.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
-// Damaged reports whether intact records could not be read when the journal was opened.
+// Damaged reports whether records that had been written could not be read when the journal was opened.
 func (j *Journal) Damaged() bool { return j.damaged }
 
 // Len returns the number of pending messages.
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -21,7 +21,8 @@
 	blockSize         = 512     // each file counts in whole blocks
 	historyBytes      = 384     // bytes for the history of an entry beyond the record that accepted it
 	relayReserveBytes = 1 << 17 // bytes of a relay's own journal that are reserved for records of pending messages
-	// outageExpiry is the age at which a recorded outage counts as over when the journal is compacted.
+	// outageExpiry is the age at which the last record of an outage, or of a host that was enabled again, no longer counts when
+	// the journal is compacted, which each start does.
 	outageExpiry    = 5 * time.Minute
 	groupStateBytes = 4 << 10 // bytes for the state of a replication group
 )
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -10,7 +10,7 @@
 	estates "larchrouter/internal/estate/state"
 )
 
-// Entry has all that is needed to send a message again, or to end it.
+// Entry has all that is needed to send a message again, or to end it. Times are Unix milliseconds.
 type Entry struct {
 	ID           string        `json:"id"`
 	Class        string        `json:"class"`
