--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -18,19 +18,19 @@
 // and some out of order; removed has the ids of these.
 func churnedFolder(t testing.TB) (dir string, model queueModel, removed map[string]bool) {
 	dir, model, removed = tempDir(t), queueModel{}, map[string]bool{}
-	s := mustOpen(t, dir, smallOptions(&killSwitch{}))
-	defer s.Close()
+	store := mustOpen(t, dir, smallOptions(&killSwitch{}))
+	defer store.Close()
 	for i := range 60 {
 		message := Message{ID: fmt.Sprint("m", i), Dest: 1 + i%2, Due: int64(i), Data: bytes.Repeat([]byte{byte(i)}, 20+i*3)}
 		if i%3 == 0 {
 			message.OrderKey = fmt.Sprint("k", message.Dest)
 		}
-		if err := s.Put(message); err != nil {
+		if err := store.Put(message); err != nil {
 			t.Fatal(err)
 		}
 		model[message.Dest] = append(model[message.Dest], StoredMessage{Message: message})
 	}
-	checkEqual(t, s, model)
+	checkEqual(t, store, model)
 	for dest, queue := range model {
 		var sequences []uint64
 		for i, message := range queue {
@@ -38,12 +38,12 @@
 				sequences, removed[message.ID] = append(sequences, message.Sequence), true
 			}
 		}
-		if err := s.Remove(dest, sequences...); err != nil {
+		if err := store.Remove(dest, sequences...); err != nil {
 			t.Fatal(err)
 		}
 		model.remove(dest, sequences...)
 	}
-	checkEqual(t, s, model)
+	checkEqual(t, store, model)
 	return dir, model, removed
 }
 
@@ -51,14 +51,14 @@
 // stay removed or come back in doubt, the order is preserved, and all messages can be removed.
 func checkSurvives(t testing.TB, what, dir string, model queueModel, removed map[string]bool, maxMissing int) {
 	t.Helper()
-	s, err := Open(dir, smallOptions(&killSwitch{}))
+	store, err := Open(dir, smallOptions(&killSwitch{}))
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
-	defer s.Close()
-	stored := storedMessages(t, s)
+	defer store.Close()
+	stored := storedMessages(t, store)
 	lost, inDoubt, tableReported := 0, 0, false
-	for _, err := range s.TakeDamageReports() {
+	for _, err := range store.TakeDamageReports() {
 		var damage *DamageError
 		if !errors.As(err, &damage) || damage.Remedy() == "" {
 			t.Fatalf("%s: %v", what, err)
@@ -69,31 +69,31 @@
 	for dest, queue := range model {
 		rest := stored[dest]
 		for _, message := range queue {
-			i := slices.IndexFunc(rest, func(x StoredMessage) bool { return x.ID == message.ID })
+			i := slices.IndexFunc(rest, func(got StoredMessage) bool { return got.ID == message.ID })
 			if i < 0 {
 				missing++
 				continue
 			}
-			for _, x := range rest[:i] {
-				if !x.InDoubt || !removed[x.ID] {
-					t.Fatalf("%s: %s precedes %s", what, x.ID, message.ID)
+			for _, got := range rest[:i] {
+				if !got.InDoubt || !removed[got.ID] {
+					t.Fatalf("%s: %s precedes %s", what, got.ID, message.ID)
 				}
 			}
-			x := rest[i]
-			if x.InDoubt {
+			got := rest[i]
+			if got.InDoubt {
 				inDoubt--
 			}
-			if x.InDoubt = false; !sameMessage(x, message) || x.Sequence != message.Sequence {
-				t.Fatalf("%s: message %+v was read as %+v", what, message, x)
+			if got.InDoubt = false; !sameMessage(got, message) || got.Sequence != message.Sequence {
+				t.Fatalf("%s: message %+v was read as %+v", what, message, got)
 			}
-			if f, ok, err := s.Find(dest, message.ID); err != nil || !ok || f.Sequence != message.Sequence {
-				t.Fatalf("%s: Find of %s returned %v %v %v", what, message.ID, f, ok, err)
+			if found, ok, err := store.Find(dest, message.ID); err != nil || !ok || found.Sequence != message.Sequence {
+				t.Fatalf("%s: Find of %s returned %v %v %v", what, message.ID, found, ok, err)
 			}
 			rest = rest[i+1:]
 		}
-		for _, x := range rest {
-			if !x.InDoubt || !removed[x.ID] {
-				t.Fatalf("%s: removed message %s is back without being in doubt", what, x.ID)
+		for _, got := range rest {
+			if !got.InDoubt || !removed[got.ID] {
+				t.Fatalf("%s: removed message %s is back without being in doubt", what, got.ID)
 			}
 		}
 	}
@@ -102,27 +102,27 @@
 	}
 	for dest, queue := range stored {
 		for _, message := range queue {
-			if err := s.Remove(dest, message.Sequence); err != nil {
+			if err := store.Remove(dest, message.Sequence); err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 		}
 	}
-	if err := s.Put(Message{ID: "new", Dest: 1}); err != nil || s.Len() != 1 {
-		t.Fatalf("%s: %d left: %v", what, s.Len(), err)
+	if err := store.Put(Message{ID: "new", Dest: 1}); err != nil || store.Len() != 1 {
+		t.Fatalf("%s: %d left: %v", what, store.Len(), err)
 	}
 }
 
-func forEachFile(t testing.TB, dir string, f func(name string, b []byte)) {
+func forEachFile(t testing.TB, dir string, f func(name string, content []byte)) {
 	all, err := os.ReadDir(dir)
 	if err != nil || len(all) < 8 {
 		t.Fatalf("%d files: %v", len(all), err)
 	}
 	for _, e := range all {
-		b, err := os.ReadFile(filepath.Join(dir, e.Name()))
+		content, err := os.ReadFile(filepath.Join(dir, e.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f(e.Name(), b)
+		f(e.Name(), content)
 	}
 }
 
@@ -142,14 +142,14 @@
 // Guards against a flipped bit that loses more than its record, is not reported, or brings back a removed message.
 func TestFlippedBits(t *testing.T) {
 	dir, model, removed := churnedFolder(t)
-	forEachFile(t, dir, func(name string, b []byte) {
+	forEachFile(t, dir, func(name string, content []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for i := 0; i < len(b); i += *damageStepBytes {
-				if name == tableFileName && b[i] == 0 && i%(16*slotSize) != 0 {
+			for i := 0; i < len(content); i += *damageStepBytes {
+				if name == tableFileName && content[i] == 0 && i%(16*slotSize) != 0 {
 					continue // most of the table is free slots
 				}
-				flipped := slices.Clone(b)
+				flipped := slices.Clone(content)
 				flipped[i] ^= 1 << (i % 8)
 				checkSurvives(t, fmt.Sprint("bit flipped at ", i), copyWithFile(t, dir, name, flipped), model, removed, 1)
 			}
@@ -160,7 +160,7 @@
 // Guards against a truncated or deleted file that loses more than the messages in the missing part, or does not report it.
 func TestTruncatedFiles(t *testing.T) {
 	dir, model, removed := churnedFolder(t)
-	forEachFile(t, dir, func(name string, b []byte) {
+	forEachFile(t, dir, func(name string, content []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			checkSurvives(t, "gone", copyWithFile(t, dir, name, nil), model, removed, 30)
@@ -168,15 +168,15 @@
 			if name == tableFileName {
 				step *= 100
 			}
-			for size := 0; size < len(b); size += step {
+			for size := 0; size < len(content); size += step {
 				if name == versionFileName && size == 0 {
 					continue // covered by TestOtherFormatVersion
 				}
 				maxMissing := 0
 				if strings.HasSuffix(name, ".dat") {
-					maxMissing = 1 + (len(b)-size)/frameHeaderSize
+					maxMissing = 1 + (len(content)-size)/frameHeaderSize
 				}
-				checkSurvives(t, fmt.Sprint("truncated at ", size), copyWithFile(t, dir, name, b[:size]), model, removed, maxMissing)
+				checkSurvives(t, fmt.Sprint("truncated at ", size), copyWithFile(t, dir, name, content[:size]), model, removed, maxMissing)
 			}
 		})
 	})
--- a/internal/backlog/due.go
+++ b/internal/backlog/due.go
@@ -38,38 +38,38 @@
 
 // dueListOf returns the due list of a segment and builds it if necessary. Its first entry is the segment's next one due.
 func (s *Store) dueListOf(segment *state.Segment) (dueList, error) {
-	if r := s.dueLists[segment]; len(r) > 0 {
-		return r, nil
+	if list := s.dueLists[segment]; len(list) > 0 {
+		return list, nil
 	}
-	r, err := s.entriesDueAfter(segment, nil)
+	list, err := s.entriesDueAfter(segment, nil)
 	if err != nil {
 		return nil, err
 	}
 	if len(s.dueLists) >= maxDueLists {
 		clear(s.dueLists)
 	}
-	s.dueLists[segment] = r
-	return r, nil
+	s.dueLists[segment] = list
+	return list, nil
 }
 
 // messageAdded updates the due list of a segment to which a message was added.
 func (s *Store) messageAdded(segment *state.Segment, due int64) {
-	if r := s.dueLists[segment]; len(r) > 0 && due < r[len(r)-1].due {
+	if list := s.dueLists[segment]; len(list) > 0 && due < list[len(list)-1].due {
 		delete(s.dueLists, segment)
 	}
 }
 
 // messagesRemoved drops removed messages from the due list of their segment. The entries are sorted by sequence.
 func (s *Store) messagesRemoved(segment *state.Segment, removed []indexedEntry) {
-	r := s.dueLists[segment]
-	if r == nil {
+	list := s.dueLists[segment]
+	if list == nil {
 		return
 	}
-	r = slices.DeleteFunc(r, func(entry indexEntry) bool {
+	list = slices.DeleteFunc(list, func(entry indexEntry) bool {
 		_, found := slices.BinarySearchFunc(removed, entry.sequence, func(f indexedEntry, sequence uint64) int { return cmp.Compare(f.sequence, sequence) })
 		return found
 	})
-	if s.dueLists[segment] = r; len(r) == 0 {
+	if s.dueLists[segment] = list; len(list) == 0 {
 		delete(s.dueLists, segment)
 	}
 }
@@ -83,14 +83,14 @@
 			if ok = segment != nil; !ok {
 				return nil
 			}
-			r, err := s.dueListOf(segment)
+			list, err := s.dueListOf(segment)
 			if err != nil {
 				return err
 			}
-			if len(r) == 0 {
+			if len(list) == 0 {
 				return &damagedSegmentError{segment}
 			}
-			if due = r[0].due; due <= segment.EarliestDue {
+			if due = list[0].due; due <= segment.EarliestDue {
 				return nil
 			}
 			s.state.SetEarliestDue(segment, due) // the message that set the earlier time was removed
--- a/internal/backlog/entry/entry_test.go
+++ b/internal/backlog/entry/entry_test.go
@@ -26,20 +26,20 @@
 func TestPackRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		name := rapid.StringN(0, 40, -1)
-		e := &journal.Entry{ID: name.Draw(t, "id"), Class: name.Draw(t, "class"), Dest: rapid.Int().Draw(t, "dest"), Tenant: name.Draw(t, "tenant"),
+		entry := &journal.Entry{ID: name.Draw(t, "id"), Class: name.Draw(t, "class"), Dest: rapid.Int().Draw(t, "dest"), Tenant: name.Draw(t, "tenant"),
 			Key: name.Draw(t, "key"), OrderKey: name.Draw(t, "order"), Due: rapid.Int64().Draw(t, "due"), Body: rapid.SliceOf(rapid.Byte()).Draw(t, "body")}
 		if rapid.Bool().Draw(t, "terms") {
 			span := func(label string) time.Duration { return time.Duration(rapid.Int64().Draw(t, label)) }
-			e.Terms = &choice.Terms{Attempts: rapid.Int().Draw(t, "attempts"), Class: choice.Class{Name: rapid.SampledFrom([]string{e.Class, "other"}).Draw(t, "name"),
+			entry.Terms = &choice.Terms{Attempts: rapid.Int().Draw(t, "attempts"), Class: choice.Class{Name: rapid.SampledFrom([]string{entry.Class, "other"}).Draw(t, "name"),
 				Aim: span("aim"), Deadline: span("deadline"), Window: span("window"), Worth: rapid.Float64().Draw(t, "worth"), LateShare: rapid.Float64().Draw(t, "late"),
 				Effect: choice.Effect(rapid.IntRange(0, 2).Draw(t, "effect")), SameZone: rapid.Bool().Draw(t, "zone"), Ordered: rapid.Bool().Draw(t, "ordered")}}
 		}
 		inDoubt := rapid.Bool().Draw(t, "doubt")
-		got, err := Unpack(backlog.StoredMessage{Message: Pack(e), Sequence: 1, InDoubt: inDoubt})
+		got, err := Unpack(backlog.StoredMessage{Message: Pack(entry), Sequence: 1, InDoubt: inDoubt})
 		if err != nil {
 			t.Fatal(err)
 		}
-		want := *e
+		want := *entry
 		want.MayHaveRun = inDoubt
 		if a, b := describe(got), describe(&want); a != b {
 			t.Fatalf("packed\n%s\nunpacked\n%s", b, a)
--- a/internal/backlog/folder_test.go
+++ b/internal/backlog/folder_test.go
@@ -23,7 +23,7 @@
 	return dir
 }
 
-func diskBytes(t testFailer, dir string) (n int64) {
+func diskBytes(t testFailer, dir string) (total int64) {
 	all, err := os.ReadDir(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -33,9 +33,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n += (i.Size() + 511) / 512 * 512
+		total += (i.Size() + 511) / 512 * 512
 	}
-	return n
+	return total
 }
 
 func copyDir(t testFailer, from string) string {
@@ -48,15 +48,15 @@
 
 // openFilled returns a store with some messages for each of some destinations, and the model of it.
 func openFilled(t testing.TB, dir string, options Options, dests, each int) (*Store, queueModel) {
-	s, model := mustOpen(t, dir, options), queueModel{}
+	store, model := mustOpen(t, dir, options), queueModel{}
 	for i := range dests * each {
 		message := Message{ID: fmt.Sprint("m", i), Dest: i % dests, Due: int64(i), Data: make([]byte, 100)}
-		if err := s.Put(message); err != nil {
+		if err := store.Put(message); err != nil {
 			t.Fatal(err)
 		}
 		model[message.Dest] = append(model[message.Dest], StoredMessage{Message: message})
 	}
-	return s, model
+	return store, model
 }
 
 // Guards against a Put that fails at any of its writes because the disk is full, read-only or broken: it must store none of
@@ -77,13 +77,13 @@
 					return bytes, nil
 				}
 				dir := t.TempDir()
-				s, model := openFilled(t, dir, options, 3, 5)
+				store, model := openFilled(t, dir, options, 3, 5)
 				failing = true
 				var messages []Message
 				for i := range 12 {
 					messages = append(messages, Message{ID: fmt.Sprint("x", i), Dest: i % 5, Due: 5, OrderKey: "k", Data: make([]byte, 400)})
 				}
-				err := s.Put(messages...)
+				err := store.Put(messages...)
 				failing = false
 				if err == nil {
 					if failAfter < 5 {
@@ -95,8 +95,8 @@
 				if !errors.Is(err, cause) || !errors.As(err, &f) || f.Remedy() == "" {
 					t.Fatalf("write %d: %v", failAfter, err)
 				}
-				checkEqual(t, s, model)
-				if err := s.Put(messages...); err != nil {
+				checkEqual(t, store, model)
+				if err := store.Put(messages...); err != nil {
 					t.Fatalf("after write %d failed: %v", failAfter, err)
 				}
 				for _, h := range messages {
@@ -104,14 +104,14 @@
 				}
 				for range 2 {
 					for dest, queue := range model {
-						if got, err := s.Next(dest, 1000, 1<<30); err != nil || !slices.EqualFunc(got, queue, sameMessage) {
+						if got, err := store.Next(dest, 1000, 1<<30); err != nil || !slices.EqualFunc(got, queue, sameMessage) {
 							t.Fatalf("after write %d failed destination %d has %s: %v", failAfter, dest, describe(got), err)
 						}
 					}
-					s.Close()
-					s = mustOpen(t, dir, smallOptions(&killSwitch{}))
+					store.Close()
+					store = mustOpen(t, dir, smallOptions(&killSwitch{}))
 				}
-				s.Close()
+				store.Close()
 			}
 		}
 	}
@@ -128,8 +128,8 @@
 			}
 			return bytes, nil
 		}
-		s, model := openFilled(t, t.TempDir(), options, 2, 8)
-		checkEqual(t, s, model)
+		store, model := openFilled(t, t.TempDir(), options, 2, 8)
+		checkEqual(t, store, model)
 		var sequences []uint64
 		for i, h := range model[1] {
 			if i != 2 && i != 5 {
@@ -137,38 +137,38 @@
 			}
 		}
 		changes, failing = 0, true
-		err := s.Remove(1, sequences...)
+		err := store.Remove(1, sequences...)
 		if failing = false; err == nil && failAfter < 2 {
 			t.Fatalf("no write failed after %d", failAfter)
 		}
-		if err := s.Remove(1, sequences...); err != nil {
+		if err := store.Remove(1, sequences...); err != nil {
 			t.Fatal(err)
 		}
 		model.remove(1, sequences...)
-		checkEqual(t, s, model)
-		s.Close()
+		checkEqual(t, store, model)
+		store.Close()
 	}
 }
 
 // Guards against an older copy of a folder that does not open with the content it had when it was copied.
 func TestOpenOlderCopy(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "b")
-	s, model := openFilled(t, dir, smallOptions(&killSwitch{}), 3, 20)
-	checkEqual(t, s, model)
+	store, model := openFilled(t, dir, smallOptions(&killSwitch{}), 3, 20)
+	checkEqual(t, store, model)
 	copied := copyDir(t, dir)
 	for dest, queue := range model {
-		if err := s.Remove(dest, queue[0].Sequence, queue[3].Sequence, queue[4].Sequence); err != nil {
+		if err := store.Remove(dest, queue[0].Sequence, queue[3].Sequence, queue[4].Sequence); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := s.Put(Message{ID: "later", Dest: 9}); err != nil {
+	if err := store.Put(Message{ID: "later", Dest: 9}); err != nil {
 		t.Fatal(err)
 	}
-	s.Close()
-	s = mustOpen(t, copied, smallOptions(&killSwitch{}))
-	defer s.Close()
-	checkEqual(t, s, model)
-	if d := s.TakeDamageReports(); len(d) > 0 {
+	store.Close()
+	store = mustOpen(t, copied, smallOptions(&killSwitch{}))
+	defer store.Close()
+	checkEqual(t, store, model)
+	if d := store.TakeDamageReports(); len(d) > 0 {
 		t.Fatal(d)
 	}
 }
@@ -176,27 +176,27 @@
 // Guards against a budget below what is stored that loses messages, or accepts more.
 func TestSmallerBudget(t *testing.T) {
 	dir := t.TempDir()
-	s, model := openFilled(t, dir, smallOptions(&killSwitch{}), 2, 60)
-	s.Close()
+	store, model := openFilled(t, dir, smallOptions(&killSwitch{}), 2, 60)
+	store.Close()
 	options := smallOptions(&killSwitch{})
 	options.DiskBytes = 48 << 10 // of which the table uses 32 KiB
-	s = mustOpen(t, dir, options)
-	defer s.Close()
-	checkEqual(t, s, model)
-	if err := s.Put(Message{ID: "x", Dest: 1}); !errors.Is(err, ErrFull) {
+	store = mustOpen(t, dir, options)
+	defer store.Close()
+	checkEqual(t, store, model)
+	if err := store.Put(Message{ID: "x", Dest: 1}); !errors.Is(err, ErrFull) {
 		t.Fatalf("beyond the budget: %v", err)
 	}
 	for dest, queue := range model {
 		for _, h := range slices.Clone(queue[:55]) {
-			if err := s.Remove(dest, h.Sequence); err != nil {
+			if err := store.Remove(dest, h.Sequence); err != nil {
 				t.Fatal(err)
 			}
 			model.remove(dest, h.Sequence)
 		}
 	}
-	checkEqual(t, s, model)
-	if err := s.Put(Message{ID: "x", Dest: 1}); err != nil {
-		t.Fatalf("with free space again, %d bytes used, %d on disk: %v", s.Bytes(), diskBytes(t, dir), err)
+	checkEqual(t, store, model)
+	if err := store.Put(Message{ID: "x", Dest: 1}); err != nil {
+		t.Fatalf("with free space again, %d bytes used, %d on disk: %v", store.Bytes(), diskBytes(t, dir), err)
 	}
 }
 
@@ -240,31 +240,31 @@
 		}
 		return bytes, nil
 	}
-	s := mustOpen(t, t.TempDir(), options)
-	defer s.Close()
+	store := mustOpen(t, t.TempDir(), options)
+	defer store.Close()
 	messages := []Message{{ID: "a", Dest: 1, OrderKey: "k"}, {ID: "b", Dest: 1, OrderKey: "k"}}
-	if err := s.Put(messages...); !errors.Is(err, syscall.ENOSPC) {
+	if err := store.Put(messages...); !errors.Is(err, syscall.ENOSPC) {
 		t.Fatal(err)
 	}
-	if dest, ok := s.DestOfKey("k"); ok {
+	if dest, ok := store.DestOfKey("k"); ok {
 		t.Fatalf("the key of refused messages is bound to destination %d", dest)
 	}
 	failing = false
-	if err := s.Put(messages...); err != nil {
+	if err := store.Put(messages...); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Put(Message{ID: "other", Dest: 1}); err != nil { // keeps the queue alive after the last message with the key
+	if err := store.Put(Message{ID: "other", Dest: 1}); err != nil { // keeps the queue alive after the last message with the key
 		t.Fatal(err)
 	}
 	for left := 2; left >= 0; left-- {
-		if _, ok := s.DestOfKey("k"); ok != (left > 0) {
+		if _, ok := store.DestOfKey("k"); ok != (left > 0) {
 			t.Fatalf("with %d messages of the key left it is known: %v", left, ok)
 		}
-		all, err := s.Next(1, 1, 1)
+		all, err := store.Next(1, 1, 1)
 		if err != nil || len(all) != 1 {
 			t.Fatal(err)
 		}
-		if err := s.Remove(1, all[0].Sequence); err != nil {
+		if err := store.Remove(1, all[0].Sequence); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/backlog/format.go
+++ b/internal/backlog/format.go
@@ -122,19 +122,19 @@
 	return b
 }
 
-// decodeFrame decodes the frame at the start of b. The data of the message is a slice of b.
-func decodeFrame(b []byte, salt uint32) (m Message, sequence uint64, ok bool) {
-	if len(b) < frameHeaderSize {
-		return m, 0, false
+// decodeFrame decodes the frame at the start of data. The data of the message is a slice of it.
+func decodeFrame(data []byte, salt uint32) (message Message, sequence uint64, ok bool) {
+	if len(data) < frameHeaderSize {
+		return message, 0, false
 	}
-	size := int64(littleEndian.Uint32(b))
-	idSize, orderKeySize := int64(littleEndian.Uint16(b[24:])), int64(littleEndian.Uint16(b[26:]))
-	if size > int64(len(b)) || frameHeaderSize+idSize+orderKeySize > size || littleEndian.Uint32(b[4:]) != crc32.Update(salt, castagnoliTable, b[8:size]) {
-		return m, 0, false
+	size := int64(littleEndian.Uint32(data))
+	idSize, orderKeySize := int64(littleEndian.Uint16(data[24:])), int64(littleEndian.Uint16(data[26:]))
+	if size > int64(len(data)) || frameHeaderSize+idSize+orderKeySize > size || littleEndian.Uint32(data[4:]) != crc32.Update(salt, castagnoliTable, data[8:size]) {
+		return message, 0, false
 	}
-	rest := b[frameHeaderSize:size]
-	m = Message{ID: string(rest[:idSize]), OrderKey: string(rest[idSize : idSize+orderKeySize]), Data: rest[idSize+orderKeySize:], Due: int64(littleEndian.Uint64(b[16:]))}
-	return m, littleEndian.Uint64(b[8:]), true
+	rest := data[frameHeaderSize:size]
+	message = Message{ID: string(rest[:idSize]), OrderKey: string(rest[idSize : idSize+orderKeySize]), Data: rest[idSize+orderKeySize:], Due: int64(littleEndian.Uint64(data[16:]))}
+	return message, littleEndian.Uint64(data[8:]), true
 }
 
 // saltedHash returns the hash of a name in this folder; it is never zero. The salt keeps clients from finding names with
--- a/internal/backlog/fuzz_test.go
+++ b/internal/backlog/fuzz_test.go
@@ -15,17 +15,17 @@
 // writtenFiles returns the two files of a segment, the table, and the salt of the folder.
 func writtenFiles(f *testing.F) (index, data, table []byte, salt []byte) {
 	dir := f.TempDir()
-	s := mustOpen(f, dir, smallOptions(&killSwitch{}))
+	store := mustOpen(f, dir, smallOptions(&killSwitch{}))
 	for i := range 5 {
-		if err := s.Put(Message{ID: string(rune('a' + i)), Dest: 1, Due: int64(i), OrderKey: "k", Data: make([]byte, i*10)}); err != nil {
+		if err := store.Put(Message{ID: string(rune('a' + i)), Dest: 1, Due: int64(i), OrderKey: "k", Data: make([]byte, i*10)}); err != nil {
 			f.Fatal(err)
 		}
 	}
-	if err := s.Remove(1, 1, 3); err != nil {
+	if err := store.Remove(1, 1, 3); err != nil {
 		f.Fatal(err)
 	}
-	salt = s.folderSalt
-	s.Close()
+	salt = store.folderSalt
+	store.Close()
 	for _, of := range []struct {
 		name string
 		to   *[]byte
@@ -41,21 +41,21 @@
 
 // checkDrains opens a folder, calls every reading method and removes all messages: nothing may panic, come twice or stay.
 func checkDrains(t *testing.T, dir string) {
-	s, err := Open(dir, smallOptions(&killSwitch{}))
+	store, err := Open(dir, smallOptions(&killSwitch{}))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	if _, _, err := s.Find(1, "a"); err != nil {
+	defer store.Close()
+	if _, _, err := store.Find(1, "a"); err != nil {
 		t.Fatal(err)
 	}
-	s.DestOfKey("k")
-	s.NextDue()
-	if _, err := s.Due(math.MaxInt64, 100); err != nil {
+	store.DestOfKey("k")
+	store.NextDue()
+	if _, err := store.Due(math.MaxInt64, 100); err != nil {
 		t.Fatal(err)
 	}
-	for dest := range s.Dests() {
-		all, err := s.Next(dest, math.MaxInt, math.MaxInt)
+	for dest := range store.Dests() {
+		all, err := store.Next(dest, math.MaxInt, math.MaxInt)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -65,15 +65,15 @@
 				t.Fatalf("sequence numbers %d, %d are out of order", last, h.Sequence)
 			}
 			last = h.Sequence
-			if err := s.Remove(dest, h.Sequence); err != nil {
+			if err := store.Remove(dest, h.Sequence); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	if s.Len() != 0 {
-		t.Fatalf("%d left", s.Len())
+	if store.Len() != 0 {
+		t.Fatalf("%d left", store.Len())
 	}
-	if err := s.Put(Message{ID: "new", Dest: 1}); err != nil || s.Len() != 1 {
+	if err := store.Put(Message{ID: "new", Dest: 1}); err != nil || store.Len() != 1 {
 		t.Fatal(err)
 	}
 }
@@ -81,24 +81,26 @@
 // fixChecksums corrects the checksums, so that the fuzzer reaches the fields that they protect.
 func fixChecksums(index, data, salt []byte) ([]byte, []byte) {
 	index, data = slices.Clone(index), slices.Clone(data)
-	sum := func(b []byte, at int) { littleEndian.PutUint32(b[at:], crc32.Checksum(b[:at], castagnoliTable)) }
+	sum := func(rest []byte, at int) {
+		littleEndian.PutUint32(rest[at:], crc32.Checksum(rest[:at], castagnoliTable))
+	}
 	if len(index) >= state.HeaderSize {
 		littleEndian.PutUint32(index, indexMagic)
 		littleEndian.PutUint64(index[8:], 1)
 		littleEndian.PutUint64(index[16:], 1)
 		sum(index, 24)
 		sum(index[headOffset:], 4)
-		for b := index[state.HeaderSize:]; len(b) >= state.EntrySize; b = b[state.EntrySize:] {
-			sum(b, 40)
+		for rest := index[state.HeaderSize:]; len(rest) >= state.EntrySize; rest = rest[state.EntrySize:] {
+			sum(rest, 40)
 		}
 	}
-	for b := data; len(b) >= frameHeaderSize; {
-		n := int(littleEndian.Uint32(b))
-		if n < frameHeaderSize || n > len(b) {
+	for rest := data; len(rest) >= frameHeaderSize; {
+		n := int(littleEndian.Uint32(rest))
+		if n < frameHeaderSize || n > len(rest) {
 			break
 		}
-		littleEndian.PutUint32(b[4:], crc32.Update(littleEndian.Uint32(salt), castagnoliTable, b[8:n]))
-		b = b[n:]
+		littleEndian.PutUint32(rest[4:], crc32.Update(littleEndian.Uint32(salt), castagnoliTable, rest[8:n]))
+		rest = rest[n:]
 	}
 	return index, data
 }
--- a/internal/backlog/kill_test.go
+++ b/internal/backlog/kill_test.go
@@ -67,12 +67,12 @@
 			for killAfter := shard; ; killAfter += shards {
 				dir, kill, model := t.TempDir(), &killSwitch{budget: killAfter, armed: true}, queueModel{}
 				var interrupted interruptedCall
-				s, err := Open(dir, options(kill))
+				store, err := Open(dir, options(kill))
 				for i := 0; i < len(script) && err == nil; i++ {
-					interrupted, err = script[i](s, model)
+					interrupted, err = script[i](store, model)
 				}
-				if s != nil {
-					s.Close()
+				if store != nil {
+					store.Close()
 				}
 				if !kill.killed {
 					if killAfter < 2000 {
@@ -80,15 +80,15 @@
 					}
 					return
 				}
-				s = mustOpen(t, dir, options(&killSwitch{}))
-				adoptAfterKill(t, s, model, interrupted)
-				checkEqual(t, s, model)
-				if err := s.Put(Message{ID: "after", Dest: 1, Data: []byte("x")}); err != nil {
+				store = mustOpen(t, dir, options(&killSwitch{}))
+				adoptAfterKill(t, store, model, interrupted)
+				checkEqual(t, store, model)
+				if err := store.Put(Message{ID: "after", Dest: 1, Data: []byte("x")}); err != nil {
 					t.Fatal(err)
 				}
 				model[1] = append(model[1], StoredMessage{Message: Message{ID: "after", Dest: 1, Data: []byte("x")}})
-				checkEqual(t, s, model)
-				s.Close()
+				checkEqual(t, store, model)
+				store.Close()
 			}
 		})
 	}
--- a/internal/backlog/many_test.go
+++ b/internal/backlog/many_test.go
@@ -10,31 +10,31 @@
 func TestManySmallDestinations(t *testing.T) {
 	const dests = 1000
 	dir, openBefore := t.TempDir(), countOpenFiles(t)
-	s := mustOpen(t, dir, Options{DiskBytes: 64 << 20, MaxOpenFiles: 8})
-	defer s.Close()
+	store := mustOpen(t, dir, Options{DiskBytes: 64 << 20, MaxOpenFiles: 8})
+	defer store.Close()
 	for i := range 2 * dests {
-		if err := s.Put(Message{ID: fmt.Sprint(i), Dest: i % dests, Due: int64(5000 - i), Data: make([]byte, 50)}); err != nil {
+		if err := store.Put(Message{ID: fmt.Sprint(i), Dest: i % dests, Due: int64(5000 - i), Data: make([]byte, 50)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := countOpenFiles(t) - openBefore; n > 8 {
-		t.Fatalf("%d more files are open", n)
+	if opened := countOpenFiles(t) - openBefore; opened > 8 {
+		t.Fatalf("%d more files are open", opened)
 	}
-	all, err := s.Due(5000, 300)
+	all, err := store.Due(5000, 300)
 	if err != nil || len(all) != 300 || all[0].Due != 5000-2*dests+1 || all[299].Due != 5000-2*dests+300 {
 		t.Fatalf("%d due, %v", len(all), err)
 	}
 	for dest := range dests {
-		all, err := s.Next(dest, 10, 1<<20)
+		all, err := store.Next(dest, 10, 1<<20)
 		if err != nil || len(all) != 2 || all[0].ID != fmt.Sprint(dest) {
 			t.Fatalf("destination %d has %s: %v", dest, describe(all), err)
 		}
-		if err := s.Remove(dest, all[0].Sequence, all[1].Sequence); err != nil {
+		if err := store.Remove(dest, all[0].Sequence, all[1].Sequence); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if n := countOpenFiles(t) - openBefore; n > 8 || s.Len() > 0 || s.Bytes() > 64<<10 {
-		t.Fatalf("%d files are open, %d messages and %d bytes left", n, s.Len(), s.Bytes())
+	if opened := countOpenFiles(t) - openBefore; opened > 8 || store.Len() > 0 || store.Bytes() > 64<<10 {
+		t.Fatalf("%d files are open, %d messages and %d bytes left", opened, store.Len(), store.Bytes())
 	}
 }
 
@@ -49,20 +49,20 @@
 // Guards against messages due together that are returned out of order or more than once, or that cost a scan of all entries
 // for each call.
 func TestManyDueTogether(t *testing.T) {
-	const n = 6000
+	const messageCount = 6000
 	var calls int
-	s := mustOpen(t, t.TempDir(), Options{DiskBytes: 64 << 20, MinSegmentBytes: 64 << 10, MaxSegmentBytes: 64 << 10})
-	defer s.Close()
+	store := mustOpen(t, t.TempDir(), Options{DiskBytes: 64 << 20, MinSegmentBytes: 64 << 10, MaxSegmentBytes: 64 << 10})
+	defer store.Close()
 	var messages []Message
-	for i := range n {
+	for i := range messageCount {
 		messages = append(messages, Message{ID: fmt.Sprint(i), Dest: i % 3, Due: int64(1000 + i*7919%1000), Data: make([]byte, 30)})
 	}
-	if err := s.Put(messages...); err != nil {
+	if err := store.Put(messages...); err != nil {
 		t.Fatal(err)
 	}
 	seen, last := map[string]bool{}, int64(0)
-	for len(seen) < n {
-		all, err := s.Due(2000, 100)
+	for len(seen) < messageCount {
+		all, err := store.Due(2000, 100)
 		if err != nil || len(all) == 0 {
 			t.Fatalf("after %d: %v", len(seen), err)
 		}
@@ -71,16 +71,16 @@
 				t.Fatalf("%s is returned again or too late, after %d messages", h.ID, len(seen))
 			}
 			seen[h.ID], last = true, h.Due
-			if err := s.Remove(h.Dest, h.Sequence); err != nil {
+			if err := store.Remove(h.Dest, h.Sequence); err != nil {
 				t.Fatal(err)
 			}
 		}
 		calls++
 	}
-	if calls != n/100 || s.Len() != 0 {
-		t.Fatalf("%d calls, %d left", calls, s.Len())
+	if calls != messageCount/100 || store.Len() != 0 {
+		t.Fatalf("%d calls, %d left", calls, store.Len())
 	}
-	if s.dueScans > 2*n/dueListLength {
-		t.Fatalf("segments were scanned %d times for %d messages", s.dueScans, n)
+	if store.dueScans > 2*messageCount/dueListLength {
+		t.Fatalf("segments were scanned %d times for %d messages", store.dueScans, messageCount)
 	}
 }
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -53,16 +53,16 @@
 }
 
 // checkEqual checks the answers of all reading methods of a store against the model.
-func checkEqual(t testFailer, s *Store, model queueModel) {
+func checkEqual(t testFailer, store *Store, model queueModel) {
 	t.Helper()
-	n, earliest := 0, int64(math.MaxInt64)
+	total, earliest := 0, int64(math.MaxInt64)
 	for dest, queue := range model {
-		got, err := s.Next(dest, math.MaxInt, math.MaxInt)
+		got, err := store.Next(dest, math.MaxInt, math.MaxInt)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.EqualFunc(got, queue, sameMessage) || s.LenOf(dest) != len(queue) {
-			t.Fatalf("destination %d has %s (%d), want %s", dest, describe(got), s.LenOf(dest), describe(queue))
+		if !slices.EqualFunc(got, queue, sameMessage) || store.LenOf(dest) != len(queue) {
+			t.Fatalf("destination %d has %s (%d), want %s", dest, describe(got), store.LenOf(dest), describe(queue))
 		}
 		for i, message := range got {
 			if message.Sequence == 0 || i > 0 && message.Sequence <= got[i-1].Sequence {
@@ -70,19 +70,19 @@
 			}
 			model[dest][i].Sequence = message.Sequence
 			earliest = min(earliest, message.Due)
-			if found, ok, err := s.Find(dest, message.ID); err != nil || !ok || !sameMessage(found, message) || found.Sequence != message.Sequence {
+			if found, ok, err := store.Find(dest, message.ID); err != nil || !ok || !sameMessage(found, message) || found.Sequence != message.Sequence {
 				t.Fatalf("Find of %s of destination %d returned %v %v %v", message.ID, dest, found, ok, err)
 			}
-			if d, ok := s.DestOfKey(message.OrderKey); message.OrderKey != "" && (!ok || d != dest) {
+			if d, ok := store.DestOfKey(message.OrderKey); message.OrderKey != "" && (!ok || d != dest) {
 				t.Fatalf("key %s of destination %d is bound to %d, %v", message.OrderKey, dest, d, ok)
 			}
 		}
-		n += len(queue)
+		total += len(queue)
 	}
-	if s.Len() != n || len(slices.Collect(s.Dests())) != len(model) {
-		t.Fatalf("%d messages of %d destinations, want %d of %d", s.Len(), len(slices.Collect(s.Dests())), n, len(model))
+	if store.Len() != total || len(slices.Collect(store.Dests())) != len(model) {
+		t.Fatalf("%d messages of %d destinations, want %d of %d", store.Len(), len(slices.Collect(store.Dests())), total, len(model))
 	}
-	if due, ok := s.NextDue(); ok != (n > 0) || ok && due != earliest {
+	if due, ok := store.NextDue(); ok != (total > 0) || ok && due != earliest {
 		t.Fatalf("next due %d %v, want %d", due, ok, earliest)
 	}
 }
@@ -107,25 +107,25 @@
 	tearSmallWrites bool // also tears writes of heads, marks and slots, as a disk may
 }
 
-func (k *killSwitch) fault(op, name string, n int) (int, error) {
+func (k *killSwitch) fault(op, name string, size int) (int, error) {
 	switch {
 	case k.killed:
 		return 0, errKilled
 	case !k.armed:
-		return n, nil
+		return size, nil
 	}
-	cost := max(1, n)
-	if n >= pageSize {
+	cost := max(1, size)
+	if size >= pageSize {
 		cost = 64 // writes of whole table pages are not cut at each byte
 	}
 	if k.budget -= cost; k.budget >= 0 {
-		return n, nil
+		return size, nil
 	}
 	k.killed = true
-	if op != "write" || n <= slotSize && !k.tearSmallWrites {
+	if op != "write" || size <= slotSize && !k.tearSmallWrites {
 		return 0, errKilled // a kill does not tear a write within a memory page; heads, marks and slots are aligned
 	}
-	return n * (cost + k.budget) / cost, errKilled
+	return size * (cost + k.budget) / cost, errKilled
 }
 
 func smallOptions(k *killSwitch) Options {
@@ -149,9 +149,9 @@
 }
 
 // adoptAfterKill checks that a store has a state that the killed call may leave, and sets the model to it.
-func adoptAfterKill(t testFailer, s *Store, model queueModel, interrupted interruptedCall) {
+func adoptAfterKill(t testFailer, store *Store, model queueModel, interrupted interruptedCall) {
 	t.Helper()
-	for _, err := range s.TakeDamageReports() {
+	for _, err := range store.TakeDamageReports() {
 		var d *DamageError
 		if !errors.As(err, &d) || !d.AtTail || d.InDoubt > 0 || d.Lost > len(interrupted.put) {
 			if d == nil || d.Segment != tableFileName {
@@ -159,7 +159,7 @@
 			}
 		}
 	}
-	stored := storedMessages(t, s)
+	stored := storedMessages(t, store)
 	for dest := range model {
 		stored[dest] = append([]StoredMessage{}, stored[dest]...)
 	}
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -32,23 +32,23 @@
 	if now == nil {
 		now = steady.Now
 	}
-	s := &Store{folder: folder, indexes: indexes, dueLists: map[*state.Segment]dueList{}, now: now,
+	store := &Store{folder: folder, indexes: indexes, dueLists: map[*state.Segment]dueList{}, now: now,
 		state: state.New(state.Limits{DiskBytes: options.DiskBytes, MinSegmentBytes: cmp.Or(options.MinSegmentBytes, 256<<10), MaxSegmentBytes: cmp.Or(options.MaxSegmentBytes, 4<<20)})}
-	segments, leftovers, err := s.listSegments()
+	segments, leftovers, err := store.listSegments()
 	if err == nil {
-		err = s.readVersion(segments)
+		err = store.readVersion(segments)
 	}
 	if err == nil {
-		err = s.loadAll(segments)
+		err = store.loadAll(segments)
 	}
 	for i := 0; err == nil && i < len(leftovers); i++ {
-		err = s.folder.remove(leftovers[i])
+		err = store.folder.remove(leftovers[i])
 	}
 	if err != nil {
-		s.Close()
+		store.Close()
 		return nil, err
 	}
-	return s, nil
+	return store, nil
 }
 
 // segmentFiles lists the files that a folder has of one segment.
--- a/internal/backlog/repair.go
+++ b/internal/backlog/repair.go
@@ -56,9 +56,9 @@
 		seen[entry.sequence] = true
 	}
 	slices.SortFunc(covered, func(a, b indexEntry) int { return cmp.Compare(a.offset, b.offset) })
-	at, end := uint32(0), uint32(len(data))
+	searched, end := uint32(0), uint32(len(data))
 	for _, entry := range append(covered, indexEntry{offset: end}) {
-		for _, found := range s.findFrames(segment, data, max(at, removedEnd), min(entry.offset, end)) {
+		for _, found := range s.findFrames(segment, data, max(searched, removedEnd), min(entry.offset, end)) {
 			if !seen[found.sequence] {
 				seen[found.sequence] = true
 				result.live = append(result.live, found)
@@ -67,7 +67,7 @@
 				unreadable = max(0, unreadable-1)
 			}
 		}
-		at = max(at, entry.offset+entry.len)
+		searched = max(searched, entry.offset+entry.len)
 	}
 	result.lost += unreadable
 	slices.SortFunc(result.live, func(a, b indexEntry) int { return cmp.Compare(a.sequence, b.sequence) })
--- a/internal/backlog/scale_test.go
+++ b/internal/backlog/scale_test.go
@@ -64,7 +64,7 @@
 
 // runScale stores n messages for some destinations, looks some up, opens the store again as after a kill (nothing is
 // closed), removes some messages by due time and others in order, and checks what it reads.
-func runScale(t testing.TB, n, dests int) (result scaleResult) {
+func runScale(t testing.TB, messages, dests int) (result scaleResult) {
 	dir, err := os.MkdirTemp(*scaleDir, "scale")
 	if err != nil {
 		t.Fatal(err)
@@ -75,58 +75,58 @@
 		return bytes, nil
 	}}
 	empty, rss, dirty := heapInUse(), procFigure("status", "VmRSS")<<10, procFigure("io", "write_bytes")
-	s := mustOpen(t, dir, options)
+	store := mustOpen(t, dir, options)
 	result.putLatencies = hdrhistogram.New(100, 1e11, 2)
 	start := time.Now()
-	for i := range n {
-		m := scaleMessage(i, dests)
-		result.acceptedBytes += int64(len(m.ID) + len(m.OrderKey) + len(m.Data))
+	for i := range messages {
+		message := scaleMessage(i, dests)
+		result.acceptedBytes += int64(len(message.ID) + len(message.OrderKey) + len(message.Data))
 		began := time.Now()
-		if err := s.Put(m); err != nil {
+		if err := store.Put(message); err != nil {
 			t.Fatal(err)
 		}
 		result.putLatencies.RecordValue(time.Since(began).Nanoseconds())
 	}
-	result.put = perItem(n, start)
+	result.put = perItem(messages, start)
 	result.heapBytes = heapInUse() - empty
-	lookups := min(n, 10_000)
+	lookups := min(messages, 10_000)
 	start = time.Now()
 	for i := range lookups {
-		if _, ok, err := s.Find(i%dests, fmt.Sprint("none", i)); ok || err != nil {
+		if _, ok, err := store.Find(i%dests, fmt.Sprint("none", i)); ok || err != nil {
 			t.Fatalf("Find returned a message that was never stored: %v", err)
 		}
 	}
 	result.findMissing = perItem(lookups, start)
 	start = time.Now()
 	for i := range lookups {
-		at := (i * 7919) % n
-		if h, ok, err := s.Find(at%dests, scaleMessage(at, dests).ID); !ok || err != nil || h.Due != scaleMessage(at, dests).Due {
+		at := (i * 7919) % messages
+		if h, ok, err := store.Find(at%dests, scaleMessage(at, dests).ID); !ok || err != nil || h.Due != scaleMessage(at, dests).Due {
 			t.Fatalf("message %d: %v %v %v", at, h, ok, err)
 		}
 	}
 	result.findPresent = perItem(lookups, start)
-	result.diskBytes = s.Bytes()
-	s, s.dueLists = nil, nil
-	s = nil
+	result.diskBytes = store.Bytes()
+	store, store.dueLists = nil, nil
+	store = nil
 	empty = min(empty, heapInUse())
 	start = time.Now()
-	s = mustOpen(t, dir, options)
+	store = mustOpen(t, dir, options)
 	result.open = time.Since(start)
 	result.heapAfterOpen = heapInUse() - empty
 	result.rssBytes = procFigure("status", "VmRSS")<<10 - rss
-	defer s.Close()
+	defer store.Close()
 	if all, err := os.ReadDir(dir); err == nil {
 		result.files = len(all)
 	}
-	if s.Len() != n || len(s.TakeDamageReports()) > 0 {
-		t.Fatalf("%d messages of %d after it is opened again", s.Len(), n)
+	if store.Len() != messages || len(store.TakeDamageReports()) > 0 {
+		t.Fatalf("%d messages of %d after it is opened again", store.Len(), messages)
 	}
 	// A tenth is removed by due time, a thousand at once, but at most 100,000; then at most two million in order.
 	removed, last := 0, int64(0)
-	timed := min(n/10, 100_000)
+	timed := min(messages/10, 100_000)
 	start = time.Now()
 	for removed < timed {
-		all, err := s.Due(1<<60, min(1000, timed-removed))
+		all, err := store.Due(1<<60, min(1000, timed-removed))
 		if err != nil || len(all) == 0 {
 			t.Fatalf("%d due: %v", len(all), err)
 		}
@@ -139,19 +139,19 @@
 			sequences[h.Dest] = append(sequences[h.Dest], h.Sequence)
 		}
 		for dest, removeNow := range sequences {
-			if err := s.Remove(dest, removeNow...); err != nil {
+			if err := store.Remove(dest, removeNow...); err != nil {
 				t.Fatal(err)
 			}
 		}
 		removed += len(all)
 	}
 	result.due = perItem(removed, start)
-	left := min(n-removed, 2_000_000)
+	left := min(messages-removed, 2_000_000)
 	ordered := left
 	for dest := range dests {
-		for left > 0 && s.LenOf(dest) > 0 {
+		for left > 0 && store.LenOf(dest) > 0 {
 			start = time.Now()
-			all, err := s.Next(dest, min(100, left), 1<<20)
+			all, err := store.Next(dest, min(100, left), 1<<20)
 			if err != nil || len(all) == 0 {
 				t.Fatalf("%d next: %v", len(all), err)
 			}
@@ -161,7 +161,7 @@
 				sequences = append(sequences, h.Sequence)
 			}
 			start = time.Now()
-			if err := s.Remove(dest, sequences...); err != nil {
+			if err := store.Remove(dest, sequences...); err != nil {
 				t.Fatal(err)
 			}
 			result.remove += time.Since(start)
@@ -170,10 +170,10 @@
 	}
 	result.next /= time.Duration(ordered)
 	result.remove /= time.Duration(ordered)
-	if left != 0 || s.Len() != n-removed-ordered {
-		t.Fatalf("%d messages were not removed, %d are left", left, s.Len())
+	if left != 0 || store.Len() != messages-removed-ordered {
+		t.Fatalf("%d messages were not removed, %d are left", left, store.Len())
 	}
-	if rest, _ := filepath.Glob(filepath.Join(dir, "*.dat")); s.Len() == 0 && len(rest) > 0 {
+	if rest, _ := filepath.Glob(filepath.Join(dir, "*.dat")); store.Len() == 0 && len(rest) > 0 {
 		t.Fatalf("%d segments are left of an empty backlog", len(rest))
 	}
 	result.dirtiedBytes = procFigure("io", "write_bytes") - dirty
@@ -194,28 +194,28 @@
 // -backlog.most for larger backlogs.
 func BenchmarkScaleBacklog(b *testing.B) {
 	for _, dests := range []int{7, 12_920} {
-		for n := 10_000; n <= *scaleMaxMessages; n *= 10 {
-			b.Run(fmt.Sprintf("dests=%d/messages=%d", dests, n), func(b *testing.B) {
+		for messages := 10_000; messages <= *scaleMaxMessages; messages *= 10 {
+			b.Run(fmt.Sprintf("dests=%d/messages=%d", dests, messages), func(b *testing.B) {
 				for range b.N {
-					s := runScale(b, n, dests)
-					per := 1 / float64(s.acceptedBytes)
+					result := runScale(b, messages, dests)
+					per := 1 / float64(result.acceptedBytes)
 					b.ReportMetric(0, "ns/op")
-					b.ReportMetric(float64(s.put.Nanoseconds()), "put-ns")
-					b.ReportMetric(float64(s.putLatencies.ValueAtQuantile(99))/1000, "put-p99-us")
-					b.ReportMetric(float64(s.putLatencies.Max())/1000, "put-max-us")
-					b.ReportMetric(float64(s.findMissing.Nanoseconds()), "miss-ns")
-					b.ReportMetric(float64(s.findPresent.Nanoseconds()), "hit-ns")
-					b.ReportMetric(float64(s.due.Nanoseconds()), "due+out-ns")
-					b.ReportMetric(float64(s.next.Nanoseconds()), "next-ns")
-					b.ReportMetric(float64(s.remove.Nanoseconds()), "out-ns")
-					b.ReportMetric(float64(s.open.Milliseconds()), "open-ms")
-					b.ReportMetric(float64(s.heapBytes)/1024, "heap-KiB")
-					b.ReportMetric(float64(s.heapAfterOpen)/1024, "heap-open-KiB")
-					b.ReportMetric(float64(s.rssBytes)/1024, "rss-KiB")
-					b.ReportMetric(float64(s.writtenBytes)*per, "written/byte")
-					b.ReportMetric(float64(s.dirtiedBytes)*per, "dirtied/byte")
-					b.ReportMetric(float64(s.diskBytes)*per, "disk/byte")
-					b.ReportMetric(float64(s.files), "files")
+					b.ReportMetric(float64(result.put.Nanoseconds()), "put-ns")
+					b.ReportMetric(float64(result.putLatencies.ValueAtQuantile(99))/1000, "put-p99-us")
+					b.ReportMetric(float64(result.putLatencies.Max())/1000, "put-max-us")
+					b.ReportMetric(float64(result.findMissing.Nanoseconds()), "miss-ns")
+					b.ReportMetric(float64(result.findPresent.Nanoseconds()), "hit-ns")
+					b.ReportMetric(float64(result.due.Nanoseconds()), "due+out-ns")
+					b.ReportMetric(float64(result.next.Nanoseconds()), "next-ns")
+					b.ReportMetric(float64(result.remove.Nanoseconds()), "out-ns")
+					b.ReportMetric(float64(result.open.Milliseconds()), "open-ms")
+					b.ReportMetric(float64(result.heapBytes)/1024, "heap-KiB")
+					b.ReportMetric(float64(result.heapAfterOpen)/1024, "heap-open-KiB")
+					b.ReportMetric(float64(result.rssBytes)/1024, "rss-KiB")
+					b.ReportMetric(float64(result.writtenBytes)*per, "written/byte")
+					b.ReportMetric(float64(result.dirtiedBytes)*per, "dirtied/byte")
+					b.ReportMetric(float64(result.diskBytes)*per, "disk/byte")
+					b.ReportMetric(float64(result.files), "files")
 				}
 			})
 		}
--- a/internal/backlog/split.go
+++ b/internal/backlog/split.go
@@ -7,9 +7,9 @@
 func (t *table) makeSpace(hash uint64, split bool) error {
 	old := t.directory[t.directoryIndex(hash)]
 	buffer := make([]byte, pageSize)
-	if n, err := t.folder.read(t.fileName, buffer, int64(old)*pageSize); err != nil {
+	if newPage, err := t.folder.read(t.fileName, buffer, int64(old)*pageSize); err != nil {
 		return err
-	} else if n < pageSize {
+	} else if newPage < pageSize {
 		return errDamagedTable
 	}
 	full, ok := decodePage(buffer, old)
@@ -37,19 +37,19 @@
 		}
 	}
 	for i := range next {
-		n := page{depth: full.depth + bits, prefix: full.prefix, index: t.allocatePage()}
-		if n.depth > 0 {
-			n.prefix |= uint64(i) << (64 - n.depth)
+		newPage := page{depth: full.depth + bits, prefix: full.prefix, index: t.allocatePage()}
+		if newPage.depth > 0 {
+			newPage.prefix |= uint64(i) << (64 - newPage.depth)
 		}
 		t.lastPageSequence++
-		n.sequence = t.lastPageSequence
+		newPage.sequence = t.lastPageSequence
 		slots := slices.DeleteFunc(slices.Clone(live), func(s slot) bool {
-			return n.depth > 0 && (s.hash^n.prefix)>>(64-n.depth) != 0
+			return newPage.depth > 0 && (s.hash^newPage.prefix)>>(64-newPage.depth) != 0
 		})
-		if next[i] = n; len(slots) > slotsPerPage-maxProbes {
+		if next[i] = newPage; len(slots) > slotsPerPage-maxProbes {
 			return errDamagedTable
 		}
-		if err := t.folder.write(t.fileName, n.encode(slots), int64(n.index)*pageSize, false); err != nil {
+		if err := t.folder.write(t.fileName, newPage.encode(slots), int64(newPage.index)*pageSize, false); err != nil {
 			return t.undoPages(next[:i+1], err)
 		}
 	}
@@ -64,10 +64,10 @@
 		}
 		t.directory = doubled
 	}
-	for _, n := range next {
-		entries := t.directoryRange(n)
+	for _, newPage := range next {
+		entries := t.directoryRange(newPage)
 		for i := range entries {
-			entries[i] = n.index
+			entries[i] = newPage.index
 		}
 	}
 	return nil
--- a/internal/backlog/state/state.go
+++ b/internal/backlog/state/state.go
@@ -96,99 +96,99 @@
 	if q == nil {
 		return nil
 	}
-	s := q.segments[len(q.segments)-1]
-	if !b.Accepts(s, sequence, planned) {
+	segment := q.segments[len(q.segments)-1]
+	if !b.Accepts(segment, sequence, planned) {
 		return nil
 	}
-	return s
+	return segment
 }
 
 // Accepts reports whether a segment with planned more bytes accepts a message with that sequence number. A segment grows
 // up to a quarter of its destination's data, within the limits.
-func (b *State) Accepts(s *Segment, sequence uint64, planned int64) bool {
+func (b *State) Accepts(segment *Segment, sequence uint64, planned int64) bool {
 	var destBytes int64
-	if q := b.queues[s.Dest]; q != nil {
+	if q := b.queues[segment.Dest]; q != nil {
 		destBytes = q.dataBytes
 	}
 	maxBytes := min(max(b.limits.MinSegmentBytes, (destBytes+planned)/4), b.limits.MaxSegmentBytes)
-	return s.DataBytes+planned < maxBytes && sequence-s.First <= math.MaxUint32
+	return segment.DataBytes+planned < maxBytes && sequence-segment.First <= math.MaxUint32
 }
 
 // AddSegment adds a segment with the messages that it has.
-func (b *State) AddSegment(s *Segment) {
-	q := b.queues[s.Dest]
+func (b *State) AddSegment(segment *Segment) {
+	q := b.queues[segment.Dest]
 	if q == nil {
 		q = &queue{}
-		b.queues[s.Dest] = q
+		b.queues[segment.Dest] = q
 	}
-	i, _ := slices.BinarySearchFunc(q.segments, s.First, compareFirst)
-	q.segments = slices.Insert(q.segments, i, s)
-	q.messages += int(s.Live)
-	q.dataBytes += s.DataBytes
-	b.messages += int(s.Live)
-	b.segmentBytes += s.FileBytes()
-	heap.Push(&b.byDue, s)
+	i, _ := slices.BinarySearchFunc(q.segments, segment.First, compareFirst)
+	q.segments = slices.Insert(q.segments, i, segment)
+	q.messages += int(segment.Live)
+	q.dataBytes += segment.DataBytes
+	b.messages += int(segment.Live)
+	b.segmentBytes += segment.FileBytes()
+	heap.Push(&b.byDue, segment)
 }
 
 // AddMessage records that a message was added to a segment.
-func (b *State) AddMessage(s *Segment, sequence uint64, due, bytes int64) {
-	q := b.queues[s.Dest]
-	b.segmentBytes -= s.FileBytes()
-	s.Entries++
-	s.Live++
-	s.DataBytes += bytes
-	s.Last = sequence
+func (b *State) AddMessage(segment *Segment, sequence uint64, due, bytes int64) {
+	q := b.queues[segment.Dest]
+	b.segmentBytes -= segment.FileBytes()
+	segment.Entries++
+	segment.Live++
+	segment.DataBytes += bytes
+	segment.Last = sequence
 	q.messages++
 	q.dataBytes += bytes
 	b.messages++
-	b.segmentBytes += s.FileBytes()
-	if due < s.EarliestDue {
-		b.SetEarliestDue(s, due)
+	b.segmentBytes += segment.FileBytes()
+	if due < segment.EarliestDue {
+		b.SetEarliestDue(segment, due)
 	}
 }
 
 // RemoveMessages records that live messages of a segment were removed: their number, the new head, the bytes before the
 // head and the removed bytes behind it. It returns what to do with the segment. A segment is rewritten once more than half
 // of the data behind its head is removed, so a rewrite copies less than was removed.
-func (b *State) RemoveMessages(s *Segment, removed int, head uint32, bytesBeforeHead, removedBytes int64) Action {
-	q := b.queues[s.Dest]
-	s.Live -= uint32(removed)
-	s.Head, s.BytesBeforeHead, s.RemovedBytes = head, bytesBeforeHead, removedBytes
+func (b *State) RemoveMessages(segment *Segment, removed int, head uint32, bytesBeforeHead, removedBytes int64) Action {
+	q := b.queues[segment.Dest]
+	segment.Live -= uint32(removed)
+	segment.Head, segment.BytesBeforeHead, segment.RemovedBytes = head, bytesBeforeHead, removedBytes
 	q.messages -= removed
 	b.messages -= removed
 	switch {
-	case s.Live == 0:
+	case segment.Live == 0:
 		return Drop
-	case 2*removedBytes > s.DataBytes-bytesBeforeHead && removedBytes >= b.limits.MinSegmentBytes/4:
+	case 2*removedBytes > segment.DataBytes-bytesBeforeHead && removedBytes >= b.limits.MinSegmentBytes/4:
 		return Rewrite
 	}
 	return Keep
 }
 
 // SegmentRewritten records that a segment was rewritten and has only its live messages.
-func (b *State) SegmentRewritten(s *Segment, live uint32, dataBytes int64) {
-	q := b.queues[s.Dest]
-	b.segmentBytes -= s.FileBytes()
-	q.dataBytes += dataBytes - s.DataBytes
-	q.messages -= int(s.Live) - int(live)
-	b.messages -= int(s.Live) - int(live)
-	s.Entries, s.Live, s.DataBytes, s.Head, s.BytesBeforeHead, s.RemovedBytes = live, live, dataBytes, 0, 0, 0
-	s.Rewrites++
-	b.segmentBytes += s.FileBytes()
+func (b *State) SegmentRewritten(segment *Segment, live uint32, dataBytes int64) {
+	q := b.queues[segment.Dest]
+	b.segmentBytes -= segment.FileBytes()
+	q.dataBytes += dataBytes - segment.DataBytes
+	q.messages -= int(segment.Live) - int(live)
+	b.messages -= int(segment.Live) - int(live)
+	segment.Entries, segment.Live, segment.DataBytes, segment.Head, segment.BytesBeforeHead, segment.RemovedBytes = live, live, dataBytes, 0, 0, 0
+	segment.Rewrites++
+	b.segmentBytes += segment.FileBytes()
 }
 
 // RemoveSegment removes a dropped segment.
-func (b *State) RemoveSegment(s *Segment) {
-	q := b.queues[s.Dest]
-	i, _ := slices.BinarySearchFunc(q.segments, s.First, compareFirst)
+func (b *State) RemoveSegment(segment *Segment) {
+	q := b.queues[segment.Dest]
+	i, _ := slices.BinarySearchFunc(q.segments, segment.First, compareFirst)
 	q.segments = slices.Delete(q.segments, i, i+1)
-	q.messages -= int(s.Live)
-	q.dataBytes -= s.DataBytes
-	b.messages -= int(s.Live)
-	b.segmentBytes -= s.FileBytes()
-	heap.Remove(&b.byDue, s.heapIndex)
+	q.messages -= int(segment.Live)
+	q.dataBytes -= segment.DataBytes
+	b.messages -= int(segment.Live)
+	b.segmentBytes -= segment.FileBytes()
+	heap.Remove(&b.byDue, segment.heapIndex)
 	if len(q.segments) == 0 {
-		delete(b.queues, s.Dest)
+		delete(b.queues, segment.Dest)
 	}
 }
 
--- a/internal/backlog/state/state_test.go
+++ b/internal/backlog/state/state_test.go
@@ -50,11 +50,11 @@
 					continue
 				}
 				segment := rapid.SampledFrom(all).Draw(t, "segment")
-				n := 0
+				removedCount := 0
 				for i := range model[segment] {
 					if message := &model[segment][i]; !message.removed && rapid.IntRange(0, 2).Draw(t, "goes") > 0 {
 						message.removed = true
-						n++
+						removedCount++
 					}
 				}
 				head, bytesBeforeHead, removed, live := uint32(0), int64(0), int64(0), int64(0)
@@ -68,7 +68,7 @@
 						live += message.bytes
 					}
 				}
-				action, want := state.RemoveMessages(segment, n, head, bytesBeforeHead, removed), Keep
+				action, want := state.RemoveMessages(segment, removedCount, head, bytesBeforeHead, removed), Keep
 				if live == 0 {
 					want = Drop
 				} else if removed > live && removed >= limits.MinSegmentBytes/4 {
@@ -96,25 +96,25 @@
 }
 
 func checkAgainstModel(t *rapid.T, state *State, model map[*Segment][]modelMessage) {
-	n, used, earliest := 0, int64(1024), int64(math.MaxInt64)
+	total, used, earliest := 0, int64(1024), int64(math.MaxInt64)
 	dests := map[int]int{}
-	for s, all := range model {
+	for segment, all := range model {
 		var data int64
 		for _, m := range all {
 			data += m.bytes
 			if !m.removed {
-				n++
-				dests[s.Dest]++
+				total++
+				dests[segment.Dest]++
 				earliest = min(earliest, m.due)
 			}
-			if state.SegmentOf(s.Dest, m.sequence) != s || !state.HasSegmentUpTo(s.Dest, m.sequence) {
+			if state.SegmentOf(segment.Dest, m.sequence) != segment || !state.HasSegmentUpTo(segment.Dest, m.sequence) {
 				t.Fatalf("sequence number %d is not in its segment", m.sequence)
 			}
 		}
 		used += (HeaderSize+EntrySize*int64(len(all))+511)/512*512 + (data+511)/512*512
 	}
-	if state.Len() != n || state.UsedBytes() != used || state.FreeBytes() != 1<<20-used {
-		t.Fatalf("%d messages and %d bytes, want %d and %d", state.Len(), state.UsedBytes(), n, used)
+	if state.Len() != total || state.UsedBytes() != used || state.FreeBytes() != 1<<20-used {
+		t.Fatalf("%d messages and %d bytes, want %d and %d", state.Len(), state.UsedBytes(), total, used)
 	}
 	for dest := range 4 {
 		if state.LenOf(dest) != dests[dest] || !slices.IsSortedFunc(state.Segments(dest), func(x, y *Segment) int { return cmp.Compare(x.First, y.First) }) {
@@ -124,11 +124,11 @@
 	if len(slices.Collect(state.Dests())) != len(dests) {
 		t.Fatalf("destinations %v, want %v", slices.Collect(state.Dests()), dests)
 	}
-	if s := state.Earliest(); (s == nil) != (n == 0) || s != nil && s.EarliestDue > earliest {
-		t.Fatalf("the earliest segment is %+v; the earliest due time of %d messages is %d", s, n, earliest)
+	if segment := state.Earliest(); (segment == nil) != (total == 0) || segment != nil && segment.EarliestDue > earliest {
+		t.Fatalf("the earliest segment is %+v; the earliest due time of %d messages is %d", segment, total, earliest)
 	}
-	for s := range model {
-		if s.EarliestDue < state.Earliest().EarliestDue {
+	for segment := range model {
+		if segment.EarliestDue < state.Earliest().EarliestDue {
 			t.Fatal("Earliest did not return the earliest segment")
 		}
 	}
--- a/internal/backlog/state/window_test.go
+++ b/internal/backlog/state/window_test.go
@@ -29,14 +29,14 @@
 		window.Admit(9999, 10)
 		window.Remove(9999, 10, true, time.Duration(i)*time.Millisecond)
 	}
-	if n := window.Available(9999, time.Second); n != 2*500-1 {
-		t.Fatalf("%d messages available to a destination that served 500 in the last second", n)
+	if available := window.Available(9999, time.Second); available != 2*500-1 {
+		t.Fatalf("%d messages available to a destination that served 500 in the last second", available)
 	}
-	if n := window.Available(9999, 2500*time.Millisecond); n != 0 {
-		t.Fatalf("%d messages available to a destination that served none for a second", n)
+	if available := window.Available(9999, 2500*time.Millisecond); available != 0 {
+		t.Fatalf("%d messages available to a destination that served none for a second", available)
 	}
-	if n := window.Available(77_777, 0); n != 1 {
-		t.Fatalf("%d messages available to a new destination", n)
+	if available := window.Available(77_777, 0); available != 1 {
+		t.Fatalf("%d messages available to a new destination", available)
 	}
 }
 
@@ -44,19 +44,19 @@
 // any size is always allowed.
 func TestLargeMessagesFillWindow(t *testing.T) {
 	window := Window{Capacity: Load{1000, 1 << 20}, Alpha: 1}
-	if n := window.Available(1, 0); n == 0 {
+	if available := window.Available(1, 0); available == 0 {
 		t.Fatal("a message of 10 MiB is not allowed")
 	}
 	window.Admit(1, 10<<20)
-	if n := window.Available(1, 0); n != 0 {
-		t.Fatalf("%d more messages available beyond the byte limit", n)
+	if available := window.Available(1, 0); available != 0 {
+		t.Fatalf("%d more messages available beyond the byte limit", available)
 	}
-	if n := window.Available(2, 0); n == 0 {
+	if available := window.Available(2, 0); available == 0 {
 		t.Fatal("no message of another destination is allowed")
 	}
 	window.Remove(1, 10<<20, false, 0)
-	if n := window.Available(1, 0); n != 1000 {
-		t.Fatalf("%d messages available when the window is empty", n)
+	if available := window.Available(1, 0); available != 1000 {
+		t.Fatalf("%d messages available when the window is empty", available)
 	}
 }
 
--- a/internal/backlog/table.go
+++ b/internal/backlog/table.go
@@ -48,16 +48,16 @@
 func (t *table) load(size int64) error {
 	t.pageCount, t.freePages = uint32(size/pageSize), nil
 	var pages []page
-	for at := range t.pageCount {
-		if _, err := t.folder.read(t.fileName, t.buffer[:slotSize], int64(at)*pageSize); err != nil {
+	for index := range t.pageCount {
+		if _, err := t.folder.read(t.fileName, t.buffer[:slotSize], int64(index)*pageSize); err != nil {
 			return err
 		}
-		if p, ok := decodePage(t.buffer[:], at); ok {
-			pages = append(pages, p)
-			t.depth = max(t.depth, p.depth)
-			t.lastPageSequence = max(t.lastPageSequence, p.sequence)
+		if loaded, ok := decodePage(t.buffer[:], index); ok {
+			pages = append(pages, loaded)
+			t.depth = max(t.depth, loaded.depth)
+			t.lastPageSequence = max(t.lastPageSequence, loaded.sequence)
 		} else {
-			t.freePages = append(t.freePages, at)
+			t.freePages = append(t.freePages, index)
 		}
 	}
 	// A kill during a split leaves both the old page and new ones. The old page is valid, the new ones may be incomplete.
@@ -67,16 +67,16 @@
 	}
 	const none = ^uint32(0)
 	t.directory = slices.Repeat([]uint32{none}, 1<<t.depth)
-	for _, p := range pages {
-		entries := t.directoryRange(p)
-		if slices.ContainsFunc(entries, func(at uint32) bool { return at != none }) {
-			if err := t.freePage(p.index); err != nil {
+	for _, loaded := range pages {
+		entries := t.directoryRange(loaded)
+		if slices.ContainsFunc(entries, func(index uint32) bool { return index != none }) {
+			if err := t.freePage(loaded.index); err != nil {
 				return err
 			}
 			continue
 		}
 		for i := range entries {
-			entries[i] = p.index
+			entries[i] = loaded.index
 		}
 	}
 	if slices.Contains(t.directory, none) {
--- a/internal/backlog/table_test.go
+++ b/internal/backlog/table_test.go
@@ -51,35 +51,35 @@
 	r := rand.New(rand.NewPCG(1, 2))
 	sequences := map[uint64]uint64{}
 	for i := range uint64(12_000) {
-		h := max(1, r.Uint64())
-		if err := table.insert(slot{hash: h, sequence: i + 1, dest: 3}); err != nil {
+		hash := max(1, r.Uint64())
+		if err := table.insert(slot{hash: hash, sequence: i + 1, dest: 3}); err != nil {
 			t.Fatal(err)
 		}
-		sequences[h] = i + 1
+		sequences[hash] = i + 1
 	}
 	keys := map[uint64]uint64{}
 	for i := range uint64(3_000) {
-		h, more := 1<<60+i%100, i%3 > 0
-		if err := table.adjustKeyCount(h, 3, i, more); err != nil {
+		hash, more := 1<<60+i%100, i%3 > 0
+		if err := table.adjustKeyCount(hash, 3, i, more); err != nil {
 			t.Fatal(err)
 		}
 		if more {
-			keys[h]++
-		} else if keys[h] > 0 {
-			keys[h]--
+			keys[hash]++
+		} else if keys[hash] > 0 {
+			keys[hash]--
 		}
 	}
 	if table.depth < 2 || len(table.freePages) == 0 {
 		t.Fatalf("no page was split: depth %d", table.depth)
 	}
 	for range 2 {
-		for h, sequence := range sequences {
-			if n, found, _ := findSlots(t, table, h); sequence%5 > 0 && (n != 1 || found != sequence) || n > 1 {
+		for hash, sequence := range sequences {
+			if n, found, _ := findSlots(t, table, hash); sequence%5 > 0 && (n != 1 || found != sequence) || n > 1 {
 				t.Fatalf("sequence number %d is found %d times, as %d", sequence, n, found)
 			}
 		}
-		for h, n := range keys {
-			if _, _, count := findSlots(t, table, h); count != n+1 {
+		for hash, n := range keys {
+			if _, _, count := findSlots(t, table, hash); count != n+1 {
 				t.Fatalf("a key of %d messages has %d", n, int(count)-1)
 			}
 		}
@@ -127,10 +127,10 @@
 			return uint64(5*i + remainder)
 		}
 		add := func(tab *table) error {
-			h := max(1, r.Uint64())
-			err := tab.insert(slot{hash: h, sequence: sequenceOf(len(hashes)), dest: 3})
+			hash := max(1, r.Uint64())
+			err := tab.insert(slot{hash: hash, sequence: sequenceOf(len(hashes)), dest: 3})
 			if err == nil {
-				hashes = append(hashes, h)
+				hashes = append(hashes, hash)
 			}
 			return err
 		}
@@ -144,8 +144,8 @@
 		}
 		for range 2 {
 			tab = openTable(t, dir, &killSwitch{}, false)
-			for i, h := range hashes {
-				if step, sequence, _ := findSlots(t, tab, h); sequenceOf(i)%5 > 0 && step != 1 || step > 1 || step == 1 && sequence != sequenceOf(i) {
+			for i, hash := range hashes {
+				if step, sequence, _ := findSlots(t, tab, hash); sequenceOf(i)%5 > 0 && step != 1 || step > 1 || step == 1 && sequence != sequenceOf(i) {
 					t.Fatalf("killed at step %d: slot %d of %d is found %d times", killStep, i, len(hashes), step)
 				}
 			}
--- a/internal/backlog/version.go
+++ b/internal/backlog/version.go
@@ -29,13 +29,13 @@
 // readVersion checks the format of the folder and writes the file for a new folder. A damaged file is rewritten with the
 // salt from the index files.
 func (s *Store) readVersion(segments map[segmentKey]*segmentFiles) error {
-	b, err := s.folder.readFile(versionFileName)
+	content, err := s.folder.readFile(versionFileName)
 	missing := errors.Is(err, fs.ErrNotExist)
 	if err != nil && !missing {
 		return err
 	}
 	salt := make([]byte, saltSize)
-	if _, err := fmt.Sscanf(string(b), versionPrefix+"%x", &salt); err == nil && bytes.Equal(b, versionText(salt)) {
+	if _, err := fmt.Sscanf(string(content), versionPrefix+"%x", &salt); err == nil && bytes.Equal(content, versionText(salt)) {
 		s.setSalt(salt)
 		return nil
 	}
@@ -44,8 +44,8 @@
 		s.setSalt(salt)
 		return s.folder.replace(versionFileName, versionText(salt))
 	}
-	if salt = s.segmentSalt(segments); salt == nil || !isDamagedVersion(string(b)) {
-		return &VersionError{filepath.Join(s.folder.dir, versionFileName), strings.TrimSpace(string(b[:min(len(b), 64)])), strings.TrimSpace(versionPrefix)}
+	if salt = s.segmentSalt(segments); salt == nil || !isDamagedVersion(string(content)) {
+		return &VersionError{filepath.Join(s.folder.dir, versionFileName), strings.TrimSpace(string(content[:min(len(content), 64)])), strings.TrimSpace(versionPrefix)}
 	}
 	s.reportDamage(&DamageError{Segment: versionFileName, Reason: "it was rewritten"})
 	s.setSalt(salt)
--- a/internal/journal/disk_test.go
+++ b/internal/journal/disk_test.go
@@ -37,19 +37,19 @@
 	dir := t.TempDir()
 	fillJournal(t, dir, 3e6, 200, 100)
 	unblock := blockRewrites(t, dir)
-	j := mustOpen(t, dir, 3e6)
-	wantEqual(t, "messages after the start", j.Len(), 200)
-	mustAppend(t, j, Record{Op: OpTry, ID: "m0", At: 5}, Record{Op: OpEnd, ID: "m1"})
-	j.Close()
-	j = mustOpen(t, dir, 3e6) // restarts after a kill, and the folder still cannot be written
-	wantEqual(t, "messages after another", j.Len(), 199)
-	wantEqual(t, "tries of the first", j.Entry("m0").Tries, 1)
+	journal := mustOpen(t, dir, 3e6)
+	wantEqual(t, "messages after the start", journal.Len(), 200)
+	mustAppend(t, journal, Record{Op: OpTry, ID: "m0", At: 5}, Record{Op: OpEnd, ID: "m1"})
+	journal.Close()
+	journal = mustOpen(t, dir, 3e6) // restarts after a kill, and the folder still cannot be written
+	wantEqual(t, "messages after another", journal.Len(), 199)
+	wantEqual(t, "tries of the first", journal.Entry("m0").Tries, 1)
 	unblock()
-	if err := j.Compact(); err != nil {
+	if err := journal.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, j, acceptedRecord("new", 10))
-	j.Close()
+	mustAppend(t, journal, acceptedRecord("new", 10))
+	journal.Close()
 	wantEqual(t, "messages at the end", mustOpen(t, dir, 3e6).Len(), 200)
 }
 
@@ -98,18 +98,18 @@
 	if err := os.Symlink(filepath.Join(dir, "absent", "journal"), filepath.Join(dir, "journal")); err != nil { // the file cannot be created either
 		t.Fatal(err)
 	}
-	j, err := Open(dir, 3e6)
+	journal, err := Open(dir, 3e6)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := j.Append(acceptedRecord("a", 10)); err == nil {
+	if err := journal.Append(acceptedRecord("a", 10)); err == nil {
 		t.Error("a message was accepted without a file")
 	}
 	unblock()
 	if err := os.RemoveAll(filepath.Join(dir, "journal")); err != nil {
 		t.Fatal(err)
 	}
-	mustAppend(t, j, acceptedRecord("a", 10))
-	j.Close()
+	mustAppend(t, journal, acceptedRecord("a", 10))
+	journal.Close()
 	wantEqual(t, "messages", mustOpen(t, dir, 3e6).Len(), 1)
 }
--- a/internal/journal/full_test.go
+++ b/internal/journal/full_test.go
@@ -10,14 +10,14 @@
 // recorded, as that takes a record, too.
 func TestFullJournalRecordsHistory(t *testing.T) {
 	for _, size := range []int{0, 300, 3000} {
-		j, err := Open(t.TempDir(), 3e6)
+		journal, err := Open(t.TempDir(), 3e6)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer j.Close()
+		defer journal.Close()
 		pending := 0
 		for ; ; pending++ {
-			err := j.Append(Record{Op: OpAccepted, Entry: &Entry{ID: fmt.Sprintf("%016x", pending), Class: "payment", Dest: 7, Due: 1764655555555, Body: make([]byte, size)}})
+			err := journal.Append(Record{Op: OpAccepted, Entry: &Entry{ID: fmt.Sprintf("%016x", pending), Class: "payment", Dest: 7, Due: 1764655555555, Body: make([]byte, size)}})
 			if errors.Is(err, ErrFull) {
 				break
 			}
@@ -27,7 +27,7 @@
 		}
 		appendForAll := func(what string, records func(id string) []Record) {
 			for n := range pending {
-				if err := j.Append(records(fmt.Sprintf("%016x", n))...); err != nil {
+				if err := journal.Append(records(fmt.Sprintf("%016x", n))...); err != nil {
 					t.Fatalf("bodies of %d bytes, %d pending: %s of message %d: %v", size, pending, what, n, err)
 				}
 			}
--- a/internal/journal/groups_test.go
+++ b/internal/journal/groups_test.go
@@ -39,28 +39,28 @@
 // be preserved.
 func TestGroupStatesSurviveRestart(t *testing.T) {
 	dir := t.TempDir()
-	j := reopen(t, dir, nil)
-	if err := j.Append(groupStateRecord(7, 1), acceptedInGroup("a", 7, 10), acceptedInGroup("b", 8, 10), acceptedInGroup("c", 7, 10), Record{Op: OpGroupNext, Group: 7, NextRecord: 3}, groupStateRecord(8, 2), Record{Op: OpEnd, ID: "c"}, Record{Op: OpGroupNext, Group: 7, NextRecord: 4},
+	journal := reopen(t, dir, nil)
+	if err := journal.Append(groupStateRecord(7, 1), acceptedInGroup("a", 7, 10), acceptedInGroup("b", 8, 10), acceptedInGroup("c", 7, 10), Record{Op: OpGroupNext, Group: 7, NextRecord: 3}, groupStateRecord(8, 2), Record{Op: OpEnd, ID: "c"}, Record{Op: OpGroupNext, Group: 7, NextRecord: 4},
 		Record{Op: OpGroupNext, Group: 7, NextRecord: 2}, Record{Op: OpGroupNext, Group: 99, NextRecord: 2}, Record{Op: OpRetryAfter, ID: "h", At: time.Now().UnixMilli(), WaitMs: 60000}, Record{Op: OpRetryAfter, ID: "old", At: 1, WaitMs: 60000}); err != nil {
 		t.Fatal(err)
 	}
 	for range 2 {
-		j = reopen(t, dir, j)
-		m, ok := j.GroupState(7)
-		if !ok || m.Next != 4 || m.Epoch != 3 || m.From != "w" || len(j.GroupStates()) != 2 {
-			t.Fatalf("the state of group 7 is %+v, %v", m, ok)
+		journal = reopen(t, dir, journal)
+		state, ok := journal.GroupState(7)
+		if !ok || state.Next != 4 || state.Epoch != 3 || state.From != "w" || len(journal.GroupStates()) != 2 {
+			t.Fatalf("the state of group 7 is %+v, %v", state, ok)
 		}
-		whole := j.GroupRecords(7)
+		whole := journal.GroupRecords(7)
 		if len(whole) != 2 || whole[0].Entry.ID != "a" || whole[1].ID != "h" {
 			t.Fatalf("the records of group 7 are %+v", whole)
 		}
 	}
-	if err := j.Append(j.RecordsToForget(7)...); err != nil {
+	if err := journal.Append(journal.RecordsToForget(7)...); err != nil {
 		t.Fatal(err)
 	}
-	j = reopen(t, dir, j)
-	if _, ok := j.GroupState(7); ok || j.Entry("a") != nil || j.Entry("b") == nil {
-		t.Errorf("after the group was removed: known %v, a %v, b %v", ok, j.Entry("a"), j.Entry("b"))
+	journal = reopen(t, dir, journal)
+	if _, ok := journal.GroupState(7); ok || journal.Entry("a") != nil || journal.Entry("b") == nil {
+		t.Errorf("after the group was removed: known %v, a %v, b %v", ok, journal.Entry("a"), journal.Entry("b"))
 	}
 }
 
@@ -68,37 +68,37 @@
 // must leave the old content.
 func TestReplaceIsAtomic(t *testing.T) {
 	dir := t.TempDir()
-	j := reopen(t, dir, nil)
-	if err := j.Append(groupStateRecord(1, 1), acceptedInGroup("old", 1, 1000)); err != nil {
+	journal := reopen(t, dir, nil)
+	if err := journal.Append(groupStateRecord(1, 1), acceptedInGroup("old", 1, 1000)); err != nil {
 		t.Fatal(err)
 	}
 	var tooMany []Record
 	for i := range 30 {
 		tooMany = append(tooMany, acceptedInGroup(fmt.Sprint("m", i), 1, 60<<10))
 	}
-	err := j.Replace(tooMany...)
+	err := journal.Replace(tooMany...)
 	var f *Failure
-	if !errors.Is(err, ErrFull) || !errors.As(err, &f) || f.Remedy() == "" || j.Entry("old") == nil {
-		t.Fatalf("more records than fit: %v, the old message is there: %v", err, j.Entry("old") != nil)
+	if !errors.Is(err, ErrFull) || !errors.As(err, &f) || f.Remedy() == "" || journal.Entry("old") == nil {
+		t.Fatalf("more records than fit: %v, the old message is there: %v", err, journal.Entry("old") != nil)
 	}
 	for _, leftover := range []string{"journal.next", "journal.tmp"} {
 		if err := os.WriteFile(filepath.Join(dir, leftover), []byte("half"), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	j = reopen(t, dir, j)
-	if j.Entry("old") == nil {
+	journal = reopen(t, dir, journal)
+	if journal.Entry("old") == nil {
 		t.Fatal("an incomplete copy replaced the old journal")
 	}
-	if err := j.Replace(acceptedInGroup("new", 1, 10), groupStateRecord(1, 9)); err != nil {
+	if err := journal.Replace(acceptedInGroup("new", 1, 10), groupStateRecord(1, 9)); err != nil {
 		t.Fatal(err)
 	}
-	if err := j.Append(Record{Op: OpGroupNext, Group: 1, NextRecord: 10}); err != nil {
+	if err := journal.Append(Record{Op: OpGroupNext, Group: 1, NextRecord: 10}); err != nil {
 		t.Fatal(err)
 	}
-	j = reopen(t, dir, j)
-	if m, _ := j.GroupState(1); j.Entry("old") != nil || j.Entry("new") == nil || m.Next != 10 {
-		t.Errorf("after the replacement: old %v, new %v, next record %d", j.Entry("old"), j.Entry("new"), m.Next)
+	journal = reopen(t, dir, journal)
+	if state, _ := journal.GroupState(1); journal.Entry("old") != nil || journal.Entry("new") == nil || state.Next != 10 {
+		t.Errorf("after the replacement: old %v, new %v, next record %d", journal.Entry("old"), journal.Entry("new"), state.Next)
 	}
 }
 
@@ -106,11 +106,11 @@
 // compacted.
 func TestCopyEqualsSource(t *testing.T) {
 	dir := t.TempDir()
-	n := 0
+	run := 0
 	rapid.Check(t, func(t *rapid.T) {
-		n++
+		run++
 		open := func(name string) *Journal {
-			d := filepath.Join(dir, fmt.Sprint(n, name))
+			d := filepath.Join(dir, fmt.Sprint(run, name))
 			if err := os.MkdirAll(d, 0o700); err != nil {
 				t.Fatal(err)
 			}
@@ -124,14 +124,14 @@
 		defer func() { source.Close(); copied.Close() }()
 		for i := range 40 {
 			id := fmt.Sprint("m", rapid.IntRange(0, 6).Draw(t, "id"))
-			r := rapid.SampledFrom([]Record{acceptedInGroup(id, 1, i), {Op: OpTry, ID: id, At: int64(i), WaitMs: 9}, {Op: OpOutcome, ID: id, Flag: true}, {Op: OpOutcome, ID: id},
+			record := rapid.SampledFrom([]Record{acceptedInGroup(id, 1, i), {Op: OpTry, ID: id, At: int64(i), WaitMs: 9}, {Op: OpOutcome, ID: id, Flag: true}, {Op: OpOutcome, ID: id},
 				{Op: OpNotice, ID: id, Status: "deferred"}, {Op: OpEnd, ID: id}}).Draw(t, "record")
-			duplicate := r
-			if r.Entry != nil {
-				e := *r.Entry
+			duplicate := record
+			if record.Entry != nil {
+				e := *record.Entry
 				duplicate.Entry = &e
 			}
-			if err := errors.Join(source.Append(r), copied.Append(duplicate)); err != nil {
+			if err := errors.Join(source.Append(record), copied.Append(duplicate)); err != nil {
 				t.Fatal(err)
 			}
 			switch rapid.IntRange(0, 8).Draw(t, "do") {
@@ -141,8 +141,8 @@
 				}
 			case 1: // all records, converted to another clock and back
 				var recs []Record
-				for _, r := range source.GroupRecords(1) {
-					recs = append(recs, r.Shifted(-700).Shifted(700))
+				for _, record := range source.GroupRecords(1) {
+					recs = append(recs, record.Shifted(-700).Shifted(700))
 				}
 				if err := copied.Replace(recs...); err != nil {
 					t.Fatal(err)
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -70,17 +70,17 @@
 func usableBytes(budget int64) int64 { return budget - 4*blockSize }
 
 func openWithReserve(dir string, budget, reserve int64) (*Journal, error) {
-	j := newJournal(filepath.Join(dir, fileName), usableBytes(budget), reserve)
+	journal := newJournal(filepath.Join(dir, fileName), usableBytes(budget), reserve)
 	if err := removeLeftover(filepath.Join(dir, fenceName)); err != nil {
 		slog.Warn("journal", "err", err, "remedy", remedy.Of(err))
 	}
-	data, err := os.ReadFile(j.path)
+	data, err := os.ReadFile(journal.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
 	intactBytes := 0 // bytes up to the end of the last intact record
 	for offset := 0; offset < len(data); {
-		r, n, err := decodeFrame(data[offset:])
+		record, size, err := decodeFrame(data[offset:])
 		if err != nil {
 			// This is the end of the file that was being written when the process was killed, or damage: intact records behind it
 			// still belong to messages whose end is due.
@@ -89,22 +89,22 @@
 				break
 			}
 			slog.Warn("journal is damaged; skipping unreadable bytes", "at", offset, "bytes", skipped, "err", err)
-			j.markInDoubt()
-			j.damaged = true
+			journal.markInDoubt()
+			journal.damaged = true
 			offset += skipped
 			continue
 		}
-		j.apply(r, int64(n))
-		offset += n
+		journal.apply(record, int64(size))
+		offset += size
 		intactBytes = offset
 	}
 	// A leftover copy is of a compaction that a kill interrupted: the old file is still complete.
-	j.fileBytes = int64(len(data))
-	if err := j.Compact(); err != nil {
+	journal.fileBytes = int64(len(data))
+	if err := journal.Compact(); err != nil {
 		slog.Error("journal could not be compacted; continuing with the existing file", "err", err, "remedy", remedy.Of(err))
-		j.openExisting(int64(intactBytes))
+		journal.openExisting(int64(intactBytes))
 	}
-	return j, nil
+	return journal, nil
 }
 
 // markInDoubt assumes that each message known so far was sent, long ago, in records that are lost: it may not be sent again
@@ -118,38 +118,38 @@
 }
 
 // apply updates the state with one record of recordBytes bytes.
-func (j *Journal) apply(r Record, recordBytes int64) {
-	entry := j.entries[r.ID]
+func (j *Journal) apply(record Record, recordBytes int64) {
+	entry := j.entries[record.ID]
 	switch {
-	case r.Op == OpHealth && r.Flag:
-		if _, ok := j.outages[r.ID]; !ok {
+	case record.Op == OpHealth && record.Flag:
+		if _, ok := j.outages[record.ID]; !ok {
 			j.compactedBytes += historyBytes
 		}
-		j.outages[r.ID] = r
-	case r.Op == OpHealth:
-		if _, ok := j.outages[r.ID]; ok {
+		j.outages[record.ID] = record
+	case record.Op == OpHealth:
+		if _, ok := j.outages[record.ID]; ok {
 			j.compactedBytes -= historyBytes
 		}
-		delete(j.outages, r.ID)
-	case r.Op == OpDisabled:
-		if _, ok := j.disabledHosts[r.ID]; !ok {
+		delete(j.outages, record.ID)
+	case record.Op == OpDisabled:
+		if _, ok := j.disabledHosts[record.ID]; !ok {
 			j.compactedBytes += historyBytes
 		}
-		j.disabledHosts[r.ID] = r
-	case r.Op == OpRetryAfter:
-		if _, ok := j.retryAfters[r.ID]; !ok {
+		j.disabledHosts[record.ID] = record
+	case record.Op == OpRetryAfter:
+		if _, ok := j.retryAfters[record.ID]; !ok {
 			j.compactedBytes += historyBytes
 		}
-		j.retryAfters[r.ID] = r
-	case r.Op == OpGroupState && r.GroupState != nil:
-		j.setGroupState(*r.GroupState)
-	case r.Op == OpGroupNext:
-		if state, ok := j.groups[r.Group]; ok {
-			state.Next = max(state.Next, r.NextRecord)
-			j.groups[r.Group] = state
+		j.retryAfters[record.ID] = record
+	case record.Op == OpGroupState && record.GroupState != nil:
+		j.setGroupState(*record.GroupState)
+	case record.Op == OpGroupNext:
+		if state, ok := j.groups[record.Group]; ok {
+			state.Next = max(state.Next, record.NextRecord)
+			j.groups[record.Group] = state
 		}
-	case r.Op == OpAccepted && r.Entry != nil && j.entries[r.Entry.ID] == nil:
-		entry = r.Entry
+	case record.Op == OpAccepted && record.Entry != nil && j.entries[record.Entry.ID] == nil:
+		entry = record.Entry
 		entry.compactedBytes = recordBytes + historyBytes
 		j.compactedBytes += entry.compactedBytes
 		j.copyBytes[entry.Group] += entry.compactedBytes + historyBytes
@@ -158,20 +158,20 @@
 		entry.sequence = j.lastSequence
 		j.order = append(j.order, orderEntry{entry.ID, entry.sequence})
 	case entry == nil:
-	case r.Op == OpTry:
+	case record.Op == OpTry:
 		entry.Tries++
-		entry.InFlight, entry.LastTryAt, entry.LastTryZone, entry.TimeoutMs = true, r.At, r.Zone, r.WaitMs
-	case r.Op == OpOutcome && entry.InFlight:
+		entry.InFlight, entry.LastTryAt, entry.LastTryZone, entry.TimeoutMs = true, record.At, record.Zone, record.WaitMs
+	case record.Op == OpOutcome && entry.InFlight:
 		entry.InFlight = false
-		if r.Flag && !entry.MayHaveRun {
+		if record.Flag && !entry.MayHaveRun {
 			entry.MayHaveRun, entry.MayHaveRunAt, entry.Zone = true, entry.LastTryAt, entry.LastTryZone
 		}
-	case r.Op == OpNotice:
-		entry.NoticeStatus, entry.RetryAfterMs, entry.Body, entry.InFlight = r.Status, r.RetryAfterMs, nil, false
-	case r.Op == OpEnd:
+	case record.Op == OpNotice:
+		entry.NoticeStatus, entry.RetryAfterMs, entry.Body, entry.InFlight = record.Status, record.RetryAfterMs, nil, false
+	case record.Op == OpEnd:
 		j.compactedBytes -= entry.compactedBytes
 		j.releaseCopyBytes(entry)
-		delete(j.entries, r.ID)
+		delete(j.entries, record.ID)
 	}
 }
 
@@ -183,11 +183,11 @@
 	var buf []byte
 	var growth, reserve int64
 	recordBytes := make([]int64, len(records))
-	for i, r := range records {
+	for i, record := range records {
 		start := len(buf)
-		buf = appendFrame(buf, r)
+		buf = appendFrame(buf, record)
 		recordBytes[i] = int64(len(buf) - start)
-		switch r.Op {
+		switch record.Op {
 		case OpAccepted:
 			growth += recordBytes[i] + historyBytes
 			reserve = j.reserveBytes
@@ -224,8 +224,8 @@
 		return diskFailure("a record could not be written", err)
 	}
 	j.fileBytes += written
-	for i, r := range records {
-		j.apply(r, recordBytes[i])
+	for i, record := range records {
+		j.apply(record, recordBytes[i])
 	}
 	return nil
 }
--- a/internal/journal/journal_test.go
+++ b/internal/journal/journal_test.go
@@ -33,20 +33,20 @@
 
 func TestJournalReplay(t *testing.T) {
 	dir := t.TempDir()
-	j := mustOpen(t, dir, 3e6)
-	mustAppend(t, j, acceptedRecord("a", 10), acceptedRecord("b", 10), acceptedRecord("c", 10), acceptedRecord("d", 10))
-	mustAppend(t, j, Record{Op: OpTry, ID: "a", At: 5, WaitMs: 300, Zone: 2}, Record{Op: OpOutcome, ID: "a", Flag: true},
+	journal := mustOpen(t, dir, 3e6)
+	mustAppend(t, journal, acceptedRecord("a", 10), acceptedRecord("b", 10), acceptedRecord("c", 10), acceptedRecord("d", 10))
+	mustAppend(t, journal, Record{Op: OpTry, ID: "a", At: 5, WaitMs: 300, Zone: 2}, Record{Op: OpOutcome, ID: "a", Flag: true},
 		Record{Op: OpTry, ID: "a", At: 9, Zone: 1}, Record{Op: OpOutcome, ID: "a", Flag: true})
-	mustAppend(t, j, Record{Op: OpTry, ID: "b", At: 6, Zone: 1}, Record{Op: OpEnd, ID: "c"},
+	mustAppend(t, journal, Record{Op: OpTry, ID: "b", At: 6, Zone: 1}, Record{Op: OpEnd, ID: "c"},
 		Record{Op: OpNotice, ID: "d", Status: "deferred", RetryAfterMs: 700}, Record{Op: OpHealth, ID: "s-1", Flag: true, Base: 2, At: time.Now().UnixMilli()})
 	for range 2 { // the second time reads the compacted file
-		j = mustOpen(t, dir, 3e6)
-		wantEqual(t, "entries", len(j.entries), 3)
-		a, b, d := j.entries["a"], j.entries["b"], j.entries["d"]
+		journal = mustOpen(t, dir, 3e6)
+		wantEqual(t, "entries", len(journal.entries), 3)
+		a, b, d := journal.entries["a"], journal.entries["b"], journal.entries["d"]
 		wantEqual(t, "a", fmt.Sprint(a.Tries, a.MayHaveRun, a.MayHaveRunAt, a.Zone, a.InFlight, len(a.Body)), "2 true 5 2 false 10")
 		wantEqual(t, "b", fmt.Sprint(b.Tries, b.MayHaveRun, b.InFlight, b.LastTryAt, b.LastTryZone), "1 false true 6 1")
 		wantEqual(t, "d", fmt.Sprint(d.NoticeStatus, " ", d.RetryAfterMs), "deferred 700")
-		wantEqual(t, "host in an outage", j.outages["s-1"].Base, 2)
+		wantEqual(t, "host in an outage", journal.outages["s-1"].Base, 2)
 	}
 }
 
@@ -105,27 +105,27 @@
 // messages.
 func TestDiskBudget(t *testing.T) {
 	const budget = 1 << 20
-	j := mustOpen(t, t.TempDir(), budget)
+	journal := mustOpen(t, t.TempDir(), budget)
 	var err error
-	n := 0
-	for ; err == nil; n++ {
-		err = j.Append(acceptedRecord(fmt.Sprint("m", n), 5000))
-		if sum := j.fileBytes + j.compactedBytes + 2*blockSize; sum > budget {
+	accepted := 0
+	for ; err == nil; accepted++ {
+		err = journal.Append(acceptedRecord(fmt.Sprint("m", accepted), 5000))
+		if sum := journal.fileBytes + journal.compactedBytes + 2*blockSize; sum > budget {
 			t.Fatalf("the file and its copy may use %d of %d bytes", sum, budget)
 		}
 	}
 	if !errors.Is(err, ErrFull) {
 		t.Fatal(err)
 	}
-	for i := range n - 1 {
+	for i := range accepted - 1 {
 		id := fmt.Sprint("m", i)
-		mustAppend(t, j, Record{Op: OpTry, ID: id}, Record{Op: OpOutcome, ID: id}, Record{Op: OpNotice, ID: id, Status: "deferred"})
+		mustAppend(t, journal, Record{Op: OpTry, ID: id}, Record{Op: OpOutcome, ID: id}, Record{Op: OpNotice, ID: id, Status: "deferred"})
 	}
-	for i := range n - 1 {
-		mustAppend(t, j, Record{Op: OpEnd, ID: fmt.Sprint("m", i)})
+	for i := range accepted - 1 {
+		mustAppend(t, journal, Record{Op: OpEnd, ID: fmt.Sprint("m", i)})
 	}
-	wantEqual(t, "live bytes", j.compactedBytes, 0)
-	mustAppend(t, j, acceptedRecord("again", 5000))
+	wantEqual(t, "live bytes", journal.compactedBytes, 0)
+	mustAppend(t, journal, acceptedRecord("again", 5000))
 }
 
 // openReadOnly returns the journal's file, opened so that each write to it fails.
@@ -160,31 +160,31 @@
 // a file that another process owns.
 func TestPartialRecordIsTruncatedLater(t *testing.T) {
 	dir := t.TempDir()
-	j := mustOpen(t, dir, 3e6)
-	mustAppend(t, j, acceptedRecord("a", 10))
-	writable, unwritable := j.file, openReadOnly(t, j)
+	journal := mustOpen(t, dir, 3e6)
+	mustAppend(t, journal, acceptedRecord("a", 10))
+	writable, unwritable := journal.file, openReadOnly(t, journal)
 	half := appendFrame(nil, acceptedRecord("b", 10))[:20]
-	if _, err := writable.WriteAt(half, j.fileBytes); err != nil {
+	if _, err := writable.WriteAt(half, journal.fileBytes); err != nil {
 		t.Fatal(err)
 	}
-	j.file = unwritable
+	journal.file = unwritable
 	for range 2 {
-		if err := j.Append(acceptedRecord("b", 10)); err == nil {
+		if err := journal.Append(acceptedRecord("b", 10)); err == nil {
 			t.Fatal("a write to a read-only file succeeded")
 		}
 	}
-	j.file = writable
-	mustAppend(t, j, acceptedRecord("c", 10), acceptedRecord("d", 500))
+	journal.file = writable
+	mustAppend(t, journal, acceptedRecord("c", 10), acceptedRecord("d", 500))
 	wantEqual(t, "entries after the next start", len(mustOpen(t, dir, 3e6).entries), 3)
 
-	j = mustOpen(t, dir, 3e6)
-	writable, j.file = j.file, unwritable
-	if err := j.Append(acceptedRecord("e", 10)); err == nil {
+	journal = mustOpen(t, dir, 3e6)
+	writable, journal.file = journal.file, unwritable
+	if err := journal.Append(acceptedRecord("e", 10)); err == nil {
 		t.Fatal("a write to a read-only file succeeded")
 	}
-	j.file = writable
-	j.StopWriting(errors.New("another process owns the file"))
-	if err := j.Append(acceptedRecord("e", 10)); err == nil {
+	journal.file = writable
+	journal.StopWriting(errors.New("another process owns the file"))
+	if err := journal.Append(acceptedRecord("e", 10)); err == nil {
 		t.Error("a record was written to a file that another process may own")
 	}
 }
@@ -211,17 +211,17 @@
 // Guards against outages that are stored for ever, of hosts that left the discovery list before they recovered: each takes
 // space from the messages, and each release of the destination adds one.
 func TestOldOutagesExpire(t *testing.T) {
-	j := mustOpen(t, t.TempDir(), 3e6)
+	journal := mustOpen(t, t.TempDir(), 3e6)
 	expired := time.Now().Add(-2 * outageExpiry).UnixMilli()
 	for i := range 500 {
-		mustAppend(t, j, Record{Op: OpHealth, ID: fmt.Sprint("s-", i), Flag: true, At: expired})
+		mustAppend(t, journal, Record{Op: OpHealth, ID: fmt.Sprint("s-", i), Flag: true, At: expired})
 	}
-	mustAppend(t, j, Record{Op: OpHealth, ID: "s-new", Flag: true, At: time.Now().UnixMilli()})
-	if err := j.Compact(); err != nil {
+	mustAppend(t, journal, Record{Op: OpHealth, ID: "s-new", Flag: true, At: time.Now().UnixMilli()})
+	if err := journal.Compact(); err != nil {
 		t.Fatal(err)
 	}
-	wantEqual(t, "outages", len(j.outages), 1)
-	wantEqual(t, "bytes that they use", j.compactedBytes, int64(historyBytes))
+	wantEqual(t, "outages", len(journal.outages), 1)
+	wantEqual(t, "bytes that they use", journal.compactedBytes, int64(historyBytes))
 }
 
 func wantEqual[T comparable](t *testing.T, what string, got, want T) {
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -92,22 +92,22 @@
 
 // decodeFrame decodes the record at the start of data and returns its length. For a truncated or corrupt record it returns
 // an error; the start of the next record cannot be derived from it.
-func decodeFrame(data []byte) (r Record, n int, err error) {
+func decodeFrame(data []byte) (record Record, n int, err error) {
 	if len(data) < frameHeaderSize {
-		return r, 0, errors.New("torn header")
+		return record, 0, errors.New("torn header")
 	}
 	size := binary.LittleEndian.Uint32(data)
 	if size > maxRecordBytes || int(size) > len(data)-frameHeaderSize {
-		return r, 0, errors.New("torn record")
+		return record, 0, errors.New("torn record")
 	}
 	payload := data[frameHeaderSize : frameHeaderSize+int(size)]
 	if crc32.ChecksumIEEE(payload) != binary.LittleEndian.Uint32(data[4:]) {
-		return r, 0, errors.New("checksum differs")
+		return record, 0, errors.New("checksum differs")
 	}
-	if err := json.Unmarshal(payload, &r); err != nil {
-		return r, 0, err
+	if err := json.Unmarshal(payload, &record); err != nil {
+		return record, 0, err
 	}
-	return r, frameHeaderSize + int(size), nil
+	return record, frameHeaderSize + int(size), nil
 }
 
 // findNextFrame returns the offset of the next intact record behind a damaged one, or -1.
--- a/internal/journal/scale_test.go
+++ b/internal/journal/scale_test.go
@@ -35,7 +35,7 @@
 // openFilled returns a journal with that budget in bytes and that many pending messages.
 func openFilled(tb testing.TB, dir string, budget int64, messages int) *Journal {
 	tb.Helper()
-	j, err := Open(dir, budget)
+	journal, err := Open(dir, budget)
 	if err != nil {
 		tb.Fatal(err)
 	}
@@ -44,11 +44,11 @@
 		for ; i < messages && len(records) < 1000; i++ {
 			records = append(records, entryWithTerms(fmt.Sprintf("held%08d", i)))
 		}
-		if err := j.Append(records...); err != nil {
+		if err := journal.Append(records...); err != nil {
 			tb.Fatal(i, err)
 		}
 	}
-	return j
+	return journal
 }
 
 // passMessage accepts, tries and ends one message. It returns the bytes written for it, and the bytes that compactions on
@@ -103,10 +103,10 @@
 // BenchmarkScaleStartByHeld measures a start by the number of pending messages: its time, the bytes it allocates, and those
 // that stay allocated. The file is in the page cache.
 func BenchmarkScaleStartByHeld(b *testing.B) {
-	for _, n := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, messages := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
+		b.Run(fmt.Sprint(messages), func(b *testing.B) {
 			dir := b.TempDir()
-			openFilled(b, dir, 4e9, n).Close()
+			openFilled(b, dir, 4e9, messages).Close()
 			info, err := os.Stat(filepath.Join(dir, "journal"))
 			if err != nil {
 				b.Fatal(err)
@@ -114,27 +114,27 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			j, err := Open(dir, 4e9)
-			if err != nil || j.Len() != n {
-				b.Fatal(j.Len(), err)
+			journal, err := Open(dir, 4e9)
+			if err != nil || journal.Len() != messages {
+				b.Fatal(journal.Len(), err)
 			}
 			runtime.ReadMemStats(&after)
 			allocated := after.TotalAlloc - before.TotalAlloc
 			runtime.GC()
 			runtime.ReadMemStats(&after)
 			retained := float64(after.HeapAlloc) - float64(before.HeapAlloc)
-			j.Close()
+			journal.Close()
 			for b.Loop() {
-				j, err := Open(dir, 4e9)
-				if err != nil || j.Len() != n {
-					b.Fatal(j.Len(), err)
+				journal, err := Open(dir, 4e9)
+				if err != nil || journal.Len() != messages {
+					b.Fatal(journal.Len(), err)
 				}
-				j.Close()
+				journal.Close()
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/held")
-			b.ReportMetric(float64(info.Size())/float64(n), "file-B/held")
-			b.ReportMetric(retained/float64(n), "B/held")
-			b.ReportMetric(float64(allocated)/float64(n), "alloc-B/held")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(messages), "ns/held")
+			b.ReportMetric(float64(info.Size())/float64(messages), "file-B/held")
+			b.ReportMetric(retained/float64(messages), "B/held")
+			b.ReportMetric(float64(allocated)/float64(messages), "alloc-B/held")
 		})
 	}
 }
@@ -159,23 +159,23 @@
 // a start finds all messages.
 func TestScaleBenchmarkSetup(t *testing.T) {
 	dir := t.TempDir()
-	j := openFilled(t, dir, 1e6, 100)
+	journal := openFilled(t, dir, 1e6, 100)
 	var written, rewritten int64
-	n := 0
+	passed := 0
 	for rewritten == 0 {
-		w, a := passMessage(t, j, n)
+		w, a := passMessage(t, journal, passed)
 		written, rewritten = written+w, rewritten+a
-		n++
+		passed++
 	}
-	if j.Len() != 100 || n < 500 || written < 700*int64(n) || rewritten < 100*500 || rewritten > 100*1000 {
-		t.Errorf("%d messages pending, want 100; %d passed with %d bytes, and %d bytes were written again", j.Len(), n, written, rewritten)
+	if journal.Len() != 100 || passed < 500 || written < 700*int64(passed) || rewritten < 100*500 || rewritten > 100*1000 {
+		t.Errorf("%d messages pending, want 100; %d passed with %d bytes, and %d bytes were written again", journal.Len(), passed, written, rewritten)
 	}
-	if err := j.Compact(); err != nil || j.Len() != 100 {
-		t.Errorf("%d messages pending after compaction, %v", j.Len(), err)
+	if err := journal.Compact(); err != nil || journal.Len() != 100 {
+		t.Errorf("%d messages pending after compaction, %v", journal.Len(), err)
 	}
-	j.Close()
-	if j = openFilled(t, dir, 1e6, 0); j.Len() != 100 {
-		t.Errorf("%d messages after a start, want 100", j.Len())
+	journal.Close()
+	if journal = openFilled(t, dir, 1e6, 0); journal.Len() != 100 {
+		t.Errorf("%d messages after a start, want 100", journal.Len())
 	}
-	j.Close()
+	journal.Close()
 }
