--- a/internal/backlog/many_test.go
+++ b/internal/backlog/many_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// Guards against thousands of destinations with few messages each that use a file descriptor each.
+// Guards against thousands of destinations with few messages each that use a file descriptor each, or that require a walk
+// over all of them.
 func TestManySmallDestinations(t *testing.T) {
 	const dests = 1000
 	dir, openBefore := t.TempDir(), countOpenFiles(t)
--- a/internal/backlog/table_test.go
+++ b/internal/backlog/table_test.go
@@ -95,8 +95,8 @@
 }
 
 // checkKilledSplits adds slots, of which two in three are stale if remainder is zero, until a page is full for the first
-// time after splitsBefore others. If splitsBefore is 1, the page is written where an older one was, so a partial write is not at the end of
-// the file.
+// time after splitsBefore others. If splitsBefore is 1, the page is written where an older one was, so a partial write is
+// not at the end of the file.
 func checkKilledSplits(t *testing.T, steps, remainder, splitsBefore int) {
 	for killStep := range steps + 1 {
 		dir := t.TempDir()
