--- a/internal/hollow/figures_test.go
+++ b/internal/hollow/figures_test.go
@@ -18,9 +18,9 @@
 	settled   bool
 	elections int
 	note      string
-	members   proc.Use // of all processes together
+	members   proc.Usage // of all processes together
 	bytes     int64
-	keepers   []proc.Use
+	keepers   []proc.Usage
 	io        []int64 // bytes that each keeper has read and written, on its disk too
 }
 
@@ -37,7 +37,7 @@
 		p.mu.Unlock()
 	}
 	if u.keepers == nil {
-		u.keepers, u.io = make([]proc.Use, len(p.keepers.up)), make([]int64, len(p.keepers.up))
+		u.keepers, u.io = make([]proc.Usage, len(p.keepers.up)), make([]int64, len(p.keepers.up))
 	}
 	for i, k := range p.keepers.up {
 		if now, err := k.Usage(); err == nil {
--- a/internal/hollow/keepers_test.go
+++ b/internal/hollow/keepers_test.go
@@ -55,14 +55,14 @@
 	k.wan = NewWAN(all, distances)
 	t.Cleanup(k.wan.Net.Close)
 	var mu sync.Mutex
-	by := map[string]*link.Shared{}
-	who := func(ip string) *link.Shared {
+	by := map[string]*link.SharedFront{}
+	who := func(ip string) *link.SharedFront {
 		mu.Lock()
 		defer mu.Unlock()
 		return by[ip]
 	}
-	share := func(i, port int) *link.Shared {
-		s, err := k.wan.Net.Share(name(i), k.ip(i), fmt.Sprintf("%s:%d", k.ip(i), port), who)
+	share := func(i, port int) *link.SharedFront {
+		s, err := k.wan.Net.ShareProcess(name(i), k.ip(i), fmt.Sprintf("%s:%d", k.ip(i), port), who)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -161,7 +161,7 @@
 			return
 		case <-tick.C:
 		}
-		if err := p.wan.Net.Trouble(); err != nil {
+		if err := p.wan.Net.Failure(); err != nil {
 			p.failed(err)
 		}
 		p.mu.Lock()
--- a/internal/hollow/wan.go
+++ b/internal/hollow/wan.go
@@ -57,8 +57,8 @@
 	if a == b || d == (Distance{}) {
 		return
 	}
-	f := &link.Faults{Delay: d.Delay, Spread: d.Spread, Resent: d.Lost, ResentIn: max(resentLeast, 2*d.Delay+d.Spread)}
-	l.Put("distance", f, f)
+	f := &link.Faults{Delay: d.Delay, Jitter: d.Spread, RetransmitShare: d.Lost, RetransmitDelay: max(resentLeast, 2*d.Delay+d.Spread)}
+	l.SetNamed("distance", f, f)
 }
 
 // Cut cuts a region off from the others, or mends it.
@@ -75,11 +75,11 @@
 // Sever cuts a link, or mends it.
 func Sever(l *link.Link, on bool) {
 	if !on {
-		l.Put("cut", nil, nil)
+		l.SetNamed("cut", nil, nil)
 		return
 	}
 	f := &link.Faults{Cut: true}
-	l.Put("cut", f, f)
+	l.SetNamed("cut", f, f)
 }
 
 // Bytes is what has been read and written by connections that were opened from here.
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -92,7 +92,7 @@
 		if keepers > 0 { // the deploy file builds what a relay's machine needs
 			d.Build += " && go build -o bin/ ./cmd/larchkeeper"
 		}
-		if err := d.Built(ctx); err != nil {
+		if err := d.RunBuild(ctx); err != nil {
 			return o, err
 		}
 	}
--- a/internal/lab/cores.go
+++ b/internal/lab/cores.go
@@ -8,7 +8,7 @@
 	if shared == 0 {
 		return nil, func() {}, nil
 	}
-	all, err := proc.Usable()
+	all, err := proc.UsableCores()
 	if err != nil {
 		return nil, nil, err
 	}
@@ -16,8 +16,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := own.Keep(); err != nil {
+	if err := own.Pin(); err != nil {
 		return nil, nil, err
 	}
-	return relays, func() { all.Keep() }, nil
+	return relays, func() { all.Pin() }, nil
 }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -48,7 +48,7 @@
 	w.on[name] = len(w.spans)
 	w.spans = append(w.spans, Span{From: float64(began) / 1e6, Text: text})
 	w.mu.Unlock()
-	begin := history.Event{Kind: history.Fault, How: "begin", Text: text}
+	begin := history.Event{Kind: history.Fault, Detail: "begin", Text: text}
 	if f.To != "" {
 		begin.State = history.Lossy
 	}
@@ -69,7 +69,7 @@
 	w.spans[w.on[name]].To = float64(w.clock.Now()) / 1e6
 	delete(w.on, name)
 	w.mu.Unlock()
-	w.record(history.Event{Kind: history.Fault, How: "end", Text: text})
+	w.record(history.Event{Kind: history.Fault, Detail: "end", Text: text})
 }
 
 func (w *world) rest(ctx context.Context, length scenario.Duration) {
@@ -84,18 +84,18 @@
 func (w *world) onLinks(name string, f scenario.Fault, from, to []scenario.Party, on bool) {
 	var fault *link.Faults
 	if on {
-		fault = &link.Faults{Cut: f.Kind == "cut", Refused: f.Kind == "refuse", Reset: f.Kind == "reset", ResetAt: f.Bytes, HalfOpen: f.Kind == "halfopen"}
+		fault = &link.Faults{Cut: f.Kind == "cut", Refused: f.Kind == "refuse", Reset: f.Kind == "reset", ResetAfterBytes: f.Bytes, HalfOpen: f.Kind == "halfopen"}
 		switch f.Kind {
 		case "delay":
-			fault.Delay, fault.Spread = time.Duration(f.By), time.Duration(f.Spread)
+			fault.Delay, fault.Jitter = time.Duration(f.By), time.Duration(f.Spread)
 		case "slow":
-			fault.Rate = f.Rate
+			fault.BytesPerSecond = f.Rate
 		case "drop":
-			fault.Loss = f.Part
+			fault.LossShare = f.Part
 		case "silence":
 			fault.SilentBefore = time.Now()
 		case "lateclose":
-			fault.LateClose = time.Duration(f.By)
+			fault.CloseDelay = time.Duration(f.By)
 		}
 	}
 	in := func(parties []scenario.Party) func(string) bool {
@@ -115,7 +115,7 @@
 		if back {
 			ways[1] = fault
 		}
-		g.Go(func() error { l.Put(name, ways[0], ways[1]); return nil })
+		g.Go(func() error { l.SetNamed(name, ways[0], ways[1]); return nil })
 	}
 	for _, l := range w.net.Links(in(from), in(to)) {
 		put(l, true, f.Both)
--- a/internal/lab/history/recorder.go
+++ b/internal/lab/history/recorder.go
@@ -9,25 +9,24 @@
 	"time"
 )
 
-// Events are put in order and kept.
+// reorderWindow is by how many microseconds events may arrive out of order. A party takes the time first and records the event
+// afterwards; the delay between the two depends on the scheduler.
+const reorderWindow = int64(2 * time.Second / time.Microsecond)
 
-// settle is how far events may come out of order. Parties stamp first and record then; what lies between is
-// the scheduler's.
-const settle = int64(2 * time.Second / time.Microsecond)
-
-// Recorder takes events from all parties, puts them in order of their stamps and passes them on to a file and
-// to whoever else reads. It holds as many as come within two seconds.
+// Recorder receives events from all parties, orders them by time and writes them to a file and to its sinks. It buffers the
+// events of the last two seconds. Its methods may be called concurrently, but Add not after Close.
 type Recorder struct {
-	in     chan Event
+	events chan Event
 	done   chan error
 	sinks  []func(Event)
 	out    *bufio.Writer
 	closer io.Closer
 }
 
-// NewRecorder records to w, which may be nil, and has each sink see each event, in order.
+// NewRecorder returns a recorder that writes to w, which may be nil, and calls each sink with each event, in order. It closes w
+// at the end.
 func NewRecorder(w io.WriteCloser, sinks ...func(Event)) *Recorder {
-	r := &Recorder{in: make(chan Event, 4096), done: make(chan error, 1), sinks: sinks}
+	r := &Recorder{events: make(chan Event, 4096), done: make(chan error, 1), sinks: sinks}
 	if w != nil {
 		r.out, r.closer = bufio.NewWriterSize(w, 1<<18), w
 	}
@@ -35,25 +34,26 @@
 	return r
 }
 
-// Add records an event. It waits while the recorder is behind.
-func (r *Recorder) Add(e Event) { r.in <- e }
+// Add records an event. It blocks while the recorder's queue is full.
+func (r *Recorder) Add(e Event) { r.events <- e }
 
-// Close records what is there, after which no event may be added.
+// Close writes all buffered events and returns the first write error and those of flushing and closing. No event may be added
+// afterwards.
 func (r *Recorder) Close() error {
-	close(r.in)
+	close(r.events)
 	return <-r.done
 }
 
 func (r *Recorder) run() {
-	var late order
-	var n uint64
+	var pending eventHeap
+	var seq uint64
 	var newest int64
 	var failed error
 	var enc *json.Encoder
 	if r.out != nil {
 		enc = json.NewEncoder(r.out)
 	}
-	pass := func(e Event) {
+	emit := func(e Event) {
 		if enc != nil && failed == nil {
 			failed = enc.Encode(e)
 		}
@@ -61,16 +61,16 @@
 			sink(e)
 		}
 	}
-	for e := range r.in {
-		newest = max(newest, e.T)
-		n++
-		heap.Push(&late, numbered{e, n})
-		for len(late) > 0 && late[0].T <= newest-settle {
-			pass(heap.Pop(&late).(numbered).Event)
+	for e := range r.events {
+		newest = max(newest, e.At)
+		seq++
+		heap.Push(&pending, sequencedEvent{e, seq})
+		for len(pending) > 0 && pending[0].At <= newest-reorderWindow {
+			emit(heap.Pop(&pending).(sequencedEvent).Event)
 		}
 	}
-	for len(late) > 0 {
-		pass(heap.Pop(&late).(numbered).Event)
+	for len(pending) > 0 {
+		emit(heap.Pop(&pending).(sequencedEvent).Event)
 	}
 	if r.out != nil {
 		failed = errors.Join(failed, r.out.Flush(), r.closer.Close())
@@ -78,21 +78,21 @@
 	r.done <- failed
 }
 
-// order is a heap by time, and by arrival where times are equal.
-type order []numbered
+// eventHeap is a heap ordered by time, and by arrival for equal times.
+type eventHeap []sequencedEvent
 
-type numbered struct {
+type sequencedEvent struct {
 	Event
-	n uint64
+	seq uint64
 }
 
-func (o order) Len() int { return len(o) }
-func (o order) Less(i, j int) bool {
-	return o[i].T < o[j].T || o[i].T == o[j].T && o[i].n < o[j].n
+func (o eventHeap) Len() int { return len(o) }
+func (o eventHeap) Less(i, j int) bool {
+	return o[i].At < o[j].At || o[i].At == o[j].At && o[i].seq < o[j].seq
 }
-func (o order) Swap(i, j int) { o[i], o[j] = o[j], o[i] }
-func (o *order) Push(x any)   { *o = append(*o, x.(numbered)) }
-func (o *order) Pop() any {
+func (o eventHeap) Swap(i, j int) { o[i], o[j] = o[j], o[i] }
+func (o *eventHeap) Push(x any)   { *o = append(*o, x.(sequencedEvent)) }
+func (o *eventHeap) Pop() any {
 	last := (*o)[len(*o)-1]
 	*o = (*o)[:len(*o)-1]
 	return last
--- a/internal/lab/history/slowstart.go
+++ b/internal/lab/history/slowstart.go
@@ -2,13 +2,14 @@
 
 import "math"
 
-// smallAllowance is the number of calls below which chance is given more room.
-const smallAllowance = 30
+// smallAllowanceCalls is the number of calls below which the tolerance for random variation is larger.
+const smallAllowanceCalls = 30
 
-// SlowStartMost is how many calls a destination in slow start may get in a span at most, from all relays together, where its
-// settings allow it so many: twice the root and 2 more, below 30 three times the root and 3 more. It holds for fleets of any size.
-func SlowStartMost(allowed float64) float64 {
-	if allowed < smallAllowance {
+// SlowStartMaxCalls returns how many calls a destination in slow start may receive in a span at most, from all relays together,
+// if its settings allow it the given number: that number plus twice its square root plus 2, or, below 30, plus three times its
+// square root plus 3. It applies to fleets of any size.
+func SlowStartMaxCalls(allowed float64) float64 {
+	if allowed < smallAllowanceCalls {
 		return allowed + 3*math.Sqrt(allowed) + 3
 	}
 	return allowed + 2*math.Sqrt(allowed) + 2
--- a/internal/lab/keeper.go
+++ b/internal/lab/keeper.go
@@ -41,18 +41,18 @@
 type parties struct {
 	w  *world
 	mu sync.Mutex
-	by map[string]*link.Shared // by address
+	by map[string]*link.SharedFront // by address
 }
 
-func (p *parties) who(ip string) *link.Shared {
+func (p *parties) who(ip string) *link.SharedFront {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.by[ip]
 }
 
 // share opens a front for a process.
-func (p *parties) share(name, target string) (*link.Shared, error) {
-	return p.w.net.Share(name, p.w.block.sharedIP(), target, p.who)
+func (p *parties) share(name, target string) (*link.SharedFront, error) {
+	return p.w.net.ShareProcess(name, p.w.block.sharedIP(), target, p.who)
 }
 
 // add lets a party that sends from an address reach the others.
@@ -93,7 +93,7 @@
 	if w.options.Keeper == "" {
 		return errors.New("nothing says how a keeper is started")
 	}
-	w.parties = &parties{w: w, by: map[string]*link.Shared{}}
+	w.parties = &parties{w: w, by: map[string]*link.SharedFront{}}
 	if err := w.parties.add(operator, w.block.operatorIP(), w.block.operatorIP()+":1"); err != nil {
 		return err
 	}
@@ -193,9 +193,9 @@
 func (k *keeper) begin(ctx context.Context) error {
 	k.n++
 	log := filepath.Join(k.dir, fmt.Sprintf("log-%d.txt", k.n))
-	k.w.record(history.Event{Kind: history.Proc, Proc: k.name, How: "start"})
+	k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, Detail: "start"})
 	p, err := proc.Start(proc.Spec{Name: k.name, Command: k.w.options.Keeper + " --config " + k.configPath(), Dir: k.w.options.Root, Env: k.w.options.Env,
-		Sockets: 4096, Log: log}, func(p *proc.Process) { k.w.ended(k.name, p, log) })
+		MaxDescriptors: 4096, Log: log}, func(p *proc.Process) { k.w.ended(k.name, p, log) })
 	if err != nil {
 		return err
 	}
@@ -222,7 +222,7 @@
 			return fmt.Errorf("%s cannot serve after %s: %w", k.name, readyIn, err)
 		}
 	}
-	k.w.record(history.Event{Kind: history.Proc, Proc: k.name, PID: p.PID, How: "ready"})
+	k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: p.PID, Detail: "ready"})
 	return nil
 }
 
@@ -234,11 +234,11 @@
 		return nil
 	}
 	if kill {
-		k.w.record(history.Event{Kind: history.Proc, Proc: k.name, PID: k.now.PID, How: "kill"})
+		k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: k.now.PID, Detail: "kill"})
 		k.now.Kill()
 	} else {
-		k.w.record(history.Event{Kind: history.Proc, Proc: k.name, PID: k.now.PID, How: "term"})
-		k.now.End(killAfter)
+		k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: k.now.PID, Detail: "term"})
+		k.now.Terminate(killAfter)
 	}
 	k.now = nil
 	k.mu.Unlock()
@@ -269,7 +269,7 @@
 	if k.paused {
 		k.now.Signal(syscall.SIGCONT, false)
 	}
-	k.now.End(killAfter)
+	k.now.Terminate(killAfter)
 	k.now = nil
 }
 
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -57,7 +57,7 @@
 
 // record adds an event, which is stamped now.
 func (w *world) record(e history.Event) {
-	e.T = w.clock.Now()
+	e.At = w.clock.Now()
 	w.add(e)
 }
 
@@ -91,7 +91,7 @@
 	if o.Draw != nil {
 		w.draw = o.Draw
 	}
-	if w.dir, err = proc.Folder(folderIn(o.Folder)); err != nil {
+	if w.dir, err = proc.NewRunDir(folderIn(o.Folder)); err != nil {
 		return nil, err
 	}
 	if w.block, err = takeBlock(); err != nil {
--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -9,175 +9,179 @@
 	"time"
 )
 
-// newConn makes a connection of a link, whole before the link knows of it: it may be reset from then on.
-func (l *Link) newConn(sock, far *net.TCPConn, dialled bool) *Conn {
-	c := &Conn{link: l, sock: sock, far: far, dialled: dialled, gone: make(chan struct{})}
-	c.in, c.out = newQueue(&l.there), newQueue(&l.back)
-	if dialled { // the process is at the far end: what it sends is the way back
-		c.in, c.out = c.out, c.in
+// newConn creates a connection and registers it with the link. It is complete before it is registered, because from
+// then on a fault may reset it.
+func (l *Link) newConn(sock, target *net.TCPConn, openedByParty bool) *Conn {
+	c := &Conn{link: l, socket: sock, target: target, openedByParty: openedByParty, peerClosed: make(chan struct{})}
+	c.fromPeer, c.toPeer = newQueue(&l.forward), newQueue(&l.reverse)
+	if openedByParty { // the process is the link's To party: what it sends travels in the reverse direction
+		c.fromPeer, c.toPeer = c.toPeer, c.fromPeer
 	}
-	c.in.onReset, c.out.onReset = c.breakOff, c.breakOff
+	c.fromPeer.onReset, c.toPeer.onReset = c.breakConn, c.breakConn
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.over {
-		c.in.reset()
-		c.out.reset()
+	if l.closed {
+		c.fromPeer.reset()
+		c.toPeer.reset()
 	}
 	l.conns[c] = struct{}{}
 	return c
 }
 
-// Conn is one connection through a link. A party of the lab reads and writes it as its end.
+// Conn is one connection through a link. The socket of the process under test (the peer) ends at the link's front; an
+// emulated party uses Conn itself as its end of the connection.
 type Conn struct {
-	link    *Link
-	in      *queue // what the process at the front sends
-	out     *queue // what it is sent
-	sock    *net.TCPConn
-	far     *net.TCPConn // a process at the other end
-	dialled bool
-
-	rest   []byte
-	came   int64 // of what Read returned last
-	once   sync.Once
-	gone   chan struct{}
-	goneAt atomic.Int64
-	shut   atomic.Bool
-	half   atomic.Bool // the lab's party has ended its sending, and reads on
-	broken atomic.Bool // by the lab or one of its faults
-	// sent is how many bytes have been sent on their way to the front, written how many of them have been written there.
+	link          *Link
+	fromPeer      *queue // bytes that the peer sends
+	toPeer        *queue // bytes that are sent to the peer
+	socket        *net.TCPConn
+	target        *net.TCPConn // socket of the process at the other end; nil if an emulated party holds it
+	openedByParty bool         // the emulated party opened the connection, not the peer
+
+	unread         []byte
+	receivedAt     int64 // when the bytes that Read returned last were read at the front, on the run's clock
+	peerClosedOnce sync.Once
+	peerClosed     chan struct{}
+	peerClosedAt   atomic.Int64
+	closed         atomic.Bool
+	writeClosed    atomic.Bool // the emulated party has ended its sending and still reads
+	broken         atomic.Bool // reset by the lab or by one of its faults
+	// sent counts the bytes that were queued for the peer, written those that were written to its socket.
 	sent, written atomic.Uint64
 }
 
-// Peer is the name of the process at the front.
+// Peer returns the name of the process under test.
 func (c *Conn) Peer() string {
-	if c.dialled {
+	if c.openedByParty {
 		return c.link.To
 	}
 	return c.link.From
 }
 
-// Read reads what came through.
+// Read reads bytes that the peer sent, once the link has delivered them.
 func (c *Conn) Read(p []byte) (int, error) {
-	if len(c.rest) == 0 {
-		got, err := c.in.pop(64 << 10)
+	if len(c.unread) == 0 {
+		got, err := c.fromPeer.pop(64 << 10)
 		if err != nil {
 			return 0, err
 		}
 		if got.end != nil {
-			return 0, got.eof()
+			return 0, got.readError()
 		}
-		c.rest, c.came = got.data, got.came
+		c.unread, c.receivedAt = got.data, got.receivedAt
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
-// Came is when what Read returned last was read at the front, on the run's clock.
-func (c *Conn) Came() int64 { return c.came }
+// ReceivedAt returns when the bytes that Read returned last were read at the front, in microseconds on the run's clock.
+func (c *Conn) ReceivedAt() int64 { return c.receivedAt }
 
-// Write sends bytes on their way.
+// Write queues bytes for the peer.
 func (c *Conn) Write(p []byte) (int, error) { return len(p), c.Send(p, nil) }
 
-// Send sends bytes on their way, and tells when the last of them was written at the front, or that it never was.
-func (c *Conn) Send(p []byte, after func(at int64, ok bool)) error {
+// Send queues bytes for the peer. If done is not nil, it is called when the last byte is about to be written at the front, with
+// the time in microseconds on the run's clock and whether the write succeeded, or with ok false if the bytes are discarded.
+func (c *Conn) Send(p []byte, done func(at int64, ok bool)) error {
 	c.sent.Add(uint64(len(p)))
-	return c.out.push(chunk{data: append([]byte(nil), p...), came: c.link.net.Clock.Now(), after: after})
+	return c.toPeer.push(chunk{data: append([]byte(nil), p...), receivedAt: c.link.net.Clock.Now(), done: done})
 }
 
-// SetReadDeadline bounds Read.
+// SetReadDeadline sets the time at which Read fails with os.ErrDeadlineExceeded; zero means none. It always returns nil.
 func (c *Conn) SetReadDeadline(t time.Time) error {
-	c.in.setDeadline(t)
+	c.fromPeer.setDeadline(t)
 	return nil
 }
 
-// CloseWrite ends the sending of the lab's party once what is on its way has come, and lets it read on.
+// CloseWrite ends the sending direction after the queued bytes are delivered. Reading goes on.
 func (c *Conn) CloseWrite() {
-	if !c.half.Swap(true) {
-		c.out.end(io.EOF, c.link.net.Clock.Now())
+	if !c.writeClosed.Swap(true) {
+		c.toPeer.pushEnd(io.EOF, c.link.net.Clock.Now())
 	}
 }
 
-// Close ends the connection in order: what is on its way still comes.
+// Close ends the connection in order: queued bytes are still delivered. After CloseWrite it closes the socket at once.
 func (c *Conn) Close() error {
-	if c.shut.Swap(true) {
+	if c.closed.Swap(true) {
 		return nil
 	}
-	if c.half.Load() {
-		return c.sock.Close()
+	if c.writeClosed.Load() {
+		return c.socket.Close()
 	}
-	c.out.end(io.EOF, c.link.net.Clock.Now())
+	c.toPeer.pushEnd(io.EOF, c.link.net.Clock.Now())
 	return nil
 }
 
-// Abort resets the connection.
+// Abort resets the connection and discards all queued bytes.
 func (c *Conn) Abort() {
-	c.shut.Store(true)
-	c.in.reset()
-	c.out.reset()
-	if c.far != nil {
-		abort(c.far)
+	c.closed.Store(true)
+	c.fromPeer.reset()
+	c.toPeer.reset()
+	if c.target != nil {
+		abort(c.target)
 	}
-	if c.sock != nil {
-		abort(c.sock)
+	if c.socket != nil {
+		abort(c.socket)
 	}
-	c.leave()
+	c.markPeerClosed()
 }
 
-// breakOff resets the connection as a fault of the network does.
-func (c *Conn) breakOff() {
+// breakConn resets the connection as a network fault does.
+func (c *Conn) breakConn() {
 	c.broken.Store(true)
 	c.Abort()
 }
 
-// Broken tells whether the network broke the connection, and not the process at the front.
+// Broken reports whether the network reset the connection, rather than the peer.
 func (c *Conn) Broken() bool { return c.broken.Load() }
 
-// Gone is closed once the process at the front has ended its sending, whether the other end has heard or not.
-func (c *Conn) Gone() <-chan struct{} { return c.gone }
+// PeerClosed returns a channel that is closed once the peer has ended its sending, whether or not the link has delivered
+// that end to the other side.
+func (c *Conn) PeerClosed() <-chan struct{} { return c.peerClosed }
 
-// GoneAt is when that was.
-func (c *Conn) GoneAt() int64 { return c.goneAt.Load() }
+// PeerClosedAt returns when the peer ended its sending, in microseconds on the run's clock; 0 if it has not.
+func (c *Conn) PeerClosedAt() int64 { return c.peerClosedAt.Load() }
 
-func (c *Conn) leave() {
-	c.once.Do(func() {
-		c.goneAt.Store(c.link.net.Clock.Now())
-		close(c.gone)
+func (c *Conn) markPeerClosed() {
+	c.peerClosedOnce.Do(func() {
+		c.peerClosedAt.Store(c.link.net.Clock.Now())
+		close(c.peerClosed)
 	})
 }
 
-// carryIn takes in what a socket brings.
-func (c *Conn) carryIn(from *net.TCPConn, to *queue, left func()) {
+// readSocket reads a socket into a queue until the socket ends, then calls onClose, if any, and queues the end.
+func (c *Conn) readSocket(from *net.TCPConn, to *queue, onClose func()) {
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		came := c.link.net.Clock.Now()
+		receivedAt := c.link.net.Clock.Now()
 		if n > 0 {
-			if to.push(chunk{data: append([]byte(nil), buf[:n]...), came: came}) != nil {
+			if to.push(chunk{data: append([]byte(nil), buf[:n]...), receivedAt: receivedAt}) != nil {
 				abort(from)
-				if left != nil {
-					left()
+				if onClose != nil {
+					onClose()
 				}
 				return
 			}
 		}
 		if err != nil {
-			if left != nil {
-				left()
+			if onClose != nil {
+				onClose()
 			}
-			how := io.EOF
+			endErr := io.EOF
 			if !errors.Is(err, io.EOF) {
-				how = errReset
+				endErr = errReset
 			}
-			to.end(how, came)
+			to.pushEnd(endErr, receivedAt)
 			return
 		}
 	}
 }
 
-// carryOut brings a socket what is due.
-func (c *Conn) carryOut(from *queue, to *net.TCPConn) {
-	defer c.drop()
+// writeSocket writes a queue's chunks to a socket as they become due, until the queue or the socket ends.
+func (c *Conn) writeSocket(from *queue, to *net.TCPConn) {
+	defer c.unregister()
 	for {
 		got, err := from.pop(64 << 10)
 		if err != nil {
@@ -187,21 +191,21 @@
 		if got.end != nil {
 			if got.end == errReset {
 				abort(to)
-			} else if c.far != nil || c.half.Load() {
+			} else if c.target != nil || c.writeClosed.Load() {
 				to.CloseWrite()
 			} else {
 				to.Close()
 			}
 			return
 		}
-		// Stamped before it is written: the process may read it, and close, before this goes on.
+		// The time is taken before the write: the process may read the bytes and close before this goroutine runs again.
 		at := c.link.net.Clock.Now()
 		n, err := to.Write(got.data)
-		if to == c.sock {
+		if to == c.socket {
 			c.written.Add(uint64(n))
 		}
-		if got.after != nil {
-			got.after(at, err == nil)
+		if got.done != nil {
+			got.done(at, err == nil)
 		}
 		if err != nil {
 			from.reset()
@@ -211,13 +215,13 @@
 	}
 }
 
-// drop forgets a connection that has ended.
-func (c *Conn) drop() {
+// unregister removes a connection that has ended from its link.
+func (c *Conn) unregister() {
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	delete(c.link.conns, c)
-	c.in.way.remove(c.in)
-	c.out.way.remove(c.out)
+	c.fromPeer.direction.remove(c.fromPeer)
+	c.toPeer.direction.remove(c.toPeer)
 }
 
 // abort closes a socket with a reset.
--- a/internal/lab/link/diag_test.go
+++ b/internal/lab/link/diag_test.go
@@ -9,22 +9,22 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Guards against a request that counts as read though it was not, and against one that was read and is not seen to be.
+// Guards against a request that counts as read although it was not, and one that was read but does not count as read.
 func TestPeerHasRead(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	all := NewNet(history.NewClock())
-	defer all.Close()
-	c, err := all.Dial(context.Background(), "client/0", "relay/0", "", l.Addr().String())
+	network := NewNet(history.NewClock())
+	defer network.Close()
+	c, err := network.Dial(context.Background(), "client/0", "relay/0", "", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	send(c)
 	if c.PeerHasRead() {
-		t.Error("nobody has accepted the connection, and what was written counts as read")
+		t.Error("the connection is not accepted yet, but the written bytes count as read")
 	}
 	peer, err := l.Accept()
 	if err != nil {
@@ -36,13 +36,13 @@
 		t.Fatal(err)
 	}
 	if c.PeerHasRead() {
-		t.Error("half of a request was read, and it counts as read")
+		t.Error("half of the request was read, but all of it counts as read")
 	}
 	if _, err := io.ReadFull(peer, make([]byte, 5)); err != nil {
 		t.Fatal(err)
 	}
 	if !c.PeerHasRead() {
-		t.Error("a request was read, and is not seen to be")
+		t.Error("the whole request was read, but does not count as read")
 	}
 	if c.PeerClosedAfterReading() {
 		t.Error("an open connection counts as closed")
@@ -51,36 +51,36 @@
 		t.Fatal(err)
 	}
 	if c.PeerHasRead() {
-		t.Error("the other side has ended the connection: whether it had read the request before is not known")
+		t.Error("the request counts as read although the peer has ended its sending, after which this cannot be known")
 	}
 	if c.PeerClosedAfterReading() {
-		t.Error("a connection of which the other side has ended its sending alone counts as closed")
+		t.Error("a connection counts as closed although the peer has only ended its sending")
 	}
 	peer.Close()
 	if !c.PeerClosedAfterReading() {
-		t.Error("the other side has read all and closed, and it is not seen")
+		t.Error("the peer has read everything and closed, but this is not detected")
 	}
 	if c.Broken() {
-		t.Error("the other side's end counts as a break of the network")
+		t.Error("a close by the peer counts as a reset by the network")
 	}
-	all.Link("client/0", "relay/0").Reset()
+	network.Link("client/0", "relay/0").Reset()
 	if !c.Broken() {
-		t.Error("a reset by the network does not count as a break")
+		t.Error("a reset by the network does not count as one")
 	}
 }
 
-// Guards against bytes that count as read because the connection was closed over them, or that came after the close.
-func TestClosedUnread(t *testing.T) {
-	for name, closes := range map[string]func(c *Conn, peer net.Conn){
-		"closed over them": func(c *Conn, peer net.Conn) { send(c); peer.Close() },
-		"come afterwards":  func(c *Conn, peer net.Conn) { peer.Close(); send(c) },
+// Guards against bytes that count as read although the peer closed the connection with them unread, or before they arrived.
+func TestUnreadBytesAreNotCountedAsRead(t *testing.T) {
+	for name, sendAndClose := range map[string]func(c *Conn, peer net.Conn){
+		"closed with unread bytes": func(c *Conn, peer net.Conn) { send(c); peer.Close() },
+		"bytes after the close":    func(c *Conn, peer net.Conn) { peer.Close(); send(c) },
 	} {
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		all := NewNet(history.NewClock())
-		c, err := all.Dial(context.Background(), "client/0", "relay/0", "", l.Addr().String())
+		network := NewNet(history.NewClock())
+		c, err := network.Dial(context.Background(), "client/0", "relay/0", "", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -88,33 +88,33 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		closes(c, peer)
+		sendAndClose(c, peer)
 		if c.PeerClosedAfterReading() || c.PeerHasRead() {
-			t.Errorf("%s: they count as read", name)
+			t.Errorf("%s: unread bytes count as read", name)
 		}
-		all.Close()
+		network.Close()
 		l.Close()
 	}
 }
 
-// send writes something, and returns once it is written at the front.
+// send sends a request and returns once it is written at the front.
 func send(c *Conn) {
 	written := make(chan struct{})
 	c.Send([]byte("a request"), func(int64, bool) { close(written) })
 	<-written
 }
 
-// Guards against an answer about a socket that is gone being taken for one about a socket that has read all.
-func TestNoSuchSocket(t *testing.T) {
+// Guards against a reply about a socket that no longer exists being read as the state of one that has read everything.
+func TestUnknownSocketIsAnError(t *testing.T) {
 	var d diag
 	defer d.close()
 	nowhere := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: 1}
-	if s, err := d.look(nowhere, nowhere); err == nil {
-		t.Errorf("%+v of a socket that is not there", s)
+	if s, err := d.query(nowhere, nowhere); err == nil {
+		t.Errorf("got %+v for a socket that does not exist", s)
 	}
 	for _, reply := range [][]byte{nil, make([]byte, 3), make([]byte, 16), make([]byte, 200)} {
 		if _, err := parseDiag(reply); err == nil {
-			t.Errorf("an answer of %d bytes of nothing is read", len(reply))
+			t.Errorf("a reply of %d zero bytes was accepted", len(reply))
 		}
 	}
 }
--- a/internal/lab/link/faults.go
+++ b/internal/lab/link/faults.go
@@ -9,161 +9,162 @@
 	"time"
 )
 
-// Faults are what is wrong with one way of a link. The zero value is a sound one.
+// Faults are the faults of one direction of a link. The zero value has none.
 type Faults struct {
-	Cut       bool          // nothing comes through; what is sent is kept until it ends, as TCP would send it again
-	Refused   bool          // new connections are refused
-	Reset     bool          // each connection is reset ...
-	ResetAt   int64         // ... once so many further bytes have come through
-	Delay     time.Duration // before anything comes through
-	Spread    time.Duration // by chance as much as this longer
-	Rate      int64         // bytes a second; 0 for no limit
-	Loss      float64       // share of what is sent at a time that is lost; a connection is reset by it
-	Resent    float64       // share of what is sent at a time that TCP has to send again ...
-	ResentIn  time.Duration // ... and that comes so much later, with all behind it
-	HalfOpen  bool          // the end of a connection is not told
-	LateClose time.Duration // the end of a connection is told so much later
-	// SilentBefore is a time: connections that came up before stay open, and nothing comes through them. Later ones are sound.
+	Cut             bool          // nothing is delivered; sent bytes are kept until the fault ends, as TCP would retransmit them
+	Refused         bool          // new connections are refused
+	Reset           bool          // each connection is reset after ResetAfterBytes
+	ResetAfterBytes int64         // bytes that are delivered from the start of the fault until the reset
+	Delay           time.Duration // delay of everything that is sent
+	Jitter          time.Duration // upper bound of a random addition to Delay
+	BytesPerSecond  int64         // 0 for no limit
+	LossShare       float64       // probability that a chunk or datagram is lost; a connection is reset by the loss
+	RetransmitShare float64       // probability that TCP has to retransmit a chunk
+	RetransmitDelay time.Duration // by how much a retransmitted chunk, and everything after it, is delayed
+	HalfOpen        bool          // the end of a connection is not delivered
+	CloseDelay      time.Duration // additional delay of the end of a connection
+	// SilentBefore silences the connections that were established before this time: they stay open and deliver nothing.
+	// Later connections are not affected.
 	SilentBefore time.Time
 }
 
-// with is what holds if both do.
-func (f *Faults) with(g *Faults) *Faults {
+// combine returns the faults that result if both f and g are active. f may be nil.
+func (f *Faults) combine(g *Faults) *Faults {
 	if f == nil {
 		return g
 	}
-	both := Faults{Cut: f.Cut || g.Cut, Refused: f.Refused || g.Refused, Reset: f.Reset || g.Reset, ResetAt: f.ResetAt + g.ResetAt,
-		Delay: max(f.Delay, g.Delay), Spread: max(f.Spread, g.Spread), Rate: min(f.Rate, g.Rate), Loss: max(f.Loss, g.Loss),
-		Resent: max(f.Resent, g.Resent), ResentIn: max(f.ResentIn, g.ResentIn), HalfOpen: f.HalfOpen || g.HalfOpen, LateClose: max(f.LateClose, g.LateClose),
+	both := Faults{Cut: f.Cut || g.Cut, Refused: f.Refused || g.Refused, Reset: f.Reset || g.Reset, ResetAfterBytes: f.ResetAfterBytes + g.ResetAfterBytes,
+		Delay: max(f.Delay, g.Delay), Jitter: max(f.Jitter, g.Jitter), BytesPerSecond: min(f.BytesPerSecond, g.BytesPerSecond), LossShare: max(f.LossShare, g.LossShare),
+		RetransmitShare: max(f.RetransmitShare, g.RetransmitShare), RetransmitDelay: max(f.RetransmitDelay, g.RetransmitDelay), HalfOpen: f.HalfOpen || g.HalfOpen, CloseDelay: max(f.CloseDelay, g.CloseDelay),
 		SilentBefore: f.SilentBefore}
 	if both.SilentBefore.Before(g.SilentBefore) {
 		both.SilentBefore = g.SilentBefore
 	}
-	if f.Rate == 0 || g.Rate == 0 {
-		both.Rate = max(f.Rate, g.Rate)
+	if f.BytesPerSecond == 0 || g.BytesPerSecond == 0 {
+		both.BytesPerSecond = max(f.BytesPerSecond, g.BytesPerSecond)
 	}
 	if f.Reset && g.Reset {
-		both.ResetAt = min(f.ResetAt, g.ResetAt)
+		both.ResetAfterBytes = min(f.ResetAfterBytes, g.ResetAfterBytes)
 	}
 	return &both
 }
 
-// way is one way of a link.
-type way struct {
+// direction is one direction of a link.
+type direction struct {
 	faults atomic.Pointer[Faults]
 	mu     sync.Mutex
 	queues map[*queue]struct{}
 }
 
-func (w *way) now() *Faults {
-	if f := w.faults.Load(); f != nil {
+func (d *direction) current() *Faults {
+	if f := d.faults.Load(); f != nil {
 		return f
 	}
-	return &sound
+	return &noFaults
 }
 
-var sound Faults
+var noFaults Faults
 
-func (w *way) add(q *queue) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.queues[q] = struct{}{}
+func (d *direction) add(q *queue) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.queues[q] = struct{}{}
 }
 
-func (w *way) remove(q *queue) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.queues, q)
+func (d *direction) remove(q *queue) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.queues, q)
 }
 
-func (w *way) set(f *Faults) {
-	w.faults.Store(f)
-	w.mu.Lock()
-	all := slices.Collect(maps.Keys(w.queues))
-	w.mu.Unlock()
+func (d *direction) set(f *Faults) {
+	d.faults.Store(f)
+	d.mu.Lock()
+	all := slices.Collect(maps.Keys(d.queues))
+	d.mu.Unlock()
 	for _, q := range all {
-		q.wake()
+		q.notify()
 	}
 }
 
-// Set puts the only faults on the ways of a link; nil mends a way.
-func (l *Link) Set(there, back *Faults) { l.Put("", there, back) }
+// Set sets the unnamed faults of both directions of a link; nil removes those of a direction. Faults set with SetNamed stay.
+func (l *Link) Set(forward, reverse *Faults) { l.SetNamed("", forward, reverse) }
 
-// Put puts faults on the ways of a link beside those of other names, or takes those of this name away. Of two
-// that are on at once both hold: the longer delay, the smaller rate.
-func (l *Link) Put(name string, there, back *Faults) {
+// SetNamed sets the faults of a name on both directions of a link, beside those of other names; nil for both removes the name.
+// Faults that are active at the same time are combined: the longer delay and the smaller rate apply.
+func (l *Link) SetNamed(name string, forward, reverse *Faults) {
 	l.mu.Lock()
-	if l.on == nil {
-		l.on = map[string][2]*Faults{}
+	if l.faults == nil {
+		l.faults = map[string][2]*Faults{}
 	}
-	l.on[name] = [2]*Faults{there, back}
-	if there == nil && back == nil {
-		delete(l.on, name)
+	l.faults[name] = [2]*Faults{forward, reverse}
+	if forward == nil && reverse == nil {
+		delete(l.faults, name)
 	}
-	var sum [2]*Faults
-	for i := range sum {
-		for _, f := range l.on {
+	var combined [2]*Faults
+	for i := range combined {
+		for _, f := range l.faults {
 			if f[i] != nil {
-				sum[i] = sum[i].with(f[i])
+				combined[i] = combined[i].combine(f[i])
 			}
 		}
 	}
 	l.mu.Unlock()
-	l.there.set(sum[0])
-	l.back.set(sum[1])
+	l.forward.set(combined[0])
+	l.reverse.set(combined[1])
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case l.addr == nil || l.over:
-	case l.there.now().Refused:
-		l.front.Close()
-		l.shut = true
-	case l.shut:
-		l.shut = false
+	case l.addr == nil || l.closed:
+	case l.forward.current().Refused:
+		l.listener.Close()
+		l.listenerClosed = true
+	case l.listenerClosed:
+		l.listenerClosed = false
 		front, err := net.ListenTCP("tcp4", l.addr)
-		if err != nil { // its port was taken meanwhile: the party at the other end stays away
-			l.shut = true
+		if err != nil { // another program took the port: the party at the other end stays unreachable
+			l.listenerClosed = true
 			return
 		}
-		l.front = front
+		l.listener = front
 		go l.accept(front)
 		if l.cut() {
-			l.bar()
+			l.fillBacklog()
 		}
 	case l.cut():
-		l.bar()
+		l.fillBacklog()
 	default:
-		backlog(l.front, backlogSize)
-		l.mended.Broadcast()
+		setBacklog(l.listener, listenBacklog)
+		l.repaired.Broadcast()
 	}
 }
 
-// bar has the kernel drop what asks for a connection, as a machine that is gone would: the backlog is full, and
-// nothing is accepted. An Accept that waits already takes one more out. The lock is held.
-func (l *Link) bar() {
-	backlog(l.front, 0)
-	l.bars = map[string]bool{}
-	for range barsMost {
-		bar, err := net.DialTimeout("tcp4", l.addr.String(), barIn)
+// fillBacklog makes the kernel drop connection requests, as if the machine did not exist: it fills the listener's backlog with
+// connections, and accept takes no more. An Accept call that already waits removes one of them. The caller holds the lock.
+func (l *Link) fillBacklog() {
+	setBacklog(l.listener, 0)
+	l.fillers = map[string]bool{}
+	for range maxFillers {
+		filler, err := net.DialTimeout("tcp4", l.addr.String(), fillerDialTimeout)
 		if err == nil {
-			l.bars[bar.LocalAddr().String()] = true
-			defer bar.Close() // it keeps its place in the backlog
-		} else if l.parked {
+			l.fillers[filler.LocalAddr().String()] = true
+			defer filler.Close() // it still occupies its place in the backlog
+		} else if l.acceptPaused {
 			return
 		}
-		if !l.parked {
+		if !l.acceptPaused {
 			l.mu.Unlock()
 			time.Sleep(time.Millisecond)
 			l.mu.Lock()
 		}
-		if !l.cut() || l.over {
+		if !l.cut() || l.closed {
 			return
 		}
 	}
 }
 
 const (
-	backlogSize = 4096
-	barsMost    = 100
-	barIn       = 10 * time.Millisecond
+	listenBacklog     = 4096
+	maxFillers        = 100
+	fillerDialTimeout = 10 * time.Millisecond
 )
--- a/internal/lab/link/front.go
+++ b/internal/lab/link/front.go
@@ -6,95 +6,96 @@
 	"syscall"
 )
 
-// Serve opens a front for a process at an address of the link's own, and has a party of the lab serve what
-// comes. It returns the address.
-func (n *Net) Serve(from, to, addr string, serve func(*Conn)) (string, error) {
+// Serve opens the front of the link at addr and has an emulated party handle each connection that the process from opens.
+// It returns the address that it listens on.
+func (n *Net) Serve(from, to, addr string, handle func(*Conn)) (string, error) {
 	l := n.Link(from, to)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.serve = serve
+	l.handle = handle
 	return l.listen(addr)
 }
 
-// Forward opens a front for a process that leads to another process.
+// Forward opens the front of the link at addr and forwards each connection to the process that listens at target.
+// It returns the address that it listens on.
 func (n *Net) Forward(from, to, addr, target string) (string, error) {
 	l := n.Link(from, to)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.to = target
+	l.targetAddr = target
 	return l.listen(addr)
 }
 
-// listen opens the front. The lock is held.
+// listen opens the front's listener and starts accepting. The caller holds the lock.
 func (l *Link) listen(addr string) (string, error) {
 	front, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return "", fmt.Errorf("link from %s to %s: %w", l.From, l.To, err)
 	}
-	l.front = front.(*net.TCPListener)
+	l.listener = front.(*net.TCPListener)
 	l.addr = front.Addr().(*net.TCPAddr)
-	go l.accept(l.front)
+	go l.accept(l.listener)
 	return l.addr.String(), nil
 }
 
-func (l *Link) accept(front *net.TCPListener) {
+func (l *Link) accept(listener *net.TCPListener) {
 	for {
-		sock, err := l.net.accepted(front)
+		sock, err := l.net.acceptNext(listener)
 		if err != nil {
 			return
 		}
 		l.mu.Lock()
-		bar := l.bars[sock.RemoteAddr().String()]
+		isFiller := l.fillers[sock.RemoteAddr().String()]
 		l.mu.Unlock()
 		switch {
-		case bar:
+		case isFiller:
 			sock.Close()
 		default:
-			go l.join(sock)
+			go l.handleConn(sock)
 		}
 		l.mu.Lock()
-		for l.cut() && !l.over { // what asks for a connection now waits in vain
-			l.parked = true
-			l.mended.Wait()
+		for l.cut() && !l.closed { // accept nothing, so that connection requests stay unanswered
+			l.acceptPaused = true
+			l.repaired.Wait()
 		}
-		l.parked = false
+		l.acceptPaused = false
 		l.mu.Unlock()
 	}
 }
 
-// cut tells whether a connection cannot come up.
-func (l *Link) cut() bool { return l.there.now().Cut || l.back.now().Cut }
+// cut reports whether no connection can be established because a direction is cut.
+func (l *Link) cut() bool { return l.forward.current().Cut || l.reverse.current().Cut }
 
-// join carries a connection that came in at the front.
-func (l *Link) join(sock *net.TCPConn) {
-	if l.serve == nil {
+// handleConn serves a connection that was accepted at the front.
+func (l *Link) handleConn(sock *net.TCPConn) {
+	if l.handle == nil {
 		var d net.Dialer
-		back, err := d.Dial("tcp4", l.to)
+		back, err := d.Dial("tcp4", l.targetAddr)
 		if err != nil {
-			l.net.failed(err)
+			l.net.noteFailure(err)
 			abort(sock)
 			return
 		}
-		l.carry(sock, back.(*net.TCPConn))
+		l.proxy(sock, back.(*net.TCPConn))
 		return
 	}
 	c := l.newConn(sock, nil, false)
-	go c.carryIn(sock, c.in, c.leave)
-	go c.carryOut(c.out, sock)
-	l.serve(c)
+	go c.readSocket(sock, c.fromPeer, c.markPeerClosed)
+	go c.writeSocket(c.toPeer, sock)
+	l.handle(c)
 }
 
-// carry carries what two processes send each other.
-func (l *Link) carry(front, back *net.TCPConn) {
+// proxy transports the bytes that two processes send each other.
+func (l *Link) proxy(front, back *net.TCPConn) {
 	c := l.newConn(front, back, false)
-	go c.carryIn(front, c.in, c.leave)
-	go c.carryOut(c.out, front)
-	go c.carryIn(back, c.out, nil)
-	go c.carryOut(c.in, back)
+	go c.readSocket(front, c.fromPeer, c.markPeerClosed)
+	go c.writeSocket(c.toPeer, front)
+	go c.readSocket(back, c.toPeer, nil)
+	go c.writeSocket(c.fromPeer, back)
 }
 
-// backlog sets how many connections wait at a listener.
-func backlog(l *net.TCPListener, n int) {
+// setBacklog sets how many connections may wait at a listener to be accepted.
+func setBacklog(l *net.TCPListener, n int) {
 	raw, err := l.SyscallConn()
 	if err != nil {
 		return
--- a/internal/lab/link/link_test.go
+++ b/internal/lab/link/link_test.go
@@ -14,13 +14,13 @@
 	"larchrouter/internal/lab/history"
 )
 
-// echo serves a link by sending back what comes.
+// echo handles a connection by sending back what it receives.
 func echo(c *Conn) {
 	defer c.Close()
 	io.Copy(c, c)
 }
 
-func serve(t *testing.T, party func(*Conn)) (*Net, *Link, string) {
+func serveLink(t *testing.T, party func(*Conn)) (*Net, *Link, string) {
 	t.Helper()
 	n := NewNet(history.NewClock())
 	t.Cleanup(n.Close)
@@ -41,12 +41,12 @@
 	return c.(*net.TCPConn)
 }
 
-// Guards against bytes that are lost, repeated, overtaken or made up, whatever is wrong with the link meanwhile:
-// what arrives is what was sent, or a beginning of it where the connection was reset.
-func TestBytesComeWholeInOrderOrNotAtAll(t *testing.T) {
+// Guards against bytes that are lost, repeated, reordered or invented while faults change at random: the received
+// bytes must equal the sent ones, or be a prefix of them if the connection was reset.
+func TestReceivedBytesArePrefixOfSentBytes(t *testing.T) {
 	for seed := range uint64(12) {
 		r := rand.New(rand.NewPCG(seed, 7))
-		_, l, addr := serve(t, echo)
+		_, l, addr := serveLink(t, echo)
 		conn := dial(t, addr)
 		sent := make([]byte, 1+r.IntN(600<<10))
 		for i := range sent {
@@ -58,12 +58,12 @@
 			defer close(done)
 			for range 12 {
 				f := &Faults{Cut: r.IntN(3) == 0, Delay: time.Duration(r.IntN(3)) * time.Millisecond,
-					Spread: time.Duration(r.IntN(3)) * time.Millisecond, LateClose: time.Duration(r.IntN(5)) * time.Millisecond}
+					Jitter: time.Duration(r.IntN(3)) * time.Millisecond, CloseDelay: time.Duration(r.IntN(5)) * time.Millisecond}
 				if r.IntN(3) == 0 {
-					f.Rate = int64(1<<20 + r.IntN(64<<20))
+					f.BytesPerSecond = int64(1<<20 + r.IntN(64<<20))
 				}
 				if resets && r.IntN(4) == 0 {
-					f.Reset, f.ResetAt = true, int64(r.IntN(len(sent)))
+					f.Reset, f.ResetAfterBytes = true, int64(r.IntN(len(sent)))
 				}
 				if r.IntN(2) == 0 {
 					l.Set(f, nil)
@@ -74,10 +74,10 @@
 			}
 			l.Set(nil, nil)
 		}()
-		r2 := rand.New(rand.NewPCG(seed, 8))
+		chunkRand := rand.New(rand.NewPCG(seed, 8))
 		go func() {
 			for rest := sent; len(rest) > 0; {
-				n, err := conn.Write(rest[:min(len(rest), 1+r2.IntN(40<<10))])
+				n, err := conn.Write(rest[:min(len(rest), 1+chunkRand.IntN(40<<10))])
 				if err != nil {
 					return
 				}
@@ -88,18 +88,18 @@
 		got, err := io.ReadAll(conn)
 		<-done
 		if !bytes.HasPrefix(sent, got) {
-			t.Fatalf("seed %d: what came is not a beginning of what was sent", seed)
+			t.Fatalf("seed %d: the received bytes are not a prefix of the sent ones", seed)
 		}
 		if !resets && (err != nil || len(got) != len(sent)) {
-			t.Fatalf("seed %d: %d of %d bytes came: %v", seed, len(got), len(sent), err)
+			t.Fatalf("seed %d: received %d of %d bytes: %v", seed, len(got), len(sent), err)
 		}
 	}
 }
 
-// Guards against a cut that tells the process of itself: open connections stay open and silent, new ones do not
-// come up, and what was on its way comes once it is over.
-func TestCut(t *testing.T) {
-	_, l, addr := serve(t, echo)
+// Guards against a cut that a process can detect: open connections must stay open and silent, new ones must not be
+// established, and bytes sent during the cut must arrive once it is over.
+func TestCutLeavesConnectionsOpenAndSilent(t *testing.T) {
+	_, l, addr := serveLink(t, echo)
 	conn := dial(t, addr)
 	conn.Write([]byte("a"))
 	one := make([]byte, 1)
@@ -118,20 +118,20 @@
 		d := net.Dialer{Timeout: 100 * time.Millisecond}
 		if c, err := d.Dial("tcp4", addr); err == nil {
 			c.Close()
-			t.Fatalf("cut %d: a connection came up", i)
+			t.Fatalf("cut %d: a connection was established", i)
 		}
 		l.Set(nil, nil)
 		conn.SetReadDeadline(time.Time{})
 		if _, err := io.ReadFull(conn, one); err != nil || one[0] != byte(i) {
-			t.Fatalf("cut %d: %v, %d after it", i, err, one[0])
+			t.Fatalf("cut %d: read %v, %d after it ended", i, err, one[0])
 		}
 		dial(t, addr).Close()
 	}
 }
 
-// Guards against refusals that look like silence, and resets that leave a connection behind.
+// Guards against refusals that look like silence, and resets that leave a connection open.
 func TestRefusedAndReset(t *testing.T) {
-	n, l, addr := serve(t, echo)
+	n, l, addr := serveLink(t, echo)
 	l.Set(&Faults{Refused: true}, nil)
 	c, err := net.Dial("tcp4", addr)
 	if err == nil {
@@ -140,14 +140,14 @@
 		}
 	}
 	if _, err := n.Dial(context.Background(), "relay/0", "endpoint/0", "", addr); err == nil {
-		t.Error("a party of the lab connects through a link that refuses")
+		t.Error("an emulated party connected through a link that refuses connections")
 	}
-	l.Set(&Faults{Reset: true, ResetAt: 3}, nil)
+	l.Set(&Faults{Reset: true, ResetAfterBytes: 3}, nil)
 	conn := dial(t, addr)
 	conn.Write([]byte("abcdef"))
 	got, err := io.ReadAll(conn)
 	if err == nil || len(got) > 3 {
-		t.Errorf("%q came, then %v; want three bytes at most and a reset", got, err)
+		t.Errorf("received %q, then %v; want at most three bytes and a reset", got, err)
 	}
 	l.Set(nil, nil)
 	conn = dial(t, addr)
@@ -159,37 +159,38 @@
 	}
 }
 
-// Guards against a lab that takes a call for out that its relay gave up during a cut: the front knows.
-func TestGoneIsKnownDuringACut(t *testing.T) {
+// Guards against a lab that counts a call as in flight although its relay closed the connection during a cut: the front
+// must know of the close even though the other end does not.
+func TestPeerCloseIsKnownDuringCut(t *testing.T) {
 	conns := make(chan *Conn, 1)
-	n, l, addr := serve(t, func(c *Conn) { conns <- c })
+	n, l, addr := serveLink(t, func(c *Conn) { conns <- c })
 	conn := dial(t, addr)
 	c := <-conns
 	l.Set(&Faults{Cut: true}, &Faults{Cut: true})
 	before := n.Clock.Now()
 	conn.Close()
-	<-c.Gone()
-	if c.GoneAt() < before {
-		t.Error("gone before it was closed")
+	<-c.PeerClosed()
+	if c.PeerClosedAt() < before {
+		t.Error("the recorded time of the close is before the close")
 	}
 	c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the other end hears %v through the cut", err)
+		t.Errorf("the other end read %v through the cut", err)
 	}
 	l.Set(&Faults{HalfOpen: true}, nil)
 	c.SetReadDeadline(time.Now().Add(20 * time.Millisecond))
 	if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the other end hears %v through a link that is half open", err)
+		t.Errorf("the other end read %v through a half-open link", err)
 	}
 	l.Set(nil, nil)
 	c.SetReadDeadline(time.Time{})
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the other end hears %v, want EOF", err)
+		t.Errorf("the other end read %v, want EOF", err)
 	}
 }
 
-// Guards against processes that reach each other past the link.
-func TestForward(t *testing.T) {
+// Guards against a front that does not forward connections between two processes.
+func TestForwardProxiesBetweenProcesses(t *testing.T) {
 	back, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/lab/link/queue.go
+++ b/internal/lab/link/queue.go
@@ -9,213 +9,217 @@
 	"time"
 )
 
-// held is how many bytes one way of a connection holds at most, about what the buffers of two sockets do.
-const held = 256 << 10
+// queueCapacityBytes is how many bytes one direction of a connection buffers at most, about as many as two socket buffers.
+const queueCapacityBytes = 256 << 10
 
-// errReset is what the ends of a connection see that was reset under them.
+// errReset is returned to both ends of a connection that was reset.
 var errReset = errors.New("link: connection reset")
 
-// chunk is bytes on their way, or the end of a way.
+// chunk is a piece of data in transit, or the end of a direction of a connection.
 type chunk struct {
-	data  []byte
-	came  int64 // when the link read it, on the run's clock
-	due   time.Time
-	end   error                   // io.EOF or errReset; nil for bytes
-	after func(at int64, ok bool) // told once it is delivered, or lost
+	data       []byte
+	receivedAt int64 // when the link read it, in microseconds on the run's clock
+	due        time.Time
+	end        error                   // io.EOF or errReset; nil for bytes
+	done       func(at int64, ok bool) // called once it is delivered or discarded; may be nil
 }
 
-// queue is one way of one connection: bytes come whole, in order, or not at all.
+// queue is one direction of one connection. It delivers bytes complete and in order, or not at all.
 type queue struct {
-	way   *way
-	begun time.Time // when its connection came up
-
-	mu       sync.Mutex
-	moved    sync.Cond
-	chunks   []chunk
-	size     int
-	ended    error     // no more may be pushed
-	dead     bool      // nothing more is delivered
-	deadline time.Time // for pop; zero for none
-	passed   int64     // bytes delivered since a fault began that counts them
-	counting *Faults   // that fault
-	last     time.Time // when the last chunk is due: bytes do not overtake each other
-	onReset  func()    // a fault resets the connection
+	direction *direction
+	createdAt time.Time // when its connection was established
+
+	mu             sync.Mutex
+	changed        sync.Cond
+	chunks         []chunk
+	pendingBytes   int
+	endErr         error     // set once the end was pushed; nothing more may be pushed
+	aborted        bool      // reset: nothing more is delivered
+	deadline       time.Time // for pop; zero for none
+	deliveredBytes int64     // bytes delivered since countedFault began
+	countedFault   *Faults   // the reset fault that deliveredBytes refers to
+	lastDue        time.Time // when the last chunk is due; later ones are not due before, so that bytes stay in order
+	onReset        func()    // called if a fault resets the connection
 }
 
-func newQueue(w *way) *queue {
-	q := &queue{way: w, begun: time.Now()}
-	q.moved.L = &q.mu
-	w.add(q)
+func newQueue(d *direction) *queue {
+	q := &queue{direction: d, createdAt: time.Now()}
+	q.changed.L = &q.mu
+	d.add(q)
 	return q
 }
 
-// push adds bytes or an end, and waits while there is no room.
+// push adds a chunk. For bytes it waits while the queue is full. The error is errReset after a reset, os.ErrClosed after the end.
 func (q *queue) push(c chunk) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for q.ended == nil && !q.dead && c.end == nil && q.size >= held {
-		q.moved.Wait()
+	for q.endErr == nil && !q.aborted && c.end == nil && q.pendingBytes >= queueCapacityBytes {
+		q.changed.Wait()
 	}
-	if q.ended != nil || q.dead {
-		if c.after != nil {
-			c.after(0, false)
+	if q.endErr != nil || q.aborted {
+		if c.done != nil {
+			c.done(0, false)
 		}
-		if q.dead {
+		if q.aborted {
 			return errReset
 		}
 		return os.ErrClosed
 	}
-	f := q.way.now()
+	f := q.direction.current()
 	c.due = time.Now()
-	if f.Delay > 0 || f.Spread > 0 {
-		c.due = c.due.Add(f.Delay + time.Duration(rand.Float64()*float64(f.Spread)))
+	if f.Delay > 0 || f.Jitter > 0 {
+		c.due = c.due.Add(f.Delay + time.Duration(rand.Float64()*float64(f.Jitter)))
 	}
-	if f.Resent > 0 && rand.Float64() < f.Resent {
-		c.due = c.due.Add(f.ResentIn)
+	if f.RetransmitShare > 0 && rand.Float64() < f.RetransmitShare {
+		c.due = c.due.Add(f.RetransmitDelay)
 	}
-	if f.Rate > 0 {
-		from := q.last
+	if f.BytesPerSecond > 0 {
+		from := q.lastDue
 		if from.Before(c.due) {
 			from = c.due
 		}
-		c.due = from.Add(time.Duration(float64(len(c.data)) / float64(f.Rate) * float64(time.Second)))
+		c.due = from.Add(time.Duration(float64(len(c.data)) / float64(f.BytesPerSecond) * float64(time.Second)))
 	}
 	if c.end != nil {
-		c.due = c.due.Add(f.LateClose)
+		c.due = c.due.Add(f.CloseDelay)
 	}
-	if c.due.Before(q.last) {
-		c.due = q.last
+	if c.due.Before(q.lastDue) {
+		c.due = q.lastDue
 	}
-	q.last = c.due
-	q.ended = c.end
-	q.size += len(c.data)
+	q.lastDue = c.due
+	q.endErr = c.end
+	q.pendingBytes += len(c.data)
 	q.chunks = append(q.chunks, c)
-	q.moved.Broadcast()
+	q.changed.Broadcast()
 	return nil
 }
 
-// pop returns what comes next once it is due and nothing holds it up. Of bytes it takes most at most.
-func (q *queue) pop(most int) (chunk, error) {
+// pop waits until the next chunk is due and no fault blocks it, and returns it, or its first maxBytes bytes.
+// The error is errReset after a reset, os.ErrDeadlineExceeded after the deadline.
+func (q *queue) pop(maxBytes int) (chunk, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for {
-		if q.dead {
+		if q.aborted {
 			return chunk{}, errReset
 		}
 		if !q.deadline.IsZero() && !time.Now().Before(q.deadline) {
 			return chunk{}, os.ErrDeadlineExceeded
 		}
-		f := q.way.now()
-		if len(q.chunks) == 0 || f.Cut || q.begun.Before(f.SilentBefore) || f.HalfOpen && q.chunks[0].end != nil {
-			q.sleep(time.Time{})
+		f := q.direction.current()
+		if len(q.chunks) == 0 || f.Cut || q.createdAt.Before(f.SilentBefore) || f.HalfOpen && q.chunks[0].end != nil {
+			q.wait(time.Time{})
 			continue
 		}
 		if c := q.chunks[0]; time.Now().Before(c.due) {
-			q.sleep(c.due)
+			q.wait(c.due)
 			continue
 		}
 		c := q.chunks[0]
 		if c.end != nil {
 			q.chunks = q.chunks[1:]
 			if c.end == errReset {
-				q.kill()
+				q.discard()
 			}
 			return c, nil
 		}
-		if f.Loss > 0 && rand.Float64() < f.Loss {
-			return chunk{}, q.breakOff()
+		if f.LossShare > 0 && rand.Float64() < f.LossShare {
+			return chunk{}, q.breakConn()
 		}
 		if f.Reset {
-			if q.counting != f {
-				q.counting, q.passed = f, 0
+			if q.countedFault != f {
+				q.countedFault, q.deliveredBytes = f, 0
 			}
-			if left := f.ResetAt - q.passed; left <= 0 {
-				return chunk{}, q.breakOff()
-			} else if int64(most) > left {
-				most = int(left)
+			if left := f.ResetAfterBytes - q.deliveredBytes; left <= 0 {
+				return chunk{}, q.breakConn()
+			} else if int64(maxBytes) > left {
+				maxBytes = int(left)
 			}
 		}
-		if len(c.data) > most {
-			q.chunks[0].data = c.data[most:]
-			c.data, c.after = c.data[:most], nil
+		if len(c.data) > maxBytes {
+			q.chunks[0].data = c.data[maxBytes:]
+			c.data, c.done = c.data[:maxBytes], nil
 		} else {
 			q.chunks[0] = chunk{}
 			q.chunks = q.chunks[1:]
 		}
-		q.size -= len(c.data)
-		q.passed += int64(len(c.data))
-		q.moved.Broadcast()
+		q.pendingBytes -= len(c.data)
+		q.deliveredBytes += int64(len(c.data))
+		q.changed.Broadcast()
 		return c, nil
 	}
 }
 
-// breakOff resets the connection, both ways. The lock is held, but not while the other way's is taken.
-func (q *queue) breakOff() error {
-	q.kill()
+// breakConn resets the connection in both directions. The caller holds the lock, which is released while onReset runs, because
+// onReset locks both queues.
+func (q *queue) breakConn() error {
+	q.discard()
 	q.mu.Unlock()
 	q.onReset()
 	q.mu.Lock()
 	return errReset
 }
 
-// sleep waits until something changes, at the latest until a time or the deadline. The lock is held.
-func (q *queue) sleep(until time.Time) {
+// wait waits until the queue changes, at most until the given time, if not zero, or the deadline. The caller holds the lock.
+func (q *queue) wait(until time.Time) {
 	if !q.deadline.IsZero() && (until.IsZero() || q.deadline.Before(until)) {
 		until = q.deadline
 	}
 	if until.IsZero() {
-		q.moved.Wait()
+		q.changed.Wait()
 		return
 	}
 	t := time.AfterFunc(time.Until(until), func() {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		q.moved.Broadcast()
+		q.changed.Broadcast()
 	})
-	q.moved.Wait()
+	q.changed.Wait()
 	t.Stop()
 }
 
-// kill gives up what is held. The lock is held.
-func (q *queue) kill() {
-	q.dead = true
+// discard drops all queued chunks and marks the queue as reset. The caller holds the lock.
+func (q *queue) discard() {
+	q.aborted = true
 	for _, c := range q.chunks {
-		if c.after != nil {
-			c.after(0, false)
+		if c.done != nil {
+			c.done(0, false)
 		}
 	}
-	q.chunks, q.size = nil, 0
-	q.moved.Broadcast()
-	q.way.remove(q)
+	q.chunks, q.pendingBytes = nil, 0
+	q.changed.Broadcast()
+	q.direction.remove(q)
 }
 
-// reset ends the way at once.
+// reset ends the queue at once.
 func (q *queue) reset() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if !q.dead {
-		q.kill()
+	if !q.aborted {
+		q.discard()
 	}
 }
 
-// end lets what is held come through, and then the end.
-func (q *queue) end(how error, came int64) { q.push(chunk{end: how, came: came}) }
+// pushEnd queues the end: it is delivered after all queued bytes.
+func (q *queue) pushEnd(endErr error, receivedAt int64) {
+	q.push(chunk{end: endErr, receivedAt: receivedAt})
+}
 
 func (q *queue) setDeadline(t time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.deadline = t
-	q.moved.Broadcast()
+	q.changed.Broadcast()
 }
 
-func (q *queue) wake() {
+func (q *queue) notify() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.moved.Broadcast()
+	q.changed.Broadcast()
 }
 
-// eof turns the end of a way into what a reader returns.
-func (c chunk) eof() error {
+// readError returns the error with which a reader reports the end: errReset or io.EOF.
+func (c chunk) readError() error {
 	if c.end == errReset {
 		return errReset
 	}
--- a/internal/lab/link/queue_test.go
+++ b/internal/lab/link/queue_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// A piece that TCP has to send again comes later by the stated time, and what was sent behind it waits for it.
-func TestResent(t *testing.T) {
+// Guards against a retransmitted chunk that is not delayed by RetransmitDelay, or that later bytes overtake.
+func TestRetransmittedBytesArriveLateAndInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &way{queues: map[*queue]struct{}{}}
-		q := newQueue(w)
-		w.set(&Faults{Delay: 50 * time.Millisecond, Resent: 1, ResentIn: time.Second})
+		d := &direction{queues: map[*queue]struct{}{}}
+		q := newQueue(d)
+		d.set(&Faults{Delay: 50 * time.Millisecond, RetransmitShare: 1, RetransmitDelay: time.Second})
 		began := time.Now()
 		if err := q.push(chunk{data: []byte("lost")}); err != nil {
 			t.Fatal(err)
 		}
-		w.set(&Faults{Delay: 50 * time.Millisecond})
+		d.set(&Faults{Delay: 50 * time.Millisecond})
 		if err := q.push(chunk{data: []byte("behind")}); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/link/shared_test.go
+++ b/internal/lab/link/shared_front_test.go
@@ -11,21 +11,21 @@
 	"larchrouter/internal/lab/history"
 )
 
-// party is a process as a shared front sees it: it listens at an address of its own and sends from there.
-type party struct {
-	front *Shared
+// testParty is a process behind a shared front: it listens at its own address and sends from there.
+type testParty struct {
+	front *SharedFront
 	udp   *net.UDPConn
 	tcp   net.Listener
 	got   chan string
 }
 
-func parties(t *testing.T, n int) (*Net, []*party) {
+func newTestParties(t *testing.T, n int) (*Net, []*testParty) {
 	t.Helper()
-	all := NewNet(history.NewClock())
-	t.Cleanup(all.Close)
+	network := NewNet(history.NewClock())
+	t.Cleanup(network.Close)
 	var mu sync.Mutex
-	by := map[string]*Shared{}
-	var list []*party
+	frontByIP := map[string]*SharedFront{}
+	var list []*testParty
 	for i := range n {
 		ip := fmt.Sprintf("127.9.0.%d", 1+i)
 		l, err := net.Listen("tcp4", ip+":0")
@@ -36,17 +36,17 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := &party{udp: u, tcp: l, got: make(chan string, 4096)}
-		p.front, err = all.Share(fmt.Sprintf("relay/%d", i), "127.8.0.1", l.Addr().String(), func(ip string) *Shared {
+		p := &testParty{udp: u, tcp: l, got: make(chan string, 4096)}
+		p.front, err = network.ShareProcess(fmt.Sprintf("relay/%d", i), "127.8.0.1", l.Addr().String(), func(ip string) *SharedFront {
 			mu.Lock()
 			defer mu.Unlock()
-			return by[ip]
+			return frontByIP[ip]
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 		mu.Lock()
-		by[ip] = p.front
+		frontByIP[ip] = p.front
 		mu.Unlock()
 		t.Cleanup(func() { p.front.Close(); u.Close(); l.Close() })
 		go func() {
@@ -74,10 +74,10 @@
 		}()
 		list = append(list, p)
 	}
-	return all, list
+	return network, list
 }
 
-func (p *party) send(t *testing.T, to *party, text string) {
+func (p *testParty) send(t *testing.T, to *testParty, text string) {
 	t.Helper()
 	at, err := net.ResolveUDPAddr("udp4", to.front.Addr)
 	if err != nil {
@@ -88,61 +88,61 @@
 	}
 }
 
-// quiet is how long a test waits for what must not come. Too short a time can only let a fault pass, never fail
-// a sound link.
-const quiet = 50 * time.Millisecond
+// silenceWait is how long a test waits to see that nothing arrives. If it is too short, a faulty link may pass, but a
+// correct one never fails.
+const silenceWait = 50 * time.Millisecond
 
-// Guards against datagrams that come past the link, or whose sender cannot be answered through it.
-func TestDatagrams(t *testing.T) {
-	all, p := parties(t, 3)
-	hears := func(at *party, want string) {
+// Guards against datagrams that bypass the link's faults, or whose sender cannot be answered through the link.
+func TestDatagramsGoThroughTheLink(t *testing.T) {
+	network, p := newTestParties(t, 3)
+	expectReceived := func(at *testParty, want string) {
 		t.Helper()
 		select {
 		case got := <-at.got:
 			if got != want {
-				t.Fatalf("%q came, want %q", got, want)
+				t.Fatalf("received %q, want %q", got, want)
 			}
 		case <-time.After(30 * time.Second):
-			t.Fatalf("%q did not come", want)
+			t.Fatalf("%q was not received", want)
 		}
 	}
-	silent := func(at *party) {
+	expectNothing := func(at *testParty) {
 		t.Helper()
 		select {
 		case got := <-at.got:
-			t.Fatalf("%q came through", got)
-		case <-time.After(quiet):
+			t.Fatalf("%q was received through a faulty link", got)
+		case <-time.After(silenceWait):
 		}
 	}
 	p[0].send(t, p[1], "a")
-	hears(p[1], "a from "+p[0].front.Addr)
+	expectReceived(p[1], "a from "+p[0].front.Addr)
 	p[1].send(t, p[0], "b")
-	hears(p[0], "b from "+p[1].front.Addr)
-	all.Link("relay/0", "relay/1").Set(&Faults{Cut: true}, nil)
+	expectReceived(p[0], "b from "+p[1].front.Addr)
+	network.Link("relay/0", "relay/1").Set(&Faults{Cut: true}, nil)
 	p[0].send(t, p[1], "c")
-	silent(p[1])
+	expectNothing(p[1])
 	p[1].send(t, p[0], "one way only")
-	hears(p[0], "one way only from "+p[1].front.Addr)
+	expectReceived(p[0], "one way only from "+p[1].front.Addr)
 	p[2].send(t, p[1], "others are not cut")
-	hears(p[1], "others are not cut from "+p[2].front.Addr)
-	all.Link("relay/0", "relay/1").Set(&Faults{Loss: 1}, nil)
+	expectReceived(p[1], "others are not cut from "+p[2].front.Addr)
+	network.Link("relay/0", "relay/1").Set(&Faults{LossShare: 1}, nil)
 	p[0].send(t, p[1], "d")
-	silent(p[1])
-	all.Link("relay/0", "relay/1").Set(&Faults{Delay: time.Millisecond, Spread: time.Millisecond, Rate: 1 << 20}, nil)
+	expectNothing(p[1])
+	network.Link("relay/0", "relay/1").Set(&Faults{Delay: time.Millisecond, Jitter: time.Millisecond, BytesPerSecond: 1 << 20}, nil)
 	p[0].send(t, p[1], "late")
-	hears(p[1], "late from "+p[0].front.Addr)
+	expectReceived(p[1], "late from "+p[0].front.Addr)
 	stranger, err := net.Dial("udp4", p[1].front.Addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer stranger.Close()
 	stranger.Write([]byte("e"))
-	silent(p[1])
+	expectNothing(p[1])
 }
 
-// Guards against connections whose caller the link, or the process called, takes for somebody else.
-func TestSharedConnections(t *testing.T) {
-	all, p := parties(t, 2)
+// Guards against connections for which the link, or the called process, identifies the wrong caller.
+func TestSharedFrontIdentifiesCallers(t *testing.T) {
+	network, p := newTestParties(t, 2)
 	call := func() (string, error) {
 		d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP("127.9.0.1")}, Timeout: 30 * time.Second}
 		c, err := d.Dial("tcp4", p[1].front.Addr)
@@ -153,7 +153,7 @@
 		fmt.Fprint(c, "hello")
 		c.(*net.TCPConn).CloseWrite()
 		got, err := io.ReadAll(c)
-		if err == nil && len(got) == 0 { // the write was told of the reset
+		if err == nil && len(got) == 0 { // the reset was reported to the write
 			err = io.ErrUnexpectedEOF
 		}
 		return string(got), err
@@ -161,20 +161,20 @@
 	if got, err := call(); err != nil || got != "you are 127.9.0.1. hello" {
 		t.Fatalf("%q, %v", got, err)
 	}
-	all.Link("relay/0", "relay/1").Set(&Faults{Refused: true}, nil)
+	network.Link("relay/0", "relay/1").Set(&Faults{Refused: true}, nil)
 	if got, err := call(); err == nil {
-		t.Errorf("%q came through a link that refuses", got)
+		t.Errorf("%q was received through a link that refuses connections", got)
 	}
-	all.Link("relay/0", "relay/1").Set(nil, nil)
+	network.Link("relay/0", "relay/1").Set(nil, nil)
 	if _, err := call(); err != nil {
 		t.Error(err)
 	}
 	stranger, err := net.Dial("tcp4", p[1].front.Addr)
-	if err != nil { // it was reset as it came up
+	if err != nil { // it was reset while it was established
 		return
 	}
 	defer stranger.Close()
 	if got, _ := io.ReadAll(stranger); len(got) > 0 {
-		t.Errorf("a stranger is told %q", got)
+		t.Errorf("an unknown caller received %q", got)
 	}
 }
--- a/internal/lab/lose.go
+++ b/internal/lab/lose.go
@@ -108,7 +108,7 @@
 	if out > 0 {
 		text = "for a while"
 	}
-	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: r.now.PID, How: how, Text: text})
+	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.now.PID, Detail: how, Text: text})
 	r.now.Kill()
 	r.now = nil
 	r.notice(r.w.noticed(), r.n)
@@ -139,7 +139,7 @@
 				defer cancel()
 				asked := w.clock.Now()
 				if figures, err := platform.Figures(ctx, admin); err == nil {
-					w.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, Whole: asked, Figures: figures})
+					w.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, CompleteAt: asked, Values: figures})
 				}
 			}()
 		}
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -63,11 +63,11 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	if !out { // it may be sent to from now on
-		r.w.record(history.Event{Kind: history.ByHand, Relay: r.name, Endpoint: endpoint, How: how})
+		r.w.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: how})
 	}
 	status, err := platform.ByHand(ctx, admin, endpoint, out)
 	if out {
-		r.w.record(history.Event{Kind: history.ByHand, Relay: r.name, Endpoint: endpoint, How: how, Status: status})
+		r.w.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: how, Status: status})
 	}
 	if err != nil || status/100 != 2 {
 		return fmt.Errorf("%s: %s %s: status %d, %v", r.name, how, endpoint, status, err)
--- a/internal/lab/options.go
+++ b/internal/lab/options.go
@@ -27,7 +27,7 @@
 // Row is what is known of a relay at a time.
 type Row struct {
 	Name, State string
-	Use         proc.Use
+	Use         proc.Usage
 	Figures     map[string]float64
 }
 
--- a/internal/lab/platform/answer.go
+++ b/internal/lab/platform/answer.go
@@ -35,14 +35,14 @@
 		}
 	}
 	written := func(at int64, ok bool) {
-		e := history.Event{T: at, Kind: history.Answer, Relay: j.relay, Call: j.call, Status: status, Wait: wait.Milliseconds()}
+		e := history.Event{At: at, Kind: history.CallAnswered, Relay: j.relay, Call: j.call, Status: status, WaitMs: wait.Milliseconds()}
 		if garbled {
-			e.Status, e.How = says, history.Unreadable
+			e.Status, e.Detail = says, history.Unreadable
 		}
-		if gone := j.conn.GoneAt(); gone > 0 && gone <= at { // it was written to nobody
-			e = history.Event{T: gone, Kind: history.Gone, Relay: j.relay, Call: j.call}
+		if gone := j.conn.PeerClosedAt(); gone > 0 && gone <= at { // it was written to nobody
+			e = history.Event{At: gone, Kind: history.CallAbandoned, Relay: j.relay, Call: j.call}
 		}
-		if ok || e.Kind == history.Gone {
+		if ok || e.Kind == history.CallAbandoned {
 			p.Record(e)
 		}
 		j.done()
--- a/internal/lab/platform/clients.go
+++ b/internal/lab/platform/clients.go
@@ -188,8 +188,8 @@
 	if m.halfClosed {
 		how = history.HalfClosed
 	}
-	c.Record(history.Event{T: c.Clock.Now(), Kind: history.Hand, Relay: relay, ID: id, How: how, First: m.first, Class: m.class.Name, Tenant: m.tenant,
-		Dest: m.dest, Key: m.key, Left: left.Milliseconds(), Sum: Sum(append([]byte(m.key+"\n"), m.body...))})
+	c.Record(history.Event{At: c.Clock.Now(), Kind: history.RequestSent, Relay: relay, ID: id, Detail: how, FirstID: m.first, Class: m.class.Name, Tenant: m.tenant,
+		Dest: m.dest, Key: m.key, LeftMs: left.Milliseconds(), BodySum: Sum(append([]byte(m.key+"\n"), m.body...))})
 	return id
 }
 
@@ -197,7 +197,7 @@
 func (c *Clients) settle(m *message, id, relay string, status int, after time.Duration, how string) (mark string, again bool) {
 	switch status {
 	case 0:
-		c.Record(history.Event{T: c.Clock.Now(), Kind: history.Left, Relay: relay, ID: id, How: how})
+		c.Record(history.Event{At: c.Clock.Now(), Kind: history.ClientLeft, Relay: relay, ID: id, Detail: how})
 		c.forget(id)
 		return "again", how != leftEarly
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
--- a/internal/lab/platform/clients_test.go
+++ b/internal/lab/platform/clients_test.go
@@ -72,11 +72,11 @@
 		relay.Close()
 		status := 0
 		for _, e := range env.all {
-			if e.Kind == history.Heard {
+			if e.Kind == history.AnswerReceived {
 				status = e.Status
 			}
 		}
-		if got := env.count(history.Hand); got != c.hands || status != c.status || len(keys) != 1 {
+		if got := env.count(history.RequestSent); got != c.hands || status != c.status || len(keys) != 1 {
 			t.Errorf("%s: handed in %d times, %d keys, last answer %d; want %d, 1, %d", c.name, got, len(keys), status, c.hands, c.status)
 		}
 	}
--- a/internal/lab/platform/connections.go
+++ b/internal/lab/platform/connections.go
@@ -25,7 +25,7 @@
 		c.idle[key] = kept[:len(kept)-1]
 		c.mu.Unlock()
 		select {
-		case <-conn.Gone():
+		case <-conn.PeerClosed():
 			conn.Abort()
 			continue
 		default:
@@ -51,7 +51,7 @@
 	defer c.mu.Unlock()
 	return slices.ContainsFunc(c.idle[connKey(client, relay)], func(conn *clientConn) bool {
 		select {
-		case <-conn.Gone():
+		case <-conn.PeerClosed():
 			return false
 		default:
 			return true
--- a/internal/lab/platform/control.go
+++ b/internal/lab/platform/control.go
@@ -12,9 +12,9 @@
 	d := p.dests[dest]
 	d.mu.Lock()
 	d.out = down
-	kind := history.Down
+	kind := history.DestDown
 	if !down {
-		kind = history.Up
+		kind = history.DestUp
 		d.comeBack(time.Now())
 	} else {
 		d.fallen = false
@@ -32,13 +32,13 @@
 	}
 	for _, e := range d.eps {
 		for _, l := range p.Net.Links(func(string) bool { return true }, func(to string) bool { return to == e.name }) {
-			l.Put("outage", f, nil)
+			l.SetNamed("outage", f, nil)
 			if down {
 				l.Reset()
 			}
 		}
 	}
-	p.Record(history.Event{T: p.Clock.Now(), Kind: kind, Dest: dest, How: "outage"})
+	p.Record(history.Event{At: p.Clock.Now(), Kind: kind, Dest: dest, Detail: "outage"})
 }
 
 // Shut has a destination turn all away for a time, after which it is cold.
@@ -47,12 +47,12 @@
 	d.mu.Lock()
 	d.shut = time.Now().Add(length)
 	d.mu.Unlock()
-	p.Record(history.Event{T: p.Clock.Now(), Kind: history.Down, Dest: dest, How: "shut"})
+	p.Record(history.Event{At: p.Clock.Now(), Kind: history.DestDown, Dest: dest, Detail: "shut"})
 	time.AfterFunc(length, func() {
 		d.mu.Lock()
 		d.comeBack(time.Now())
 		d.mu.Unlock()
-		p.Record(history.Event{T: p.Clock.Now(), Kind: history.Up, Dest: dest, How: "shut"})
+		p.Record(history.Event{At: p.Clock.Now(), Kind: history.DestUp, Dest: dest, Detail: "shut"})
 	})
 }
 
@@ -80,7 +80,7 @@
 	d.tokens = min(d.tokens, d.burst())
 	rate := d.Rate
 	d.mu.Unlock()
-	p.Record(history.Event{T: p.Clock.Now(), Kind: history.Limit, Dest: dest, Figures: map[string]float64{"rate": rate}})
+	p.Record(history.Event{At: p.Clock.Now(), Kind: history.DestRateChanged, Dest: dest, Values: map[string]float64{"rate": rate}})
 }
 
 // Drained has an endpoint turn away what comes, for it has been given up.
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -126,11 +126,11 @@
 			}
 		}
 		now := d.Clock.Now()
-		d.Record(history.Event{T: now, Kind: history.Change, Version: d.version, Endpoint: endpoint, State: state})
+		d.Record(history.Event{At: now, Kind: history.ListChanged, Version: d.version, Endpoint: endpoint, State: state})
 		if !d.isDown {
 			for relay, at := range d.last {
 				if d.watches[relay] == 0 && time.Since(at) < watchGap { // it counts as told in between
-					d.Record(history.Event{T: now, Kind: history.Told, Relay: relay, Version: d.version, How: "between watches"})
+					d.Record(history.Event{At: now, Kind: history.ListSent, Relay: relay, Version: d.version, Detail: "between watches"})
 				}
 			}
 		}
@@ -154,11 +154,11 @@
 		d.down = make(chan struct{})
 	}
 	if down != d.isDown {
-		kind := history.ListUp
+		kind := history.DiscoveryUp
 		if down {
-			kind = history.ListDown
+			kind = history.DiscoveryDown
 		}
-		d.Record(history.Event{T: d.Clock.Now(), Kind: kind})
+		d.Record(history.Event{At: d.Clock.Now(), Kind: kind})
 	}
 	d.isDown = down
 }
--- a/internal/lab/platform/discovery_test.go
+++ b/internal/lab/platform/discovery_test.go
@@ -53,9 +53,9 @@
 		answer
 	}
 	watch := func(query string) chan said {
-		ch, before := make(chan said, 1), env.count(history.Asked)
+		ch, before := make(chan said, 1), env.count(history.ListRequested)
 		go func() { status, a := get(query); ch <- said{status, a} }()
-		for env.count(history.Asked) == before {
+		for env.count(history.ListRequested) == before {
 			time.Sleep(time.Millisecond)
 		}
 		return ch
--- a/internal/lab/platform/endpoint.go
+++ b/internal/lab/platform/endpoint.go
@@ -57,15 +57,15 @@
 		call = e.take(relay, a, over, func() { close(ended) })
 		select {
 		case <-ended: // the answer is written at the front, or there will be none
-		case <-c.Gone(): // whether the relay still waits is known at the front alone
-			d.all.Record(history.Event{T: c.GoneAt(), Kind: history.Gone, Relay: relay, Call: call})
+		case <-c.PeerClosed(): // whether the relay still waits is known at the front alone
+			d.all.Record(history.Event{At: c.PeerClosedAt(), Kind: history.CallAbandoned, Relay: relay, Call: call})
 			return false
 		}
 		c.SetReadDeadline(time.Now().Add(idle))
 		return !over
 	})
-	if at := c.GoneAt(); at > 0 && call > 0 { // perhaps as the last answer came, and without having read it
-		d.all.Record(history.Event{T: at, Kind: history.Gone, Relay: relay, Call: call})
+	if at := c.PeerClosedAt(); at > 0 && call > 0 { // perhaps as the last answer came, and without having read it
+		d.all.Record(history.Event{At: at, Kind: history.CallAbandoned, Relay: relay, Call: call})
 	}
 }
 
@@ -89,14 +89,14 @@
 		err = fmt.Errorf("%s %s", a.Method, a.URL.Path)
 	}
 	if err != nil {
-		p.Record(history.Event{T: p.Clock.Now(), Kind: history.Bad, Relay: relay, Endpoint: e.name, Text: err.Error()})
+		p.Record(history.Event{At: p.Clock.Now(), Kind: history.InvalidCall, Relay: relay, Endpoint: e.name, Text: err.Error()})
 		e.answer(j, 400, 0)
 		return j.call
 	}
-	came := history.Event{T: p.Clock.Now(), Kind: history.Call, Relay: relay, Call: j.call, IDs: j.ids, Endpoint: e.name, Dest: d.Number,
-		Begun: a.begun, Whole: a.whole, Agreed: a.Header.Get("X-Agreed")}
+	came := history.Event{At: p.Clock.Now(), Kind: history.CallReceived, Relay: relay, Call: j.call, IDs: j.ids, Endpoint: e.name, Dest: d.Number,
+		BegunAt: a.begun, CompleteAt: a.whole, Agreed: a.Header.Get("X-Agreed")}
 	for i, b := range bodies {
-		came.Sums = append(came.Sums, Sum(append([]byte(j.keys[i]+"\n"), b...)))
+		came.BodySums = append(came.BodySums, Sum(append([]byte(j.keys[i]+"\n"), b...)))
 	}
 	p.Record(came)
 	if j.many && len(j.ids) > p.Draw.Kinds[d.Kind].PerCall {
@@ -167,7 +167,7 @@
 	}
 	d.mu.Unlock()
 	if status == 200 {
-		d.all.Record(history.Event{T: d.all.Clock.At(now), Kind: history.Ran, Call: j.call})
+		d.all.Record(history.Event{At: d.all.Clock.At(now), Kind: history.CallTookEffect, Call: j.call})
 	}
 	e.answer(j, status, 0)
 }
--- a/internal/lab/platform/http.go
+++ b/internal/lab/platform/http.go
@@ -31,7 +31,7 @@
 		if _, err := in.Peek(1); err != nil {
 			return
 		}
-		begun := c.Came()
+		begun := c.ReceivedAt()
 		req, err := http.ReadRequest(in)
 		if err != nil {
 			return
@@ -40,7 +40,7 @@
 		if err != nil || int64(len(body)) > most {
 			return
 		}
-		if !serve(&asked{req, body, begun, c.Came(), c}) || req.Close {
+		if !serve(&asked{req, body, begun, c.ReceivedAt(), c}) || req.Close {
 			return
 		}
 	}
--- a/internal/lab/platform/lists.go
+++ b/internal/lab/platform/lists.go
@@ -69,7 +69,7 @@
 		return true
 	case <-time.After(callMost):
 		return false
-	case <-a.conn.Gone():
+	case <-a.conn.PeerClosed():
 		return false
 	}
 }
@@ -79,9 +79,9 @@
 	since, _ := strconv.ParseInt(a.URL.Query().Get("since"), 10, 64)
 	ms, _ := strconv.ParseInt(a.URL.Query().Get("timeout_ms"), 10, 64)
 	wait := time.Duration(min(max(ms, 0), 60000)) * time.Millisecond
-	d.Record(history.Event{T: a.whole, Kind: history.Asked, Relay: relay, Version: since, Left: wait.Milliseconds()})
+	d.Record(history.Event{At: a.whole, Kind: history.ListRequested, Relay: relay, Version: since, LeftMs: wait.Milliseconds()})
 	fail := func() bool {
-		d.Record(history.Event{T: d.Clock.Now(), Kind: history.Untold, Relay: relay, Begun: a.whole})
+		d.Record(history.Event{At: d.Clock.Now(), Kind: history.ListCallFailed, Relay: relay, BegunAt: a.whole})
 		return respond(a.conn, http.StatusServiceUnavailable, "", nil, nil) == nil
 	}
 	if since > 0 && wait > 0 { // the watch goes on from when its next call comes
@@ -93,8 +93,8 @@
 		return fail()
 	}
 	if f.muted {
-		<-a.conn.Gone()
-		d.Record(history.Event{T: d.Clock.Now(), Kind: history.Untold, Relay: relay, Begun: a.whole})
+		<-a.conn.PeerClosed()
+		d.Record(history.Event{At: d.Clock.Now(), Kind: history.ListCallFailed, Relay: relay, BegunAt: a.whole})
 		return false
 	}
 	l, up := d.awaitNews(relay, since, wait, a)
@@ -120,7 +120,7 @@
 		case <-changed:
 		case <-timer.C:
 		case <-down:
-		case <-a.conn.Gone():
+		case <-a.conn.PeerClosed():
 		}
 		timer.Stop()
 	}
@@ -155,14 +155,14 @@
 	}
 	sent := d.Clock.Now()
 	select {
-	case <-a.conn.Gone(): // the relay has given the call up: it is told nothing
-		d.Record(history.Event{T: sent, Kind: history.Untold, Relay: relay, Begun: a.whole})
+	case <-a.conn.PeerClosed(): // the relay has given the call up: it is told nothing
+		d.Record(history.Event{At: sent, Kind: history.ListCallFailed, Relay: relay, BegunAt: a.whole})
 		return false
 	default:
 	}
 	how, part := fmt.Sprint(len(l.Servers), " entries"), len(body)
 	if f.cut || f.stall {
-		how, part = history.CutShort, len(body)/2
+		how, part = history.TruncatedAnswer, len(body)/2
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body))
 	err = a.conn.Send(append([]byte(head), body[:part]...), func(at int64, ok bool) {
@@ -172,7 +172,7 @@
 		d.unsettled.Go(func() { d.written(relay, a, l, sent, at, how, ok, part == len(body)) })
 	})
 	if f.stall {
-		<-a.conn.Gone()
+		<-a.conn.PeerClosed()
 	}
 	return err == nil && !f.cut && !f.stall
 }
@@ -186,8 +186,8 @@
 	switch {
 	case ok && whole:
 		select {
-		case <-a.conn.Gone():
-			d.Record(history.Event{T: at, Kind: history.Untold, Relay: relay, Begun: a.whole})
+		case <-a.conn.PeerClosed():
+			d.Record(history.Event{At: at, Kind: history.ListCallFailed, Relay: relay, BegunAt: a.whole})
 			return
 		case <-time.After(crossing):
 		}
@@ -195,7 +195,7 @@
 	case !ok: // it counts as told some time after, whether it arrived or not
 		at, how = sent+toldAnyway.Microseconds(), "lost"
 	}
-	d.Record(history.Event{T: min(at, sent+toldAnyway.Microseconds()), Kind: history.Told, Relay: relay, Version: l.Version, How: how, Begun: a.whole})
+	d.Record(history.Event{At: min(at, sent+toldAnyway.Microseconds()), Kind: history.ListSent, Relay: relay, Version: l.Version, Detail: how, BegunAt: a.whole})
 }
 
 // Settle waits until what became of all answers is on record.
--- a/internal/lab/platform/notices.go
+++ b/internal/lab/platform/notices.go
@@ -32,13 +32,13 @@
 		}
 		var n notice
 		if err := json.Unmarshal(line, &n); err != nil || n.ID == "" || n.Status != "undeliverable" && n.Status != "deferred" {
-			d.Record(history.Event{T: d.Clock.Now(), Kind: history.Bad, Relay: relay, Endpoint: "status", Text: "notice " + string(line)})
+			d.Record(history.Event{At: d.Clock.Now(), Kind: history.InvalidCall, Relay: relay, Endpoint: "status", Text: "notice " + string(line)})
 			return respond(a.conn, http.StatusBadRequest, "", nil, nil) == nil
 		}
 		all = append(all, n)
 	}
 	for _, n := range all {
-		d.Record(history.Event{T: a.whole, Kind: history.Notice, Relay: relay, ID: n.ID, How: n.Status, Wait: n.Again})
+		d.Record(history.Event{At: a.whole, Kind: history.NoticeReceived, Relay: relay, ID: n.ID, Detail: n.Status, WaitMs: n.Again})
 		if d.Noticed != nil {
 			d.Noticed(n.ID, n.Status, time.Duration(n.Again)*time.Millisecond)
 		}
@@ -48,7 +48,7 @@
 	d.mu.Unlock()
 	select {
 	case <-time.After(slow):
-	case <-a.conn.Gone():
+	case <-a.conn.PeerClosed():
 	}
 	return respond(a.conn, http.StatusNoContent, "", nil, nil) == nil
 }
--- a/internal/lab/platform/notices_test.go
+++ b/internal/lab/platform/notices_test.go
@@ -31,7 +31,7 @@
 		answered <- time.Now()
 	}()
 	<-taken
-	if env.count(history.Notice) != 1 {
+	if env.count(history.NoticeReceived) != 1 {
 		t.Error("the notice is not recorded as it comes")
 	}
 	if at := <-answered; at.Sub(begin) < slow {
--- a/internal/lab/platform/partner.go
+++ b/internal/lab/platform/partner.go
@@ -94,7 +94,7 @@
 // ServeAll lets all relays reach an endpoint at one address.
 func (p *Partners) ServeAll(name, addr string, who func(ip string) string) (string, error) {
 	e := p.eps[name]
-	o, err := p.Net.ServeAll(name, addr, who, func(c *link.Conn) { e.serve(c.Peer(), c) })
+	o, err := p.Net.ServeParty(name, addr, who, func(c *link.Conn) { e.serve(c.Peer(), c) })
 	if err != nil {
 		return "", err
 	}
--- a/internal/lab/platform/request.go
+++ b/internal/lab/platform/request.go
@@ -89,8 +89,8 @@
 func (c *Clients) heard(id, relay string, conn *clientConn, resp *http.Response) (after time.Duration) {
 	s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	after = time.Duration(s * float64(time.Second))
-	c.Record(history.Event{T: c.Clock.Now(), Kind: history.Heard, Relay: relay, ID: id, Status: resp.StatusCode, Wait: after.Milliseconds(),
-		Whole: conn.watch.written.Load()})
+	c.Record(history.Event{At: c.Clock.Now(), Kind: history.AnswerReceived, Relay: relay, ID: id, Status: resp.StatusCode, WaitMs: after.Milliseconds(),
+		CompleteAt: conn.watch.written.Load()})
 	return after
 }
 
--- a/internal/lab/platform/request_test.go
+++ b/internal/lab/platform/request_test.go
@@ -47,7 +47,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, e := range r.all {
-		if e.Kind == history.Left && e.How == history.Unanswered {
+		if e.Kind == history.ClientLeft && e.Detail == history.Unanswered {
 			n++
 		}
 	}
@@ -136,9 +136,9 @@
 		clients.Close()
 		relay.Close()
 		unanswered := env.unanswered()
-		if got := env.count(history.Hand); got != c.hands || len(relay.ids) != c.reads || unanswered != c.unanswered || env.count(history.Heard) != 1 {
+		if got := env.count(history.RequestSent); got != c.hands || len(relay.ids) != c.reads || unanswered != c.unanswered || env.count(history.AnswerReceived) != 1 {
 			t.Errorf("%s: handed in %d times, read %d times, %d times read with no answer, answered %d times; want %d, %d, %d, 1",
-				c.script, got, len(relay.ids), unanswered, env.count(history.Heard), c.hands, c.reads, c.unanswered)
+				c.script, got, len(relay.ids), unanswered, env.count(history.AnswerReceived), c.hands, c.reads, c.unanswered)
 		}
 	}
 }
@@ -164,8 +164,8 @@
 		clients.wait.Wait()
 		clients.Close()
 		relay.Close()
-		if got, lost := env.count(history.Hand), env.unanswered(); got != c.hands || lost != c.unanswered || env.count(history.Heard) != 2 {
-			t.Errorf("%s: handed in %d times, %d times read with no answer, answered %d times; want %d, %d, 2", c.script, got, lost, env.count(history.Heard), c.hands, c.unanswered)
+		if got, lost := env.count(history.RequestSent), env.unanswered(); got != c.hands || lost != c.unanswered || env.count(history.AnswerReceived) != 2 {
+			t.Errorf("%s: handed in %d times, %d times read with no answer, answered %d times; want %d, %d, 2", c.script, got, lost, env.count(history.AnswerReceived), c.hands, c.unanswered)
 		}
 	}
 }
@@ -182,8 +182,8 @@
 		clients.hand(m, "")
 	}
 	relay.Close()
-	if env.count(history.Hand) != 2 || env.count(history.Heard) != 2 || len(clients.idle) != 0 {
-		t.Errorf("handed in %d times, answered %d times, %d kept; want 2, 2, 0", env.count(history.Hand), env.count(history.Heard), len(clients.idle))
+	if env.count(history.RequestSent) != 2 || env.count(history.AnswerReceived) != 2 || len(clients.idle) != 0 {
+		t.Errorf("handed in %d times, answered %d times, %d kept; want 2, 2, 0", env.count(history.RequestSent), env.count(history.AnswerReceived), len(clients.idle))
 	}
 }
 
--- a/internal/lab/platform/slowstart.go
+++ b/internal/lab/platform/slowstart.go
@@ -43,7 +43,7 @@
 	d.arrivals = slices.DeleteFunc(d.arrivals, func(a arrival) bool { return now.Sub(a.at) > fallSpan })
 	allowed := fallTimes * d.capacity() * d.warmth(now) * fallSpan.Seconds()
 	calls := float64(len(d.arrivals))
-	if calls <= history.SlowStartMost(allowed) {
+	if calls <= history.SlowStartMaxCalls(allowed) {
 		return
 	}
 	d.fallen = true
@@ -51,8 +51,8 @@
 	for _, a := range d.arrivals {
 		figures[a.relay]++
 	}
-	d.all.Record(history.Event{T: d.all.Clock.At(now), Kind: history.Fell, Dest: d.Number, Figures: figures,
-		Text: fmt.Sprintf("%.0f calls in %v, where %.1f are allowed and %.1f bearable", calls, fallSpan, allowed, history.SlowStartMost(allowed))})
+	d.all.Record(history.Event{At: d.all.Clock.At(now), Kind: history.SlowStartOverloaded, Dest: d.Number, Values: figures,
+		Text: fmt.Sprintf("%.0f calls in %v, where %.1f are allowed and %.1f bearable", calls, fallSpan, allowed, history.SlowStartMaxCalls(allowed))})
 }
 
 // capacity is what a destination's endpoints do in a second once they are warm. The lock is held.
--- a/internal/lab/platform/slowstart_test.go
+++ b/internal/lab/platform/slowstart_test.go
@@ -47,7 +47,7 @@
 			d := NewPartners(env.Env).dests[0]
 			now := time.Now()
 			d.comeBack(now)
-			most := int(math.Floor(history.SlowStartMost(fallTimes * d.capacity() * d.warmth(now) * fallSpan.Seconds())))
+			most := int(math.Floor(history.SlowStartMaxCalls(fallTimes * d.capacity() * d.warmth(now) * fallSpan.Seconds())))
 			for i := range most {
 				d.count(fmt.Sprintf("relay/%d", i%relays), now)
 			}
@@ -59,7 +59,7 @@
 				t.Errorf("capacity %g, %d relays: it bears %d calls, one more than its bound", capacity, relays, most+1)
 			}
 			e := env.all[len(env.all)-1]
-			if e.Kind != history.Fell || e.Figures["calls"] != float64(most+1) || e.Figures["relay/0"] == 0 {
+			if e.Kind != history.SlowStartOverloaded || e.Values["calls"] != float64(most+1) || e.Values["relay/0"] == 0 {
 				t.Errorf("it does not say how it fell: %v", e)
 			}
 		}
--- a/internal/lab/platform/strangers.go
+++ b/internal/lab/platform/strangers.go
@@ -131,11 +131,11 @@
 		return
 	}
 	defer conn.Close()
-	e := history.Event{Kind: history.Stranger, Relay: relay, Begun: s.Clock.Now(), How: m.name, Left: owedIn.Milliseconds(), State: "waits"}
+	e := history.Event{Kind: history.Stranger, Relay: relay, BegunAt: s.Clock.Now(), Detail: m.name, LeftMs: owedIn.Milliseconds(), State: "waits"}
 	if m.flood {
-		e.Left = owedFlood.Milliseconds()
+		e.LeftMs = owedFlood.Milliseconds()
 	}
-	end := time.Now().Add(time.Duration(e.Left)*time.Millisecond + strangePut)
+	end := time.Now().Add(time.Duration(e.LeftMs)*time.Millisecond + strangePut)
 	conn.SetDeadline(end)
 	var ended sync.WaitGroup
 	stop := make(chan struct{})
@@ -168,7 +168,7 @@
 			break
 		}
 	}
-	e.T = s.Clock.Now()
+	e.At = s.Clock.Now()
 	close(stop)
 	conn.Close()
 	ended.Wait()
--- a/internal/lab/proc/cores.go
+++ b/internal/lab/proc/cores.go
@@ -12,8 +12,8 @@
 // Cores are numbers of processor cores.
 type Cores []int
 
-// Usable has the cores that this process may use.
-func Usable() (Cores, error) {
+// UsableCores returns the cores that this process may run on.
+func UsableCores() (Cores, error) {
 	var set unix.CPUSet
 	if err := unix.SchedGetaffinity(0, &set); err != nil {
 		return nil, fmt.Errorf("cores of this process: %w", err)
@@ -27,18 +27,19 @@
 	return cores, nil
 }
 
-// Split divides cores: the last n are for programs under test, the others for the lab.
+// Split divides the cores: the last n are for the programs under test, the others for the lab. It is an error if none is left
+// for the lab.
 func (c Cores) Split(n int) (lab, tested Cores, err error) {
 	if n >= len(c) {
-		return nil, nil, fmt.Errorf("%d cores for the programs under test leave the lab none of %d", n, len(c))
+		return nil, nil, fmt.Errorf("%d cores for the programs under test leave none of %d for the lab", n, len(c))
 	}
 	return c[:len(c)-n], c[len(c)-n:], nil
 }
 
-// Keep has all threads of this process, and what they start from now on, run on these cores alone.
-func (c Cores) Keep() error {
+// Pin restricts all threads of this process, and the processes and threads that they start from now on, to these cores.
+func (c Cores) Pin() error {
 	set := c.set()
-	for range 2 { // a thread that began meanwhile
+	for range 2 { // the second pass finds threads that were started during the first
 		tasks, err := os.ReadDir("/proc/self/task")
 		if err != nil {
 			return err
@@ -56,8 +57,9 @@
 	return nil
 }
 
-// whileOn does something with the calling thread on these cores, which a process that it starts inherits.
-func (c Cores) whileOn(do func() error) error {
+// runPinned calls do with the calling thread restricted to these cores; processes that do starts inherit the restriction.
+// A nil receiver restricts nothing. The caller must have locked the goroutine to its thread.
+func (c Cores) runPinned(do func() error) error {
 	if c == nil {
 		return do()
 	}
--- a/internal/lab/proc/cores_test.go
+++ b/internal/lab/proc/cores_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// Guards against programs under test that run on the lab's cores, and a lab that stays on fewer than it had.
-func TestCores(t *testing.T) {
-	before, err := Usable()
+// Guards against programs under test that run on the lab's cores, and a lab that does not get all of its cores back.
+func TestProgramsRunOnTheirCores(t *testing.T) {
+	before, err := UsableCores()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -20,15 +20,15 @@
 	}
 	own, tested, err := before.Split(1)
 	if err != nil || len(own) != len(before)-1 || len(tested) != 1 || slices.Contains(own, tested[0]) {
-		t.Fatalf("%v is divided into %v and %v, %v", before, own, tested, err)
+		t.Fatalf("%v was split into %v and %v, %v", before, own, tested, err)
 	}
 	if _, _, err := before.Split(len(before)); err == nil {
-		t.Error("the lab is left no core")
+		t.Error("a split that leaves the lab no core was accepted")
 	}
-	if err := own.Keep(); err != nil {
+	if err := own.Pin(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { before.Keep() })
+	t.Cleanup(func() { before.Pin() })
 	for name, c := range map[string]struct{ cores, want Cores }{"tested": {tested, tested}, "own": {nil, own}} {
 		log := filepath.Join(t.TempDir(), "log")
 		p, err := Start(Spec{Name: name, Command: "exec grep Cpus_allowed_list /proc/self/status", Log: log, Cores: c.cores}, func(*Process) {})
@@ -44,15 +44,15 @@
 			t.Errorf("%s runs on %q, want %v", name, list, c.want)
 		}
 	}
-	if err := before.Keep(); err != nil {
+	if err := before.Pin(); err != nil {
 		t.Fatal(err)
 	}
-	if after, err := Usable(); err != nil || !slices.Equal(after, before) {
+	if after, err := UsableCores(); err != nil || !slices.Equal(after, before) {
 		t.Errorf("the lab has %v, %v afterwards, had %v", after, err, before)
 	}
 }
 
-// parseCores reads a list such as 0-2,5.
+// parseCores parses a list of cores such as 0-2,5.
 func parseCores(t *testing.T, list string) (cores Cores) {
 	t.Helper()
 	for _, part := range strings.Split(list, ",") {
--- a/internal/lab/proc/folder.go
+++ b/internal/lab/proc/rundir.go
@@ -11,39 +11,39 @@
 	"syscall"
 )
 
-// Folder makes a folder for a run under dir, and removes those that labs which have died left there.
-func Folder(dir string) (string, error) {
+// NewRunDir creates a directory for a run in dir, and removes the directories there of labs whose process no longer exists.
+func NewRunDir(dir string) (string, error) {
 	const prefix = "larchlab-"
-	old, err := filepath.Glob(filepath.Join(dir, prefix+"*"))
+	existing, err := filepath.Glob(filepath.Join(dir, prefix+"*"))
 	if err != nil {
 		return "", err
 	}
-	for _, path := range old {
+	for _, path := range existing {
 		owner, _, _ := strings.Cut(strings.TrimPrefix(filepath.Base(path), prefix), "-")
 		pid, err := strconv.Atoi(owner)
 		if err != nil || pid == os.Getpid() || syscall.Kill(pid, 0) == nil {
 			continue
 		}
 		if err := os.RemoveAll(path); err != nil {
-			return "", fmt.Errorf("folder of a lab that has died: %w", err)
+			return "", fmt.Errorf("remove the directory of a lab that has ended: %w", err)
 		}
 	}
 	return os.MkdirTemp(dir, fmt.Sprintf("%s%d-", prefix, os.Getpid()))
 }
 
-// Deploy is what the deploy file says of building and starting the program.
+// Deploy contains the commands of the deploy file that build and start the program.
 type Deploy struct {
-	Root  string // of the repository
+	Root  string // the repository's root, where the commands run
 	Build string `toml:"build"`
 	Run   string `toml:"run"`
 }
 
-// Built runs the deploy file's build, whose output shows only if it fails.
-func (d Deploy) Built(ctx context.Context) error {
+// RunBuild runs the deploy file's build command. The error contains its output.
+func (d Deploy) RunBuild(ctx context.Context) error {
 	cmd := exec.CommandContext(ctx, "/bin/sh", "-c", d.Build)
 	cmd.Dir = d.Root
 	if out, err := cmd.CombinedOutput(); err != nil {
-		return fmt.Errorf("build of the deploy file: %w\n%s", err, out)
+		return fmt.Errorf("build command of the deploy file: %w\n%s", err, out)
 	}
 	return nil
 }
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -115,7 +115,7 @@
 		return nil, err
 	}
 	r.config.Known = known
-	r.w.record(history.Event{Kind: history.Told, Relay: r.name, Version: version, How: "configuration"})
+	r.w.record(history.Event{Kind: history.ListSent, Relay: r.name, Version: version, Detail: "configuration"})
 	return json.MarshalIndent(r.config, "", " ")
 }
 
@@ -142,8 +142,8 @@
 		"BALANCER_STATE=" + filepath.Join(r.dir, "state"), "BALANCER_CONFIG=" + r.configPath(), "BALANCER_ADMIN_ADDR=" + admin,
 		"TMPDIR=" + filepath.Join(r.dir, "tmp")}
 	log := r.logPath()
-	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, How: "start", Text: text})
-	p, err := proc.Start(proc.Spec{Name: r.name, Command: r.w.options.Command, Dir: r.w.options.Root, Env: append(env, r.w.options.Env...), Sockets: r.w.scenario.Fleet.Sockets,
+	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, Detail: "start", Text: text})
+	p, err := proc.Start(proc.Spec{Name: r.name, Command: r.w.options.Command, Dir: r.w.options.Root, Env: append(env, r.w.options.Env...), MaxDescriptors: r.w.scenario.Fleet.Sockets,
 		Log: log, Cores: r.w.relayCores}, func(p *proc.Process) { r.w.ended(r.name, p, log) })
 	if err != nil {
 		return err
@@ -163,7 +163,7 @@
 		}
 	}
 	r.now, r.admin = p, admin
-	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: p.PID, How: "ready"})
+	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: p.PID, Detail: "ready"})
 	r.w.front.Use(r.name, true)
 	return nil
 }
@@ -201,7 +201,7 @@
 		how = "crash"
 		text = fmt.Sprintf("ended unasked (%s): %s", text, strings.Join(proc.Tail(log, 3), " | "))
 	}
-	w.record(history.Event{Kind: history.Proc, Proc: name, PID: p.PID, How: how, Text: text})
+	w.record(history.Event{Kind: history.ProcessChanged, Proc: name, PID: p.PID, Detail: how, Text: text})
 }
 
 // notice has the front notice, some time after, that a relay has gone.
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -23,7 +23,7 @@
 	if r.now == nil {
 		return nil
 	}
-	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: r.now.PID, How: "kill"})
+	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.now.PID, Detail: "kill"})
 	r.now.Kill()
 	r.now = nil
 	r.notice(r.w.noticed(), r.n)
@@ -52,9 +52,9 @@
 	if r.now == nil {
 		return nil
 	}
-	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: r.now.PID, How: "term"})
+	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.now.PID, Detail: "term"})
 	leave := time.AfterFunc(lastClients, func() { r.w.front.Leave(r.name) })
-	r.now.End(killAfter)
+	r.now.Terminate(killAfter)
 	r.now = nil
 	leave.Stop()
 	r.w.front.Use(r.name, false)
@@ -72,8 +72,8 @@
 	if err := r.begin(ctx, true); err != nil {
 		return fmt.Errorf("upgrade: %w", err)
 	}
-	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: old.PID, How: "term", Text: "handed over"})
-	old.End(killAfter)
+	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: old.PID, Detail: "term", Text: "handed over"})
+	old.Terminate(killAfter)
 	return nil
 }
 
@@ -91,7 +91,7 @@
 		return nil
 	}
 	*paused = true
-	w.record(history.Event{Kind: history.Proc, Proc: name, PID: p.PID, How: "stop"})
+	w.record(history.Event{Kind: history.ProcessChanged, Proc: name, PID: p.PID, Detail: "stop"})
 	err := p.Signal(syscall.SIGSTOP, false)
 	mu.Unlock()
 	select {
@@ -102,7 +102,7 @@
 	defer mu.Unlock()
 	*paused = false
 	err = errors.Join(err, p.Signal(syscall.SIGCONT, false))
-	w.record(history.Event{Kind: history.Proc, Proc: name, PID: p.PID, How: "cont"})
+	w.record(history.Event{Kind: history.ProcessChanged, Proc: name, PID: p.PID, Detail: "cont"})
 	return err
 }
 
@@ -124,8 +124,8 @@
 	}
 	if u, err := p.Usage(); err == nil {
 		row.Use = u
-		disk, _ := proc.FolderMB(filepath.Join(r.dir, "state"))
-		r.w.record(history.Event{Kind: history.Sample, Proc: r.name, PID: p.PID, Figures: map[string]float64{"cpu_s": u.CPU.Seconds(),
+		disk, _ := proc.DirMB(filepath.Join(r.dir, "state"))
+		r.w.record(history.Event{Kind: history.Sample, Proc: r.name, PID: p.PID, Values: map[string]float64{"cpu_s": u.CPU.Seconds(),
 			"memory_mb": u.MemoryMB, "descriptors": float64(u.Descriptors), "disk_mb": disk}})
 	}
 	if paused {
@@ -140,7 +140,7 @@
 		return row
 	}
 	row.Figures = figures
-	r.w.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, PID: p.PID, Whole: asked, Figures: figures})
+	r.w.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, PID: p.PID, CompleteAt: asked, Values: figures})
 	return row
 }
 
@@ -155,7 +155,7 @@
 	if r.paused {
 		r.now.Signal(syscall.SIGCONT, false)
 	}
-	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: r.now.PID, How: "term"})
-	r.now.End(killAfter)
+	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.now.PID, Detail: "term"})
+	r.now.Terminate(killAfter)
 	r.now = nil
 }
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -30,7 +30,7 @@
 	if late.P99 > float64(tooLate.Milliseconds()) {
 		r.Void = fmt.Sprintf("the machine is too busy for this load: one in a hundred of the lab's own timers came %.0f ms late or more, of %d at most", late.P99, tooLate.Milliseconds())
 	}
-	if err := w.net.Trouble(); err != nil {
+	if err := w.net.Failure(); err != nil {
 		r.Void = fmt.Sprintf("the lab itself could not go on: %v", err)
 	}
 	for _, rule := range rules.All {
--- a/internal/lab/rules/agreed.go
+++ b/internal/lab/rules/agreed.go
@@ -48,7 +48,7 @@
 	var turn, force, next uint64
 	var mode string
 	if _, err := fmt.Sscanf(e.Agreed, "%d %d %d %s", &turn, &force, &next, &mode); err != nil {
-		c.broken(Own, e.T, e.IDs[0], fmt.Sprintf("its call says %q of what it was decided by", e.Agreed), []string{e.Relay}, e)
+		c.broken(Own, e.At, e.IDs[0], fmt.Sprintf("its call says %q of what it was decided by", e.Agreed), []string{e.Relay}, e)
 		return
 	}
 	if c.report.Agreed == nil {
@@ -59,7 +59,7 @@
 	if mode != "alone" && mode != "joined" {
 		return
 	}
-	at := float64(e.Begun) / 1e6
+	at := float64(e.BegunAt) / 1e6
 	first := func(v *float64) {
 		if *v < 0 || at < *v {
 			*v = at
--- a/internal/lab/rules/agreed_test.go
+++ b/internal/lab/rules/agreed_test.go
@@ -10,10 +10,10 @@
 // Guards against a contradiction that is not seen, and one that is seen where there is none.
 func TestContradiction(t *testing.T) {
 	by := func(t int64, relay, agreed string) history.Event {
-		return history.Event{T: t, Kind: history.Call, Relay: relay, Call: t, IDs: []string{"m"}, Endpoint: "endpoint/0", Begun: t, Whole: t, Agreed: agreed}
+		return history.Event{At: t, Kind: history.CallReceived, Relay: relay, Call: t, IDs: []string{"m"}, Endpoint: "endpoint/0", BegunAt: t, CompleteAt: t, Agreed: agreed}
 	}
 	held := by(9000, "relay/0", "2 1 0 alone") // a cut held it up
-	held.Begun = 1000
+	held.BegunAt = 1000
 	for name, c := range map[string]struct {
 		events               []history.Event
 		contradiction, three float64
--- a/internal/lab/rules/calls.go
+++ b/internal/lab/rules/calls.go
@@ -17,28 +17,28 @@
 	c.agreed(e)
 	c.looked(Wait)
 	for _, w := range p.waits[e.Dest] {
-		if e.Whole > w.from+waitGrace && e.Whole < w.until-slack {
-			c.broken(Wait, e.Whole, e.IDs[0], fmt.Sprintf("it went to destination %d %.3f s after a wait of %.3f s was told, and %.3f s before its end",
-				e.Dest, float64(e.Whole-w.from)/1e6, float64(w.until-w.from)/1e6, float64(w.until-e.Whole)/1e6), []string{e.Relay, e.Endpoint}, e)
+		if e.CompleteAt > w.from+waitGrace && e.CompleteAt < w.until-slack {
+			c.broken(Wait, e.CompleteAt, e.IDs[0], fmt.Sprintf("it went to destination %d %.3f s after a wait of %.3f s was told, and %.3f s before its end",
+				e.Dest, float64(e.CompleteAt-w.from)/1e6, float64(w.until-w.from)/1e6, float64(w.until-e.CompleteAt)/1e6), []string{e.Relay, e.Endpoint}, e)
 			break
 		}
 	}
 	c.drained(p, e)
 	for i, id := range e.IDs {
 		m := c.msgs[id]
-		p.counts["attempts"].must.add(e.T)
-		p.counts["attempts"].may.add(e.Whole)
+		p.counts["attempts"].must.add(e.At)
+		p.counts["attempts"].may.add(e.CompleteAt)
 		c.looked(Own)
 		switch {
-		case m == nil && e.T-e.Whole > keepFor: // a cut held it up for longer than messages are remembered
+		case m == nil && e.At-e.CompleteAt > keepFor: // a cut held it up for longer than messages are remembered
 			continue
 		case m == nil:
-			c.broken(Own, e.T, id, "no client handed it in, or its time was long over", []string{e.Relay, e.Endpoint}, e)
+			c.broken(Own, e.At, id, "no client handed it in, or its time was long over", []string{e.Relay, e.Endpoint}, e)
 			continue
 		case m.Dest != e.Dest:
-			c.broken(Own, e.T, id, fmt.Sprintf("it is for destination %d and went to one of %d", m.Dest, e.Dest), []string{e.Relay, e.Endpoint}, append(m.lines, e)...)
-		case i < len(e.Sums) && e.Sums[i] != m.Sum:
-			c.broken(Own, e.T, id, "its body or key is not what its client handed in", []string{e.Relay, e.Endpoint}, append(m.lines, e)...)
+			c.broken(Own, e.At, id, fmt.Sprintf("it is for destination %d and went to one of %d", m.Dest, e.Dest), []string{e.Relay, e.Endpoint}, append(m.lines, e)...)
+		case i < len(e.BodySums) && e.BodySums[i] != m.BodySum:
+			c.broken(Own, e.At, id, "its body or key is not what its client handed in", []string{e.Relay, e.Endpoint}, append(m.lines, e)...)
 		}
 		c.attempt(m, a)
 	}
@@ -52,24 +52,24 @@
 	procs := []string{a.Relay, a.Endpoint}
 	c.looked(Attempts)
 	if n := len(m.calls) + 1; n > c.terms.MaxAttempts {
-		c.broken(Attempts, a.T, m.ID, fmt.Sprintf("this is attempt %d of %d", n, c.terms.MaxAttempts), procs, lines()...)
+		c.broken(Attempts, a.At, m.ID, fmt.Sprintf("this is attempt %d of %d", n, c.terms.MaxAttempts), procs, lines()...)
 	}
 	c.looked(Once)
-	if m.notice.T > 0 && a.Begun > m.notice.T+slack {
-		c.broken(Once, a.Begun, m.ID, "it was sent after its end was told: "+m.notice.How, procs, lines(m.notice)...)
+	if m.notice.At > 0 && a.BegunAt > m.notice.At+slack {
+		c.broken(Once, a.BegunAt, m.ID, "it was sent after its end was told: "+m.notice.Detail, procs, lines(m.notice)...)
 	}
 	for _, b := range m.calls {
 		c.looked(Twice)
-		if b.end == 0 || b.end > a.Whole {
+		if b.end == 0 || b.end > a.CompleteAt {
 			t := &twins{m.ID, b, a}
 			b.twins, a.twins = append(b.twins, t), append(a.twins, t)
 		}
-		if b.status == 200 && !b.crossed && a.Begun > b.end+slack && !c.restarted(a.Relay, b.end, a.Begun) && !c.inherited(a.Relay, b.Relay, b.end) {
-			c.broken(Once, a.Begun, m.ID, "it was sent again after it was delivered", procs, lines(b.Event)...)
+		if b.status == 200 && !b.crossed && a.BegunAt > b.end+slack && !c.restarted(a.Relay, b.end, a.BegunAt) && !c.inherited(a.Relay, b.Relay, b.end) {
+			c.broken(Once, a.BegunAt, m.ID, "it was sent again after it was delivered", procs, lines(b.Event)...)
 		}
 		// A call that a cut held up comes after those that were made later.
 		first, later := b, a
-		if a.Whole < b.Whole {
+		if a.CompleteAt < b.CompleteAt {
 			first, later = a, b
 		}
 		if first.end > 0 && !first.mayRun() {
@@ -79,12 +79,12 @@
 		window := m.class.Window.Microseconds()
 		switch {
 		case m.class.Effect == "at_most_once":
-			c.broken(Repeat, later.Whole, m.ID, "it may have run, and its class may never be repeated", procs, lines(b.Event)...)
-		case m.class.Effect == "deduplicated" && later.Whole > first.Whole+window+slack:
-			c.broken(Repeat, later.Whole, m.ID, fmt.Sprintf("it was repeated %.3f s after it may have run, and repeats are dropped for %.3f s",
-				float64(later.Whole-first.Whole)/1e6, float64(window)/1e6), procs, lines(b.Event)...)
+			c.broken(Repeat, later.CompleteAt, m.ID, "it may have run, and its class may never be repeated", procs, lines(b.Event)...)
+		case m.class.Effect == "deduplicated" && later.CompleteAt > first.CompleteAt+window+slack:
+			c.broken(Repeat, later.CompleteAt, m.ID, fmt.Sprintf("it was repeated %.3f s after it may have run, and repeats are dropped for %.3f s",
+				float64(later.CompleteAt-first.CompleteAt)/1e6, float64(window)/1e6), procs, lines(b.Event)...)
 		case m.class.Effect == "deduplicated" && m.class.SameZone && later.zone != first.zone:
-			c.broken(Repeat, later.Whole, m.ID, "it was repeated in a zone that does not know of it", procs, lines(b.Event)...)
+			c.broken(Repeat, later.CompleteAt, m.ID, "it was repeated in a zone that does not know of it", procs, lines(b.Event)...)
 		}
 	}
 	m.calls = append(m.calls, a)
@@ -99,9 +99,9 @@
 	if a.end == 0 || b.end == 0 {
 		return
 	}
-	if over := min(a.end, b.end) - max(a.Whole, b.Whole); over > slack {
-		c.broken(Twice, max(a.Whole, b.Whole), t.id, fmt.Sprintf("two attempts were out for %.3f s", float64(over)/1e6), []string{a.Relay, a.Endpoint, b.Endpoint},
-			a.Event, b.Event, history.Event{T: a.end, Kind: history.Gone, Call: a.Call, Status: a.status}, history.Event{T: b.end, Kind: history.Gone, Call: b.Call, Status: b.status})
+	if over := min(a.end, b.end) - max(a.CompleteAt, b.CompleteAt); over > slack {
+		c.broken(Twice, max(a.CompleteAt, b.CompleteAt), t.id, fmt.Sprintf("two attempts were out for %.3f s", float64(over)/1e6), []string{a.Relay, a.Endpoint, b.Endpoint},
+			a.Event, b.Event, history.Event{At: a.end, Kind: history.CallAbandoned, Call: a.Call, Status: a.status}, history.Event{At: b.end, Kind: history.CallAbandoned, Call: b.Call, Status: b.status})
 	}
 }
 
@@ -112,23 +112,23 @@
 	}
 	p := c.proc(a.Relay)
 	if a.end > 0 {
-		if e.Kind == history.Gone && e.T-a.end <= slack && !a.crossed {
+		if e.Kind == history.CallAbandoned && e.At-a.end <= slack && !a.crossed {
 			a.crossed = true // it need not know of what the answer told
 			p.waits[a.Dest] = slices.DeleteFunc(p.waits[a.Dest], func(s span) bool { return s.from == a.end })
 			p.counts["served"].unread += len(a.IDs)
 		}
 		return
 	}
-	a.end, a.status = e.T, e.Status
+	a.end, a.status = e.At, e.Status
 	for _, t := range a.twins {
 		c.overlap(t)
 	}
 	a.twins = nil
-	c.later(e.T+keepFor, func() { delete(c.calls, e.Call) })
-	if e.Wait > 0 {
+	c.later(e.At+keepFor, func() { delete(c.calls, e.Call) })
+	if e.WaitMs > 0 {
 		w := p.waits[a.Dest]
-		w = slices.DeleteFunc(w, func(s span) bool { return s.until < e.T-keepFor })
-		p.waits[a.Dest] = append(w, span{e.T, e.T + e.Wait*ms})
+		w = slices.DeleteFunc(w, func(s span) bool { return s.until < e.At-keepFor })
+		p.waits[a.Dest] = append(w, span{e.At, e.At + e.WaitMs*ms})
 	}
 	for _, id := range a.IDs {
 		m := c.msgs[id]
@@ -141,13 +141,13 @@
 		if e.Status != 200 || m.delivered > 0 {
 			continue
 		}
-		m.delivered = e.T
-		p.counts["served"].may.add(e.T)
+		m.delivered = e.At
+		p.counts["served"].may.add(e.At)
 		if m.taken > 0 {
-			m.want.deliver(e.T)
+			m.want.deliver(e.At)
 			// Else the relay has counted its end already, or is stopped and may never read it: its time-out comes first.
-			if m.notice.T == 0 && p.down == 0 {
-				p.counts["served"].must.add(e.T)
+			if m.notice.At == 0 && p.down == 0 {
+				p.counts["served"].must.add(e.At)
 			}
 		}
 	}
--- a/internal/lab/rules/estates.go
+++ b/internal/lab/rules/estates.go
@@ -39,7 +39,7 @@
 		return
 	}
 	for _, m := range c.msgs {
-		if m.orphan && m.delivered == 0 && m.notice.T == 0 && at <= max(m.due+endSlack, m.allowed) {
+		if m.orphan && m.delivered == 0 && m.notice.At == 0 && at <= max(m.due+endSlack, m.allowed) {
 			m.allowed = max(m.allowed, at+over)
 		}
 	}
@@ -63,19 +63,19 @@
 
 // lost notes that a machine has gone, with what it had.
 func (c *Checker) lost(e history.Event, p *process) {
-	p.down, p.lost, p.killed = e.T, true, e.T
+	p.down, p.lost, p.killed = e.At, true, e.At
 	for _, m := range c.msgs {
 		m.orphan = m.orphan || m.Relay == e.Proc
 	}
-	c.delayOrphans(e.T)
-	c.report.TakenOver = append(c.report.TakenOver, TakenOver{Relay: e.Proc, At: float64(e.T) / 1e6, After: -1, at: e.T, left: p.estates})
+	c.delayOrphans(e.At)
+	c.report.TakenOver = append(c.report.TakenOver, TakenOver{Relay: e.Proc, At: float64(e.At) / 1e6, After: -1, at: e.At, left: p.estates})
 	p.estates = nil
 }
 
 // tookOver looks whether a relay tells that it has the estate of one that was lost, or whether that owes nothing more.
 func (c *Checker) tookOver(e history.Event) {
 	estates := map[string]bool{}
-	for name, v := range e.Figures {
+	for name, v := range e.Values {
 		if v > 0 && strings.HasPrefix(name, estateFigure) {
 			estates[name] = true
 		}
@@ -85,11 +85,11 @@
 	}
 	for i := range c.report.TakenOver {
 		t := &c.report.TakenOver[i]
-		if t.After >= 0 || e.Whole <= t.at {
+		if t.After >= 0 || e.CompleteAt <= t.at {
 			continue
 		}
 		for name := range t.left {
-			if e.Figures[name] > 0 {
+			if e.Values[name] > 0 {
 				delete(t.left, name)
 				t.Heir = e.Relay
 			} else if !c.owes(estateOwner(name), t.at) {
@@ -99,7 +99,7 @@
 		if len(t.left) > 0 || t.Heir == "" && c.owes(t.Relay, t.at) {
 			continue
 		}
-		t.After = float64(e.T-t.at) / 1e6
+		t.After = float64(e.At-t.at) / 1e6
 	}
 }
 
@@ -115,7 +115,7 @@
 // owes tells whether a message that a relay took on before a time has no end yet.
 func (c *Checker) owes(relay string, before int64) bool {
 	for _, m := range c.msgs {
-		if m.Relay == relay && m.taken > 0 && m.T < before && m.delivered == 0 && m.notice.T == 0 {
+		if m.Relay == relay && m.taken > 0 && m.At < before && m.delivered == 0 && m.notice.At == 0 {
 			return true
 		}
 	}
--- a/internal/lab/rules/estates_test.go
+++ b/internal/lab/rules/estates_test.go
@@ -10,24 +10,24 @@
 // lossOf is a history in which a relay takes a message on and its machine is lost; more is what follows.
 func lossOf(more ...history.Event) *Report {
 	c := checkerOfTwoRelays()
-	c.See(history.Event{T: 1e5, Kind: history.Metrics, Relay: "relay/0", Whole: 9e4, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}})
-	c.See(history.Event{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000})
-	c.See(history.Event{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202})
-	c.See(history.Event{T: 3e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"})
+	c.See(history.Event{At: 1e5, Kind: history.Metrics, Relay: "relay/0", CompleteAt: 9e4, Values: map[string]float64{"svc.estates.of.relay/0.7": 1}})
+	c.See(history.Event{At: 2e5, Kind: history.RequestSent, Relay: "relay/0", ID: "m", FirstID: "m", Class: "k", LeftMs: 2000})
+	c.See(history.Event{At: 21e4, Kind: history.AnswerReceived, Relay: "relay/0", ID: "m", Status: 202})
+	c.See(history.Event{At: 3e5, Kind: history.ProcessChanged, Proc: "relay/0", Detail: "lose", Text: "for good"})
 	for _, e := range more {
 		c.See(e)
 	}
-	c.See(history.Event{T: 60e6, Kind: history.End})
+	c.See(history.Event{At: 60e6, Kind: history.End})
 	return c.Close()
 }
 
 // Guards against a promise that is lost and not seen, and against ends and heirs that come in time and are blamed.
 func TestLostMachines(t *testing.T) {
-	heir := history.Event{T: 3e6, Kind: history.Metrics, Relay: "relay/1", Whole: 29e5, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}}
+	heir := history.Event{At: 3e6, Kind: history.Metrics, Relay: "relay/1", CompleteAt: 29e5, Values: map[string]float64{"svc.estates.of.relay/0.7": 1}}
 	another := heir
-	another.Figures = map[string]float64{"svc.estates.of.relay/0.8": 1}
+	another.Values = map[string]float64{"svc.estates.of.relay/0.8": 1}
 	notice := func(at int64) history.Event {
-		return history.Event{T: at, Kind: history.Notice, Relay: "relay/1", ID: "m", How: "deferred"}
+		return history.Event{At: at, Kind: history.NoticeReceived, Relay: "relay/1", ID: "m", Detail: "deferred"}
 	}
 	for name, c := range map[string]struct {
 		more  []history.Event
@@ -38,7 +38,7 @@
 	}{
 		"nobody takes over":               {nil, 1, 1, -1, ""},
 		"an heir ends it":                 {[]history.Event{heir, notice(4e6)}, 0, 0, 2.7, "relay/1"},
-		"another estate is no heir":       {[]history.Event{another, notice(4e6), {T: 5e6, Kind: history.Metrics, Relay: "relay/1", Whole: 5e6}}, 0, 0, 4.7, ""},
+		"another estate is no heir":       {[]history.Event{another, notice(4e6), {At: 5e6, Kind: history.Metrics, Relay: "relay/1", CompleteAt: 5e6}}, 0, 0, 4.7, ""},
 		"an end just in time":             {[]history.Event{heir, notice(4290e3)}, 0, 0, 2.7, "relay/1"},
 		"an end too late":                 {[]history.Event{heir, notice(48e5)}, 1, 1, 2.7, "relay/1"},
 		"a heir that has it ends nothing": {[]history.Event{heir}, 1, 1, 2.7, "relay/1"},
@@ -62,19 +62,19 @@
 	}{"run out": {false, 2.7}, "a message is open": {true, 5.2}} {
 		checker := checkerOfTwoRelays()
 		figures := map[string]float64{"svc.estates.of.relay/0.7": 1, "svc.estates.of.relay/1.3": 1}
-		events := []history.Event{{T: 1e5, Kind: history.Metrics, Relay: "relay/0", Whole: 9e4, Figures: figures}}
+		events := []history.Event{{At: 1e5, Kind: history.Metrics, Relay: "relay/0", CompleteAt: 9e4, Values: figures}}
 		for id, relay := range map[string]string{"m": "relay/0", "n": "relay/1"} {
 			if id == "n" && !c.open {
 				continue
 			}
-			events = append(events, history.Event{T: 2e5, Kind: history.Hand, Relay: relay, ID: id, First: id, Class: "k", Left: 9000},
-				history.Event{T: 21e4, Kind: history.Heard, Relay: relay, ID: id, Status: 202})
+			events = append(events, history.Event{At: 2e5, Kind: history.RequestSent, Relay: relay, ID: id, FirstID: id, Class: "k", LeftMs: 9000},
+				history.Event{At: 21e4, Kind: history.AnswerReceived, Relay: relay, ID: id, Status: 202})
 		}
-		heir := history.Event{T: 3e6, Kind: history.Metrics, Relay: "relay/1", Whole: 29e5, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}}
-		events = append(events, history.Event{T: 3e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"}, heir,
-			history.Event{T: 5e6, Kind: history.Notice, Relay: "relay/1", ID: "n", How: "deferred"})
-		heir.T, heir.Whole = 55e5, 54e5
-		events = append(events, heir, history.Event{T: 60e6, Kind: history.End})
+		heir := history.Event{At: 3e6, Kind: history.Metrics, Relay: "relay/1", CompleteAt: 29e5, Values: map[string]float64{"svc.estates.of.relay/0.7": 1}}
+		events = append(events, history.Event{At: 3e5, Kind: history.ProcessChanged, Proc: "relay/0", Detail: "lose", Text: "for good"}, heir,
+			history.Event{At: 5e6, Kind: history.NoticeReceived, Relay: "relay/1", ID: "n", Detail: "deferred"})
+		heir.At, heir.CompleteAt = 55e5, 54e5
+		events = append(events, heir, history.Event{At: 60e6, Kind: history.End})
 		for _, e := range events {
 			checker.See(e)
 		}
@@ -89,12 +89,12 @@
 func TestOnlyALostMachineGivesMoreTime(t *testing.T) {
 	at := int64(15e5)
 	for name, trouble := range map[string]history.Event{
-		"links are cut":           {T: at, Kind: history.Fault, How: "begin", Text: "cut relay/0 to keepers", State: history.Lossy},
-		"a keeper is killed":      {T: at, Kind: history.Proc, Proc: "keeper/0", How: "kill"},
-		"a keeper leads anew":     {T: at, Kind: history.Proc, Proc: "keeper/0", How: "ready"},
-		"another relay is killed": {T: at, Kind: history.Proc, Proc: "relay/1", How: "kill"},
-		"another relay is lost":   {T: at, Kind: history.Proc, Proc: "relay/1", How: "lose", Text: "for good"},
-		"another relay stands":    {T: at, Kind: history.Proc, Proc: "relay/1", How: "stop"},
+		"links are cut":           {At: at, Kind: history.Fault, Detail: "begin", Text: "cut relay/0 to keepers", State: history.Lossy},
+		"a keeper is killed":      {At: at, Kind: history.ProcessChanged, Proc: "keeper/0", Detail: "kill"},
+		"a keeper leads anew":     {At: at, Kind: history.ProcessChanged, Proc: "keeper/0", Detail: "ready"},
+		"another relay is killed": {At: at, Kind: history.ProcessChanged, Proc: "relay/1", Detail: "kill"},
+		"another relay is lost":   {At: at, Kind: history.ProcessChanged, Proc: "relay/1", Detail: "lose", Text: "for good"},
+		"another relay stands":    {At: at, Kind: history.ProcessChanged, Proc: "relay/1", Detail: "stop"},
 	} {
 		for _, end := range []struct {
 			at     int64
@@ -102,9 +102,9 @@
 		}{{2540e3, 0}, {2560e3, 1}} { // its time is up at 2.2 s
 			c := checkerOfTwoRelays()
 			for _, e := range []history.Event{
-				{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000},
-				{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202}, trouble,
-				{T: end.at, Kind: history.Notice, Relay: "relay/0", ID: "m", How: "deferred"}, {T: 60e6, Kind: history.End},
+				{At: 2e5, Kind: history.RequestSent, Relay: "relay/0", ID: "m", FirstID: "m", Class: "k", LeftMs: 2000},
+				{At: 21e4, Kind: history.AnswerReceived, Relay: "relay/0", ID: "m", Status: 202}, trouble,
+				{At: end.at, Kind: history.NoticeReceived, Relay: "relay/0", ID: "m", Detail: "deferred"}, {At: 60e6, Kind: history.End},
 			} {
 				c.See(e)
 			}
@@ -130,13 +130,13 @@
 	} {
 		checker := checkerOfTwoRelays()
 		events := []history.Event{
-			{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000},
-			{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202},
-			{T: 15e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"}}
+			{At: 2e5, Kind: history.RequestSent, Relay: "relay/0", ID: "m", FirstID: "m", Class: "k", LeftMs: 2000},
+			{At: 21e4, Kind: history.AnswerReceived, Relay: "relay/0", ID: "m", Status: 202},
+			{At: 15e5, Kind: history.ProcessChanged, Proc: "relay/0", Detail: "lose", Text: "for good"}}
 		if c.killed > 0 {
-			events = append(events, history.Event{T: c.killed, Kind: history.Proc, Proc: "keeper/0", How: "kill"})
+			events = append(events, history.Event{At: c.killed, Kind: history.ProcessChanged, Proc: "keeper/0", Detail: "kill"})
 		}
-		events = append(events, history.Event{T: c.told, Kind: history.Notice, Relay: "relay/1", ID: "m", How: "deferred"}, history.Event{T: 60e6, Kind: history.End})
+		events = append(events, history.Event{At: c.told, Kind: history.NoticeReceived, Relay: "relay/1", ID: "m", Detail: "deferred"}, history.Event{At: 60e6, Kind: history.End})
 		for _, e := range events {
 			checker.See(e)
 		}
@@ -152,8 +152,8 @@
 	c.See(history.Event{Kind: history.Run, Terms: &history.Terms{MaxAttempts: 8, TakeOver: 4 * time.Second, DrainGrace: time.Second, AskWithin: time.Minute,
 		Classes: []history.Class{{Name: "k", Effect: "deduplicated", Window: 15 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}})
 	for _, p := range []string{"relay/0", "relay/1"} {
-		c.See(history.Event{Kind: history.Proc, Proc: p, How: "start"})
-		c.See(history.Event{Kind: history.Proc, Proc: p, How: "ready"})
+		c.See(history.Event{Kind: history.ProcessChanged, Proc: p, Detail: "start"})
+		c.See(history.Event{Kind: history.ProcessChanged, Proc: p, Detail: "ready"})
 	}
 	return c
 }
--- a/internal/lab/rules/figures_test.go
+++ b/internal/lab/rules/figures_test.go
@@ -14,13 +14,13 @@
 		var events []history.Event
 		for i := range int64(10) {
 			h := hand(100+i, fmt.Sprintf("m%d", i), "keyed")
-			h.How = how
+			h.Detail = how
 			events = append(events, h)
 		}
 		for i := range int64(10) {
 			events = append(events, heard(120+i, fmt.Sprintf("m%d", i), 503))
 		}
-		figures := history.Event{T: 2000, Whole: 2000, Kind: history.Metrics, Proc: "relay/0", Figures: map[string]float64{"svc.requests.keyed.refused": 0}}
+		figures := history.Event{At: 2000, CompleteAt: 2000, Kind: history.Metrics, Proc: "relay/0", Values: map[string]float64{"svc.requests.keyed.refused": 0}}
 		check(t, map[string]ruleCase{"refused, " + how: {rule, append(events, figures)}})
 	}
 }
--- a/internal/lab/rules/lists.go
+++ b/internal/lab/rules/lists.go
@@ -23,8 +23,8 @@
 
 // ask takes in a call for the list.
 func (p *process) ask(e history.Event) {
-	p.asked = e.T
-	p.listCalls = append(p.listCalls, listCall{e.T, e.Left * ms})
+	p.asked = e.At
+	p.listCalls = append(p.listCalls, listCall{e.At, e.LeftMs * ms})
 }
 
 // over takes a call for the list off the open ones: the one that came at a time, or the oldest. It returns when it came.
@@ -44,7 +44,7 @@
 
 // answered takes in that a call for the list was answered. What went out before it was within the time that the settings give.
 func (p *process) answered(e history.Event) {
-	if at := p.over(e.Begun); at >= p.listHeard {
+	if at := p.over(e.BegunAt); at >= p.listHeard {
 		p.listHeard, p.listFailed = at, false
 		p.unheard = nil
 	}
@@ -55,7 +55,7 @@
 // the relay sent meanwhile is judged by that.
 func (c *Checker) unanswered(e history.Event) {
 	p := c.proc(e.Relay)
-	if at := p.over(e.Begun); at < p.listHeard {
+	if at := p.over(e.BegunAt); at < p.listHeard {
 		return
 	}
 	p.listFailed = true
@@ -69,9 +69,9 @@
 // told takes in an answer of discovery as it is written.
 func (c *Checker) told(e history.Event) {
 	p := c.proc(e.Relay)
-	switch e.How {
+	switch e.Detail {
 	case "between watches", "configuration":
-	case history.CutShort: // what was written counts; the call has failed all the same
+	case history.TruncatedAnswer: // what was written counts; the call has failed all the same
 		c.unanswered(e)
 	default:
 		p.answered(e)
@@ -83,7 +83,7 @@
 		if ch.State == "active" {
 			delete(p.told, ch.Endpoint)
 		} else if _, ok := p.told[ch.Endpoint]; !ok {
-			p.told[ch.Endpoint] = e.T
+			p.told[ch.Endpoint] = e.At
 		}
 	}
 	p.version = max(p.version, e.Version)
@@ -94,7 +94,7 @@
 	if c.listDown {
 		return math.MaxInt64
 	}
-	known := max(change.T, c.listUp, p.continued)
+	known := max(change.At, c.listUp, p.continued)
 	within := c.terms.AskWithin.Microseconds()
 	switch {
 	case p.listFailed:
@@ -132,10 +132,10 @@
 
 // lateBy tells whether a call went out after the grace from a time on, and breaks the rule then.
 func (c *Checker) lateBy(told int64, what string, call history.Event, lines ...history.Event) bool {
-	if told == math.MaxInt64 || call.Begun <= told+c.terms.DrainGrace.Microseconds()+slack {
+	if told == math.MaxInt64 || call.BegunAt <= told+c.terms.DrainGrace.Microseconds()+slack {
 		return false
 	}
-	c.broken(Drain, call.Begun, call.IDs[0], fmt.Sprintf("it went to an endpoint %.3f s after %s", float64(call.Begun-told)/1e6, what),
+	c.broken(Drain, call.BegunAt, call.IDs[0], fmt.Sprintf("it went to an endpoint %.3f s after %s", float64(call.BegunAt-told)/1e6, what),
 		[]string{call.Relay, call.Endpoint}, append(lines, call)...)
 	return true
 }
--- a/internal/lab/rules/lists_test.go
+++ b/internal/lab/rules/lists_test.go
@@ -9,15 +9,17 @@
 // A change that a relay has not heard of counts as told to it all the same. Each history keeps the term by a hair, or just
 // breaks it; the endpoint drains at 5 s.
 func TestChangesCountAsTold(t *testing.T) {
-	drain := history.Event{T: 5000, Kind: history.Change, Version: 2, Endpoint: "endpoint/0", State: "leaving"}
-	asks := func(t, wait int64) history.Event { return history.Event{T: t, Kind: history.Asked, Left: wait} }
-	fails := func(t int64) history.Event { return history.Event{T: t, Kind: history.Untold} }
+	drain := history.Event{At: 5000, Kind: history.ListChanged, Version: 2, Endpoint: "endpoint/0", State: "leaving"}
+	asks := func(t, wait int64) history.Event {
+		return history.Event{At: t, Kind: history.ListRequested, LeftMs: wait}
+	}
+	fails := func(t int64) history.Event { return history.Event{At: t, Kind: history.ListCallFailed} }
 	hears := func(t, version int64, how string) history.Event {
-		return history.Event{T: t, Kind: history.Told, Version: version, How: how}
+		return history.Event{At: t, Kind: history.ListSent, Version: version, Detail: how}
 	}
-	since := func(asked int64, e history.Event) history.Event { e.Begun = asked; return e }
-	down := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListDown} }
-	up := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListUp} }
+	since := func(asked int64, e history.Event) history.Event { e.BegunAt = asked; return e }
+	down := func(t int64) history.Event { return history.Event{At: t, Kind: history.DiscoveryDown} }
+	up := func(t int64) history.Event { return history.Event{At: t, Kind: history.DiscoveryUp} }
 	// Each message is handed in and sent at once, and is the only one.
 	with := func(at int64, before ...history.Event) []history.Event {
 		return append(before, hand(at-10, "m", "keyed"), sentAs(at, 1, "m", "endpoint/0"), answer(at+10, 1, 200))
@@ -48,7 +50,7 @@
 		"cut off by a restart, later":                {Drain, with(12060, drain, asks(6900, 0), proc(7000, "kill"), proc(8000, "start"), proc(8100, "ready"))},
 		"a call given up before an answer, in time":  {"", with(16040, asks(3000, 0), asks(4000, 0), since(4000, hears(4100, 1, "")), since(3000, fails(4500)), drain)},
 		"a call given up before an answer, later":    {Drain, with(16060, asks(3000, 0), asks(4000, 0), since(4000, hears(4100, 1, "")), since(3000, fails(4500)), drain)},
-		"an answer cut short, in time":               {"", with(7040, drain, asks(5900, 0), hears(6000, 2, history.CutShort))},
-		"an answer cut short, later":                 {Drain, with(7060, drain, asks(5900, 0), hears(6000, 2, history.CutShort))},
+		"an answer cut short, in time":               {"", with(7040, drain, asks(5900, 0), hears(6000, 2, history.TruncatedAnswer))},
+		"an answer cut short, later":                 {Drain, with(7060, drain, asks(5900, 0), hears(6000, 2, history.TruncatedAnswer))},
 	})
 }
--- a/internal/lab/rules/messages.go
+++ b/internal/lab/rules/messages.go
@@ -9,15 +9,15 @@
 // Messages: what clients heard, and how they ended.
 
 func (c *Checker) hand(e history.Event) {
-	m := &msg{Event: e, class: c.classes[e.Class], due: e.T + e.Left*ms, lines: []history.Event{e}}
+	m := &msg{Event: e, class: c.classes[e.Class], due: e.At + e.LeftMs*ms, lines: []history.Event{e}}
 	if m.class == nil {
 		return
 	}
-	m.want = c.wants[e.First]
+	m.want = c.wants[e.FirstID]
 	if m.want == nil {
-		m.want = &want{at: e.T, class: m.class, tenant: e.Tenant}
-		c.wants[e.First] = m.want
-		c.later(e.T+c.longest+keepFor, func() { c.settle(e.First) })
+		m.want = &want{at: e.At, class: m.class, tenant: e.Tenant}
+		c.wants[e.FirstID] = m.want
+		c.later(e.At+c.longest+keepFor, func() { c.settle(e.FirstID) })
 	}
 	m.want.ids++
 	c.msgs[e.ID] = m
@@ -30,27 +30,27 @@
 		return
 	}
 	m.lines = append(m.lines, e)
-	if e.Whole > 0 { // the time of a request counts from its last byte
-		m.due = e.Whole + m.Left*ms
+	if e.CompleteAt > 0 { // the time of a request counts from its last byte
+		m.due = e.CompleteAt + m.LeftMs*ms
 	}
 	p := c.proc(e.Relay)
 	switch {
 	case e.Status == 200 || e.Status == 202:
-		m.taken = e.T
+		m.taken = e.At
 		if m.delivered > 0 {
 			m.want.deliver(m.delivered)
 			p.counts["served"].must.add(m.delivered)
 		}
 	case e.Status == 429 || e.Status == 503:
 		m.refused, m.want.refused = true, true
-		if m.How != history.HalfClosed { // to its relay such a client has left, and what it wanted need not be counted
-			p.counts["refused"].must.add(e.T)
+		if m.Detail != history.HalfClosed { // to its relay such a client has left, and what it wanted need not be counted
+			p.counts["refused"].must.add(e.At)
 		}
-		p.counts["refused"].may.add(e.T)
+		p.counts["refused"].may.add(e.At)
 		c.handedBack(m, e)
 	default:
 		m.want.failed = true
-		p.counts["failed"].may.add(e.T)
+		p.counts["failed"].may.add(e.At)
 	}
 }
 
@@ -64,16 +64,16 @@
 	m.left, m.lines = true, append(m.lines, e)
 	p := c.proc(e.Relay)
 	for _, name := range []string{"refused", "failed"} { // the relay may count it, though nobody hears its answer
-		p.counts[name].may.add(e.T)
+		p.counts[name].may.add(e.At)
 	}
-	if e.How != history.Unanswered {
+	if e.Detail != history.Unanswered {
 		return
 	}
 	c.looked(End)
-	if p.killed > 0 && p.killed >= m.T {
+	if p.killed > 0 && p.killed >= m.At {
 		return
 	}
-	c.broken(End, e.T, m.ID, "its request was read, and its connection closed with no answer", []string{e.Relay}, m.lines...)
+	c.broken(End, e.At, m.ID, "its request was read, and its connection closed with no answer", []string{e.Relay}, m.lines...)
 	c.report.Lost++
 }
 
@@ -85,7 +85,7 @@
 			continue
 		}
 		if m.class.Effect == "at_most_once" || m.class.Effect == "deduplicated" && m.class.SameZone {
-			c.broken(Repeat, e.T, m.ID, "it may have run, and its client was told to hand it in again", []string{e.Relay}, append(m.lines, a.Event)...)
+			c.broken(Repeat, e.At, m.ID, "it may have run, and its client was told to hand it in again", []string{e.Relay}, append(m.lines, a.Event)...)
 			return
 		}
 	}
@@ -105,12 +105,12 @@
 	}
 	procs := []string{e.Relay}
 	switch {
-	case m.notice.T > 0 && m.notice.How != e.How:
-		c.broken(Once, e.T, m.ID, fmt.Sprintf("it has ended as %s and as %s", m.notice.How, e.How), procs, append(m.lines, m.notice, e)...)
-	case m.notice.T > 0: // told again, for the answer was not heard
+	case m.notice.At > 0 && m.notice.Detail != e.Detail:
+		c.broken(Once, e.At, m.ID, fmt.Sprintf("it has ended as %s and as %s", m.notice.Detail, e.Detail), procs, append(m.lines, m.notice, e)...)
+	case m.notice.At > 0: // told again, for the answer was not heard
 		return
-	case m.delivered > 0 && !m.crossed() && e.T > m.delivered+slack && !c.restarted(e.Relay, m.delivered, e.T) && !c.inherited(e.Relay, m.deliverer(), m.delivered):
-		c.broken(Once, e.T, m.ID, fmt.Sprintf("it was delivered, and %.3f s later told to be %s", float64(e.T-m.delivered)/1e6, e.How), procs, append(m.lines, e)...)
+	case m.delivered > 0 && !m.crossed() && e.At > m.delivered+slack && !c.restarted(e.Relay, m.delivered, e.At) && !c.inherited(e.Relay, m.deliverer(), m.delivered):
+		c.broken(Once, e.At, m.ID, fmt.Sprintf("it was delivered, and %.3f s later told to be %s", float64(e.At-m.delivered)/1e6, e.Detail), procs, append(m.lines, e)...)
 	}
 	m.notice = e
 	if len(m.lines) < linesMost {
@@ -120,18 +120,18 @@
 	if m.delivered > 0 && m.taken > 0 { // its time was up as the answer came, and it was counted so
 		p.counts["served"].unread++
 	}
-	if e.How == "deferred" {
+	if e.Detail == "deferred" {
 		c.handedBack(m, e)
 		m.want.refused = true
-		p.counts["refused"].may.add(e.T)
+		p.counts["refused"].may.add(e.At)
 		if !m.left {
-			p.counts["refused"].must.add(e.T)
+			p.counts["refused"].must.add(e.At)
 		}
 	} else {
 		m.want.failed = true
-		p.counts["failed"].may.add(e.T)
+		p.counts["failed"].may.add(e.At)
 		if !m.left {
-			p.counts["failed"].must.add(e.T)
+			p.counts["failed"].must.add(e.At)
 		}
 	}
 }
@@ -160,8 +160,8 @@
 	}
 	c.looked(End)
 	ended := m.delivered
-	if m.notice.T > 0 && (ended == 0 || m.notice.T < ended) {
-		ended = m.notice.T
+	if m.notice.At > 0 && (ended == 0 || m.notice.At < ended) {
+		ended = m.notice.At
 	}
 	switch {
 	case ended == 0:
--- a/internal/lab/rules/processes.go
+++ b/internal/lab/rules/processes.go
@@ -12,16 +12,16 @@
 // Relays: what they were told, how they ran, what they tell of themselves.
 
 func (c *Checker) process(e history.Event) {
-	if e.How != "start" && e.How != "exit" { // a keeper's, too: who leads anew waits for a lease
-		c.trouble = e.T
-		c.delayOrphans(e.T)
+	if e.Detail != "start" && e.Detail != "exit" { // a keeper's, too: who leads anew waits for a lease
+		c.trouble = e.At
+		c.delayOrphans(e.At)
 	}
 	if !strings.HasPrefix(e.Proc, "relay/") {
 		return
 	}
 	p := c.proc(e.Proc)
 	c.looked(Process)
-	switch e.How {
+	switch e.Detail {
 	case "start":
 		p.starts++
 		p.lost, p.crashed = false, false
@@ -32,44 +32,44 @@
 			p.listCalls, p.listFailed = nil, true
 		}
 	case "ready", "cont":
-		if p.starts > 1 || e.How == "cont" {
-			p.resumed = e.T
+		if p.starts > 1 || e.Detail == "cont" {
+			p.resumed = e.At
 		}
 		for _, told := range []map[string]int64{p.told, p.banned} {
 			for name, at := range told { // one that is stopped hears nothing until it goes on
 				if p.down > 0 && at >= p.down {
-					told[name] = e.T
+					told[name] = e.At
 				}
 			}
 		}
 		p.down = 0
-		if e.How == "cont" {
-			p.continued = e.T
+		if e.Detail == "cont" {
+			p.continued = e.At
 		} else {
-			p.ready = e.T
+			p.ready = e.At
 		}
 	case "stop":
-		p.down = e.T
+		p.down = e.At
 	case "term", "kill":
-		if e.How == "kill" {
-			p.killed = e.T
+		if e.Detail == "kill" {
+			p.killed = e.At
 		}
 		if e.Text != "handed over" {
-			p.down = e.T
+			p.down = e.At
 		}
 	case "lose":
 		c.lost(e, p)
 	case "crash":
-		p.down, p.crashed = e.T, true
-		c.broken(Process, e.T, "", cmp.Or(e.Text, "it ended unasked"), []string{e.Proc}, e)
+		p.down, p.crashed = e.At, true
+		c.broken(Process, e.At, "", cmp.Or(e.Text, "it ended unasked"), []string{e.Proc}, e)
 	}
 }
 
 // fell judges a destination in slow start that got too much, whoever sent it.
 func (c *Checker) fell(e history.Event) {
 	c.looked(Cold)
-	if calls, allowed := e.Figures["calls"], e.Figures["allowed"]; calls > history.SlowStartMost(allowed) {
-		c.broken(Cold, e.T, "", fmt.Sprintf("destination %d, back and cold, was pushed over: %s", e.Dest, e.Text), nil, e)
+	if calls, allowed := e.Values["calls"], e.Values["allowed"]; calls > history.SlowStartMaxCalls(allowed) {
+		c.broken(Cold, e.At, "", fmt.Sprintf("destination %d, back and cold, was pushed over: %s", e.Dest, e.Text), nil, e)
 	}
 }
 
@@ -77,16 +77,16 @@
 // relay came between is not judged.
 func (c *Checker) stranger(e history.Event) {
 	p := c.proc(e.Relay)
-	if p.down > 0 || p.resumed >= e.Begun {
+	if p.down > 0 || p.resumed >= e.BegunAt {
 		return
 	}
 	c.looked(Strange)
-	took := e.T - e.Begun
+	took := e.At - e.BegunAt
 	switch {
 	case e.Status > 0 && e.Status < 400:
-		c.broken(Strange, e.T, "", fmt.Sprintf("a peer that sent %s was answered %d", e.How, e.Status), []string{e.Relay}, e)
-	case e.State == "waits" || took > e.Left*ms+slack:
-		c.broken(Strange, e.T, "", fmt.Sprintf("a peer that sent %s had neither an error nor a close after %.3f s", e.How, float64(took)/1e6), []string{e.Relay}, e)
+		c.broken(Strange, e.At, "", fmt.Sprintf("a peer that sent %s was answered %d", e.Detail, e.Status), []string{e.Relay}, e)
+	case e.State == "waits" || took > e.LeftMs*ms+slack:
+		c.broken(Strange, e.At, "", fmt.Sprintf("a peer that sent %s had neither an error nor a close after %.3f s", e.Detail, float64(took)/1e6), []string{e.Relay}, e)
 	}
 }
 
@@ -97,8 +97,8 @@
 	}
 	c.looked(Process)
 	for name, most := range map[string]float64{"memory_mb": limits.MemoryMB, "descriptors": limits.Sockets, "disk_mb": limits.DiskMB} {
-		if v := e.Figures[name]; v > most {
-			c.broken(Process, e.T, "", fmt.Sprintf("%s is %.1f, of %.1f", name, v, most), []string{e.Proc}, e)
+		if v := e.Values[name]; v > most {
+			c.broken(Process, e.At, "", fmt.Sprintf("%s is %.1f, of %.1f", name, v, most), []string{e.Proc}, e)
 		}
 	}
 	c.report.use(e)
@@ -108,17 +108,17 @@
 // all counts known.
 func (c *Checker) figures(e history.Event) {
 	p := c.proc(e.Relay)
-	if p.starts != 1 || p.resumed > e.Whole-2*lag { // one that stood still has yet to read what came meanwhile
+	if p.starts != 1 || p.resumed > e.CompleteAt-2*lag { // one that stood still has yet to read what came meanwhile
 		return
 	}
 	// A message may be counted a little before its end is seen.
-	c.later(e.T+lag, func() { c.compare(p, e) })
+	c.later(e.At+lag, func() { c.compare(p, e) })
 }
 
 func (c *Checker) compare(p *process, e history.Event) {
 	c.looked(Figures)
-	told := map[string]float64{"attempts": e.Figures["svc.attempts"]}
-	for name, v := range e.Figures {
+	told := map[string]float64{"attempts": e.Values["svc.attempts"]}
+	for name, v := range e.Values {
 		for _, end := range []string{"served", "refused", "failed"} {
 			if strings.HasPrefix(name, "svc.requests.") && strings.HasSuffix(name, "."+end) {
 				told[end] += v
@@ -130,12 +130,12 @@
 		if name == "attempts" {
 			part = 0.02
 		}
-		least, most := float64(max(0, k.must.at(e.Whole-lag)-k.unread)), float64(k.may.at(e.T+lag))
+		least, most := float64(max(0, k.must.at(e.CompleteAt-lag)-k.unread)), float64(k.may.at(e.At+lag))
 		if name == "attempts" && c.lossy {
 			most = math.Inf(1)
 		}
 		if v := told[name]; v < least-max(3, part*least) || v > most+max(3, part*most) {
-			c.broken(Figures, e.T, "", fmt.Sprintf("%s is told to be %.0f and is %.0f to %.0f", name, v, least, most), []string{e.Relay}, e)
+			c.broken(Figures, e.At, "", fmt.Sprintf("%s is told to be %.0f and is %.0f to %.0f", name, v, least, most), []string{e.Relay}, e)
 		}
 	}
 }
--- a/internal/lab/rules/report.go
+++ b/internal/lab/rules/report.go
@@ -117,7 +117,7 @@
 		heap.Pop(&c.due).(due).what()
 	}
 	for _, m := range c.msgs {
-		if m.taken > 0 && m.delivered == 0 && m.notice.T == 0 && c.proc(m.Relay).down > 0 {
+		if m.taken > 0 && m.delivered == 0 && m.notice.At == 0 && c.proc(m.Relay).down > 0 {
 			c.report.Owed++
 		}
 	}
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -72,7 +72,7 @@
 // Owing is how many messages were taken on and have no end yet.
 func (c *Checker) Owing() (n int) {
 	for _, m := range c.msgs {
-		if m.taken > 0 && m.delivered == 0 && m.notice.T == 0 {
+		if m.taken > 0 && m.delivered == 0 && m.notice.At == 0 {
 			n++
 		}
 	}
@@ -130,7 +130,7 @@
 	if c.report.Broken[rule] > shownMost {
 		return
 	}
-	slices.SortStableFunc(lines, func(a, b history.Event) int { return cmp.Compare(a.T, b.T) })
+	slices.SortStableFunc(lines, func(a, b history.Event) int { return cmp.Compare(a.At, b.At) })
 	c.report.Shown = append(c.report.Shown, Broken{rule, t, message, procs, text, lines})
 }
 
@@ -150,76 +150,76 @@
 
 // See takes in the next event.
 func (c *Checker) See(e history.Event) {
-	for len(c.due) > 0 && c.due[0].at <= e.T {
+	for len(c.due) > 0 && c.due[0].at <= e.At {
 		next := heap.Pop(&c.due).(due)
 		c.now = next.at
 		next.what()
 	}
-	c.now = e.T
+	c.now = e.At
 	switch e.Kind {
 	case history.Run:
 		c.terms = e.Terms
 		for dest, rate := range e.Terms.Rates {
-			c.report.limit(dest, e.T, rate)
+			c.report.limit(dest, e.At, rate)
 		}
 		for i := range e.Terms.Classes {
 			c.classes[e.Terms.Classes[i].Name] = &e.Terms.Classes[i]
 			c.longest = max(c.longest, e.Terms.Classes[i].Deadline.Microseconds())
 		}
-	case history.Hand:
+	case history.RequestSent:
 		c.hand(e)
-	case history.Heard:
+	case history.AnswerReceived:
 		c.heard(e)
-	case history.Left:
+	case history.ClientLeft:
 		c.hungUp(e)
-	case history.Call:
+	case history.CallReceived:
 		c.call(e)
-	case history.Answer, history.Gone:
+	case history.CallAnswered, history.CallAbandoned:
 		c.answered(e)
-	case history.Notice:
+	case history.NoticeReceived:
 		c.noticed(e)
-	case history.Change:
+	case history.ListChanged:
 		c.changes = append(c.changes, e)
-	case history.Asked:
+	case history.ListRequested:
 		c.proc(e.Relay).ask(e)
-	case history.Untold:
+	case history.ListCallFailed:
 		c.unanswered(e)
-	case history.ListDown, history.ListUp:
-		c.listDown, c.listUp = e.Kind == history.ListDown, e.T
-	case history.Told:
+	case history.DiscoveryDown, history.DiscoveryUp:
+		c.listDown, c.listUp = e.Kind == history.DiscoveryDown, e.At
+	case history.ListSent:
 		c.told(e)
-	case history.ByHand:
+	case history.OperatorCall:
 		p := c.proc(e.Relay)
-		if e.How == "enable" {
+		if e.Detail == "enable" {
 			delete(p.banned, e.Endpoint)
 		} else if e.Status/100 == 2 && p.banned[e.Endpoint] == 0 {
-			p.banned[e.Endpoint] = e.T
+			p.banned[e.Endpoint] = e.At
 		}
-	case history.Proc:
+	case history.ProcessChanged:
 		c.process(e)
 	case history.Fault:
 		c.lossy = c.lossy || e.State == history.Lossy
 		if c.lossy {
-			c.trouble = e.T
+			c.trouble = e.At
 		}
-	case history.Limit:
-		c.report.limit(e.Dest, e.T, e.Figures["rate"])
+	case history.DestRateChanged:
+		c.report.limit(e.Dest, e.At, e.Values["rate"])
 	case history.Metrics:
 		if c.report.Held == nil {
 			c.report.Held = newSeries(true)
 		}
-		c.report.Held.add(e.T, e.Figures["svc.in_flight"])
+		c.report.Held.add(e.At, e.Values["svc.in_flight"])
 		c.tookOver(e)
 		c.figures(e)
 	case history.Sample:
 		c.sample(e)
-	case history.Up:
+	case history.DestUp:
 		c.looked(Cold)
-	case history.Fell:
+	case history.SlowStartOverloaded:
 		c.fell(e)
 	case history.Stranger:
 		c.stranger(e)
-	case history.Bad:
-		c.broken(Own, e.T, "", fmt.Sprintf("%s was sent what it could not read: %s", e.Endpoint, e.Text), []string{e.Relay}, e)
+	case history.InvalidCall:
+		c.broken(Own, e.At, "", fmt.Sprintf("%s was sent what it could not read: %s", e.Endpoint, e.Text), []string{e.Relay}, e)
 	}
 }
--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -16,38 +16,40 @@
 			{Name: "zoned", Effect: "deduplicated", SameZone: true, Window: 2 * time.Second, Aim: time.Second, Deadline: 4 * time.Second, Worth: 1},
 			{Name: "unsafe", Effect: "at_most_once", Aim: time.Second, Deadline: 4 * time.Second, Worth: 1}},
 		Limits: map[string]history.Limits{"relay/0": {MemoryMB: 64, Sockets: 100, DiskMB: 3}}}})
-	for _, e := range append([]history.Event{{Kind: history.Proc, Proc: "relay/0", How: "start"}, {T: 1, Kind: history.Proc, Proc: "relay/0", How: "ready"}}, events...) {
-		e.T, e.Begun, e.Whole = e.T*ms, e.Begun*ms, e.Whole*ms
+	for _, e := range append([]history.Event{{Kind: history.ProcessChanged, Proc: "relay/0", Detail: "start"}, {At: 1, Kind: history.ProcessChanged, Proc: "relay/0", Detail: "ready"}}, events...) {
+		e.At, e.BegunAt, e.CompleteAt = e.At*ms, e.BegunAt*ms, e.CompleteAt*ms
 		if e.Relay == "" {
 			e.Relay = "relay/0"
 		}
 		c.See(e)
 	}
-	c.See(history.Event{T: 60000 * ms, Kind: history.End})
+	c.See(history.Event{At: 60000 * ms, Kind: history.End})
 	return c.Close()
 }
 
 func hand(t int64, id, class string) history.Event {
-	return history.Event{T: t, Kind: history.Hand, ID: id, First: id, Class: class, Left: 4000, Sum: "s"}
+	return history.Event{At: t, Kind: history.RequestSent, ID: id, FirstID: id, Class: class, LeftMs: 4000, BodySum: "s"}
 }
 func heard(t int64, id string, status int) history.Event {
-	return history.Event{T: t, Kind: history.Heard, ID: id, Status: status}
+	return history.Event{At: t, Kind: history.AnswerReceived, ID: id, Status: status}
 }
 func sentAs(t, n int64, id, endpoint string) history.Event {
-	return history.Event{T: t, Kind: history.Call, Call: n, IDs: []string{id}, Sums: []string{"s"}, Endpoint: endpoint, Begun: t, Whole: t}
+	return history.Event{At: t, Kind: history.CallReceived, Call: n, IDs: []string{id}, BodySums: []string{"s"}, Endpoint: endpoint, BegunAt: t, CompleteAt: t}
 }
 func answer(t, n int64, status int) history.Event {
-	return history.Event{T: t, Kind: history.Answer, Call: n, Status: status}
+	return history.Event{At: t, Kind: history.CallAnswered, Call: n, Status: status}
 }
 func told(t, n int64, wait int64) history.Event {
-	return history.Event{T: t, Kind: history.Answer, Call: n, Status: 429, Wait: wait}
+	return history.Event{At: t, Kind: history.CallAnswered, Call: n, Status: 429, WaitMs: wait}
+}
+func gone(t, n int64) history.Event {
+	return history.Event{At: t, Kind: history.CallAbandoned, Call: n}
 }
-func gone(t, n int64) history.Event { return history.Event{T: t, Kind: history.Gone, Call: n} }
 func notice(t int64, id, how string) history.Event {
-	return history.Event{T: t, Kind: history.Notice, ID: id, How: how}
+	return history.Event{At: t, Kind: history.NoticeReceived, ID: id, Detail: how}
 }
 func proc(t int64, how string) history.Event {
-	return history.Event{T: t, Kind: history.Proc, Proc: "relay/0", How: how}
+	return history.Event{At: t, Kind: history.ProcessChanged, Proc: "relay/0", Detail: how}
 }
 
 // Each rule on a history that keeps it by a hair, and on one that just breaks it.
@@ -55,26 +57,26 @@
 	taken := func(class string, rest ...history.Event) []history.Event {
 		return append([]history.Event{hand(100, "m", class), heard(110, "m", 202)}, rest...)
 	}
-	drain := history.Event{T: 50, Kind: history.Change, Version: 2, Endpoint: "endpoint/0", State: "leaving"}
-	hears := func(t int64) history.Event { return history.Event{T: t, Kind: history.Told, Version: 2} }
-	asks := history.Event{T: 60, Kind: history.Asked}
+	drain := history.Event{At: 50, Kind: history.ListChanged, Version: 2, Endpoint: "endpoint/0", State: "leaving"}
+	hears := func(t int64) history.Event { return history.Event{At: t, Kind: history.ListSent, Version: 2} }
+	asks := history.Event{At: 60, Kind: history.ListRequested}
 	ban := func(t int64, how string, status int) history.Event {
-		return history.Event{T: t, Kind: history.ByHand, Endpoint: "endpoint/0", How: how, Status: status}
+		return history.Event{At: t, Kind: history.OperatorCall, Endpoint: "endpoint/0", Detail: how, Status: status}
 	}
 	held := sentAs(3000, 1, "m", "endpoint/0") // a cut held it up
-	held.Begun, held.Whole = 200, 200
+	held.BegunAt, held.CompleteAt = 200, 200
 	figures := func(t int64, served, attempts float64) history.Event {
-		return history.Event{T: t, Whole: t, Kind: history.Metrics, Proc: "relay/0",
-			Figures: map[string]float64{"svc.requests.keyed.served": served, "svc.attempts": attempts}}
+		return history.Event{At: t, CompleteAt: t, Kind: history.Metrics, Proc: "relay/0",
+			Values: map[string]float64{"svc.requests.keyed.served": served, "svc.attempts": attempts}}
 	}
 	use := func(mb float64) history.Event {
-		return history.Event{T: 100, Kind: history.Sample, Proc: "relay/0", Figures: map[string]float64{"memory_mb": mb}}
+		return history.Event{At: 100, Kind: history.Sample, Proc: "relay/0", Values: map[string]float64{"memory_mb": mb}}
 	}
 	strange := func(t int64, status int, state string) history.Event {
-		return history.Event{T: t, Kind: history.Stranger, Begun: 100, Left: 3000, Status: status, State: state}
+		return history.Event{At: t, Kind: history.Stranger, BegunAt: 100, LeftMs: 3000, Status: status, State: state}
 	}
 	unreadable := func(t, n int64, status int) history.Event {
-		return history.Event{T: t, Kind: history.Answer, Call: n, Status: status, How: history.Unreadable}
+		return history.Event{At: t, Kind: history.CallAnswered, Call: n, Status: status, Detail: history.Unreadable}
 	}
 	served := []history.Event{sentAs(200, 1, "m", "endpoint/0"), answer(300, 1, 200)}
 	for name, c := range map[string]struct {
@@ -86,7 +88,7 @@
 		"ended in time":                   {"", taken("keyed", notice(4440, "m", "undeliverable"))},
 		"ended late":                      {End, taken("keyed", notice(4460, "m", "undeliverable"))},
 		"refused, so nothing is owed":     {"", []history.Event{hand(100, "m", "keyed"), heard(110, "m", 503)}},
-		"client left, so nothing is owed": {"", []history.Event{hand(100, "m", "keyed"), {T: 500, Kind: history.Left, ID: "m"}, heard(510, "m", 202)}},
+		"client left, so nothing is owed": {"", []history.Event{hand(100, "m", "keyed"), {At: 500, Kind: history.ClientLeft, ID: "m"}, heard(510, "m", 202)}},
 		"late for a restart":              {"", taken("keyed", proc(4000, "kill"), proc(4900, "start"), proc(5000, "ready"), notice(6500, "m", "deferred"))},
 		"too late after a restart":        {End, taken("keyed", proc(4000, "kill"), proc(4900, "start"), proc(5000, "ready"), notice(6600, "m", "deferred"))},
 		"notice told again":               {"", taken("keyed", notice(1000, "m", "deferred"), notice(1100, "m", "deferred"))},
@@ -122,7 +124,7 @@
 		"a wait that nobody read":        {"", taken("keyed", sentAs(200, 1, "m", "endpoint/0"), told(300, 1, 1000), gone(320, 1), sentAs(600, 2, "m", "endpoint/1"), answer(700, 2, 200))},
 		"sent as a wait ends":            {"", taken("keyed", sentAs(200, 1, "m", "endpoint/0"), told(300, 1, 1000), sentAs(1260, 2, "m", "endpoint/0"), answer(1300, 2, 200))},
 		"a restart ends the wait":        {"", taken("keyed", sentAs(200, 1, "m", "endpoint/0"), told(300, 1, 1000), proc(400, "kill"), proc(450, "start"), proc(460, "ready"), sentAs(600, 2, "m", "endpoint/0"), answer(700, 2, 200))},
-		"an upgrade does not":            {Wait, taken("keyed", sentAs(200, 1, "m", "endpoint/0"), told(300, 1, 1000), history.Event{T: 450, Kind: history.Proc, Proc: "relay/0", How: "start", Text: "beside"}, proc(460, "ready"), sentAs(600, 2, "m", "endpoint/0"), answer(700, 2, 200))},
+		"an upgrade does not":            {Wait, taken("keyed", sentAs(200, 1, "m", "endpoint/0"), told(300, 1, 1000), history.Event{At: 450, Kind: history.ProcessChanged, Proc: "relay/0", Detail: "start", Text: "beside"}, proc(460, "ready"), sentAs(600, 2, "m", "endpoint/0"), answer(700, 2, 200))},
 		"sent in the grace of a drain":   {"", append([]history.Event{drain, asks, hears(70)}, hand(100, "m", "keyed"), sentAs(1110, 1, "m", "endpoint/0"), answer(1200, 1, 200))},
 		"sent after a drain":             {Drain, append([]history.Event{drain, asks, hears(70)}, hand(100, "m", "keyed"), sentAs(1130, 1, "m", "endpoint/0"), answer(1200, 1, 200))},
 		"never told of the drain":        {"", append([]history.Event{drain, asks}, hand(100, "m", "keyed"), sentAs(3000, 1, "m", "endpoint/0"), answer(3100, 1, 200))},
@@ -131,15 +133,15 @@
 		"sent after a ban":               {Drain, []history.Event{ban(50, "disable", 200), hand(100, "m", "keyed"), sentAs(1200, 1, "m", "endpoint/0"), answer(1300, 1, 200)}},
 		"a ban that was refused":         {"", []history.Event{ban(50, "disable", 404), hand(100, "m", "keyed"), sentAs(1200, 1, "m", "endpoint/0"), answer(1300, 1, 200)}},
 		"sent after it is given back":    {"", []history.Event{ban(50, "disable", 200), ban(1000, "enable", 0), hand(100, "m", "keyed"), sentAs(1200, 1, "m", "endpoint/0"), answer(1300, 1, 200)}},
-		"held up until it is forgotten":  {"", []history.Event{{T: 9000, Kind: history.Call, Call: 1, IDs: []string{"m"}, Sums: []string{"s"}, Endpoint: "endpoint/0", Begun: 3900, Whole: 3900}}},
+		"held up until it is forgotten":  {"", []history.Event{{At: 9000, Kind: history.CallReceived, Call: 1, IDs: []string{"m"}, BodySums: []string{"s"}, Endpoint: "endpoint/0", BegunAt: 3900, CompleteAt: 3900}}},
 		"of nobody":                      {Own, []history.Event{sentAs(200, 1, "m", "endpoint/0"), answer(210, 1, 200)}},
-		"a changed body":                 {Own, []history.Event{hand(100, "m", "keyed"), {T: 200, Kind: history.Call, Call: 1, IDs: []string{"m"}, Sums: []string{"x"}, Endpoint: "endpoint/0", Begun: 200, Whole: 200}}},
-		"another destination":            {Own, []history.Event{hand(100, "m", "keyed"), {T: 200, Kind: history.Call, Call: 1, IDs: []string{"m"}, Sums: []string{"s"}, Dest: 3, Endpoint: "endpoint/0", Begun: 200, Whole: 200}}},
-		"what could not be read":         {Own, []history.Event{{T: 100, Kind: history.Bad, Endpoint: "endpoint/0"}}},
+		"a changed body":                 {Own, []history.Event{hand(100, "m", "keyed"), {At: 200, Kind: history.CallReceived, Call: 1, IDs: []string{"m"}, BodySums: []string{"x"}, Endpoint: "endpoint/0", BegunAt: 200, CompleteAt: 200}}},
+		"another destination":            {Own, []history.Event{hand(100, "m", "keyed"), {At: 200, Kind: history.CallReceived, Call: 1, IDs: []string{"m"}, BodySums: []string{"s"}, Dest: 3, Endpoint: "endpoint/0", BegunAt: 200, CompleteAt: 200}}},
+		"what could not be read":         {Own, []history.Event{{At: 100, Kind: history.InvalidCall, Endpoint: "endpoint/0"}}},
 		"figures within bounds":          {"", taken("keyed", append(served, figures(1000, 4, 4))...)},
 		"served told too high":           {Figures, taken("keyed", append(served, figures(1000, 5, 1))...)},
 		"attempts told too high":         {Figures, taken("keyed", append(served, figures(1000, 1, 5))...)},
-		"attempts nobody got":            {"", append([]history.Event{{T: 20, Kind: history.Fault, How: "begin", State: history.Lossy}}, taken("keyed", append(served, figures(1000, 1, 50))...)...)},
+		"attempts nobody got":            {"", append([]history.Event{{At: 20, Kind: history.Fault, Detail: "begin", State: history.Lossy}}, taken("keyed", append(served, figures(1000, 1, 50))...)...)},
 		"ended unasked":                  {Process, []history.Event{proc(100, "crash")}},
 		"over a limit":                   {Process, []history.Event{use(65)}},
 		"within it":                      {"", []history.Event{use(63)}},
@@ -174,11 +176,11 @@
 // Guards against a share of the worth that counts a message twice, or not at all.
 func TestServed(t *testing.T) {
 	again := hand(1000, "m2", "keyed")
-	again.First = "m1"
+	again.FirstID = "m1"
 	r := play(
 		hand(100, "m1", "keyed"), heard(110, "m1", 503), again, heard(1010, "m2", 202), sentAs(1100, 1, "m2", "endpoint/0"), answer(1600, 1, 200), // after 1.5 s of an aim of 1 s
 		hand(100, "n", "keyed"), heard(110, "n", 202), sentAs(200, 2, "n", "endpoint/0"), answer(300, 2, 200),
-		hand(100, "o", "keyed"), history.Event{T: 500, Kind: history.Left, ID: "o"},
+		hand(100, "o", "keyed"), history.Event{At: 500, Kind: history.ClientLeft, ID: "o"},
 		hand(100, "p", "keyed"), heard(110, "p", 202), notice(1000, "p", "undeliverable"))
 	want := (0.7071 + 1) / 4
 	if r.Asked != 4 || r.InTime != 1 || r.Late != 1 || r.Unheard != 1 || r.Failed != 1 || r.Served < want-0.001 || r.Served > want+0.001 {
@@ -194,7 +196,7 @@
 		id := string(rune('a'+i%26)) + time.Duration(i).String()
 		at := i * 10
 		for _, e := range []history.Event{hand(at, id, "keyed"), heard(at+1, id, 202), sentAs(at+2, i+1, id, "endpoint/0"), answer(at+3, i+1, 200)} {
-			e.T, e.Begun, e.Whole = e.T*ms, e.Begun*ms, e.Whole*ms
+			e.At, e.BegunAt, e.CompleteAt = e.At*ms, e.BegunAt*ms, e.CompleteAt*ms
 			c.See(e)
 		}
 	}
--- a/internal/lab/rules/series.go
+++ b/internal/lab/rules/series.go
@@ -73,19 +73,19 @@
 		u = &Use{cpu: map[int]float64{}, Over: map[string]*Series{"cpu_percent": newSeries(false), "memory_mb": newSeries(false), "descriptors": newSeries(false)}}
 		r.Use[e.Proc] = u
 	}
-	if was, cpu := u.cpu[e.PID], e.Figures["cpu_s"]; cpu >= was {
+	if was, cpu := u.cpu[e.PID], e.Values["cpu_s"]; cpu >= was {
 		u.CPU += cpu - was
-		if u.last > 0 && e.T > u.last {
-			u.Over["cpu_percent"].add(e.T, 100*(cpu-was)/(float64(e.T-u.last)/1e6))
+		if u.last > 0 && e.At > u.last {
+			u.Over["cpu_percent"].add(e.At, 100*(cpu-was)/(float64(e.At-u.last)/1e6))
 		}
 		u.cpu[e.PID] = cpu
 	}
-	u.last = e.T
-	u.MemoryMB = max(u.MemoryMB, e.Figures["memory_mb"])
-	u.Descriptors = max(u.Descriptors, e.Figures["descriptors"])
-	u.DiskMB = max(u.DiskMB, e.Figures["disk_mb"])
-	u.Over["memory_mb"].add(e.T, e.Figures["memory_mb"])
-	u.Over["descriptors"].add(e.T, e.Figures["descriptors"])
+	u.last = e.At
+	u.MemoryMB = max(u.MemoryMB, e.Values["memory_mb"])
+	u.Descriptors = max(u.Descriptors, e.Values["descriptors"])
+	u.DiskMB = max(u.DiskMB, e.Values["disk_mb"])
+	u.Over["memory_mb"].add(e.At, e.Values["memory_mb"])
+	u.Over["descriptors"].add(e.At, e.Values["descriptors"])
 }
 
 // arrived counts a call at its destination.
@@ -96,7 +96,7 @@
 	if r.Calls[e.Dest] == nil {
 		r.Calls[e.Dest] = newSeries(true)
 	}
-	r.Calls[e.Dest].add(e.T, 1)
+	r.Calls[e.Dest].add(e.At, 1)
 }
 
 // limit notes what a destination takes from now on.
--- a/internal/lab/rules/slowstart_test.go
+++ b/internal/lab/rules/slowstart_test.go
@@ -38,7 +38,7 @@
 		for k, v := range more {
 			figures[k] = v
 		}
-		return []history.Event{{T: 100, Kind: history.Fell, Figures: figures}}
+		return []history.Event{{At: 100, Kind: history.SlowStartOverloaded, Values: figures}}
 	}
 	check(t, map[string]ruleCase{
 		"a small one at its bound":       {"", fell(16, 31, map[string]float64{"relay/0": 31})}, // 16 + 3*4 + 3
--- a/internal/lab/rules/terms_test.go
+++ b/internal/lab/rules/terms_test.go
@@ -8,7 +8,7 @@
 
 // begunFault is a fault of links, of which the history says that what relays write may be seen by nobody.
 func begunFault(t int64, how, text string) history.Event {
-	return history.Event{T: t, Kind: history.Fault, How: how, Text: text, State: history.Lossy}
+	return history.Event{At: t, Kind: history.Fault, Detail: how, Text: text, State: history.Lossy}
 }
 
 // Trouble of any kind but a restart or a lost machine frees no message of its end: each history keeps the rule by a hair, or
@@ -17,7 +17,7 @@
 	message := []history.Event{hand(100, "m", "keyed"), heard(110, "m", 202)} // its end is due by 4450
 	with := func(events ...history.Event) []history.Event { return append(message[:2:2], events...) }
 	left := func(t int64, how string) history.Event {
-		return history.Event{T: t, Kind: history.Left, ID: "n", How: how}
+		return history.Event{At: t, Kind: history.ClientLeft, ID: "n", Detail: how}
 	}
 	stopped := proc(4000, "stop")
 	readLate := []history.Event{proc(50, "stop"), hand(100, "m", "keyed"), proc(400, "cont"), heard(410, "m", 202)}
@@ -25,14 +25,14 @@
 		"a server that fails":              {sentAs(200, 1, "m", "endpoint/0"), answer(300, 1, 500)},
 		"a server that is silent":          {sentAs(200, 1, "m", "endpoint/0"), gone(4400, 1)},
 		"a server that refuses":            {sentAs(200, 1, "m", "endpoint/0"), answer(300, 1, 503)},
-		"an outage":                        {{T: 200, Kind: history.Down, How: "outage"}, {T: 4440, Kind: history.Up, How: "outage"}},
+		"an outage":                        {{At: 200, Kind: history.DestDown, Detail: "outage"}, {At: 4440, Kind: history.DestUp, Detail: "outage"}},
 		"a connection that breaks":         {begunFault(200, "begin", "reset"), sentAs(250, 1, "m", "endpoint/0"), gone(300, 1), begunFault(4400, "end", "reset")},
 		"a silent platform":                {begunFault(200, "begin", "cut discovery to relays"), begunFault(4440, "end", "cut discovery to relays")},
-		"discovery that fails":             {{T: 200, Kind: history.Asked}, {T: 300, Kind: history.Untold}},
-		"another client that misbehaves":   {{T: 3300, Kind: history.Stranger, Begun: 300, Left: 3000, State: "closed"}},
+		"discovery that fails":             {{At: 200, Kind: history.ListRequested}, {At: 300, Kind: history.ListCallFailed}},
+		"another client that misbehaves":   {{At: 3300, Kind: history.Stranger, BegunAt: 300, LeftMs: 3000, State: "closed"}},
 		"another client that gives up":     {hand(300, "n", "keyed"), left(700, "no answer in time")},
-		"a keeper that is killed":          {{T: 4400, Kind: history.Proc, Proc: "keeper/0", How: "kill"}},
-		"another relay that is killed":     {{T: 4400, Kind: history.Proc, Proc: "relay/1", How: "kill"}},
+		"a keeper that is killed":          {{At: 4400, Kind: history.ProcessChanged, Proc: "keeper/0", Detail: "kill"}},
+		"another relay that is killed":     {{At: 4400, Kind: history.ProcessChanged, Proc: "relay/1", Detail: "kill"}},
 		"a restart long before":            {proc(111, "kill"), proc(200, "start"), proc(300, "ready")},
 		"a pause that is over":             {proc(200, "stop"), proc(4000, "cont")},
 		"a pause that is over, read again": {proc(111, "stop"), proc(300, "cont")},
@@ -44,7 +44,7 @@
 		})
 	}
 	written := heard(310, "m", 202)
-	written.Whole = 300
+	written.CompleteAt = 300
 	writtenLate := []history.Event{hand(100, "m", "keyed"), written}
 	check(t, map[string]ruleCase{
 		"counted from its last byte":       {"", append(writtenLate[:2:2], notice(4649, "m", "deferred"))},
@@ -64,7 +64,7 @@
 // A request that was read is owed an answer, on whatever connection; one that was not is the client's to send anew.
 func TestReadRequestIsOwedAnAnswer(t *testing.T) {
 	left := func(t int64, how string) history.Event {
-		return history.Event{T: t, Kind: history.Left, ID: "m", How: how}
+		return history.Event{At: t, Kind: history.ClientLeft, ID: "m", Detail: how}
 	}
 	handed := hand(100, "m", "keyed")
 	check(t, map[string]ruleCase{
@@ -74,7 +74,7 @@
 		"ended by SIGKILL":                      {"", []history.Event{handed, proc(110, "kill"), left(111, history.Unanswered), proc(700, "start"), proc(800, "ready")}},
 		"handed in after the SIGKILL":           {End, []history.Event{proc(50, "kill"), proc(60, "start"), proc(70, "ready"), handed, left(120, history.Unanswered)}},
 		"SIGTERM frees none that was read":      {End, []history.Event{handed, proc(110, "term"), left(120, history.Unanswered), proc(700, "start"), proc(800, "ready")}},
-		"an upgrade frees none that was read":   {End, []history.Event{handed, {T: 105, Kind: history.Proc, Proc: "relay/0", How: "term", Text: "handed over"}, left(120, history.Unanswered)}},
+		"an upgrade frees none that was read":   {End, []history.Event{handed, {At: 105, Kind: history.ProcessChanged, Proc: "relay/0", Detail: "term", Text: "handed over"}, left(120, history.Unanswered)}},
 		"a crash frees none that was read":      {End, []history.Event{handed, left(109, history.Unanswered)}},
 		"a pause before frees none":             {End, []history.Event{proc(50, "stop"), proc(90, "cont"), handed, left(120, history.Unanswered)}},
 		"trouble of links frees none":           {End, []history.Event{begunFault(50, "begin", "cut"), handed, left(120, history.Unanswered)}},
