--- a/internal/lab/backlog_test.go
+++ b/internal/lab/backlog_test.go
@@ -5,17 +5,18 @@
 	"testing"
 )
 
-// Three relays with a backlog on disk and a journal for a fraction of what waits: half of the destinations are out for most of
-// the run, relays are killed, upgraded, stopped and restarted with messages on disk, and all is back at once. The rules hold.
+// Guards against messages in the backlog on disk that are lost, repeated or forgotten. The journal has space for only a fraction
+// of the pending messages: half of the destinations are down for most of the run, and meanwhile the three relays are killed,
+// upgraded and paused. Then all destinations recover.
 func TestBacklogUnderFaults(t *testing.T) {
-	o := relays(t)
-	var most atomic.Int64
-	o.Each = func(p Progress) {
+	o := buildPrograms(t)
+	var mostQueued atomic.Int64
+	o.OnProgress = func(p Progress) {
 		for _, row := range p.Rows {
-			most.Store(max(most.Load(), int64(row.Figures["svc.backlog.messages"])))
+			mostQueued.Store(max(mostQueued.Load(), int64(row.Metrics["svc.backlog.messages"])))
 		}
 	}
-	r := play(t, parse(t, `
+	r := playScenario(t, parseScenario(t, `
 duration = "15s"
 seed = 6
 [fleet]
@@ -63,10 +64,10 @@
 promised = 0
 `), o)
 	if len(r.Failures) > 0 {
-		tell(t, r)
-		t.Error("expectations did not hold")
+		logResult(t, r)
+		t.Error("the run did not meet its expectations")
 	}
-	if most.Load() < 20 {
-		t.Errorf("%d messages were on a relay's disk at most: nothing was shown", most.Load())
+	if mostQueued.Load() < 20 {
+		t.Errorf("a relay had at most %d messages on disk, want at least 20: the backlog was not tested", mostQueued.Load())
 	}
 }
--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -96,7 +96,7 @@
 			return o, err
 		}
 	}
-	return lab.Options{Root: root, Command: d.Run, Keeper: "exec bin/larchkeeper"}, nil
+	return lab.Options{Root: root, RelayCommand: d.Run, KeeperCommand: "exec bin/larchkeeper"}, nil
 }
 
 func newRun(out io.Writer) *cobra.Command {
@@ -117,14 +117,14 @@
 			if err != nil {
 				return &exit{stuck, err}
 			}
-			o.Keep, o.History = keep, historyPath
+			o.KeepRunDir, o.HistoryPath = keep, historyPath
 			if drawn != "" {
 				if o.Draw, err = readDraw(drawn, s); err != nil {
 					return &exit{wrongFile, err}
 				}
 			}
 			if !quiet {
-				o.Each = func(p lab.Progress) { fmt.Fprintln(out, line(p)) }
+				o.OnProgress = func(p lab.Progress) { fmt.Fprintln(out, line(p)) }
 			}
 			r, err := lab.Run(c.Context(), s, o)
 			if err != nil {
--- a/internal/lab/command/command_test.go
+++ b/internal/lab/command/command_test.go
@@ -94,7 +94,7 @@
 }
 
 func TestLine(t *testing.T) {
-	got := line(lab.Progress{Rows: []lab.Row{{State: "up", Figures: map[string]float64{"svc.in_flight": 3}}, {State: "down"}}, Faults: []string{"kill relay/1"}})
+	got := line(lab.Progress{Rows: []lab.Row{{State: "up", Metrics: map[string]float64{"svc.in_flight": 3}}, {State: "down"}}, Faults: []string{"kill relay/1"}})
 	for _, want := range []string{"1 of 2 relays up", "3 held", "[kill relay/1]"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%q does not tell %q", got, want)
--- a/internal/lab/command/sweep.go
+++ b/internal/lab/command/sweep.go
@@ -169,8 +169,8 @@
 					}
 					set.Runs = append(set.Runs, r)
 					fmt.Fprintf(out, "%s seed %d: %s\n", p.name, p.s.Seed, r.Report)
-					if r.Void != "" {
-						fmt.Fprintln(out, "void:", r.Void)
+					if r.VoidReason != "" {
+						fmt.Fprintln(out, "void:", r.VoidReason)
 					}
 					broken += r.Report.Total()
 					sub := filepath.Join(dir, unsafeName.ReplaceAllString(fmt.Sprintf("%s_seed=%d", p.name, p.s.Seed), "_"))
--- a/internal/lab/command/table.go
+++ b/internal/lab/command/table.go
@@ -44,13 +44,13 @@
 		fmt.Fprintf(&b, "\x1b[%dA", t.lines)
 	}
 	row := func(format string, args ...any) { fmt.Fprintf(&b, "\x1b[2K"+format+"\n", args...) }
-	span := (p.At - t.at).Seconds()
-	row("%6.0f s   %d messages asked for, %d served in time, rules broken: %d", p.At.Seconds(), p.Asked, p.InTime, p.Broken)
+	span := (p.Elapsed - t.at).Seconds()
+	row("%6.0f s   %d messages asked for, %d served in time, rules broken: %d", p.Elapsed.Seconds(), p.Messages, p.InTime, p.Violations)
 	row("%s", strings.Join(p.Faults, "; "))
 	row("%-10s %-7s %10s %8s %8s %8s %8s %8s", "relay", "state", "served/s", "refused", "held", "cpu %", "MB", "sockets")
 	for i, r := range p.Rows {
 		var served, refused float64
-		for name, v := range r.Figures {
+		for name, v := range r.Metrics {
 			switch {
 			case strings.HasSuffix(name, ".served"):
 				served += v
@@ -59,17 +59,17 @@
 			}
 		}
 		was := t.last[r.Name]
-		t.last[r.Name] = sight{r.Use.CPU, served}
+		t.last[r.Name] = sight{r.Usage.CPU, served}
 		if i >= tableMost {
 			continue
 		}
-		rate, cpu := max(0, served-was.served)/span, max(0, (r.Use.CPU-was.cpu).Seconds())/span*100
-		row("%-10s %-7s %10.1f %8.0f %8.0f %8.1f %8.1f %8d", r.Name, r.State, rate, refused, r.Figures["svc.in_flight"], cpu, r.Use.MemoryMB, r.Use.Descriptors)
+		rate, cpu := max(0, served-was.served)/span, max(0, (r.Usage.CPU-was.cpu).Seconds())/span*100
+		row("%-10s %-7s %10.1f %8.0f %8.0f %8.1f %8.1f %8d", r.Name, r.State, rate, refused, r.Metrics["svc.in_flight"], cpu, r.Usage.MemoryMB, r.Usage.Descriptors)
 	}
 	if n := len(p.Rows) - tableMost; n > 0 {
 		row("and %d more", n)
 	}
-	t.at = p.At
+	t.at = p.Elapsed
 	t.lines = strings.Count(b.String(), "\n")
 	io.WriteString(t.out, b.String())
 }
--- a/internal/lab/command/up.go
+++ b/internal/lab/command/up.go
@@ -41,7 +41,7 @@
 			}
 			fmt.Fprintf(out, "starting %d relays; Ctrl-C ends everything\n", s.Fleet.Relays)
 			t := newTable(out)
-			o.Each = t.draw
+			o.OnProgress = t.draw
 			r, err := lab.Run(c.Context(), s, o)
 			if err != nil {
 				return &exit{stuck, err}
--- a/internal/lab/command/verdict.go
+++ b/internal/lab/command/verdict.go
@@ -28,9 +28,9 @@
 		fmt.Fprintln(out, "agreement:", a)
 	}
 	fmt.Fprintf(out, "processor time: relays %.1f s, lab %.1f s; the lab's timers late by %.1f ms (50%%), %.1f (99%%), %.1f at most\n",
-		relays, r.LabCPU, r.Lateness.P50, r.Lateness.P99, r.Lateness.Max)
-	if r.Folder != "" {
-		fmt.Fprintln(out, "kept in", r.Folder)
+		relays, r.LabCPUSeconds, r.Lateness.P50, r.Lateness.P99, r.Lateness.Max)
+	if r.RunDir != "" {
+		fmt.Fprintln(out, "kept in", r.RunDir)
 	}
 	for _, f := range r.Failures {
 		fmt.Fprintf(out, "NOT HELD  %s: %s\n", f.Expectation, f.Text)
@@ -38,8 +38,8 @@
 	switch {
 	case ctx.Err() != nil:
 		return &exit{stuck, errors.New("interrupted")}
-	case r.Void != "":
-		return &exit{stuck, errors.New("void: " + r.Void)}
+	case r.VoidReason != "":
+		return &exit{stuck, errors.New("void: " + r.VoidReason)}
 	case len(r.Failures) > 0:
 		return &exit{failed, fmt.Errorf("%d expectations did not hold", len(r.Failures))}
 	}
@@ -74,11 +74,11 @@
 		if r.State == "up" {
 			up++
 		}
-		open += r.Figures["svc.in_flight"]
-		cpu += r.Use.CPU.Seconds()
+		open += r.Metrics["svc.in_flight"]
+		cpu += r.Usage.CPU.Seconds()
 	}
 	text := fmt.Sprintf("%5.1f s  %d of %d relays up, %d messages asked for, %d served in time, %.0f held, %d rules broken",
-		p.At.Seconds(), up, len(p.Rows), p.Asked, p.InTime, open, p.Broken)
+		p.Elapsed.Seconds(), up, len(p.Rows), p.Messages, p.InTime, open, p.Violations)
 	if len(p.Faults) > 0 {
 		text += "  [" + strings.Join(p.Faults, "; ") + "]"
 	}
--- a/internal/lab/cores.go
+++ b/internal/lab/cores.go
@@ -2,9 +2,9 @@
 
 import "larchrouter/internal/lab/proc"
 
-// divideCores gives the relays so many of the machine's cores, and has the lab keep off them until they are given back: relays may
-// have to wait for a core, but the stamps of the lab must not be late for that. For 0 nothing is divided.
-func divideCores(shared int) (relays proc.Cores, giveBack func(), err error) {
+// splitCores reserves the given number of the machine's cores for the relays, and keeps the lab off them until restore is called:
+// relays may have to wait for a core, but the lab's timestamps must not be late because of it. For 0 nothing is reserved.
+func splitCores(shared int) (relays proc.Cores, restore func(), err error) {
 	if shared == 0 {
 		return nil, func() {}, nil
 	}
@@ -12,11 +12,11 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	own, relays, err := all.Split(shared)
+	labCores, relays, err := all.Split(shared)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := own.Pin(); err != nil {
+	if err := labCores.Pin(); err != nil {
 		return nil, nil, err
 	}
 	return relays, func() { all.Pin() }, nil
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -13,8 +13,8 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// describe is a fault in words.
-func describe(f scenario.Fault) string {
+// describeFault returns the text that names a fault in the history and the result.
+func describeFault(f scenario.Fault) string {
 	text := f.Kind + " " + f.From
 	if f.To != "" {
 		text += " to " + f.To
@@ -34,54 +34,54 @@
 	return text
 }
 
-// fault puts a fault on, and takes it off when its time is up.
-func (w *world) fault(ctx context.Context, i int, f scenario.Fault) {
+// runFault starts a fault, waits until its time is over or ctx ends, and ends it.
+func (run *labRun) runFault(ctx context.Context, i int, f scenario.Fault) {
 	name := fmt.Sprintf("fault[%d]", i)
-	text := describe(f)
-	from, err := w.resolve(ctx, f.From)
+	text := describeFault(f)
+	from, err := run.resolve(ctx, f.From)
 	if err != nil {
-		w.cannot(name, err)
+		run.reportProblem(name, err)
 		return
 	}
-	began := w.clock.Now()
-	w.mu.Lock()
-	w.on[name] = len(w.spans)
-	w.spans = append(w.spans, Span{From: float64(began) / 1e6, Text: text})
-	w.mu.Unlock()
+	began := run.clock.Now()
+	run.mu.Lock()
+	run.activeFaults[name] = len(run.spans)
+	run.spans = append(run.spans, Span{From: float64(began) / 1e6, Text: text})
+	run.mu.Unlock()
 	begin := history.Event{Kind: history.Fault, Detail: "begin", Text: text}
 	if f.To != "" {
 		begin.State = history.Lossy
 	}
-	w.record(begin)
+	run.record(begin)
 	if f.To != "" {
-		to, err := w.resolve(ctx, f.To)
+		to, err := run.resolve(ctx, f.To)
 		if err != nil {
-			w.cannot(name, err)
+			run.reportProblem(name, err)
 			return
 		}
-		w.onLinks(name, f, from, to, true)
-		w.rest(ctx, f.For)
-		w.onLinks(name, f, from, to, false)
-	} else if err := w.onParties(ctx, f, from); err != nil && ctx.Err() == nil {
-		w.cannot(text, err)
-	}
-	w.mu.Lock()
-	w.spans[w.on[name]].To = float64(w.clock.Now()) / 1e6
-	delete(w.on, name)
-	w.mu.Unlock()
-	w.record(history.Event{Kind: history.Fault, Detail: "end", Text: text})
+		run.setLinkFault(name, f, from, to, true)
+		run.sleep(ctx, f.For)
+		run.setLinkFault(name, f, from, to, false)
+	} else if err := run.runPartyFault(ctx, f, from); err != nil && ctx.Err() == nil {
+		run.reportProblem(text, err)
+	}
+	run.mu.Lock()
+	run.spans[run.activeFaults[name]].To = float64(run.clock.Now()) / 1e6
+	delete(run.activeFaults, name)
+	run.mu.Unlock()
+	run.record(history.Event{Kind: history.Fault, Detail: "end", Text: text})
 }
 
-func (w *world) rest(ctx context.Context, length scenario.Duration) {
+func (run *labRun) sleep(ctx context.Context, duration scenario.Duration) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(time.Duration(length)):
+	case <-time.After(time.Duration(duration)):
 	}
 }
 
-// onLinks puts a fault on all links between two groups, or takes it off. A link has the way of whoever opens its
-// connections and the way back; from names the sender, whichever of the two that is.
-func (w *world) onLinks(name string, f scenario.Fault, from, to []scenario.Party, on bool) {
+// setLinkFault sets a fault on all links between two groups of parties, or removes it. The fault affects what from sends to to,
+// and with Both also the reverse, no matter which of the two opens a link's connections.
+func (run *labRun) setLinkFault(name string, f scenario.Fault, from, to []scenario.Party, on bool) {
 	var fault *link.Faults
 	if on {
 		fault = &link.Faults{Cut: f.Kind == "cut", Refused: f.Kind == "refuse", Reset: f.Kind == "reset", ResetAfterBytes: f.Bytes, HalfOpen: f.Kind == "halfopen"}
@@ -98,7 +98,7 @@
 			fault.CloseDelay = time.Duration(f.By)
 		}
 	}
-	in := func(parties []scenario.Party) func(string) bool {
+	memberOf := func(parties []scenario.Party) func(string) bool {
 		names := map[string]bool{}
 		for _, p := range parties {
 			names[p.Name] = true
@@ -107,34 +107,34 @@
 	}
 	var g errgroup.Group
 	g.SetLimit(64)
-	put := func(l *link.Link, there, back bool) {
-		var ways [2]*link.Faults
-		if there {
-			ways[0] = fault
+	put := func(l *link.Link, forward, reverse bool) {
+		var faults [2]*link.Faults
+		if forward {
+			faults[0] = fault
 		}
-		if back {
-			ways[1] = fault
+		if reverse {
+			faults[1] = fault
 		}
-		g.Go(func() error { l.SetNamed(name, ways[0], ways[1]); return nil })
+		g.Go(func() error { l.SetNamed(name, faults[0], faults[1]); return nil })
 	}
-	for _, l := range w.net.Links(in(from), in(to)) {
+	for _, l := range run.network.Links(memberOf(from), memberOf(to)) {
 		put(l, true, f.Both)
 	}
-	for _, l := range w.net.Links(in(to), in(from)) {
+	for _, l := range run.network.Links(memberOf(to), memberOf(from)) {
 		put(l, f.Both, true)
 	}
 	g.Wait()
 }
 
-// onParties has something be wrong with parties themselves, for as long as the fault lasts.
-func (w *world) onParties(ctx context.Context, f scenario.Fault, parties []scenario.Party) error {
+// runPartyFault applies a fault to parties themselves, rather than to their links, for as long as the fault lasts.
+func (run *labRun) runPartyFault(ctx context.Context, f scenario.Fault, parties []scenario.Party) error {
 	if parties[0].Name == "discovery" {
-		w.onDiscovery(ctx, f)
+		run.runDiscoveryFault(ctx, f)
 		return nil
 	}
 	var g errgroup.Group
-	for _, r := range w.relays {
-		if !named(parties, r.name) {
+	for _, r := range run.relays {
+		if !containsParty(parties, r.name) {
 			continue
 		}
 		g.Go(func() error {
@@ -142,28 +142,28 @@
 			case "pause":
 				return r.pause(ctx, time.Duration(f.For))
 			case "kill":
-				return r.kill(ctx, time.Duration(f.For))
+				return r.killAndRestart(ctx, time.Duration(f.For))
 			case "term":
-				return r.term(ctx, time.Duration(f.For))
+				return r.restartGracefully(ctx, time.Duration(f.For))
 			case "upgrade":
 				return r.upgrade(ctx)
 			case "lose":
-				return r.lose(ctx, time.Duration(f.For))
+				return r.loseMachine(ctx, time.Duration(f.For))
 			case "rollback":
 				return r.rollback(ctx, time.Duration(f.At), time.Duration(f.By), time.Duration(f.For))
 			}
 			return nil
 		})
 	}
-	for _, k := range w.keepers {
-		if !named(parties, k.name) {
+	for _, k := range run.keepers {
+		if !containsParty(parties, k.name) {
 			continue
 		}
 		g.Go(func() error {
 			if f.Kind == "pause" {
 				return k.pause(ctx, time.Duration(f.For))
 			}
-			return k.out(ctx, f.Kind == "kill", time.Duration(f.For))
+			return k.restart(ctx, f.Kind == "kill", time.Duration(f.For))
 		})
 	}
 	if err := g.Wait(); err != nil {
@@ -181,20 +181,20 @@
 	switch f.Kind {
 	case "outage":
 		for d := range dests {
-			w.partners.Out(d, true)
-			defer w.partners.Out(d, false)
+			run.partners.Out(d, true)
+			defer run.partners.Out(d, false)
 		}
 	case "shut":
 		for d := range dests {
-			w.partners.Shut(d, time.Duration(f.For))
+			run.partners.Shut(d, time.Duration(f.For))
 		}
 	case "limit":
 		for d := range dests {
-			w.partners.Limit(d, f.Part)
-			defer w.partners.Limit(d, 1/f.Part)
+			run.partners.Limit(d, f.Part)
+			defer run.partners.Limit(d, 1/f.Part)
 		}
 	case "errors", "slow", "garble":
-		put := func(fails, slow, garbles float64) func(*platform.Trouble) {
+		setTrouble := func(fails, slow, garbles float64) func(*platform.Trouble) {
 			return func(t *platform.Trouble) {
 				switch f.Kind {
 				case "errors":
@@ -207,15 +207,15 @@
 			}
 		}
 		for _, p := range parties {
-			w.partners.Trouble(p.Name, put(f.Part, f.Part, f.Part))
-			defer w.partners.Trouble(p.Name, put(0, 1, 0))
+			run.partners.Trouble(p.Name, setTrouble(f.Part, f.Part, f.Part))
+			defer run.partners.Trouble(p.Name, setTrouble(0, 1, 0))
 		}
 	}
-	w.rest(ctx, f.For)
+	run.sleep(ctx, f.For)
 	return nil
 }
 
-func named(parties []scenario.Party, name string) bool {
+func containsParty(parties []scenario.Party, name string) bool {
 	for _, p := range parties {
 		if p.Name == name {
 			return true
--- a/internal/lab/faults_discovery.go
+++ b/internal/lab/faults_discovery.go
@@ -8,38 +8,38 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// onDiscovery has something be wrong with discovery or with the taker of notices, for as long as the fault lasts.
-func (w *world) onDiscovery(ctx context.Context, f scenario.Fault) {
+// runDiscoveryFault applies a fault to discovery or to the receiver of notices for as long as the fault lasts.
+func (run *labRun) runDiscoveryFault(ctx context.Context, f scenario.Fault) {
 	by := time.Duration(f.By)
 	switch f.Kind {
 	case "outage":
-		w.discovery.Down(true)
-		defer w.discovery.Down(false)
+		run.discovery.Down(true)
+		defer run.discovery.Down(false)
 	case "late-list":
-		w.discovery.Late(by)
-		defer w.discovery.Late(0)
+		run.discovery.Late(by)
+		defer run.discovery.Late(0)
 	case "slow-notices":
-		w.discovery.SlowNotices(by)
-		defer w.discovery.SlowNotices(0)
+		run.discovery.SlowNotices(by)
+		defer run.discovery.SlowNotices(0)
 	default:
-		w.discovery.Disturb(func(t *platform.ListTrouble) { setListTrouble(t, f.Kind, by, f.Part) })
-		defer w.discovery.Disturb(func(t *platform.ListTrouble) { setListTrouble(t, f.Kind, 0, 0) })
+		run.discovery.Disturb(func(t *platform.ListTrouble) { setListFault(t, f.Kind, by, f.Part) })
+		defer run.discovery.Disturb(func(t *platform.ListTrouble) { setListFault(t, f.Kind, 0, 0) })
 	}
-	w.rest(ctx, f.For)
+	run.sleep(ctx, f.For)
 }
 
-// setListTrouble sets what a kind of fault of the list stands for.
-func setListTrouble(t *platform.ListTrouble, kind string, by time.Duration, part float64) {
+// setListFault sets the field of t that a kind of list fault stands for.
+func setListFault(t *platform.ListTrouble, kind string, delay time.Duration, share float64) {
 	switch kind {
 	case "slow-lists":
-		t.Slow = by
+		t.Slow = delay
 	case "busy-lists":
-		t.Busy = part
+		t.Busy = share
 	case "cut-lists":
-		t.Cut = part
+		t.Cut = share
 	case "stalled-lists":
-		t.Stall = part
+		t.Stall = share
 	case "mute-lists":
-		t.Mute = part
+		t.Mute = share
 	}
 }
--- a/internal/lab/flaws_test.go
+++ b/internal/lab/flaws_test.go
@@ -10,9 +10,9 @@
 	"larchrouter/internal/lab/standin"
 )
 
-// Guards against a rule that cannot be broken, and against one that an honest relay breaks: each flaw of a
-// stand-in must be caught by the rule that is meant for it.
-func TestFlawsAreCaught(t *testing.T) {
+// Guards against a rule that detects nothing, and one that a correct relay breaks: each flaw of a stand-in must be
+// detected by the rule that covers it.
+func TestRulesDetectStandinFlaws(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +41,7 @@
 		{standin.HangsUp, "", rules.End},
 		{standin.Tardy, "[[fault]]\nat = \"0s\"\nfor = \"3s\"\nkind = \"outage\"\nfrom = \"discovery\"\n" + strings.Replace(fails, "0.5", "1.0", 1), rules.End},
 		{standin.Tardy, "[[fault]]\nat = \"200ms\"\nfor = \"3s\"\nkind = \"cut\"\nfrom = \"relays\"\nto = \"endpoints:dest=0\"\nboth = true\n", rules.End},
-		{standin.None, busy + "[[fault]]\nat = \"500ms\"\nfor = \"1500ms\"\nkind = \"outage\"\nfrom = \"endpoints:dest=0\"\n", rules.Cold}, // it has no slow start
+		{standin.None, busy + "[[fault]]\nat = \"500ms\"\nfor = \"1500ms\"\nkind = \"outage\"\nfrom = \"endpoints:dest=0\"\n", rules.Cold}, // the stand-in has no slow start
 		{standin.TwoEnds, "", rules.Once},
 		{standin.Lies, "", rules.Figures},
 		{standin.Changes, "", rules.Own},
@@ -49,7 +49,7 @@
 		{standin.Invented, "", rules.Own},
 		{standin.Endless, strings.Replace(fails, "0.5", "1.0", 1), rules.Attempts},
 		{standin.Dies, "", rules.Process},
-		{standin.None, "[[fault]]\nat = \"1s\"\nkind = \"kill\"\nfrom = \"relays\"\n", rules.End}, // it has no journal
+		{standin.None, "[[fault]]\nat = \"1s\"\nkind = \"kill\"\nfrom = \"relays\"\n", rules.End}, // the stand-in has no journal
 	} {
 		t.Run(fmt.Sprintf("%s,%s", c.flaw, c.rule), func(t *testing.T) {
 			t.Parallel()
@@ -61,13 +61,13 @@
 				text = strings.NewReplacer("rate = 40.0\n", busy, "destinations = 3", "destinations = 1\nlimit = 0.0").Replace(base) + more
 			}
 			if c.more == strangers {
-				text = base + c.more // of load, the last table
+				text = base + c.more // base ends with the table load, to which this key belongs
 			} else if more, ok := strings.CutSuffix(c.more, once); ok {
 				text = base + once + "\n" + more
 			}
-			r := play(t, parse(t, text), Options{Root: t.TempDir(), Command: "exec " + self, Env: []string{standin.Env + "=" + string(c.flaw)}})
+			r := playScenario(t, parseScenario(t, text), Options{Root: t.TempDir(), RelayCommand: "exec " + self, Env: []string{standin.Env + "=" + string(c.flaw)}})
 			if c.rule != "" && r.Report.Broken[c.rule] == 0 || c.rule == "" && len(r.Failures) > 0 {
-				tell(t, r)
+				logResult(t, r)
 				t.Errorf("rule %q: broken %d times", c.rule, r.Report.Broken[c.rule])
 			}
 			if c.rule == "" && r.Report.Served == 0 {
--- a/internal/lab/keeper.go
+++ b/internal/lab/keeper.go
@@ -24,77 +24,77 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// The ports of a keeper's own addresses.
+// Ports of a keeper's own addresses.
 const (
-	keeperHTTP = 7400
-	keeperRaft = 7600
+	keeperHTTPPort = 7400
+	keeperRaftPort = 7600
 )
 
-// operator is the party that speaks for the operators to keepers.
-const operator = "operator"
+// operatorName is the name of the party that calls keepers for the operators.
+const operatorName = "operator"
 
-// keeperIP is the address of the nth keeper, operatorIP the operators'.
-func (b block) keeperIP(n int) string { return fmt.Sprintf("%s.202.%d", b.prefix, 1+n) }
-func (b block) operatorIP() string    { return b.prefix + ".203.1" }
+// keeperIP returns the IP address of the nth keeper, operatorIP that of the operators.
+func (b addrBlock) keeperIP(n int) string { return fmt.Sprintf("%s.202.%d", b.prefix, 1+n) }
+func (b addrBlock) operatorIP() string    { return b.prefix + ".203.1" }
 
-// parties are the processes that reach each other at fronts that all of them use, and are known by where they send from.
-type parties struct {
-	w  *world
-	mu sync.Mutex
-	by map[string]*link.SharedFront // by address
+// sharedFronts are the fronts at which processes reach each other. A sender is identified by the IP address that it sends from.
+type sharedFronts struct {
+	run  *labRun
+	mu   sync.Mutex
+	byIP map[string]*link.SharedFront // by the IP address that the process sends from
 }
 
-func (p *parties) who(ip string) *link.SharedFront {
+func (p *sharedFronts) byAddress(ip string) *link.SharedFront {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.by[ip]
+	return p.byIP[ip]
 }
 
-// share opens a front for a process.
-func (p *parties) share(name, target string) (*link.SharedFront, error) {
-	return p.w.net.ShareProcess(name, p.w.block.sharedIP(), target, p.who)
+// open opens a front for the process that listens at target.
+func (p *sharedFronts) open(name, target string) (*link.SharedFront, error) {
+	return p.run.network.ShareProcess(name, p.run.addrs.sharedIP(), target, p.byAddress)
 }
 
-// add lets a party that sends from an address reach the others.
-func (p *parties) add(name, ip, target string) error {
-	s, err := p.share(name, target)
+// add opens a front for a process and lets the process, which sends from ip, reach the others.
+func (p *sharedFronts) add(name, ip, target string) error {
+	s, err := p.open(name, target)
 	if err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.by[ip] = s
+	p.byIP[ip] = s
 	return nil
 }
 
-// keeper is one keeper of the run: its name, folder and addresses stay the same across its processes.
+// keeper is one keeper of the run. Its name, directory and addresses stay the same across its processes.
 type keeper struct {
-	name  string
-	w     *world
-	dir   string
-	ip    string
-	front string // where others call it over HTTP
+	name      string
+	run       *labRun
+	dir       string
+	ip        string
+	frontAddr string // address at which others call it over HTTP
 
-	mu     sync.Mutex
-	now    *proc.Process
-	n      int // processes so far
-	paused bool
-	quit   bool
+	mu           sync.Mutex
+	process      *proc.Process
+	processCount int // processes started so far
+	paused       bool
+	ending       bool
 }
 
 func (k *keeper) configPath() string { return filepath.Join(k.dir, "keeper.toml") }
 
 // startKeepers opens the keepers' fronts, writes their configurations, and starts them.
-func (w *world) startKeepers(ctx context.Context) error {
-	n := w.scenario.Fleet.Keepers
+func (run *labRun) startKeepers(ctx context.Context) error {
+	n := run.scenario.Fleet.Keepers
 	if n == 0 {
 		return nil
 	}
-	if w.options.Keeper == "" {
-		return errors.New("nothing says how a keeper is started")
+	if run.options.KeeperCommand == "" {
+		return errors.New("the scenario has keepers, but no command starts one")
 	}
-	w.parties = &parties{w: w, by: map[string]*link.SharedFront{}}
-	if err := w.parties.add(operator, w.block.operatorIP(), w.block.operatorIP()+":1"); err != nil {
+	run.fronts = &sharedFronts{run: run, byIP: map[string]*link.SharedFront{}}
+	if err := run.fronts.add(operatorName, run.addrs.operatorIP(), run.addrs.operatorIP()+":1"); err != nil {
 		return err
 	}
 	type peer struct {
@@ -104,70 +104,70 @@
 	}
 	var peers []peer
 	for i := range n {
-		k := &keeper{name: fmt.Sprintf("keeper/%d", i), w: w, dir: filepath.Join(w.dir, fmt.Sprintf("keeper-%d", i)), ip: w.block.keeperIP(i)}
+		k := &keeper{name: fmt.Sprintf("keeper/%d", i), run: run, dir: filepath.Join(run.dir, fmt.Sprintf("keeper-%d", i)), ip: run.addrs.keeperIP(i)}
 		if err := os.MkdirAll(k.dir, 0o755); err != nil {
 			return err
 		}
-		if err := w.parties.add(k.name, k.ip, fmt.Sprintf("%s:%d", k.ip, keeperHTTP)); err != nil {
+		if err := run.fronts.add(k.name, k.ip, fmt.Sprintf("%s:%d", k.ip, keeperHTTPPort)); err != nil {
 			return err
 		}
-		k.front = w.parties.who(k.ip).Addr
-		raft, err := w.parties.share(k.name, fmt.Sprintf("%s:%d", k.ip, keeperRaft))
+		k.frontAddr = run.fronts.byAddress(k.ip).Addr
+		raft, err := run.fronts.open(k.name, fmt.Sprintf("%s:%d", k.ip, keeperRaftPort))
 		if err != nil {
 			return err
 		}
-		peers = append(peers, peer{k.name, k.front, raft.Addr})
-		w.keepers = append(w.keepers, k)
+		peers = append(peers, peer{k.name, k.frontAddr, raft.Addr})
+		run.keepers = append(run.keepers, k)
 	}
-	for _, k := range w.keepers {
-		for _, other := range w.keepers {
+	for _, k := range run.keepers {
+		for _, other := range run.keepers {
 			if other != k {
-				w.net.Link(k.name, other.name)
+				run.network.Link(k.name, other.name)
 			}
 		}
-		w.net.Link(operator, k.name)
-		data, err := toml.Marshal(map[string]any{"name": k.name, "http": fmt.Sprintf("%s:%d", k.ip, keeperHTTP), "raft": fmt.Sprintf("%s:%d", k.ip, keeperRaft),
-			"source": k.ip, "dir": filepath.Join(k.dir, "state"), "lease": time.Duration(w.scenario.Fleet.Lease).String(),
-			"election": min(time.Second, time.Duration(w.scenario.Fleet.Lease)/4).String(), "peer": peers})
+		run.network.Link(operatorName, k.name)
+		data, err := toml.Marshal(map[string]any{"name": k.name, "http": fmt.Sprintf("%s:%d", k.ip, keeperHTTPPort), "raft": fmt.Sprintf("%s:%d", k.ip, keeperRaftPort),
+			"source": k.ip, "dir": filepath.Join(k.dir, "state"), "lease": time.Duration(run.scenario.Fleet.Lease).String(),
+			"election": min(time.Second, time.Duration(run.scenario.Fleet.Lease)/4).String(), "peer": peers})
 		if err != nil {
 			return err
 		}
 		if err := os.WriteFile(k.configPath(), data, 0o644); err != nil {
 			return err
 		}
-		if err := k.begin(ctx); err != nil {
+		if err := k.start(ctx); err != nil {
 			return err
 		}
 	}
-	for end := time.Now().Add(readyIn); w.leader(ctx) == nil; time.Sleep(20 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); run.leader(ctx) == nil; time.Sleep(20 * time.Millisecond) {
 		if ctx.Err() != nil || time.Now().After(end) {
-			return errors.Join(ctx.Err(), fmt.Errorf("no keeper leads after %v", readyIn))
+			return errors.Join(ctx.Err(), fmt.Errorf("no keeper is the leader after %v", readyTimeout))
 		}
 	}
 	return nil
 }
 
-// keeperFronts are where relays call keepers.
-func (w *world) keeperFronts() (all []string) {
-	for _, k := range w.keepers {
-		all = append(all, k.front)
+// keeperFronts returns the addresses at which relays call keepers.
+func (run *labRun) keeperFronts() (all []string) {
+	for _, k := range run.keepers {
+		all = append(all, k.frontAddr)
 	}
 	return all
 }
 
-// operators is a client that calls keepers as the operators do, through links.
-func (w *world) operators() *api.Client {
-	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(w.block.operatorIP())}}
-	return &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.DialContext}}, Keepers: w.keeperFronts()}
+// operatorClient returns a client that calls keepers through links from the operators' address.
+func (run *labRun) operatorClient() *api.Client {
+	d := net.Dialer{LocalAddr: &net.TCPAddr{IP: net.ParseIP(run.addrs.operatorIP())}}
+	return &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: d.DialContext}}, Keepers: run.keeperFronts()}
 }
 
-// leader is the keeper that leads; nil if none says so.
-func (w *world) leader(ctx context.Context) *keeper {
-	c := w.operators()
-	for _, k := range w.keepers {
+// leader returns the keeper that reports to be the leader; nil if there is none.
+func (run *labRun) leader(ctx context.Context) *keeper {
+	c := run.operatorClient()
+	for _, k := range run.keepers {
 		ctx, cancel := context.WithTimeout(ctx, time.Second)
 		var st api.Status
-		err := c.Ask(ctx, k.front, http.MethodGet, api.StatusPath, nil, &st)
+		err := c.Ask(ctx, k.frontAddr, http.MethodGet, api.StatusPath, nil, &st)
 		cancel()
 		if err == nil && st.Leads {
 			return k
@@ -176,36 +176,36 @@
 	return nil
 }
 
-// resolve picks those that a target names now.
-func (w *world) resolve(ctx context.Context, text string) ([]scenario.Party, error) {
-	found, err := scenario.Resolve(text, w.scenario.Parties())
+// resolve returns the parties that a target of the scenario names now.
+func (run *labRun) resolve(ctx context.Context, text string) ([]scenario.Party, error) {
+	found, err := scenario.Resolve(text, run.scenario.Parties())
 	if err != nil || found[0].Name != scenario.Leader {
 		return found, err
 	}
-	k := w.leader(ctx)
+	k := run.leader(ctx)
 	if k == nil {
-		return nil, errors.New("no keeper leads")
+		return nil, errors.New("no keeper is the leader")
 	}
 	return []scenario.Party{{Name: k.name}}, nil
 }
 
-// begin starts a process of the keeper. The lock is held, or nobody else has it yet.
-func (k *keeper) begin(ctx context.Context) error {
-	k.n++
-	log := filepath.Join(k.dir, fmt.Sprintf("log-%d.txt", k.n))
-	k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, Detail: "start"})
-	p, err := proc.Start(proc.Spec{Name: k.name, Command: k.w.options.Keeper + " --config " + k.configPath(), Dir: k.w.options.Root, Env: k.w.options.Env,
-		MaxDescriptors: 4096, Log: log}, func(p *proc.Process) { k.w.ended(k.name, p, log) })
+// start starts a process of the keeper and waits until it answers. The caller holds the lock, unless nobody else uses k yet.
+func (k *keeper) start(ctx context.Context) error {
+	k.processCount++
+	log := filepath.Join(k.dir, fmt.Sprintf("log-%d.txt", k.processCount))
+	k.run.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, Detail: "start"})
+	p, err := proc.Start(proc.Spec{Name: k.name, Command: k.run.options.KeeperCommand + " --config " + k.configPath(), Dir: k.run.options.Root, Env: k.run.options.Env,
+		MaxDescriptors: 4096, Log: log}, func(p *proc.Process) { k.run.recordEnd(k.name, p, log) })
 	if err != nil {
 		return err
 	}
-	k.now = p
-	// Asked at its own address: whatever is wrong with links, it is there to be asked.
-	own := &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
-	for end := time.Now().Add(readyIn); ; time.Sleep(10 * time.Millisecond) {
+	k.process = p
+	// It is called at its own address, where faults of links do not matter.
+	client := &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	for end := time.Now().Add(readyTimeout); ; time.Sleep(10 * time.Millisecond) {
 		var st api.Status
-		actx, cancel := context.WithTimeout(ctx, time.Second)
-		err := own.Ask(actx, fmt.Sprintf("%s:%d", k.ip, keeperHTTP),
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
+		err := client.Ask(callCtx, fmt.Sprintf("%s:%d", k.ip, keeperHTTPPort),
 			http.MethodGet, api.StatusPath, nil, &st)
 		cancel()
 		if err == nil {
@@ -219,73 +219,74 @@
 		default:
 		}
 		if time.Now().After(end) {
-			return fmt.Errorf("%s cannot serve after %s: %w", k.name, readyIn, err)
+			return fmt.Errorf("%s cannot serve after %s: %w", k.name, readyTimeout, err)
 		}
 	}
-	k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: p.PID, Detail: "ready"})
+	k.run.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: p.PID, Detail: "ready"})
 	return nil
 }
 
-// out ends the keeper's process, by SIGKILL or in order, and starts it again after a while.
-func (k *keeper) out(ctx context.Context, kill bool, length time.Duration) error {
+// restart ends the keeper's process, by SIGKILL or in order, and starts a new one after downtime, or minRestartDelay if longer.
+func (k *keeper) restart(ctx context.Context, kill bool, downtime time.Duration) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.now == nil {
+	if k.process == nil {
 		return nil
 	}
 	if kill {
-		k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: k.now.PID, Detail: "kill"})
-		k.now.Kill()
+		k.run.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: k.process.PID, Detail: "kill"})
+		k.process.Kill()
 	} else {
-		k.w.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: k.now.PID, Detail: "term"})
-		k.now.Terminate(killAfter)
+		k.run.record(history.Event{Kind: history.ProcessChanged, Proc: k.name, PID: k.process.PID, Detail: "term"})
+		k.process.Terminate(killAfter)
 	}
-	k.now = nil
+	k.process = nil
 	k.mu.Unlock()
 	select {
 	case <-ctx.Done():
-	case <-time.After(max(length, restartIn)):
+	case <-time.After(max(downtime, minRestartDelay)):
 	}
 	k.mu.Lock()
-	if ctx.Err() != nil || k.quit || k.now != nil {
+	if ctx.Err() != nil || k.ending || k.process != nil {
 		return nil
 	}
-	return k.begin(ctx)
+	return k.start(ctx)
 }
 
-// pause stops the keeper's process for a while.
-func (k *keeper) pause(ctx context.Context, length time.Duration) error {
-	return k.w.stopFor(ctx, k.name, &k.mu, &k.now, &k.paused, length)
+// pause suspends the keeper's process for the given time.
+func (k *keeper) pause(ctx context.Context, duration time.Duration) error {
+	return k.run.suspend(ctx, k.name, &k.mu, &k.process, &k.paused, duration)
 }
 
-// end has the keeper's process end with the run.
-func (k *keeper) end() {
+// shutDown ends the keeper's process at the end of the run.
+func (k *keeper) shutDown() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.quit = true
-	if k.now == nil {
+	k.ending = true
+	if k.process == nil {
 		return
 	}
 	if k.paused {
-		k.now.Signal(syscall.SIGCONT, false)
+		k.process.Signal(syscall.SIGCONT, false)
 	}
-	k.now.Terminate(killAfter)
-	k.now = nil
+	k.process.Terminate(killAfter)
+	k.process = nil
 }
 
-// proposeIn is how long the operators insist on a change while keepers are out.
-const proposeIn = 30 * time.Second
+// proposeTimeout is how long the operators retry a change while keepers do not answer.
+const proposeTimeout = 30 * time.Second
 
-// propose has the operators ask the keepers for changed settings, until they are answered.
-func (w *world) propose(ctx context.Context, st scenario.Step, n int) error {
-	w.mu.Lock()
-	if w.settings == nil {
-		w.settings = w.draw.Settings(w.scenario, 0)
+// propose proposes the settings changed by a step to the keepers and retries until they answer. It is an error if they accept
+// settings that the step has broken on purpose.
+func (run *labRun) propose(ctx context.Context, st scenario.Step, number int) error {
+	run.mu.Lock()
+	if run.proposedSettings == nil {
+		run.proposedSettings = run.draw.Settings(run.scenario, 0)
 	}
-	next := w.settings
-	apply(next, st)
+	next := run.proposedSettings
+	applyStep(next, st)
 	data, err := json.Marshal(map[string]any{"settings": next})
-	w.mu.Unlock()
+	run.mu.Unlock()
 	if err != nil {
 		return err
 	}
@@ -295,70 +296,71 @@
 	case "missing":
 		data = []byte(`{"settings":{"rules":{}}}`)
 	}
-	c := w.operators()
-	change := api.Proposal{Op: fmt.Sprintf("step-%d", n), Doc: data, Who: operator, Why: "a step of the scenario"}
-	for end := time.Now().Add(proposeIn); ; time.Sleep(50 * time.Millisecond) {
-		cctx, cancel := context.WithTimeout(ctx, 3*time.Second)
-		var all []api.Generation
-		var made api.Made
-		err := c.Call(cctx, http.MethodGet, api.GenerationsPath, nil, &all)
+	c := run.operatorClient()
+	change := api.Proposal{Op: fmt.Sprintf("step-%d", number), Doc: data, Who: operatorName, Why: "a step of the scenario"}
+	for end := time.Now().Add(proposeTimeout); ; time.Sleep(50 * time.Millisecond) {
+		callCtx, cancel := context.WithTimeout(ctx, 3*time.Second)
+		var generations []api.Generation
+		var created api.Made
+		err := c.Call(callCtx, http.MethodGet, api.GenerationsPath, nil, &generations)
 		if err == nil {
 			change.Base = 0
-			for _, g := range all { // the newest that is in force or on its way
+			for _, g := range generations { // the newest that is in effect or being rolled out
 				if g.Stage != "given up" && g.Stage != "past" {
 					change.Base = max(change.Base, g.Number)
 				}
 			}
-			err = c.Call(cctx, http.MethodPost, api.GenerationsPath, change, &made)
+			err = c.Call(callCtx, http.MethodPost, api.GenerationsPath, change, &created)
 		}
 		cancel()
-		var no *api.Refused
+		var refusal *api.Refused
 		switch {
 		case err == nil && st.Break != "":
-			return fmt.Errorf("a broken document was taken as generation %d", made.Number)
+			return fmt.Errorf("a broken document was accepted as generation %d", created.Number)
 		case err == nil:
-			w.record(history.Event{Kind: history.Step, Text: fmt.Sprintf("generation %d is asked for", made.Number)})
-			w.mu.Lock()
-			w.accepted = append(w.accepted, made.Number)
-			w.mu.Unlock()
+			run.record(history.Event{Kind: history.Step, Text: fmt.Sprintf("generation %d is asked for", created.Number)})
+			run.mu.Lock()
+			run.acceptedGenerations = append(run.acceptedGenerations, created.Number)
+			run.mu.Unlock()
 			return nil
-		case errors.As(err, &no) && st.Break != "":
+		case errors.As(err, &refusal) && st.Break != "":
 			return nil
-		case errors.As(err, &no) && no.Status == http.StatusConflict && strings.Contains(no.Text, "another generation"):
-			change.Op += "'" // the list came from one that was behind: that answer is final, so it is another call
-		case errors.As(err, &no), ctx.Err() != nil, time.Now().After(end):
+		case errors.As(err, &refusal) && refusal.Status == http.StatusConflict && strings.Contains(refusal.Text, "another generation"):
+			change.Op += "'" // the list came from a keeper that lagged behind; the refusal of this Op is final, so the next try needs another
+		case errors.As(err, &refusal), ctx.Err() != nil, time.Now().After(end):
 			return err
 		}
 	}
 }
 
-// lookForAccepted looks, at the end, whether all changes that operators were told to be accepted are known.
-func (w *world) lookForAccepted(ctx context.Context) {
-	if len(w.keepers) == 0 || ctx.Err() != nil {
+// checkAcceptedGenerations checks at the end of the run that the leader knows all generations that the operators were told were
+// accepted.
+func (run *labRun) checkAcceptedGenerations(ctx context.Context) {
+	if len(run.keepers) == 0 || ctx.Err() != nil {
 		return
 	}
-	w.mu.Lock()
-	accepted := slices.Clone(w.accepted)
-	w.mu.Unlock()
-	var all []api.Generation
+	run.mu.Lock()
+	accepted := slices.Clone(run.acceptedGenerations)
+	run.mu.Unlock()
+	var generations []api.Generation
 	var err error
-	for end := time.Now().Add(readyIn); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		if k := w.leader(ctx); k != nil {
-			if err = w.operators().Ask(ctx, k.front, http.MethodGet, api.GenerationsPath, nil, &all); err == nil {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		if k := run.leader(ctx); k != nil {
+			if err = run.operatorClient().Ask(ctx, k.frontAddr, http.MethodGet, api.GenerationsPath, nil, &generations); err == nil {
 				break
 			}
 		}
 	}
 	if err != nil {
-		w.cannot("accepted changes", err)
+		run.reportProblem("accepted changes", err)
 		return
 	}
 	for _, n := range accepted {
-		if !slices.ContainsFunc(all, func(g api.Generation) bool { return g.Number == n }) {
-			w.cannot("accepted changes", fmt.Errorf("generation %d was accepted and is not known", n))
+		if !slices.ContainsFunc(generations, func(g api.Generation) bool { return g.Number == n }) {
+			run.reportProblem("accepted changes", fmt.Errorf("generation %d was accepted and is not known", n))
 		}
 	}
-	for _, g := range all {
-		w.record(history.Event{Kind: history.Step, Text: fmt.Sprintf("generation %d is %s %s", g.Number, g.Stage, g.Reason)})
+	for _, g := range generations {
+		run.record(history.Event{Kind: history.Step, Text: fmt.Sprintf("generation %d is %s %s", g.Number, g.Stage, g.Reason)})
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -1,5 +1,5 @@
-// Package lab plays a scenario: it emulates the platform, starts real relays as processes, loads them, puts
-// faults on links and processes, and judges by one history of what every party saw.
+// Package lab plays a scenario: it emulates the platform, starts real relays and keepers as processes, sends them load,
+// injects faults into links and processes, and judges the run by a single history of what every party observed.
 package lab
 
 import (
@@ -21,204 +21,204 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// world is a run.
-type world struct {
-	scenario  *scenario.Scenario
-	options   Options
-	draw      *platform.Draw
-	dir       string
-	block     block
-	clock     *history.Clock
-	recorder  *history.Recorder
-	net       *link.Net
-	partners  *platform.Partners
-	discovery *platform.Discovery
-	front     *platform.Front
-	clients   *platform.Clients
-	strangers *platform.Strangers
-	relays    []*relay
-	keepers   []*keeper
-	parties   *parties       // that share fronts; nil without keepers
-	settings  map[string]any // that the operators asked the keepers for last
-	accepted  []uint64       // generations that they were told to be accepted
-	steps     int
-	shared    map[string]string // the address of each endpoint, where it has one for all relays
-	// relayCores are those that all relays share; nil for any.
+// labRun is the state of one run of a scenario.
+type labRun struct {
+	scenario            *scenario.Scenario
+	options             Options
+	draw                *platform.Draw
+	dir                 string
+	addrs               addrBlock
+	clock               *history.Clock
+	recorder            *history.Recorder
+	network             *link.Net
+	partners            *platform.Partners
+	discovery           *platform.Discovery
+	loadBalancer        *platform.Front
+	clients             *platform.Clients
+	strangers           *platform.Strangers
+	relays              []*relay
+	keepers             []*keeper
+	fronts              *sharedFronts  // nil without keepers
+	proposedSettings    map[string]any // the settings that the operators proposed last
+	acceptedGenerations []uint64       // generations that the keepers reported to the operators as accepted
+	stepCount           int
+	sharedEndpointAddrs map[string]string // the address of each endpoint by name, if all relays reach it at the same one; else nil
+	// relayCores are the cores that all relays share; nil for any.
 	relayCores proc.Cores
 
-	mu      sync.Mutex
-	checker *rules.Checker
-	spans   []Span
-	on      map[string]int // faults, by their place in spans
-	trouble []string
-	rand    *rand.Rand
-	closed  bool
+	mu             sync.Mutex
+	checker        *rules.Checker
+	spans          []Span
+	activeFaults   map[string]int // index in spans by the fault's name
+	problems       []string
+	rand           *rand.Rand
+	recorderClosed bool
 }
 
-// record adds an event, which is stamped now.
-func (w *world) record(e history.Event) {
-	e.At = w.clock.Now()
-	w.add(e)
+// record adds an event with the current time.
+func (run *labRun) record(e history.Event) {
+	e.At = run.clock.Now()
+	run.add(e)
 }
 
-// add adds an event that has its stamp. Parties may still be at work as the run ends.
-func (w *world) add(e history.Event) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !w.closed {
-		w.recorder.Add(e)
+// add adds an event that has its time already. Events of parties that are still active after the end of the run are dropped.
+func (run *labRun) add(e history.Event) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	if !run.recorderClosed {
+		run.recorder.Add(e)
 	}
 }
 
-// noticed draws how long the front takes to notice a dead relay.
-func (w *world) noticed() time.Duration {
-	return time.Duration(w.draw.Notice * float64(time.Second))
+// deathNoticeDelay returns how long the platform's load balancer takes to notice that a relay has died.
+func (run *labRun) deathNoticeDelay() time.Duration {
+	return time.Duration(run.draw.Notice * float64(time.Second))
 }
 
-// Run plays a scenario. An error is the lab's own: what the relays do wrong is in the result.
+// Run plays a scenario. The error reports a failure of the lab itself; violations by the relays are in the result.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (result *Result, err error) {
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	raiseLimits()
-	relayCores, giveBack, err := divideCores(s.Fleet.SharedCores)
+	raiseDescriptorLimit()
+	relayCores, restoreCores, err := splitCores(s.Fleet.SharedCores)
 	if err != nil {
 		return nil, err
 	}
-	defer giveBack()
-	w := &world{relayCores: relayCores, scenario: s, options: o, draw: platform.NewDraw(s), clock: history.NewClock(), front: platform.NewFront(),
-		checker: rules.New(), on: map[string]int{}, rand: rand.New(rand.NewPCG(s.Seed, 0x4d))}
+	defer restoreCores()
+	run := &labRun{relayCores: relayCores, scenario: s, options: o, draw: platform.NewDraw(s), clock: history.NewClock(), loadBalancer: platform.NewFront(),
+		checker: rules.New(), activeFaults: map[string]int{}, rand: rand.New(rand.NewPCG(s.Seed, 0x4d))}
 	if o.Draw != nil {
-		w.draw = o.Draw
+		run.draw = o.Draw
 	}
-	if w.dir, err = proc.NewRunDir(folderIn(o.Folder)); err != nil {
+	if run.dir, err = proc.NewRunDir(runDirParent(o.RunDirParent)); err != nil {
 		return nil, err
 	}
-	if w.block, err = takeBlock(); err != nil {
+	if run.addrs, err = reserveBlock(); err != nil {
 		return nil, err
 	}
-	defer w.block.lock.Close()
-	if !o.Keep {
-		defer os.RemoveAll(w.dir)
+	defer run.addrs.lock.Close()
+	if !o.KeepRunDir {
+		defer os.RemoveAll(run.dir)
 	}
-	var out io.WriteCloser
-	if o.History != "" {
-		if out, err = os.Create(o.History); err != nil {
+	var historyFile io.WriteCloser
+	if o.HistoryPath != "" {
+		if historyFile, err = os.Create(o.HistoryPath); err != nil {
 			return nil, err
 		}
 	}
-	var checks sync.Mutex
-	w.recorder = history.NewRecorder(out, func(e history.Event) {
-		checks.Lock()
-		defer checks.Unlock()
-		w.checker.See(e)
+	var checkerMu sync.Mutex
+	run.recorder = history.NewRecorder(historyFile, func(e history.Event) {
+		checkerMu.Lock()
+		defer checkerMu.Unlock()
+		run.checker.See(e)
 	})
-	w.add(history.Event{Kind: history.Run, Text: s.Name, Terms: w.draw.Terms(s)})
-	w.net = link.NewNet(w.clock)
-	env := platform.Env{Clock: w.clock, ClientIP: w.block.clientIP, Record: w.add, Net: w.net, Scenario: s, Draw: w.draw}
-	w.partners = platform.NewPartners(env)
-	w.discovery = platform.NewDiscovery(env, w.partners)
-	w.clients = platform.NewClients(env, w.front)
-	w.discovery.Noticed = w.clients.Noticed
-	w.strangers = &platform.Strangers{Env: env, Front: w.front, Source: w.block.strangerIP()}
-	if err := w.openShared(); err != nil {
+	run.add(history.Event{Kind: history.Run, Text: s.Name, Terms: run.draw.Terms(s)})
+	run.network = link.NewNet(run.clock)
+	env := platform.Env{Clock: run.clock, ClientIP: run.addrs.clientIP, Record: run.add, Net: run.network, Scenario: s, Draw: run.draw}
+	run.partners = platform.NewPartners(env)
+	run.discovery = platform.NewDiscovery(env, run.partners)
+	run.clients = platform.NewClients(env, run.loadBalancer)
+	run.discovery.Noticed = run.clients.Noticed
+	run.strangers = &platform.Strangers{Env: env, Front: run.loadBalancer, Source: run.addrs.strangerIP()}
+	if err := run.openSharedEndpoints(); err != nil {
 		return nil, err
 	}
 
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	late := watchLateness(ctx)
+	lateness := watchLateness(ctx)
 	defer func() {
-		var ends sync.WaitGroup
-		for _, r := range w.relays {
-			ends.Go(r.end)
+		var shutdowns sync.WaitGroup
+		for _, r := range run.relays {
+			shutdowns.Go(r.shutDown)
 		}
-		ends.Wait()
-		for _, k := range w.keepers {
-			ends.Go(k.end)
+		shutdowns.Wait()
+		for _, k := range run.keepers {
+			shutdowns.Go(k.shutDown)
 		}
-		ends.Wait()
-		w.clients.Close()
-		w.net.Close()
-		w.discovery.Settle()
-		w.record(history.Event{Kind: history.End})
-		w.mu.Lock()
-		w.closed = true
-		w.mu.Unlock()
-		if cerr := w.recorder.Close(); cerr != nil && err == nil {
-			err = fmt.Errorf("history: %w", cerr)
+		shutdowns.Wait()
+		run.clients.Close()
+		run.network.Close()
+		run.discovery.Settle()
+		run.record(history.Event{Kind: history.End})
+		run.mu.Lock()
+		run.recorderClosed = true
+		run.mu.Unlock()
+		if closeErr := run.recorder.Close(); closeErr != nil && err == nil {
+			err = fmt.Errorf("history: %w", closeErr)
 		}
-		if err == nil { // the table of a run that is watched is still drawn
-			checks.Lock()
-			defer checks.Unlock()
-			result = w.result(late())
+		if err == nil { // OnProgress may still be reading the checker
+			checkerMu.Lock()
+			defer checkerMu.Unlock()
+			result = run.result(lateness())
 		}
 	}()
-	if err := w.startKeepers(ctx); err != nil {
+	if err := run.startKeepers(ctx); err != nil {
 		return nil, err
 	}
-	if err := w.start(ctx); err != nil {
+	if err := run.startRelays(ctx); err != nil {
 		return nil, err
 	}
-	w.play(ctx, &checks)
-	w.lookForAccepted(ctx)
+	run.play(ctx, &checkerMu)
+	run.checkAcceptedGenerations(ctx)
 	return nil, nil
 }
 
-// start starts all relays, several at once.
-func (w *world) start(ctx context.Context) error {
-	for i := range w.scenario.Fleet.Relays {
-		r, err := newRelay(w, i)
+// startRelays creates all relays and starts them, 16 at a time.
+func (run *labRun) startRelays(ctx context.Context) error {
+	for i := range run.scenario.Fleet.Relays {
+		r, err := newRelay(run, i)
 		if err != nil {
 			return err
 		}
-		w.relays = append(w.relays, r)
-		w.front.Add(r.name, r.listen)
-		for c := range w.scenario.Load.Clients {
-			w.net.Link(fmt.Sprintf("client/%d", c), r.name)
+		run.relays = append(run.relays, r)
+		run.loadBalancer.Add(r.name, r.listenAddr)
+		for c := range run.scenario.Load.Clients {
+			run.network.Link(fmt.Sprintf("client/%d", c), r.name)
 		}
-		for _, k := range w.keepers {
-			w.net.Link(r.name, k.name)
+		for _, k := range run.keepers {
+			run.network.Link(r.name, k.name)
 		}
 	}
 	var g errgroup.Group
 	g.SetLimit(16)
-	for _, r := range w.relays {
+	for _, r := range run.relays {
 		g.Go(func() error {
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			return r.begin(ctx, false)
+			return r.start(ctx, false)
 		})
 	}
 	return g.Wait()
 }
 
-// openShared gives each endpoint the one address at which all relays reach it, if the scenario says so.
-func (w *world) openShared() error {
-	if !w.scenario.Platform.Shared {
+// openSharedEndpoints opens, if the scenario says so, one address for each endpoint at which all relays reach it.
+func (run *labRun) openSharedEndpoints() error {
+	if !run.scenario.Platform.Shared {
 		return nil
 	}
 	relays := map[string]string{}
-	for i := range w.scenario.Fleet.Relays {
-		relays[w.block.relayIP(i)] = fmt.Sprintf("relay/%d", i)
+	for i := range run.scenario.Fleet.Relays {
+		relays[run.addrs.relayIP(i)] = fmt.Sprintf("relay/%d", i)
 	}
-	w.shared = map[string]string{}
-	for _, p := range w.scenario.Parties() {
+	run.sharedEndpointAddrs = map[string]string{}
+	for _, p := range run.scenario.Parties() {
 		if p.Kind() != "endpoint" {
 			continue
 		}
-		addr, err := w.partners.ServeAll(p.Name, w.block.sharedIP()+":0", func(ip string) string { return relays[ip] })
+		addr, err := run.partners.ServeAll(p.Name, run.addrs.sharedIP()+":0", func(ip string) string { return relays[ip] })
 		if err != nil {
 			return err
 		}
-		w.shared[p.Name] = addr
+		run.sharedEndpointAddrs[p.Name] = addr
 	}
 	return nil
 }
 
-// cannot notes what the lab could not do.
-func (w *world) cannot(what string, err error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.trouble = append(w.trouble, fmt.Sprintf("%.3f s: %s: %v", float64(w.clock.Now())/1e6, what, err))
+// reportProblem records an action of the scenario that the lab could not carry out.
+func (run *labRun) reportProblem(action string, err error) {
+	run.mu.Lock()
+	defer run.mu.Unlock()
+	run.problems = append(run.problems, fmt.Sprintf("%.3f s: %s: %v", float64(run.clock.Now())/1e6, action, err))
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -14,7 +14,7 @@
 	"larchrouter/internal/lab/standin"
 )
 
-// Run as a child, this binary is a stand-in for a relay.
+// TestMain lets this binary, run as a child process, act as a stand-in for a relay.
 func TestMain(m *testing.M) {
 	if flaw, ok := os.LookupEnv(standin.Env); ok {
 		if err := standin.Main(standin.Flaw(flaw)); err != nil {
@@ -26,25 +26,26 @@
 	os.Exit(m.Run())
 }
 
-// calm is the error of the lab's stamps up to which a test takes a run's word: half of the rules' slack.
-const calm = 25
+// maxTestLatenessMs is the error of the lab's timestamps in milliseconds up to which a test accepts a run: half of the rules'
+// tolerance.
+const maxTestLatenessMs = 25
 
-// play plays a scenario, again while the machine is too busy for its stamps to show anything.
-func play(t *testing.T, s *scenario.Scenario, o Options) *Result {
+// playScenario plays a scenario, up to six times while the machine is too busy for the timestamps to be exact enough.
+func playScenario(t *testing.T, s *scenario.Scenario, o Options) *Result {
 	t.Helper()
-	for try := 1; ; try++ {
+	for attempt := 1; ; attempt++ {
 		r, err := Run(context.Background(), s, o)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.Void == "" && r.Lateness.Max <= calm || try == 6 {
+		if r.VoidReason == "" && r.Lateness.Max <= maxTestLatenessMs || attempt == 6 {
 			return r
 		}
-		t.Logf("played again: the lab's timers came up to %.0f ms late", r.Lateness.Max)
+		t.Logf("playing again: the lab's timers were up to %.0f ms late", r.Lateness.Max)
 	}
 }
 
-func parse(t *testing.T, text string) *scenario.Scenario {
+func parseScenario(t *testing.T, text string) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse([]byte(text))
 	if err != nil {
@@ -53,7 +54,7 @@
 	return s
 }
 
-func tell(t *testing.T, r *Result) {
+func logResult(t *testing.T, r *Result) {
 	t.Helper()
 	t.Log(r.Report)
 	for _, b := range r.Report.Shown {
@@ -63,26 +64,26 @@
 		}
 	}
 	for _, f := range r.Failures {
-		t.Log("not held:", f.Expectation, f.Text)
+		t.Log("expectation not met:", f.Expectation, f.Text)
 	}
 }
 
-// relays builds the relay once, and says how it is started.
-func relays(t *testing.T) Options {
+// buildPrograms builds the relay and the keeper and returns options that start them.
+func buildPrograms(t *testing.T) Options {
 	t.Helper()
 	dir := t.TempDir()
 	if out, err := exec.Command("go", "build", "-o", filepath.Join(dir, "bin")+"/", "larchrouter/cmd/larchrouter", "larchrouter/cmd/larchkeeper").CombinedOutput(); err != nil {
 		t.Fatalf("%v\n%s", err, out)
 	}
-	return Options{Root: dir, Command: "exec bin/larchrouter", Keeper: "exec bin/larchkeeper"}
+	return Options{Root: dir, RelayCommand: "exec bin/larchrouter", KeeperCommand: "exec bin/larchkeeper"}
 }
 
-// Several real relays under load, one killed, one paused, one upgraded, one restarted in order, a zone cut and an
-// endpoint drained meanwhile: the rules hold, and what was taken on has its end.
+// Guards against relays that break a rule, or lose accepted messages, when faults come together: of five relays under load one
+// is killed, one paused, one upgraded and one restarted in order, while a zone is cut off and an endpoint drains.
 func TestRelaysUnderFaults(t *testing.T) {
-	o := relays(t)
-	o.History = filepath.Join(t.TempDir(), "history")
-	s := parse(t, `
+	o := buildPrograms(t)
+	o.HistoryPath = filepath.Join(t.TempDir(), "history")
+	s := parseScenario(t, `
 duration = "7s"
 seed = 5
 [fleet]
@@ -135,21 +136,21 @@
 to = "relay/3"
 break = "cut"
 `)
-	r := play(t, s, o)
+	r := playScenario(t, s, o)
 	if len(r.Failures) > 0 {
-		tell(t, r)
-		t.Error("expectations did not hold")
+		logResult(t, r)
+		t.Error("the run did not meet its expectations")
 	}
 	if r.Report.Asked == 0 || r.Report.InTime+r.Report.Late == 0 {
-		t.Errorf("nothing was done: %s", r.Report)
+		t.Errorf("no message was sent or delivered: %s", r.Report)
 	}
 	for _, rule := range []rules.Rule{rules.End, rules.Once, rules.Twice, rules.Repeat, rules.Wait, rules.Drain, rules.Own, rules.Process, rules.Figures} {
 		if r.Report.Looked[rule] == 0 && rule != rules.Twice && rule != rules.Repeat {
-			t.Errorf("nothing tried the rule %q", rule)
+			t.Errorf("nothing was checked by the rule %q", rule)
 		}
 	}
-	// The history alone tells the same.
-	f, err := os.Open(o.History)
+	// Checking the stored history again must give the same report.
+	f, err := os.Open(o.HistoryPath)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -160,16 +161,16 @@
 	}
 	again := checker.Close()
 	if again.String() != r.Report.String() {
-		t.Errorf("the history read again tells %s, the run told %s", again, r.Report)
+		t.Errorf("the stored history gives %s, the run gave %s", again, r.Report)
 	}
 }
 
-// Three keepers and six relays: the keeper that leads is killed as a change comes, relays are cut off from keepers and
-// stopped past their lease, the next leader is stopped in the middle of a turn. Relays never contradict each other for
-// longer than the stated time, what operators were told to be accepted is known at the end, and serving goes on.
+// Guards against relays that follow contradicting configurations for longer than allowed, accepted changes that are lost, and
+// service that stops, with three keepers and six relays: the leading keeper is killed right after a change is proposed, relays are
+// cut off from keepers and paused for longer than their lease, and the next leader is paused while a change is rolled out.
 func TestKeepersUnderFaults(t *testing.T) {
-	o := relays(t)
-	r := play(t, parse(t, `
+	o := buildPrograms(t)
+	r := playScenario(t, parseScenario(t, `
 duration = "14s"
 seed = 6
 [fleet]
@@ -228,13 +229,13 @@
 contradiction = "1515ms"
 `), o)
 	if len(r.Failures) > 0 {
-		tell(t, r)
-		t.Error("expectations did not hold")
+		logResult(t, r)
+		t.Error("the run did not meet its expectations")
 	}
 	if a := r.Report.Agreed; a == nil || len(a.Seen) < 4 || a.Calls["fallback"] == 0 {
-		t.Errorf("%v: not all of it was tried", a)
+		t.Errorf("%v: want four generations in use and calls in fallback mode", a)
 	}
 	if r.Report.InTime+r.Report.Late < r.Report.Asked/2 {
-		t.Errorf("serving did not go on: %s", r.Report)
+		t.Errorf("less than half of the messages were served: %s", r.Report)
 	}
 }
--- a/internal/lab/link/conn.go
+++ b/internal/lab/link/conn.go
@@ -81,8 +81,9 @@
 // Write queues bytes for the peer.
 func (c *Conn) Write(p []byte) (int, error) { return len(p), c.Send(p, nil) }
 
-// Send queues bytes for the peer. If done is not nil, it is called when the last byte is about to be written at the front, with
-// the time in microseconds on the run's clock and whether the write succeeded, or with ok false if the bytes are discarded.
+// Send queues bytes for the peer. If done is not nil, it is called after the last of them was written at the front, with the time
+// just before that write, in microseconds on the run's clock, and whether the write succeeded. If the bytes are discarded, it is
+// called with ok false.
 func (c *Conn) Send(p []byte, done func(at int64, ok bool)) error {
 	c.sent.Add(uint64(len(p)))
 	return c.toPeer.push(chunk{data: append([]byte(nil), p...), receivedAt: c.link.net.Clock.Now(), done: done})
--- a/internal/lab/link/faults.go
+++ b/internal/lab/link/faults.go
@@ -121,13 +121,13 @@
 		l.listenerClosed = true
 	case l.listenerClosed:
 		l.listenerClosed = false
-		front, err := net.ListenTCP("tcp4", l.addr)
+		listener, err := net.ListenTCP("tcp4", l.addr)
 		if err != nil { // another program took the port: the party at the other end stays unreachable
 			l.listenerClosed = true
 			return
 		}
-		l.listener = front
-		go l.accept(front)
+		l.listener = listener
+		go l.accept(listener)
 		if l.cut() {
 			l.fillBacklog()
 		}
--- a/internal/lab/machine.go
+++ b/internal/lab/machine.go
@@ -5,12 +5,11 @@
 	"syscall"
 )
 
-// What a run takes of the machine that it runs on.
-
-// folderIn is where a run's folder is made. Files of the memory's own file system outlast a process as the platform's
-// do. On a disk, a file that is renamed over another is flushed: with 90 relays that started at once, each with its
-// configuration and journal, that held starts up for 3 to 10 s.
-func folderIn(dir string) string {
+// runDirParent returns the directory in which the run's directory is created: dir if not empty, else /dev/shm if it has more than
+// 2 GiB free, else the system's directory for temporary files. Files in the memory file system outlive a process, as on the
+// platform. On a disk, a file that is renamed over another is flushed, which delayed the start of 90 relays at once, each with its
+// configuration and journal, by 3 to 10 s.
+func runDirParent(dir string) string {
 	if dir != "" {
 		return dir
 	}
@@ -25,8 +24,8 @@
 	return os.TempDir()
 }
 
-// raiseLimits lets the lab hold a socket for each pair of parties.
-func raiseLimits() {
+// raiseDescriptorLimit raises the limit of open files to its maximum: the lab needs a socket for each pair of parties.
+func raiseDescriptorLimit() {
 	var l syscall.Rlimit
 	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &l) == nil {
 		l.Cur = l.Max
--- a/internal/lab/machine_test.go
+++ b/internal/lab/machine_test.go
@@ -19,28 +19,26 @@
 	"larchrouter/internal/lab/standin"
 )
 
-// What a run does with the machine that it runs on.
-
-// Guards against a lab that blames a relay, or waits for ever, where a process does not start.
-func TestProcessesThatDoNotStart(t *testing.T) {
-	s := parse(t, "duration = \"1s\"\n[fleet]\nrelays = 2")
+// Guards against a lab that blames a relay, or waits forever, if a process does not start.
+func TestFailedStartIsReported(t *testing.T) {
+	s := parseScenario(t, "duration = \"1s\"\n[fleet]\nrelays = 2")
 	for command, want := range map[string]string{
 		"echo no such thing >&2; exit 7": "no such thing",
 		"exec /nowhere/at/all":           "ended before it could serve",
 	} {
 		begin := time.Now()
-		_, err := Run(context.Background(), s, Options{Root: t.TempDir(), Folder: t.TempDir(), Command: command})
+		_, err := Run(context.Background(), s, Options{Root: t.TempDir(), RunDirParent: t.TempDir(), RelayCommand: command})
 		if err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v, want %q", command, err, want)
 		}
-		if time.Since(begin) > readyIn {
-			t.Errorf("%s: it took %v to see that it had ended", command, time.Since(begin))
+		if time.Since(begin) > readyTimeout {
+			t.Errorf("%s: it took %v to detect that the process had ended", command, time.Since(begin))
 		}
 	}
 }
 
-// Guards against processes and folders that outlast a run which is interrupted.
-func TestInterrupted(t *testing.T) {
+// Guards against processes and directories that remain after an interrupted run.
+func TestInterruptedRunLeavesNothingBehind(t *testing.T) {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -48,9 +46,9 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var pids []int
 	dir := t.TempDir()
-	o := Options{Root: t.TempDir(), Folder: dir, Command: "echo $$ >> pids; exec " + self, Env: []string{standin.Env + "="},
-		Each: func(Progress) { cancel() }}
-	if _, err := Run(ctx, parse(t, "duration = \"1h\"\n[fleet]\nrelays = 2"), o); err != nil {
+	o := Options{Root: t.TempDir(), RunDirParent: dir, RelayCommand: "echo $$ >> pids; exec " + self, Env: []string{standin.Env + "="},
+		OnProgress: func(Progress) { cancel() }}
+	if _, err := Run(ctx, parseScenario(t, "duration = \"1h\"\n[fleet]\nrelays = 2"), o); err != nil {
 		t.Fatal(err)
 	}
 	data, err := os.ReadFile(filepath.Join(o.Root, "pids"))
@@ -62,39 +60,39 @@
 		fmt.Sscan(word, &pid)
 		pids = append(pids, pid)
 		if syscall.Kill(pid, 0) == nil {
-			t.Errorf("process %d outlasts the run", pid)
+			t.Errorf("process %d still exists after the run", pid)
 		}
 	}
 	if len(pids) != 2 {
 		t.Errorf("%d processes were started, want 2", len(pids))
 	}
 	if left, _ := filepath.Glob(filepath.Join(dir, "*")); len(left) > 0 {
-		t.Errorf("%v outlast the run", left)
+		t.Errorf("%v still exist after the run", left)
 	}
 }
 
-// Guards against relays that are blamed for a machine on which the lab itself comes too late.
-func TestTooBusyIsVoid(t *testing.T) {
+// Guards against relays that are blamed when the machine is so busy that the lab's own timers are late.
+func TestOverloadedMachineMakesRunVoid(t *testing.T) {
 	for _, c := range []struct {
 		late Lateness
 		void bool
 	}{{Lateness{1, 49, 300}, false}, {Lateness{1, 51, 300}, true}} {
 		s := scenario.Default()
-		w := &world{scenario: s, checker: rules.New(), net: link.NewNet(history.NewClock()), clients: platform.NewClients(platform.Env{Scenario: s}, platform.NewFront())}
-		if r := w.result(c.late); (r.Void != "") != c.void {
-			t.Errorf("%+v: void is %q", c.late, r.Void)
+		run := &labRun{scenario: s, checker: rules.New(), network: link.NewNet(history.NewClock()), clients: platform.NewClients(platform.Env{Scenario: s}, platform.NewFront())}
+		if r := run.result(c.late); (r.VoidReason != "") != c.void {
+			t.Errorf("%+v: the reason for a void run is %q", c.late, r.VoidReason)
 		}
 	}
 }
 
-// Guards against a relay that takes a port which another program has, and two runs that share addresses.
-func TestAddresses(t *testing.T) {
-	a, err := takeBlock()
+// Guards against a relay that is given a port that another program uses, and two runs that share addresses.
+func TestRunsGetSeparateAddresses(t *testing.T) {
+	a, err := reserveBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer a.lock.Close()
-	b, err := takeBlock()
+	b, err := reserveBlock()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,6 +110,6 @@
 	}
 	defer l.Close()
 	if second, err := freeAddr(a.relayIP(0), clientPort); err != nil || second == first {
-		t.Errorf("%s, %v while somebody listens at %s", second, err, first)
+		t.Errorf("got %s, %v while %s is in use", second, err, first)
 	}
 }
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -11,17 +11,16 @@
 	"larchrouter/internal/lab/platform"
 )
 
-// What operators do at a relay.
-
-// retune puts a changed configuration in place and sends SIGHUP. Broken says how the file is spoilt.
-func (r *relay) retune(change func(settings map[string]any), broken string) error {
+// changeSettings writes a changed configuration and sends SIGHUP to the relay. Broken says how the file is damaged on purpose:
+// cut in half, empty, or missing the rules; empty for not at all.
+func (r *relay) changeSettings(change func(settings map[string]any), broken string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now == nil {
+	if r.process == nil {
 		return nil
 	}
 	change(r.config.Settings)
-	data, err := r.encode()
+	data, err := r.encodeConfig()
 	if err != nil {
 		return err
 	}
@@ -42,35 +41,35 @@
 			return err
 		}
 	}
-	if err := r.write(data); err != nil {
+	if err := r.writeConfig(data); err != nil {
 		return err
 	}
-	return r.now.Signal(syscall.SIGHUP, false)
+	return r.process.Signal(syscall.SIGHUP, false)
 }
 
-// byHand takes an endpoint out at the relay, or gives it back.
-func (r *relay) byHand(ctx context.Context, endpoint string, out bool) error {
+// setEndpointDisabled calls the relay's admin address, as an operator does, to disable or enable an endpoint.
+func (r *relay) setEndpointDisabled(ctx context.Context, endpoint string, disabled bool) error {
 	r.mu.Lock()
-	admin, up := r.admin, r.now != nil
+	admin, running := r.adminAddr, r.process != nil
 	r.mu.Unlock()
-	if !up {
+	if !running {
 		return nil
 	}
-	how := "enable"
-	if out {
-		how = "disable"
+	detail := "enable"
+	if disabled {
+		detail = "disable"
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	if !out { // it may be sent to from now on
-		r.w.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: how})
+	if !disabled { // the relay may send to it from now on, even before it answers
+		r.run.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: detail})
 	}
-	status, err := platform.ByHand(ctx, admin, endpoint, out)
-	if out {
-		r.w.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: how, Status: status})
+	status, err := platform.ByHand(ctx, admin, endpoint, disabled)
+	if disabled {
+		r.run.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: detail, Status: status})
 	}
 	if err != nil || status/100 != 2 {
-		return fmt.Errorf("%s: %s %s: status %d, %v", r.name, how, endpoint, status, err)
+		return fmt.Errorf("%s: %s %s: status %d, %v", r.name, detail, endpoint, status, err)
 	}
 	return nil
 }
--- a/internal/lab/options.go
+++ b/internal/lab/options.go
@@ -9,71 +9,71 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// What a run is given, and what it gives.
-
-// Options are what a run needs beside its scenario.
+// Options are the parameters of a run besides its scenario.
 type Options struct {
-	Root    string         // where the command is started
-	Command string         // that starts one relay, as the deploy file has it
-	Keeper  string         // that starts one keeper
-	Env     []string       // further variables for it
-	Folder  string         // where the run's folder is made; empty for the system's
-	Keep    bool           // the run's folder, with logs and configurations
-	History string         // file for the history; empty for none
-	Draw    *platform.Draw // in place of what the seed would draw; nil for that
-	Each    func(Progress) // told every second; nil for nobody
+	Root          string         // working directory of the commands
+	RelayCommand  string         // shell command that starts one relay, as in the deploy file
+	KeeperCommand string         // shell command that starts one keeper
+	Env           []string       // additional environment variables of the processes
+	RunDirParent  string         // directory in which the run's directory is created; empty for the default
+	KeepRunDir    bool           // do not remove the run's directory, which contains logs and configurations
+	HistoryPath   string         // file to which the history is written; empty for none
+	Draw          *platform.Draw // used instead of the draw from the scenario's seed; nil for that draw
+	OnProgress    func(Progress) // called every second; may be nil
 }
 
-// Row is what is known of a relay at a time.
+// Row is the state of one relay in a Progress. State is up, changing (a process is being started or ended), down, paused, or
+// silent (it does not report its metrics).
 type Row struct {
 	Name, State string
-	Use         proc.Usage
-	Figures     map[string]float64
+	Usage       proc.Usage
+	Metrics     map[string]float64
 }
 
-// Progress is how a run stands.
+// Progress is the state of a run at a time. Messages counts the messages sent by clients, InTime those served within their aim,
+// Violations the broken rules so far.
 type Progress struct {
-	At     time.Duration
-	Of     time.Duration
-	Rows   []Row
-	Faults []string // that are on
-	Asked  int
-	InTime int
-	Broken int
+	Elapsed    time.Duration
+	Duration   time.Duration
+	Rows       []Row
+	Faults     []string // active faults
+	Messages   int
+	InTime     int
+	Violations int
 }
 
-// Failure is an expectation that did not hold.
+// Failure is an expectation that was not met.
 type Failure struct {
 	Expectation string `json:"expectation"`
 	Text        string `json:"text"`
 }
 
-// Result is a run's.
+// Result is the result of a run.
 type Result struct {
-	Scenario *scenario.Scenario `json:"scenario"`
-	Draw     *platform.Draw     `json:"draw"`
-	Report   *rules.Report      `json:"report"`
-	Failures []Failure          `json:"failures,omitempty"`
-	Void     string             `json:"void,omitempty"` // why the run shows nothing; empty if it does
-	Faults   []Span             `json:"faults"`
-	Lateness Lateness           `json:"lateness_ms"`
-	LabCPU   float64            `json:"lab_cpu_s"`
-	Folder   string             `json:"folder,omitempty"`
-	Trouble  []string           `json:"trouble,omitempty"` // what the lab could not do
+	Scenario      *scenario.Scenario `json:"scenario"`
+	Draw          *platform.Draw     `json:"draw"`
+	Report        *rules.Report      `json:"report"`
+	Failures      []Failure          `json:"failures,omitempty"`
+	VoidReason    string             `json:"void,omitempty"` // why the run is void, so that it proves nothing; empty if it is valid
+	Faults        []Span             `json:"faults"`
+	Lateness      Lateness           `json:"lateness_ms"`
+	LabCPUSeconds float64            `json:"lab_cpu_s"`
+	RunDir        string             `json:"folder,omitempty"`
+	Problems      []string           `json:"trouble,omitempty"` // actions of the scenario that the lab could not carry out
 }
 
-// Lateness is by how much the lab's own timers came late, in milliseconds: the error of its stamps.
+// Lateness is by how many milliseconds the lab's own timers were late, which is the error of its timestamps.
 type Lateness struct{ P50, P99, Max float64 }
 
-// Span is when a fault was on, in seconds.
+// Span is the time during which a fault was active, in seconds since the run began. Text describes the fault.
 type Span struct {
 	From, To float64
 	Text     string
 }
 
-// tooLate is the lateness of the lab's timers, 99 of 100, above which a run shows nothing of the relays: the
-// machine is too busy for what is asked of it.
-const tooLate = 50 * time.Millisecond
+// maxLateness is the 99th percentile of the lateness of the lab's timers above which a run is void, because the machine is too
+// busy for the scenario.
+const maxLateness = 50 * time.Millisecond
 
-// tooFarBehind is the lag of the load above which it was not the load that was asked for.
-const tooFarBehind = 500 * time.Millisecond
+// maxLoadLag is the lag of the clients behind their schedule above which the load was not the scenario's, so that the run is void.
+const maxLoadLag = 500 * time.Millisecond
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -11,42 +11,41 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// A run goes on.
-
-// play has load, faults and steps come when they are due, and waits until what was taken on has its end.
-func (w *world) play(ctx context.Context, checks *sync.Mutex) {
-	began := time.Now()
+// play runs the load, faults and steps of the scenario at their times. Then it waits until no outcome of an accepted message is
+// pending, at most for the messages' deadline and 8 s.
+func (run *labRun) play(ctx context.Context, checks *sync.Mutex) {
+	startedAt := time.Now()
 	var parts sync.WaitGroup
-	after := func(at scenario.Duration, f func()) {
+	schedule := func(at scenario.Duration, f func()) {
 		parts.Go(func() {
 			select {
 			case <-ctx.Done():
-			case <-time.After(time.Until(began.Add(time.Duration(at)))):
+			case <-time.After(time.Until(startedAt.Add(time.Duration(at)))):
 				f()
 			}
 		})
 	}
-	for i, f := range w.scenario.Faults {
+	for i, f := range run.scenario.Faults {
 		at := f.At
-		if f.Kind == "rollback" { // the folder is copied first
+		if f.Kind == "rollback" { // the state is copied first, By before the kill
 			at -= f.By
 		}
-		after(at, func() { w.fault(ctx, i, f) })
+		schedule(at, func() { run.runFault(ctx, i, f) })
 	}
-	for _, st := range w.scenario.Steps {
-		after(st.At, func() { w.step(ctx, st) })
+	for _, st := range run.scenario.Steps {
+		schedule(st.At, func() { run.step(ctx, st) })
 	}
-	loaded, unload := context.WithTimeout(ctx, time.Duration(w.scenario.Duration))
-	defer unload()
-	parts.Go(func() { w.clients.Play(loaded) })
-	parts.Go(func() { w.strangers.Play(loaded) })
-	go w.watch(ctx, began, checks)
+	loadCtx, endLoad := context.WithTimeout(ctx, time.Duration(run.scenario.Duration))
+	defer endLoad()
+	parts.Go(func() { run.clients.Play(loadCtx) })
+	parts.Go(func() { run.strangers.Play(loadCtx) })
+	go run.watchRelays(ctx, startedAt, checks)
 	parts.Wait()
-	most := time.Duration(w.scenario.Load.Deadline) + 8*time.Second
-	ended := w.clock.Now()
-	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
+	maxWait := time.Duration(run.scenario.Load.Deadline) + 8*time.Second
+	loadEnded := run.clock.Now()
+	for end := time.Now().Add(maxWait); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		checks.Lock()
-		done := w.checker.Owing() == 0 && w.checker.Now().Microseconds() > ended
+		done := run.checker.Owing() == 0 && run.checker.Now().Microseconds() > loadEnded
 		checks.Unlock()
 		if done {
 			return
@@ -54,8 +53,8 @@
 	}
 }
 
-// watch looks at all relays every second.
-func (w *world) watch(ctx context.Context, began time.Time, checks *sync.Mutex) {
+// watchRelays samples all relays every second and reports the progress.
+func (run *labRun) watchRelays(ctx context.Context, startedAt time.Time, checks *sync.Mutex) {
 	for tick := time.NewTicker(time.Second); ; {
 		select {
 		case <-ctx.Done():
@@ -63,26 +62,26 @@
 			return
 		case <-tick.C:
 		}
-		rows := make([]Row, len(w.relays))
+		rows := make([]Row, len(run.relays))
 		var g errgroup.Group
 		g.SetLimit(16)
-		for i, r := range w.relays {
-			g.Go(func() error { rows[i] = r.look(ctx); return nil })
+		for i, r := range run.relays {
+			g.Go(func() error { rows[i] = r.sample(ctx); return nil })
 		}
 		g.Wait()
-		if w.options.Each == nil {
+		if run.options.OnProgress == nil {
 			continue
 		}
-		p := Progress{At: time.Since(began), Of: time.Duration(w.scenario.Duration), Rows: rows}
+		p := Progress{Elapsed: time.Since(startedAt), Duration: time.Duration(run.scenario.Duration), Rows: rows}
 		checks.Lock()
-		p.Asked, p.InTime, p.Broken = w.checker.Standing()
+		p.Messages, p.InTime, p.Violations = run.checker.Standing()
 		checks.Unlock()
-		w.mu.Lock()
-		for _, i := range w.on {
-			p.Faults = append(p.Faults, w.spans[i].Text)
+		run.mu.Lock()
+		for _, i := range run.activeFaults {
+			p.Faults = append(p.Faults, run.spans[i].Text)
 		}
-		w.mu.Unlock()
+		run.mu.Unlock()
 		slices.Sort(p.Faults)
-		w.options.Each(p)
+		run.options.OnProgress(p)
 	}
 }
--- a/internal/lab/random_test.go
+++ b/internal/lab/random_test.go
@@ -9,15 +9,16 @@
 	"testing"
 )
 
-// seeds are how many runs of a random scenario a test plays; many are for a longer look than a test run's.
+// seeds is how many runs of a random scenario a test plays.
 var seeds = flag.Int("random.seeds", 1, "runs of each random scenario")
 
-// firstSeed is where they begin: a run that failed can be played again alone.
+// firstSeed is the seed of the first run, with which a failed run can be played again alone.
 var firstSeed = flag.Uint64("random.first", 1, "seed of the first of them")
 
-// randomEstates draws a scenario in which owners, holders, keepers, partners and the links between them fail at random times.
-// Machines are lost no more than copies at once, and no sooner after each other than others can hold what they held.
-func randomEstates(seed uint64) string {
+// randomReplicationScenario returns a scenario in which owners, replicas, keepers, partners and the links between them fail at
+// random times. At most as many machines are lost at once as there are copies, and the next losses come only after the copies
+// can be complete again.
+func randomReplicationScenario(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 0xe5))
 	copies := 1 + r.IntN(2)
 	var s strings.Builder
@@ -70,16 +71,17 @@
 	return s.String()
 }
 
-// Whatever fails at whatever time, what was taken on has its one end.
-func TestRandomEstates(t *testing.T) {
-	o := relays(t)
+// Guards against accepted messages that end without an outcome, or with more than one, when machines and links of replication
+// groups fail at random times.
+func TestReplicationUnderRandomFaults(t *testing.T) {
+	o := buildPrograms(t)
 	for seed := *firstSeed; seed < *firstSeed+uint64(*seeds); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			text := randomEstates(seed)
-			r := play(t, parse(t, text), o)
+			text := randomReplicationScenario(seed)
+			r := playScenario(t, parseScenario(t, text), o)
 			if len(r.Failures) > 0 {
-				tell(t, r)
-				t.Errorf("expectations did not hold; the scenario:\n%s", text)
+				logResult(t, r)
+				t.Errorf("the run did not meet its expectations; the scenario:\n%s", text)
 			}
 			if dir := os.Getenv("RANDOM_FAILED"); dir != "" && t.Failed() {
 				if err := os.WriteFile(fmt.Sprintf("%s/estates-%d.toml", dir, seed), []byte(text), 0o644); err != nil {
--- a/internal/lab/estates_test.go
+++ b/internal/lab/replication_test.go
@@ -4,12 +4,13 @@
 	"testing"
 )
 
-// Eight relays, three keepers, two copies: an owner is cut off from keepers, one is stopped past its lease, the links between
-// zones are late, a machine is lost for good with a holder's at the same time, one comes back with its folder as it was, one
-// empty. What was taken on has its one end, and what the lost ones held is taken over.
-func TestEstatesUnderFaults(t *testing.T) {
-	o := relays(t)
-	r := play(t, parse(t, `
+// Guards against accepted messages without exactly one outcome, and lost machines whose messages are not taken over, with eight
+// relays, three keepers and two copies: one owner is cut off from the keepers, one is paused for longer than its lease, links
+// between zones are delayed, two machines, which may be owner and replica, are lost at the same time, one of them for good and the
+// other to come back empty, and one comes back with an old state of its disk.
+func TestReplicationUnderFaults(t *testing.T) {
+	o := buildPrograms(t)
+	r := playScenario(t, parseScenario(t, `
 duration = "22s"
 seed = 9
 [fleet]
@@ -71,8 +72,8 @@
 promised = 0
 `), o)
 	if len(r.Failures) > 0 {
-		tell(t, r)
-		t.Error("expectations did not hold")
+		logResult(t, r)
+		t.Error("the run did not meet its expectations")
 	}
 	if len(r.Report.TakenOver) != 3 {
 		t.Errorf("%d machines were lost, want 3", len(r.Report.TakenOver))
@@ -83,6 +84,6 @@
 		}
 	}
 	if r.Report.InTime+r.Report.Late < r.Report.Asked/2 {
-		t.Errorf("serving did not go on: %s", r.Report)
+		t.Errorf("less than half of the messages were served: %s", r.Report)
 	}
 }
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -14,106 +14,107 @@
 	"larchrouter/internal/lab/proc"
 )
 
-// How relays end, stop and come back.
-
-// kill ends the relay's process by SIGKILL, and starts it again after a while.
-func (r *relay) kill(ctx context.Context, out time.Duration) error {
+// killAndRestart ends the relay's process by SIGKILL and starts a new one after downtime, or minRestartDelay if longer.
+func (r *relay) killAndRestart(ctx context.Context, downtime time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now == nil {
+	if r.process == nil {
 		return nil
 	}
-	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.now.PID, Detail: "kill"})
-	r.now.Kill()
-	r.now = nil
-	r.notice(r.w.noticed(), r.n)
-	return r.again(ctx, max(out, restartIn))
+	r.run.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.process.PID, Detail: "kill"})
+	r.process.Kill()
+	r.process = nil
+	r.markDownAfter(r.run.deathNoticeDelay(), r.processCount)
+	return r.restartAfter(ctx, max(downtime, minRestartDelay))
 }
 
-// again starts a process in place of one that has ended. The lock is held.
-func (r *relay) again(ctx context.Context, after time.Duration) error {
-	n := r.n
+// restartAfter starts a process in place of one that has ended, after a delay. The caller holds the lock, which is released
+// during the delay.
+func (r *relay) restartAfter(ctx context.Context, delay time.Duration) error {
+	processCount := r.processCount
 	r.mu.Unlock()
 	select {
 	case <-ctx.Done():
-	case <-time.After(after):
+	case <-time.After(delay):
 	}
 	r.mu.Lock()
-	if ctx.Err() != nil || r.quit || r.n != n {
+	if ctx.Err() != nil || r.ending || r.processCount != processCount {
 		return nil
 	}
-	return r.begin(ctx, false)
+	return r.start(ctx, false)
 }
 
-// term restarts the relay in order: SIGTERM, and SIGKILL if it has not ended by then.
-func (r *relay) term(ctx context.Context, out time.Duration) error {
+// restartGracefully ends the relay's process with SIGTERM, and with SIGKILL if it has not ended after killAfter, and starts a new
+// one after downtime, or minRestartDelay if longer.
+func (r *relay) restartGracefully(ctx context.Context, downtime time.Duration) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.now == nil {
+	if r.process == nil {
 		return nil
 	}
-	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.now.PID, Detail: "term"})
-	leave := time.AfterFunc(lastClients, func() { r.w.front.Leave(r.name) })
-	r.now.Terminate(killAfter)
-	r.now = nil
+	r.run.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.process.PID, Detail: "term"})
+	leave := time.AfterFunc(newConnsAfterTerm, func() { r.run.loadBalancer.Leave(r.name) })
+	r.process.Terminate(killAfter)
+	r.process = nil
 	leave.Stop()
-	r.w.front.Use(r.name, false)
-	return r.again(ctx, max(out, restartIn))
+	r.run.loadBalancer.Use(r.name, false)
+	return r.restartAfter(ctx, max(downtime, minRestartDelay))
 }
 
-// upgrade starts a process beside the one that runs, which then ends.
+// upgrade starts a new process beside the running one, which is then terminated.
 func (r *relay) upgrade(ctx context.Context) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	old := r.now
+	old := r.process
 	if old == nil {
 		return nil
 	}
-	if err := r.begin(ctx, true); err != nil {
+	if err := r.start(ctx, true); err != nil {
 		return fmt.Errorf("upgrade: %w", err)
 	}
-	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: old.PID, Detail: "term", Text: "handed over"})
+	r.run.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: old.PID, Detail: "term", Text: "handed over"})
 	old.Terminate(killAfter)
 	return nil
 }
 
-// pause stops the relay's process for a while.
-func (r *relay) pause(ctx context.Context, length time.Duration) error {
-	return r.w.stopFor(ctx, r.name, &r.mu, &r.now, &r.paused, length)
+// pause suspends the relay's process for the given time.
+func (r *relay) pause(ctx context.Context, duration time.Duration) error {
+	return r.run.suspend(ctx, r.name, &r.mu, &r.process, &r.paused, duration)
 }
 
-// stopFor stops a process for a while. The lock guards which one it is and that it is stopped.
-func (w *world) stopFor(ctx context.Context, name string, mu *sync.Mutex, now **proc.Process, paused *bool, length time.Duration) error {
+// suspend stops a process with SIGSTOP for the given time and continues it. Mu guards process and paused; it is not held
+// meanwhile.
+func (run *labRun) suspend(ctx context.Context, name string, mu *sync.Mutex, process **proc.Process, paused *bool, duration time.Duration) error {
 	mu.Lock()
-	p := *now
+	p := *process
 	if p == nil {
 		mu.Unlock()
 		return nil
 	}
 	*paused = true
-	w.record(history.Event{Kind: history.ProcessChanged, Proc: name, PID: p.PID, Detail: "stop"})
+	run.record(history.Event{Kind: history.ProcessChanged, Proc: name, PID: p.PID, Detail: "stop"})
 	err := p.Signal(syscall.SIGSTOP, false)
 	mu.Unlock()
 	select {
 	case <-ctx.Done():
-	case <-time.After(length):
+	case <-time.After(duration):
 	}
 	mu.Lock()
 	defer mu.Unlock()
 	*paused = false
 	err = errors.Join(err, p.Signal(syscall.SIGCONT, false))
-	w.record(history.Event{Kind: history.ProcessChanged, Proc: name, PID: p.PID, Detail: "cont"})
+	run.record(history.Event{Kind: history.ProcessChanged, Proc: name, PID: p.PID, Detail: "cont"})
 	return err
 }
 
-// look records what the relay's processes use and what it tells of itself.
-func (r *relay) look(ctx context.Context) Row {
+// sample records the resource usage and the metrics of the relay and returns its row.
+func (r *relay) sample(ctx context.Context) Row {
 	row := Row{Name: r.name, State: "up"}
-	if !r.mu.TryLock() { // whoever has it ends or starts a process: nobody else's figures wait for that
+	if !r.mu.TryLock() { // a process is being started or ended: the samples of other relays must not wait for that
 		row.State = "changing"
 		return row
 	}
-	p, admin, paused := r.now, r.admin, r.paused
+	p, admin, paused := r.process, r.adminAddr, r.paused
 	r.mu.Unlock()
 	switch {
 	case p == nil:
@@ -122,40 +123,40 @@
 	case paused:
 		row.State = "paused"
 	}
-	if u, err := p.Usage(); err == nil {
-		row.Use = u
+	if usage, err := p.Usage(); err == nil {
+		row.Usage = usage
 		disk, _ := proc.DirMB(filepath.Join(r.dir, "state"))
-		r.w.record(history.Event{Kind: history.Sample, Proc: r.name, PID: p.PID, Values: map[string]float64{"cpu_s": u.CPU.Seconds(),
-			"memory_mb": u.MemoryMB, "descriptors": float64(u.Descriptors), "disk_mb": disk}})
+		r.run.record(history.Event{Kind: history.Sample, Proc: r.name, PID: p.PID, Values: map[string]float64{"cpu_s": usage.CPU.Seconds(),
+			"memory_mb": usage.MemoryMB, "descriptors": float64(usage.Descriptors), "disk_mb": disk}})
 	}
 	if paused {
 		return row
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	asked := r.w.clock.Now()
-	figures, err := platform.Figures(ctx, admin)
+	requestedAt := r.run.clock.Now()
+	metrics, err := platform.Figures(ctx, admin)
 	if err != nil {
 		row.State = "silent"
 		return row
 	}
-	row.Figures = figures
-	r.w.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, PID: p.PID, CompleteAt: asked, Values: figures})
+	row.Metrics = metrics
+	r.run.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, PID: p.PID, CompleteAt: requestedAt, Values: metrics})
 	return row
 }
 
-// end has the relay's process end with the run.
-func (r *relay) end() {
+// shutDown ends the relay's process at the end of the run.
+func (r *relay) shutDown() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.quit = true
-	if r.now == nil {
+	r.ending = true
+	if r.process == nil {
 		return
 	}
 	if r.paused {
-		r.now.Signal(syscall.SIGCONT, false)
+		r.process.Signal(syscall.SIGCONT, false)
 	}
-	r.w.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.now.PID, Detail: "term"})
-	r.now.Terminate(killAfter)
-	r.now = nil
+	r.run.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.process.PID, Detail: "term"})
+	r.process.Terminate(killAfter)
+	r.process = nil
 }
--- a/internal/lab/soak_test.go
+++ b/internal/lab/soak_test.go
@@ -8,12 +8,13 @@
 	"testing"
 )
 
-// soakAtOnce is how many runs of the soak go side by side: their processes share the machine with the lab's clock.
-const soakAtOnce = 3
+// soakParallelRuns is how many soak runs are played at the same time. It is small because their processes share the machine with
+// the lab's timers.
+const soakParallelRuns = 3
 
-// soak draws a scenario in which endpoints drain while discovery, links, endpoints and relays fail, relays get signals in
-// series, and in some runs a crowd of strangers comes. Clients go on with the connections that they have until the kill.
-func soak(seed uint64) string {
+// soakScenario returns a random scenario in which endpoints drain while discovery, links, endpoints and relays fail, relays get
+// series of signals, and in some runs many strangers connect. Clients use their connections until the relay is killed.
+func soakScenario(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 0x50a1))
 	relays := []int{3, 5, 7, 14}[r.IntN(4)]
 	sockets, strangers := 512, 0.0
@@ -57,7 +58,7 @@
 			fault(at, "for = \"%dms\"\nkind = \"outage\"\nfrom = \"endpoints:dest=%d\"", length, dest)
 		}
 	}
-	// Signals in series: one relay after the other, and some of them again soon after.
+	// Series of signals: one relay after the other, some of them twice within a short time.
 	at := 1 + 2*r.Float64()
 	for i := range r.Perm(relays)[:min(relays, 2+r.IntN(3))] {
 		for range 1 + r.IntN(2) {
@@ -74,23 +75,24 @@
 	return s.String()
 }
 
-// Whatever comes together: nothing goes to draining endpoints, and what was taken on has its one end in time.
-func TestSoak(t *testing.T) {
-	o := relays(t)
-	places := make(chan struct{}, soakAtOnce)
+// Guards against calls to draining endpoints, and accepted messages without exactly one outcome in time, when random faults of
+// all kinds come together.
+func TestSoakUnderRandomFaults(t *testing.T) {
+	o := buildPrograms(t)
+	slots := make(chan struct{}, soakParallelRuns)
 	var served sync.Map
 	t.Run("runs", func(t *testing.T) {
-		for seed := *firstSeed; seed < *firstSeed+uint64(max(soakAtOnce, *seeds)); seed++ {
+		for seed := *firstSeed; seed < *firstSeed+uint64(max(soakParallelRuns, *seeds)); seed++ {
 			t.Run(fmt.Sprint(seed), func(t *testing.T) {
 				t.Parallel()
-				places <- struct{}{}
-				defer func() { <-places }()
-				text := soak(seed)
-				r := play(t, parse(t, text), o)
+				slots <- struct{}{}
+				defer func() { <-slots }()
+				text := soakScenario(seed)
+				r := playScenario(t, parseScenario(t, text), o)
 				served.Store(seed, r.Report.Served)
 				if len(r.Failures) > 0 {
-					tell(t, r)
-					t.Errorf("expectations did not hold; the scenario:\n%s", text)
+					logResult(t, r)
+					t.Errorf("the run did not meet its expectations; the scenario:\n%s", text)
 				}
 			})
 		}
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -11,76 +11,76 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// step does what an operator does.
-func (w *world) step(ctx context.Context, st scenario.Step) {
+// step carries out a step of the scenario as an operator would.
+func (run *labRun) step(ctx context.Context, st scenario.Step) {
 	to := st.To
 	if to == "" {
 		to = "relays"
 	}
-	w.record(history.Event{Kind: history.Step, Text: st.Do + " " + to})
-	parties, err := scenario.Resolve(to, w.scenario.Parties())
+	run.record(history.Event{Kind: history.Step, Text: st.Do + " " + to})
+	parties, err := scenario.Resolve(to, run.scenario.Parties())
 	if err != nil {
-		w.cannot(st.Do, err)
+		run.reportProblem(st.Do, err)
 		return
 	}
 	var g errgroup.Group
 	g.SetLimit(32)
 	switch st.Do {
 	case "settings":
-		if len(w.keepers) > 0 {
-			w.mu.Lock()
-			w.steps++
-			n := w.steps
-			w.mu.Unlock()
-			g.Go(func() error { return w.propose(ctx, st, n) })
+		if len(run.keepers) > 0 {
+			run.mu.Lock()
+			run.stepCount++
+			n := run.stepCount
+			run.mu.Unlock()
+			g.Go(func() error { return run.propose(ctx, st, n) })
 			break
 		}
-		for _, r := range w.relays {
-			if named(parties, r.name) {
-				g.Go(func() error { return r.retune(func(s map[string]any) { apply(s, st) }, st.Break) })
+		for _, r := range run.relays {
+			if containsParty(parties, r.name) {
+				g.Go(func() error { return r.changeSettings(func(s map[string]any) { applyStep(s, st) }, st.Break) })
 			}
 		}
 		if limit, ok := st.Number("destination-limit"); ok {
-			w.weigh(w.scenario.Parties(), limit)
+			run.setListedRate(run.scenario.Parties(), limit)
 		}
 	case "list":
 		limit, _ := st.Number("limit")
-		w.weigh(parties, limit)
+		run.setListedRate(parties, limit)
 	case "drain":
 		for _, p := range parties {
-			w.discovery.Set(p.Name, "leaving", func() {
-				time.AfterFunc(drainFor, func() {
-					w.partners.Drained(p.Name)
-					w.discovery.Set(p.Name, "left", nil)
+			run.discovery.Set(p.Name, "leaving", func() {
+				time.AfterFunc(drainTime, func() {
+					run.partners.Drained(p.Name)
+					run.discovery.Set(p.Name, "left", nil)
 				})
 			})
 		}
 	case "ban", "unban":
-		for _, r := range w.relays {
+		for _, r := range run.relays {
 			for _, p := range parties {
-				g.Go(func() error { return r.byHand(ctx, p.Name, st.Do == "ban") })
+				g.Go(func() error { return r.setEndpointDisabled(ctx, p.Name, st.Do == "ban") })
 			}
 		}
 	}
 	if err := g.Wait(); err != nil && ctx.Err() == nil {
-		w.cannot(st.Do, err)
+		run.reportProblem(st.Do, err)
 	}
 }
 
-// drainFor is how long an endpoint goes on with what it has after the list has said that it leaves.
-const drainFor = 3 * time.Second
+// drainTime is how long an endpoint continues to serve after the list has marked it as leaving.
+const drainTime = 3 * time.Second
 
-// weigh lists another rate for endpoints.
-func (w *world) weigh(parties []scenario.Party, limit float64) {
+// setListedRate sets the rate limit that discovery lists for endpoints.
+func (run *labRun) setListedRate(parties []scenario.Party, rate float64) {
 	for _, p := range parties {
 		if p.Kind() == "endpoint" {
-			w.discovery.Weigh(p.Name, limit)
+			run.discovery.Weigh(p.Name, rate)
 		}
 	}
 }
 
-// apply changes a relay's settings as a step says.
-func apply(settings map[string]any, st scenario.Step) {
+// applyStep changes settings as a step says. Unknown keys are ignored.
+func applyStep(settings map[string]any, st scenario.Step) {
 	bounds, family := settings["bounds"].(map[string]any), settings["family-info"].(map[string]any)
 	for key := range st.Set {
 		v, _ := st.Number(key)
