--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -176,7 +176,7 @@
 			}
 			defer f.Close()
 			checker := rules.New()
-			cut, err := history.Read(f, checker.See)
+			cut, err := history.Read(f, checker.Observe)
 			if err != nil {
 				return &exit{wrongFile, fmt.Errorf("%s: %w", args[0], err)}
 			}
--- a/internal/lab/command/verdict.go
+++ b/internal/lab/command/verdict.go
@@ -18,13 +18,13 @@
 	fmt.Fprintf(out, "%s, seed %d: %s\n", r.Scenario.Name, r.Scenario.Seed, r.Report)
 	shown(out, r.Report)
 	var relays float64
-	for _, u := range r.Report.Use {
+	for _, u := range r.Report.Usage {
 		relays += u.CPU
 	}
-	for _, t := range r.Report.TakenOver {
+	for _, t := range r.Report.Takeovers {
 		fmt.Fprintln(out, t)
 	}
-	if a := r.Report.Agreed; a != nil {
+	if a := r.Report.Generations; a != nil {
 		fmt.Fprintln(out, "agreement:", a)
 	}
 	fmt.Fprintf(out, "processor time: relays %.1f s, lab %.1f s; the lab's timers late by %.1f ms (50%%), %.1f (99%%), %.1f at most\n",
@@ -49,15 +49,15 @@
 
 // shown prints the broken rules, and what of the rules was never tried.
 func shown(out io.Writer, r *rules.Report) {
-	for _, b := range r.Shown {
+	for _, b := range r.Violations {
 		fmt.Fprintln(out, b)
-		for _, e := range b.Lines {
+		for _, e := range b.Events {
 			fmt.Fprintln(out, "    ", e)
 		}
 	}
 	var untried []string
 	for _, rule := range rules.All {
-		if r.Looked[rule] == 0 {
+		if r.Checked[rule] == 0 {
 			untried = append(untried, string(rule))
 		}
 	}
--- a/internal/lab/drain_test.go
+++ b/internal/lab/drain_test.go
@@ -59,7 +59,7 @@
 				tell(t, r)
 				t.Errorf("%d requests went to endpoints that drain or are gone", r.Report.Broken[rules.Drain])
 			}
-			if r.Report.Looked[rules.Drain] == 0 || r.Report.InTime == 0 {
+			if r.Report.Checked[rules.Drain] == 0 || r.Report.InTime == 0 {
 				t.Errorf("nothing was served: %s", r.Report)
 			}
 		})
@@ -81,7 +81,7 @@
 		tell(t, r)
 		t.Errorf("%d requests went to endpoints that drain or are gone", r.Report.Broken[rules.Drain])
 	}
-	if r.Report.Looked[rules.Drain] == 0 || r.Report.InTime == 0 {
+	if r.Report.Checked[rules.Drain] == 0 || r.Report.InTime == 0 {
 		t.Errorf("nothing was served: %s", r.Report)
 	}
 }
--- a/internal/lab/estates_test.go
+++ b/internal/lab/estates_test.go
@@ -74,10 +74,10 @@
 		tell(t, r)
 		t.Error("expectations did not hold")
 	}
-	if len(r.Report.TakenOver) != 3 {
-		t.Errorf("%d machines were lost, want 3", len(r.Report.TakenOver))
+	if len(r.Report.Takeovers) != 3 {
+		t.Errorf("%d machines were lost, want 3", len(r.Report.Takeovers))
 	}
-	for _, over := range r.Report.TakenOver {
+	for _, over := range r.Report.Takeovers {
 		if over.After < 0 {
 			t.Error(over)
 		}
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -111,7 +111,7 @@
 	w.recorder = history.NewRecorder(out, func(e history.Event) {
 		checks.Lock()
 		defer checks.Unlock()
-		w.checker.See(e)
+		w.checker.Observe(e)
 	})
 	w.add(history.Event{Kind: history.Run, Text: s.Name, Terms: w.draw.Terms(s)})
 	w.net = link.NewNet(w.clock)
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -56,9 +56,9 @@
 func tell(t *testing.T, r *Result) {
 	t.Helper()
 	t.Log(r.Report)
-	for _, b := range r.Report.Shown {
+	for _, b := range r.Report.Violations {
 		t.Log(b)
-		for _, e := range b.Lines {
+		for _, e := range b.Events {
 			t.Log("   ", e)
 		}
 	}
@@ -144,7 +144,7 @@
 		t.Errorf("nothing was done: %s", r.Report)
 	}
 	for _, rule := range []rules.Rule{rules.End, rules.Once, rules.Twice, rules.Repeat, rules.Wait, rules.Drain, rules.Own, rules.Process, rules.Figures} {
-		if r.Report.Looked[rule] == 0 && rule != rules.Twice && rule != rules.Repeat {
+		if r.Report.Checked[rule] == 0 && rule != rules.Twice && rule != rules.Repeat {
 			t.Errorf("nothing tried the rule %q", rule)
 		}
 	}
@@ -155,7 +155,7 @@
 	}
 	defer f.Close()
 	checker := rules.New()
-	if cut, err := history.Read(f, checker.See); err != nil || cut {
+	if cut, err := history.Read(f, checker.Observe); err != nil || cut {
 		t.Fatal(cut, err)
 	}
 	again := checker.Close()
@@ -231,7 +231,7 @@
 		tell(t, r)
 		t.Error("expectations did not hold")
 	}
-	if a := r.Report.Agreed; a == nil || len(a.Seen) < 4 || a.Calls["fallback"] == 0 {
+	if a := r.Report.Generations; a == nil || len(a.Generations) < 4 || a.Calls["fallback"] == 0 {
 		t.Errorf("%v: not all of it was tried", a)
 	}
 	if r.Report.InTime+r.Report.Late < r.Report.Asked/2 {
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -46,7 +46,7 @@
 	ended := w.clock.Now()
 	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; time.Sleep(100 * time.Millisecond) {
 		checks.Lock()
-		done := w.checker.Owing() == 0 && w.checker.Now().Microseconds() > ended
+		done := w.checker.PendingMessages() == 0 && w.checker.Now().Microseconds() > ended
 		checks.Unlock()
 		if done {
 			return
@@ -75,7 +75,7 @@
 		}
 		p := Progress{At: time.Since(began), Of: time.Duration(w.scenario.Duration), Rows: rows}
 		checks.Lock()
-		p.Asked, p.InTime, p.Broken = w.checker.Standing()
+		p.Asked, p.InTime, p.Broken = w.checker.Progress()
 		checks.Unlock()
 		w.mu.Lock()
 		for _, i := range w.on {
--- a/internal/lab/report/diff.go
+++ b/internal/lab/report/diff.go
@@ -26,13 +26,13 @@
 	p := r.Report
 	part := func(n int) float64 { return float64(n) / float64(max(1, p.Asked)) }
 	var cpu, memory, descriptors float64
-	for _, u := range p.Use {
+	for _, u := range p.Usage {
 		cpu += u.CPU
 		memory, descriptors = max(memory, u.MemoryMB), max(descriptors, u.Descriptors)
 	}
 	return []Fact{{"served, of the worth asked for", p.Served, 4}, {"messages asked for", float64(p.Asked), 0}, {"in time", part(p.InTime), 4},
-		{"late", part(p.Late), 4}, {"refused", part(p.Refused), 4}, {"failed or unheard", part(p.Failed + p.Unheard), 4},
-		{"lost", float64(p.Lost), 0}, {"owed by a relay that was down at the end", float64(p.Owed), 0}, {"rules broken", float64(p.Total()), 0}, {"median time to delivery, ms", p.Latency.P50, 1},
+		{"late", part(p.Late), 4}, {"refused", part(p.Refused), 4}, {"failed or unheard", part(p.Failed + p.Unanswered), 4},
+		{"lost", float64(p.Lost), 0}, {"owed by a relay that was down at the end", float64(p.Pending), 0}, {"rules broken", float64(p.Total()), 0}, {"median time to delivery, ms", p.Latency.P50, 1},
 		{"99 of 100 within, ms", p.Latency.P99, 1}, {"processor time of relays, s", cpu, 2}, {"processor time of the lab, s", r.LabCPU, 2},
 		{"most memory of a relay, MB", memory, 1}, {"most descriptors of a relay", descriptors, 0}, {"lab's timers late, 99 of 100, ms", r.Lateness.P99, 1}}
 }
--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -84,7 +84,7 @@
 		data.Rows = append(data.Rows, row{f.Name, f.String()})
 	}
 	for _, rule := range rules.All {
-		data.Rules = append(data.Rules, ruleRow{rule, r.Report.Looked[rule], r.Report.Broken[rule]})
+		data.Rules = append(data.Rules, ruleRow{rule, r.Report.Checked[rule], r.Report.Broken[rule]})
 	}
 	for i, f := range figs {
 		name := fmt.Sprintf("plot-%02d.svg", i+1)
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -98,9 +98,9 @@
 	if s == nil {
 		return nil
 	}
-	xy := make(plotter.XYs, 0, len(s.V))
-	for i, v := range s.V {
-		xy = append(xy, plotter.XY{X: (float64(i) + 0.5) * s.Every, Y: v})
+	xy := make(plotter.XYs, 0, len(s.Values))
+	for i, v := range s.Values {
+		xy = append(xy, plotter.XY{X: (float64(i) + 0.5) * s.Interval, Y: v})
 	}
 	return xy
 }
@@ -164,7 +164,7 @@
 		if err != nil {
 			return nil, err
 		}
-		text, err := svg(p, min(linesMost, len(r.Report.Use)))
+		text, err := svg(p, min(linesMost, len(r.Report.Usage)))
 		if err != nil {
 			return nil, err
 		}
@@ -239,7 +239,7 @@
 
 func held(r *lab.Result) (*plot.Plot, string, error) {
 	p := canvas(r, "Messages that relays hold", "messages")
-	return p, "By all relays that answered; one that is down or stands still tells nothing.", line(p, "", 0, points(r.Report.Held))
+	return p, "By all relays that answered; one that is down or stands still tells nothing.", line(p, "", 0, points(r.Report.InFlight))
 }
 
 func calls(r *lab.Result, dest int) (*plot.Plot, error) {
@@ -263,8 +263,8 @@
 
 func used(r *lab.Result, name, title, unit string) (*plot.Plot, string, error) {
 	p := canvas(r, title, unit)
-	names := make([]string, 0, len(r.Report.Use))
-	for n := range r.Report.Use {
+	names := make([]string, 0, len(r.Report.Usage))
+	for n := range r.Report.Usage {
 		names = append(names, n)
 	}
 	sort.Slice(names, func(i, j int) bool {
@@ -278,7 +278,7 @@
 	if len(names) > linesMost {
 		note = fmt.Sprintf("%d of %d processes: those that used most.", linesMost, len(names))
 		most := func(n string) float64 {
-			if v := r.Report.Use[n].Over[name].V; len(v) > 0 {
+			if v := r.Report.Usage[n].OverTime[name].Values; len(v) > 0 {
 				return slices.Max(v)
 			}
 			return 0
@@ -287,7 +287,7 @@
 		names = names[:linesMost]
 	}
 	for i, n := range names {
-		if err := line(p, n, i, points(r.Report.Use[n].Over[name])); err != nil {
+		if err := line(p, n, i, points(r.Report.Usage[n].OverTime[name])); err != nil {
 			return nil, "", err
 		}
 	}
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -20,16 +20,16 @@
 	s.Name = "<b>sample</b>"
 	d := platform.NewDraw(s)
 	c := rules.New()
-	c.See(history.Event{Kind: history.Run, Terms: d.Terms(s)})
+	c.Observe(history.Event{Kind: history.Run, Terms: d.Terms(s)})
 	for i := range int64(100) {
 		at, id := i*50_000, "m"+string(rune('a'+i%26))+string(rune('a'+i/26))
-		c.See(history.Event{T: at, Kind: history.Hand, ID: id, First: id, Class: "order-msg", Left: 6000, Sum: "s", Relay: "relay/0"})
-		c.See(history.Event{T: at + 1000, Kind: history.Heard, ID: id, Status: 202, Relay: "relay/0"})
+		c.Observe(history.Event{T: at, Kind: history.Hand, ID: id, First: id, Class: "order-msg", Left: 6000, Sum: "s", Relay: "relay/0"})
+		c.Observe(history.Event{T: at + 1000, Kind: history.Heard, ID: id, Status: 202, Relay: "relay/0"})
 		if int(i) < served {
-			c.See(history.Event{T: at + 2000, Kind: history.Call, Call: i + 1, IDs: []string{id}, Sums: []string{"s"}, Endpoint: "endpoint/0", Relay: "relay/0"})
-			c.See(history.Event{T: at + 30000, Kind: history.Answer, Call: i + 1, Status: 200, Relay: "relay/0"})
+			c.Observe(history.Event{T: at + 2000, Kind: history.Call, Call: i + 1, IDs: []string{id}, Sums: []string{"s"}, Endpoint: "endpoint/0", Relay: "relay/0"})
+			c.Observe(history.Event{T: at + 30000, Kind: history.Answer, Call: i + 1, Status: 200, Relay: "relay/0"})
 		}
-		c.See(history.Event{T: at + 31000, Kind: history.Sample, Proc: "relay/0", PID: 7, Figures: map[string]float64{"cpu_s": float64(i) / 100, "memory_mb": 12, "descriptors": 30}})
+		c.Observe(history.Event{T: at + 31000, Kind: history.Sample, Proc: "relay/0", PID: 7, Figures: map[string]float64{"cpu_s": float64(i) / 100, "memory_mb": 12, "descriptors": 30}})
 	}
 	return &lab.Result{Scenario: s, Draw: d, Report: c.Close(), Faults: []lab.Span{{From: 1, To: 2, Text: "cut <x>"}},
 		Failures: []lab.Failure{{Expectation: "served", Text: "too little"}}}
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -42,10 +42,10 @@
 		r.Failures = append(r.Failures, Failure{"served", fmt.Sprintf("%.3f of the worth asked for, at least %.3f expected", r.Report.Served, *want)})
 	}
 	if want := w.scenario.Expect.Contradiction; want != nil {
-		switch a := r.Report.Agreed; {
-		case a == nil || len(a.Seen) < 2:
+		switch a := r.Report.Generations; {
+		case a == nil || len(a.Generations) < 2:
 			r.Failures = append(r.Failures, Failure{"contradiction", "no two generations were acted by, so nothing is shown"})
-		case max(a.Contradiction, a.Three) > time.Duration(*want).Seconds():
+		case max(a.Contradiction, a.ThreeInUse) > time.Duration(*want).Seconds():
 			r.Failures = append(r.Failures, Failure{"contradiction", fmt.Sprintf("%s; at most %s expected", a, *want)})
 		}
 	}
@@ -53,7 +53,7 @@
 		r.Failures = append(r.Failures, Failure{"promised", fmt.Sprintf("%d messages that were taken on got no end, at most %d expected", r.Report.Lost, *want)})
 	}
 	if want := w.scenario.Expect.TakenOver; want != nil {
-		switch t := r.Report.TakenOver; {
+		switch t := r.Report.Takeovers; {
 		case len(t) == 0:
 			r.Failures = append(r.Failures, Failure{"taken-over", "no machine was lost, so nothing is shown"})
 		default:
--- a/internal/lab/rules/calls.go
+++ b/internal/lab/rules/calls.go
@@ -9,145 +9,145 @@
 
 // Calls at endpoints.
 
-func (c *Checker) call(e history.Event) {
-	a := &call{Event: e, zone: c.terms.Zones[e.Endpoint]}
-	c.calls[e.Call] = a
-	p := c.proc(e.Relay)
-	c.report.arrived(e)
-	c.agreed(e)
-	c.looked(Wait)
-	for _, w := range p.waits[e.Dest] {
-		if e.Whole > w.from+waitGrace && e.Whole < w.until-slack {
-			c.broken(Wait, e.Whole, e.IDs[0], fmt.Sprintf("it went to destination %d %.3f s after a wait of %.3f s was told, and %.3f s before its end",
-				e.Dest, float64(e.Whole-w.from)/1e6, float64(w.until-w.from)/1e6, float64(w.until-e.Whole)/1e6), []string{e.Relay, e.Endpoint}, e)
+func (c *Checker) callArrived(e history.Event) {
+	call := &callState{Event: e, zone: c.terms.Zones[e.Endpoint]}
+	c.calls[e.Call] = call
+	relay := c.relay(e.Relay)
+	c.report.addCall(e)
+	c.recordGenerations(e)
+	c.countCheck(Wait)
+	for _, wait := range relay.waits[e.Dest] {
+		if e.Whole > wait.from+waitGrace && e.Whole < wait.until-slack {
+			c.addViolation(Wait, e.Whole, e.IDs[0], fmt.Sprintf("it went to destination %d %.3f s after a wait of %.3f s was told, and %.3f s before its end",
+				e.Dest, float64(e.Whole-wait.from)/1e6, float64(wait.until-wait.from)/1e6, float64(wait.until-e.Whole)/1e6), []string{e.Relay, e.Endpoint}, e)
 			break
 		}
 	}
-	c.drained(p, e)
+	c.checkDrain(relay, e)
 	for i, id := range e.IDs {
-		m := c.msgs[id]
-		p.counts["attempts"].must.add(e.T)
-		p.counts["attempts"].may.add(e.Whole)
-		c.looked(Own)
+		message := c.messages[id]
+		relay.counters["attempts"].least.add(e.T)
+		relay.counters["attempts"].most.add(e.Whole)
+		c.countCheck(Own)
 		switch {
-		case m == nil && e.T-e.Whole > keepFor: // a cut held it up for longer than messages are remembered
+		case message == nil && e.T-e.Whole > retention: // a cut held it up for longer than messages are remembered
 			continue
-		case m == nil:
-			c.broken(Own, e.T, id, "no client handed it in, or its time was long over", []string{e.Relay, e.Endpoint}, e)
+		case message == nil:
+			c.addViolation(Own, e.T, id, "no client handed it in, or its time was long over", []string{e.Relay, e.Endpoint}, e)
 			continue
-		case m.Dest != e.Dest:
-			c.broken(Own, e.T, id, fmt.Sprintf("it is for destination %d and went to one of %d", m.Dest, e.Dest), []string{e.Relay, e.Endpoint}, append(m.lines, e)...)
-		case i < len(e.Sums) && e.Sums[i] != m.Sum:
-			c.broken(Own, e.T, id, "its body or key is not what its client handed in", []string{e.Relay, e.Endpoint}, append(m.lines, e)...)
+		case message.Dest != e.Dest:
+			c.addViolation(Own, e.T, id, fmt.Sprintf("it is for destination %d and went to one of %d", message.Dest, e.Dest), []string{e.Relay, e.Endpoint}, append(message.events, e)...)
+		case i < len(e.Sums) && e.Sums[i] != message.Sum:
+			c.addViolation(Own, e.T, id, "its body or key is not what its client handed in", []string{e.Relay, e.Endpoint}, append(message.events, e)...)
 		}
-		c.attempt(m, a)
+		c.addAttempt(message, call)
 	}
 }
 
 // attempt takes in that a message is part of a call.
-func (c *Checker) attempt(m *msg, a *call) {
-	lines := func(more ...history.Event) []history.Event {
-		return append(append(slices.Clone(m.lines), a.Event), more...)
+func (c *Checker) addAttempt(message *messageState, current *callState) {
+	events := func(more ...history.Event) []history.Event {
+		return append(append(slices.Clone(message.events), current.Event), more...)
 	}
-	procs := []string{a.Relay, a.Endpoint}
-	c.looked(Attempts)
-	if n := len(m.calls) + 1; n > c.terms.MaxAttempts {
-		c.broken(Attempts, a.T, m.ID, fmt.Sprintf("this is attempt %d of %d", n, c.terms.MaxAttempts), procs, lines()...)
+	processes := []string{current.Relay, current.Endpoint}
+	c.countCheck(Attempts)
+	if attempts := len(message.calls) + 1; attempts > c.terms.MaxAttempts {
+		c.addViolation(Attempts, current.T, message.ID, fmt.Sprintf("this is attempt %d of %d", attempts, c.terms.MaxAttempts), processes, events()...)
 	}
-	c.looked(Once)
-	if m.notice.T > 0 && a.Begun > m.notice.T+slack {
-		c.broken(Once, a.Begun, m.ID, "it was sent after its end was told: "+m.notice.How, procs, lines(m.notice)...)
+	c.countCheck(Once)
+	if message.notice.T > 0 && current.Begun > message.notice.T+slack {
+		c.addViolation(Once, current.Begun, message.ID, "it was sent after its end was told: "+message.notice.How, processes, events(message.notice)...)
 	}
-	for _, b := range m.calls {
-		c.looked(Twice)
-		if b.end == 0 || b.end > a.Whole {
-			t := &twins{m.ID, b, a}
-			b.twins, a.twins = append(b.twins, t), append(a.twins, t)
+	for _, previous := range message.calls {
+		c.countCheck(Twice)
+		if previous.endedAt == 0 || previous.endedAt > current.Whole {
+			pair := &callPair{message.ID, previous, current}
+			previous.pairs, current.pairs = append(previous.pairs, pair), append(current.pairs, pair)
 		}
-		if b.status == 200 && !b.crossed && a.Begun > b.end+slack && !c.restarted(a.Relay, b.end, a.Begun) && !c.inherited(a.Relay, b.Relay, b.end) {
-			c.broken(Once, a.Begun, m.ID, "it was sent again after it was delivered", procs, lines(b.Event)...)
+		if previous.status == 200 && !previous.answerCrossedClose && current.Begun > previous.endedAt+slack && !c.restartedBetween(current.Relay, previous.endedAt, current.Begun) && !c.mayHaveTakenOver(current.Relay, previous.Relay, previous.endedAt) {
+			c.addViolation(Once, current.Begun, message.ID, "it was sent again after it was delivered", processes, events(previous.Event)...)
 		}
 		// A call that a cut held up comes after those that were made later.
-		first, later := b, a
-		if a.Whole < b.Whole {
-			first, later = a, b
+		first, later := previous, current
+		if current.Whole < previous.Whole {
+			first, later = current, previous
 		}
-		if first.end > 0 && !first.mayRun() {
+		if first.endedAt > 0 && !first.mayHaveRun() {
 			continue
 		}
-		c.looked(Repeat)
-		window := m.class.Window.Microseconds()
+		c.countCheck(Repeat)
+		window := message.class.Window.Microseconds()
 		switch {
-		case m.class.Effect == "at_most_once":
-			c.broken(Repeat, later.Whole, m.ID, "it may have run, and its class may never be repeated", procs, lines(b.Event)...)
-		case m.class.Effect == "deduplicated" && later.Whole > first.Whole+window+slack:
-			c.broken(Repeat, later.Whole, m.ID, fmt.Sprintf("it was repeated %.3f s after it may have run, and repeats are dropped for %.3f s",
-				float64(later.Whole-first.Whole)/1e6, float64(window)/1e6), procs, lines(b.Event)...)
-		case m.class.Effect == "deduplicated" && m.class.SameZone && later.zone != first.zone:
-			c.broken(Repeat, later.Whole, m.ID, "it was repeated in a zone that does not know of it", procs, lines(b.Event)...)
+		case message.class.Effect == "at_most_once":
+			c.addViolation(Repeat, later.Whole, message.ID, "it may have run, and its class may never be repeated", processes, events(previous.Event)...)
+		case message.class.Effect == "deduplicated" && later.Whole > first.Whole+window+slack:
+			c.addViolation(Repeat, later.Whole, message.ID, fmt.Sprintf("it was repeated %.3f s after it may have run, and repeats are dropped for %.3f s",
+				float64(later.Whole-first.Whole)/1e6, float64(window)/1e6), processes, events(previous.Event)...)
+		case message.class.Effect == "deduplicated" && message.class.SameZone && later.zone != first.zone:
+			c.addViolation(Repeat, later.Whole, message.ID, "it was repeated in a zone that does not know of it", processes, events(previous.Event)...)
 		}
 	}
-	m.calls = append(m.calls, a)
-	if len(m.lines) < linesMost {
-		m.lines = append(m.lines, a.Event)
+	message.calls = append(message.calls, current)
+	if len(message.events) < maxEvents {
+		message.events = append(message.events, current.Event)
 	}
 }
 
 // overlap judges two calls of one message once the ends of both are known.
-func (c *Checker) overlap(t *twins) {
-	a, b := t.a, t.b
-	if a.end == 0 || b.end == 0 {
+func (c *Checker) checkOverlap(pair *callPair) {
+	earlier, later := pair.earlier, pair.later
+	if earlier.endedAt == 0 || later.endedAt == 0 {
 		return
 	}
-	if over := min(a.end, b.end) - max(a.Whole, b.Whole); over > slack {
-		c.broken(Twice, max(a.Whole, b.Whole), t.id, fmt.Sprintf("two attempts were out for %.3f s", float64(over)/1e6), []string{a.Relay, a.Endpoint, b.Endpoint},
-			a.Event, b.Event, history.Event{T: a.end, Kind: history.Gone, Call: a.Call, Status: a.status}, history.Event{T: b.end, Kind: history.Gone, Call: b.Call, Status: b.status})
+	if overlap := min(earlier.endedAt, later.endedAt) - max(earlier.Whole, later.Whole); overlap > slack {
+		c.addViolation(Twice, max(earlier.Whole, later.Whole), pair.messageID, fmt.Sprintf("two attempts were out for %.3f s", float64(overlap)/1e6), []string{earlier.Relay, earlier.Endpoint, later.Endpoint},
+			earlier.Event, later.Event, history.Event{T: earlier.endedAt, Kind: history.Gone, Call: earlier.Call, Status: earlier.status}, history.Event{T: later.endedAt, Kind: history.Gone, Call: later.Call, Status: later.status})
 	}
 }
 
-func (c *Checker) answered(e history.Event) {
-	a := c.calls[e.Call]
-	if a == nil {
+func (c *Checker) callEnded(e history.Event) {
+	call := c.calls[e.Call]
+	if call == nil {
 		return
 	}
-	p := c.proc(a.Relay)
-	if a.end > 0 {
-		if e.Kind == history.Gone && e.T-a.end <= slack && !a.crossed {
-			a.crossed = true // it need not know of what the answer told
-			p.waits[a.Dest] = slices.DeleteFunc(p.waits[a.Dest], func(s span) bool { return s.from == a.end })
-			p.counts["served"].unread += len(a.IDs)
+	relay := c.relay(call.Relay)
+	if call.endedAt > 0 {
+		if e.Kind == history.Gone && e.T-call.endedAt <= slack && !call.answerCrossedClose {
+			call.answerCrossedClose = true // it need not know of what the answer told
+			relay.waits[call.Dest] = slices.DeleteFunc(relay.waits[call.Dest], func(s timeSpan) bool { return s.from == call.endedAt })
+			relay.counters["served"].maybeUnread += len(call.IDs)
 		}
 		return
 	}
-	a.end, a.status = e.T, e.Status
-	for _, t := range a.twins {
-		c.overlap(t)
+	call.endedAt, call.status = e.T, e.Status
+	for _, pair := range call.pairs {
+		c.checkOverlap(pair)
 	}
-	a.twins = nil
-	c.later(e.T+keepFor, func() { delete(c.calls, e.Call) })
+	call.pairs = nil
+	c.schedule(e.T+retention, func() { delete(c.calls, e.Call) })
 	if e.Wait > 0 {
-		w := p.waits[a.Dest]
-		w = slices.DeleteFunc(w, func(s span) bool { return s.until < e.T-keepFor })
-		p.waits[a.Dest] = append(w, span{e.T, e.T + e.Wait*ms})
+		waits := relay.waits[call.Dest]
+		waits = slices.DeleteFunc(waits, func(s timeSpan) bool { return s.until < e.T-retention })
+		relay.waits[call.Dest] = append(waits, timeSpan{e.T, e.T + e.Wait*ms})
 	}
-	for _, id := range a.IDs {
-		m := c.msgs[id]
-		if m == nil {
+	for _, id := range call.IDs {
+		message := c.messages[id]
+		if message == nil {
 			continue
 		}
-		if len(m.lines) < linesMost {
-			m.lines = append(m.lines, e)
+		if len(message.events) < maxEvents {
+			message.events = append(message.events, e)
 		}
-		if e.Status != 200 || m.delivered > 0 {
+		if e.Status != 200 || message.deliveredAt > 0 {
 			continue
 		}
-		m.delivered = e.T
-		p.counts["served"].may.add(e.T)
-		if m.taken > 0 {
-			m.want.deliver(e.T)
+		message.deliveredAt = e.T
+		relay.counters["served"].most.add(e.T)
+		if message.acceptedAt > 0 {
+			message.request.recordDelivery(e.T)
 			// Else the relay has counted its end already, or is stopped and may never read it: its time-out comes first.
-			if m.notice.T == 0 && p.down == 0 {
-				p.counts["served"].must.add(e.T)
+			if message.notice.T == 0 && relay.downSince == 0 {
+				relay.counters["served"].least.add(e.T)
 			}
 		}
 	}
--- a/internal/lab/rules/estates_test.go
+++ b/internal/lab/rules/estates_test.go
@@ -8,24 +8,24 @@
 )
 
 // lossOf is a history in which a relay takes a message on and its machine is lost; more is what follows.
-func lossOf(more ...history.Event) *Report {
-	c := checkerOfTwoRelays()
-	c.See(history.Event{T: 1e5, Kind: history.Metrics, Relay: "relay/0", Whole: 9e4, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}})
-	c.See(history.Event{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000})
-	c.See(history.Event{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202})
-	c.See(history.Event{T: 3e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"})
+func reportAfterLoss(more ...history.Event) *Report {
+	checker := newTwoRelayChecker()
+	checker.Observe(history.Event{T: 1e5, Kind: history.Metrics, Relay: "relay/0", Whole: 9e4, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}})
+	checker.Observe(history.Event{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000})
+	checker.Observe(history.Event{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202})
+	checker.Observe(history.Event{T: 3e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"})
 	for _, e := range more {
-		c.See(e)
+		checker.Observe(e)
 	}
-	c.See(history.Event{T: 60e6, Kind: history.End})
-	return c.Close()
+	checker.Observe(history.Event{T: 60e6, Kind: history.End})
+	return checker.Close()
 }
 
 // Guards against a promise that is lost and not seen, and against ends and heirs that come in time and are blamed.
 func TestLostMachines(t *testing.T) {
-	heir := history.Event{T: 3e6, Kind: history.Metrics, Relay: "relay/1", Whole: 29e5, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}}
-	another := heir
-	another.Figures = map[string]float64{"svc.estates.of.relay/0.8": 1}
+	successor := history.Event{T: 3e6, Kind: history.Metrics, Relay: "relay/1", Whole: 29e5, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}}
+	otherGroup := successor
+	otherGroup.Figures = map[string]float64{"svc.estates.of.relay/0.8": 1}
 	notice := func(at int64) history.Event {
 		return history.Event{T: at, Kind: history.Notice, Relay: "relay/1", ID: "m", How: "deferred"}
 	}
@@ -37,30 +37,30 @@
 		heir  string
 	}{
 		"nobody takes over":               {nil, 1, 1, -1, ""},
-		"an heir ends it":                 {[]history.Event{heir, notice(4e6)}, 0, 0, 2.7, "relay/1"},
-		"another estate is no heir":       {[]history.Event{another, notice(4e6), {T: 5e6, Kind: history.Metrics, Relay: "relay/1", Whole: 5e6}}, 0, 0, 4.7, ""},
-		"an end just in time":             {[]history.Event{heir, notice(4290e3)}, 0, 0, 2.7, "relay/1"},
-		"an end too late":                 {[]history.Event{heir, notice(48e5)}, 1, 1, 2.7, "relay/1"},
-		"a heir that has it ends nothing": {[]history.Event{heir}, 1, 1, 2.7, "relay/1"},
+		"an heir ends it":                 {[]history.Event{successor, notice(4e6)}, 0, 0, 2.7, "relay/1"},
+		"another estate is no heir":       {[]history.Event{otherGroup, notice(4e6), {T: 5e6, Kind: history.Metrics, Relay: "relay/1", Whole: 5e6}}, 0, 0, 4.7, ""},
+		"an end just in time":             {[]history.Event{successor, notice(4290e3)}, 0, 0, 2.7, "relay/1"},
+		"an end too late":                 {[]history.Event{successor, notice(48e5)}, 1, 1, 2.7, "relay/1"},
+		"a heir that has it ends nothing": {[]history.Event{successor}, 1, 1, 2.7, "relay/1"},
 	} {
-		r := lossOf(c.more...)
+		r := reportAfterLoss(c.more...)
 		if r.Lost != c.lost || r.Broken[End] != c.ends {
 			t.Errorf("%s: %d lost and %d ends broken, want %d and %d", name, r.Lost, r.Broken[End], c.lost, c.ends)
 		}
-		if len(r.TakenOver) != 1 || r.TakenOver[0].After != c.after || r.TakenOver[0].Heir != c.heir {
-			t.Errorf("%s: %v, want after %.1f s by %q", name, r.TakenOver, c.after, c.heir)
+		if len(r.Takeovers) != 1 || r.Takeovers[0].After != c.after || r.Takeovers[0].Successor != c.heir {
+			t.Errorf("%s: %v, want after %.1f s by %q", name, r.Takeovers, c.after, c.heir)
 		}
 	}
 }
 
 // Guards against a take-over that seems to last long because the lost machine had just run out of another relay's estate, which then
 // nobody has, and against one that seems over while a message of such an estate is open.
-func TestALostMachinesInheritedEstates(t *testing.T) {
+func TestTakeoverOfLostMachinesAdoptedGroups(t *testing.T) {
 	for name, c := range map[string]struct {
 		open  bool // a message of the inherited estate, until 5 s
 		after float64
 	}{"run out": {false, 2.7}, "a message is open": {true, 5.2}} {
-		checker := checkerOfTwoRelays()
+		checker := newTwoRelayChecker()
 		figures := map[string]float64{"svc.estates.of.relay/0.7": 1, "svc.estates.of.relay/1.3": 1}
 		events := []history.Event{{T: 1e5, Kind: history.Metrics, Relay: "relay/0", Whole: 9e4, Figures: figures}}
 		for id, relay := range map[string]string{"m": "relay/0", "n": "relay/1"} {
@@ -70,25 +70,25 @@
 			events = append(events, history.Event{T: 2e5, Kind: history.Hand, Relay: relay, ID: id, First: id, Class: "k", Left: 9000},
 				history.Event{T: 21e4, Kind: history.Heard, Relay: relay, ID: id, Status: 202})
 		}
-		heir := history.Event{T: 3e6, Kind: history.Metrics, Relay: "relay/1", Whole: 29e5, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}}
-		events = append(events, history.Event{T: 3e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"}, heir,
+		successor := history.Event{T: 3e6, Kind: history.Metrics, Relay: "relay/1", Whole: 29e5, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}}
+		events = append(events, history.Event{T: 3e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"}, successor,
 			history.Event{T: 5e6, Kind: history.Notice, Relay: "relay/1", ID: "n", How: "deferred"})
-		heir.T, heir.Whole = 55e5, 54e5
-		events = append(events, heir, history.Event{T: 60e6, Kind: history.End})
+		successor.T, successor.Whole = 55e5, 54e5
+		events = append(events, successor, history.Event{T: 60e6, Kind: history.End})
 		for _, e := range events {
-			checker.See(e)
+			checker.Observe(e)
 		}
 		r := checker.Close()
-		if len(r.TakenOver) != 1 || r.TakenOver[0].After != c.after || r.TakenOver[0].Heir != "relay/1" {
-			t.Errorf("%s: %v, want after %.1f s by relay/1", name, r.TakenOver, c.after)
+		if len(r.Takeovers) != 1 || r.Takeovers[0].After != c.after || r.Takeovers[0].Successor != "relay/1" {
+			t.Errorf("%s: %v, want after %.1f s by relay/1", name, r.Takeovers, c.after)
 		}
 	}
 }
 
 // Guards against ends that have more time because something else failed: a relay that still has its machine has no heir to wait for.
-func TestOnlyALostMachineGivesMoreTime(t *testing.T) {
+func TestOnlyLostMachineExtendsDeadlines(t *testing.T) {
 	at := int64(15e5)
-	for name, trouble := range map[string]history.Event{
+	for name, disruption := range map[string]history.Event{
 		"links are cut":           {T: at, Kind: history.Fault, How: "begin", Text: "cut relay/0 to keepers", State: history.Lossy},
 		"a keeper is killed":      {T: at, Kind: history.Proc, Proc: "keeper/0", How: "kill"},
 		"a keeper leads anew":     {T: at, Kind: history.Proc, Proc: "keeper/0", How: "ready"},
@@ -100,13 +100,13 @@
 			at     int64
 			broken int
 		}{{2540e3, 0}, {2560e3, 1}} { // its time is up at 2.2 s
-			c := checkerOfTwoRelays()
+			c := newTwoRelayChecker()
 			for _, e := range []history.Event{
 				{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000},
-				{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202}, trouble,
+				{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202}, disruption,
 				{T: end.at, Kind: history.Notice, Relay: "relay/0", ID: "m", How: "deferred"}, {T: 60e6, Kind: history.End},
 			} {
-				c.See(e)
+				c.Observe(e)
 			}
 			if r := c.Close(); r.Broken[End] != end.broken {
 				t.Errorf("%s, and its end comes at %.2f s: %d ends are broken, want %d", name, float64(end.at)/1e6, r.Broken[End], end.broken)
@@ -116,7 +116,7 @@
 }
 
 // A lost machine's messages wait for an heir, whom only keepers can name: a keeper that is killed meanwhile gives them more time.
-func TestAKeeperThatEndsDelaysWhatALostMachineHeld(t *testing.T) {
+func TestKeeperEndExtendsDeadlinesOfLostMachine(t *testing.T) {
 	for name, c := range map[string]struct {
 		killed int64
 		told   int64
@@ -128,7 +128,7 @@
 		"no keeper is killed, and the end is late":     {0, 5600e3, 1},
 		"the keeper is killed once the end is overdue": {5600e3, 9000e3, 1},
 	} {
-		checker := checkerOfTwoRelays()
+		checker := newTwoRelayChecker()
 		events := []history.Event{
 			{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000},
 			{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202},
@@ -138,7 +138,7 @@
 		}
 		events = append(events, history.Event{T: c.told, Kind: history.Notice, Relay: "relay/1", ID: "m", How: "deferred"}, history.Event{T: 60e6, Kind: history.End})
 		for _, e := range events {
-			checker.See(e)
+			checker.Observe(e)
 		}
 		if r := checker.Close(); r.Broken[End] != c.broken {
 			t.Errorf("%s: %d ends are broken, want %d", name, r.Broken[End], c.broken)
@@ -147,13 +147,13 @@
 }
 
 // checkerOfTwoRelays has seen two relays get ready, of which each takes over from the other within 4 s.
-func checkerOfTwoRelays() *Checker {
-	c := New()
-	c.See(history.Event{Kind: history.Run, Terms: &history.Terms{MaxAttempts: 8, TakeOver: 4 * time.Second, DrainGrace: time.Second, AskWithin: time.Minute,
+func newTwoRelayChecker() *Checker {
+	checker := New()
+	checker.Observe(history.Event{Kind: history.Run, Terms: &history.Terms{MaxAttempts: 8, TakeOver: 4 * time.Second, DrainGrace: time.Second, AskWithin: time.Minute,
 		Classes: []history.Class{{Name: "k", Effect: "deduplicated", Window: 15 * time.Second, Aim: time.Second, Deadline: 2 * time.Second, Worth: 1}}}})
-	for _, p := range []string{"relay/0", "relay/1"} {
-		c.See(history.Event{Kind: history.Proc, Proc: p, How: "start"})
-		c.See(history.Event{Kind: history.Proc, Proc: p, How: "ready"})
+	for _, relay := range []string{"relay/0", "relay/1"} {
+		checker.Observe(history.Event{Kind: history.Proc, Proc: relay, How: "start"})
+		checker.Observe(history.Event{Kind: history.Proc, Proc: relay, How: "ready"})
 	}
-	return c
+	return checker
 }
--- a/internal/lab/rules/figures_test.go
+++ b/internal/lab/rules/figures_test.go
@@ -9,18 +9,18 @@
 
 // Guards against a relay that is blamed for not counting what clients wanted that had left, as far as it can know, and against one
 // that does not count what others were refused.
-func TestRefusalsThatAreNotCounted(t *testing.T) {
+func TestUncountedRefusals(t *testing.T) {
 	for how, rule := range map[string]Rule{history.HalfClosed: "", "": Figures} {
 		var events []history.Event
 		for i := range int64(10) {
-			h := hand(100+i, fmt.Sprintf("m%d", i), "keyed")
+			h := submitted(100+i, fmt.Sprintf("m%d", i), "keyed")
 			h.How = how
 			events = append(events, h)
 		}
 		for i := range int64(10) {
-			events = append(events, heard(120+i, fmt.Sprintf("m%d", i), 503))
+			events = append(events, clientAnswer(120+i, fmt.Sprintf("m%d", i), 503))
 		}
 		figures := history.Event{T: 2000, Whole: 2000, Kind: history.Metrics, Proc: "relay/0", Figures: map[string]float64{"svc.requests.keyed.refused": 0}}
-		check(t, map[string]ruleCase{"refused, " + how: {rule, append(events, figures)}})
+		checkCases(t, map[string]ruleCase{"refused, " + how: {rule, append(events, figures)}})
 	}
 }
--- a/internal/lab/rules/lists_test.go
+++ b/internal/lab/rules/lists_test.go
@@ -8,47 +8,47 @@
 
 // A change that a relay has not heard of counts as told to it all the same. Each history keeps the term by a hair, or just
 // breaks it; the endpoint drains at 5 s.
-func TestChangesCountAsTold(t *testing.T) {
+func TestListChangesTakeEffect(t *testing.T) {
 	drain := history.Event{T: 5000, Kind: history.Change, Version: 2, Endpoint: "endpoint/0", State: "leaving"}
-	asks := func(t, wait int64) history.Event { return history.Event{T: t, Kind: history.Asked, Left: wait} }
-	fails := func(t int64) history.Event { return history.Event{T: t, Kind: history.Untold} }
-	hears := func(t, version int64, how string) history.Event {
+	listCall := func(t, wait int64) history.Event { return history.Event{T: t, Kind: history.Asked, Left: wait} }
+	listFailure := func(t int64) history.Event { return history.Event{T: t, Kind: history.Untold} }
+	listAnswer := func(t, version int64, how string) history.Event {
 		return history.Event{T: t, Kind: history.Told, Version: version, How: how}
 	}
-	since := func(asked int64, e history.Event) history.Event { e.Begun = asked; return e }
-	down := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListDown} }
-	up := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListUp} }
+	answering := func(asked int64, e history.Event) history.Event { e.Begun = asked; return e }
+	discoveryDown := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListDown} }
+	discoveryUp := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListUp} }
 	// Each message is handed in and sent at once, and is the only one.
-	with := func(at int64, before ...history.Event) []history.Event {
-		return append(before, hand(at-10, "m", "keyed"), sentAs(at, 1, "m", "endpoint/0"), answer(at+10, 1, 200))
+	withCall := func(at int64, before ...history.Event) []history.Event {
+		return append(before, submitted(at-10, "m", "keyed"), callAt(at, 1, "m", "endpoint/0"), callAnswer(at+10, 1, 200))
 	}
-	check(t, map[string]ruleCase{
-		"failed calls, within 6 s and the grace":     {"", with(12040, asks(4000, 0), hears(4100, 1, ""), drain, asks(7000, 0), fails(7010), asks(11000, 0), fails(11010))},
-		"failed calls, later":                        {Drain, with(12060, asks(4000, 0), hears(4100, 1, ""), drain, asks(7000, 0), fails(7010), asks(11000, 0), fails(11010))},
-		"a whole list that is not answered, in time": {"", with(13040, drain, asks(6000, 0))},
-		"a whole list that is not answered, later":   {Drain, with(13060, drain, asks(6000, 0))},
-		"not answered, after a failed call":          {Drain, with(12060, drain, asks(5500, 0), fails(5600), asks(11000, 0))},
-		"a silent watch, in time":                    {"", with(12040, asks(4000, 3000), drain)},
-		"a silent watch, later":                      {Drain, with(12060, asks(4000, 3000), drain)},
-		"a silent watch with a long wait, in time":   {"", with(22040, asks(4000, 15000), drain)},
-		"a silent watch with a long wait, later":     {Drain, with(22060, asks(4000, 15000), drain)},
-		"an answer ago, within the settings' time":   {"", with(16040, asks(4000, 0), hears(4100, 1, ""), drain)},
-		"an answer ago, later":                       {Drain, with(16060, asks(4000, 0), hears(4100, 1, ""), drain)},
-		"before a call that fails, in time":          {"", append(with(12040, asks(4000, 0), hears(4100, 1, ""), drain), asks(12500, 0), fails(12510))},
-		"before a call that fails, later":            {Drain, append(with(12060, asks(4000, 0), hears(4100, 1, ""), drain), asks(12500, 0), fails(12510))},
-		"before a call that is answered":             {"", append(with(12060, asks(4000, 0), hears(4100, 1, ""), drain), asks(12500, 0), hears(12600, 2, ""))},
-		"during an outage":                           {"", with(20000, asks(4000, 0), hears(4100, 1, ""), down(4500), drain, asks(7000, 0), fails(7010))},
-		"after an outage, in time":                   {"", with(27040, asks(4000, 0), hears(4100, 1, ""), down(4500), drain, asks(7000, 0), fails(7010), up(20000))},
-		"after an outage, later":                     {Drain, with(27060, asks(4000, 0), hears(4100, 1, ""), down(4500), drain, asks(7000, 0), fails(7010), up(20000))},
-		"a new process, in time":                     {"", with(12040, drain, proc(7000, "kill"), proc(8000, "start"), proc(8100, "ready"), asks(8200, 0), fails(8300))},
-		"a new process, later":                       {Drain, with(12060, drain, proc(7000, "kill"), proc(8000, "start"), proc(8100, "ready"), asks(8200, 0), fails(8300))},
-		"failed before a restart, in time":           {"", with(12040, drain, asks(6000, 0), fails(6010), proc(7000, "kill"), proc(8000, "start"), proc(8100, "ready"))},
-		"failed before a restart, later":             {Drain, with(12060, drain, asks(6000, 0), fails(6010), proc(7000, "kill"), proc(8000, "start"), proc(8100, "ready"))},
-		"cut off by a restart, in time":              {"", with(12040, drain, asks(6900, 0), proc(7000, "kill"), proc(8000, "start"), proc(8100, "ready"))},
-		"cut off by a restart, later":                {Drain, with(12060, drain, asks(6900, 0), proc(7000, "kill"), proc(8000, "start"), proc(8100, "ready"))},
-		"a call given up before an answer, in time":  {"", with(16040, asks(3000, 0), asks(4000, 0), since(4000, hears(4100, 1, "")), since(3000, fails(4500)), drain)},
-		"a call given up before an answer, later":    {Drain, with(16060, asks(3000, 0), asks(4000, 0), since(4000, hears(4100, 1, "")), since(3000, fails(4500)), drain)},
-		"an answer cut short, in time":               {"", with(7040, drain, asks(5900, 0), hears(6000, 2, history.CutShort))},
-		"an answer cut short, later":                 {Drain, with(7060, drain, asks(5900, 0), hears(6000, 2, history.CutShort))},
+	checkCases(t, map[string]ruleCase{
+		"failed calls, within 6 s and the grace":     {"", withCall(12040, listCall(4000, 0), listAnswer(4100, 1, ""), drain, listCall(7000, 0), listFailure(7010), listCall(11000, 0), listFailure(11010))},
+		"failed calls, later":                        {Drain, withCall(12060, listCall(4000, 0), listAnswer(4100, 1, ""), drain, listCall(7000, 0), listFailure(7010), listCall(11000, 0), listFailure(11010))},
+		"a whole list that is not answered, in time": {"", withCall(13040, drain, listCall(6000, 0))},
+		"a whole list that is not answered, later":   {Drain, withCall(13060, drain, listCall(6000, 0))},
+		"not answered, after a failed call":          {Drain, withCall(12060, drain, listCall(5500, 0), listFailure(5600), listCall(11000, 0))},
+		"a silent watch, in time":                    {"", withCall(12040, listCall(4000, 3000), drain)},
+		"a silent watch, later":                      {Drain, withCall(12060, listCall(4000, 3000), drain)},
+		"a silent watch with a long wait, in time":   {"", withCall(22040, listCall(4000, 15000), drain)},
+		"a silent watch with a long wait, later":     {Drain, withCall(22060, listCall(4000, 15000), drain)},
+		"an answer ago, within the settings' time":   {"", withCall(16040, listCall(4000, 0), listAnswer(4100, 1, ""), drain)},
+		"an answer ago, later":                       {Drain, withCall(16060, listCall(4000, 0), listAnswer(4100, 1, ""), drain)},
+		"before a call that fails, in time":          {"", append(withCall(12040, listCall(4000, 0), listAnswer(4100, 1, ""), drain), listCall(12500, 0), listFailure(12510))},
+		"before a call that fails, later":            {Drain, append(withCall(12060, listCall(4000, 0), listAnswer(4100, 1, ""), drain), listCall(12500, 0), listFailure(12510))},
+		"before a call that is answered":             {"", append(withCall(12060, listCall(4000, 0), listAnswer(4100, 1, ""), drain), listCall(12500, 0), listAnswer(12600, 2, ""))},
+		"during an outage":                           {"", withCall(20000, listCall(4000, 0), listAnswer(4100, 1, ""), discoveryDown(4500), drain, listCall(7000, 0), listFailure(7010))},
+		"after an outage, in time":                   {"", withCall(27040, listCall(4000, 0), listAnswer(4100, 1, ""), discoveryDown(4500), drain, listCall(7000, 0), listFailure(7010), discoveryUp(20000))},
+		"after an outage, later":                     {Drain, withCall(27060, listCall(4000, 0), listAnswer(4100, 1, ""), discoveryDown(4500), drain, listCall(7000, 0), listFailure(7010), discoveryUp(20000))},
+		"a new process, in time":                     {"", withCall(12040, drain, processEvent(7000, "kill"), processEvent(8000, "start"), processEvent(8100, "ready"), listCall(8200, 0), listFailure(8300))},
+		"a new process, later":                       {Drain, withCall(12060, drain, processEvent(7000, "kill"), processEvent(8000, "start"), processEvent(8100, "ready"), listCall(8200, 0), listFailure(8300))},
+		"failed before a restart, in time":           {"", withCall(12040, drain, listCall(6000, 0), listFailure(6010), processEvent(7000, "kill"), processEvent(8000, "start"), processEvent(8100, "ready"))},
+		"failed before a restart, later":             {Drain, withCall(12060, drain, listCall(6000, 0), listFailure(6010), processEvent(7000, "kill"), processEvent(8000, "start"), processEvent(8100, "ready"))},
+		"cut off by a restart, in time":              {"", withCall(12040, drain, listCall(6900, 0), processEvent(7000, "kill"), processEvent(8000, "start"), processEvent(8100, "ready"))},
+		"cut off by a restart, later":                {Drain, withCall(12060, drain, listCall(6900, 0), processEvent(7000, "kill"), processEvent(8000, "start"), processEvent(8100, "ready"))},
+		"a call given up before an answer, in time":  {"", withCall(16040, listCall(3000, 0), listCall(4000, 0), answering(4000, listAnswer(4100, 1, "")), answering(3000, listFailure(4500)), drain)},
+		"a call given up before an answer, later":    {Drain, withCall(16060, listCall(3000, 0), listCall(4000, 0), answering(4000, listAnswer(4100, 1, "")), answering(3000, listFailure(4500)), drain)},
+		"an answer cut short, in time":               {"", withCall(7040, drain, listCall(5900, 0), listAnswer(6000, 2, history.CutShort))},
+		"an answer cut short, later":                 {Drain, withCall(7060, drain, listCall(5900, 0), listAnswer(6000, 2, history.CutShort))},
 	})
 }
--- a/internal/lab/rules/messages.go
+++ b/internal/lab/rules/messages.go
@@ -8,179 +8,179 @@
 
 // Messages: what clients heard, and how they ended.
 
-func (c *Checker) hand(e history.Event) {
-	m := &msg{Event: e, class: c.classes[e.Class], due: e.T + e.Left*ms, lines: []history.Event{e}}
-	if m.class == nil {
+func (c *Checker) messageSubmitted(e history.Event) {
+	message := &messageState{Event: e, class: c.classes[e.Class], dueAt: e.T + e.Left*ms, events: []history.Event{e}}
+	if message.class == nil {
 		return
 	}
-	m.want = c.wants[e.First]
-	if m.want == nil {
-		m.want = &want{at: e.T, class: m.class, tenant: e.Tenant}
-		c.wants[e.First] = m.want
-		c.later(e.T+c.longest+keepFor, func() { c.settle(e.First) })
+	message.request = c.requests[e.First]
+	if message.request == nil {
+		message.request = &requestState{submittedAt: e.T, class: message.class, tenant: e.Tenant}
+		c.requests[e.First] = message.request
+		c.schedule(e.T+c.longestDeadline+retention, func() { c.settleRequest(e.First) })
 	}
-	m.want.ids++
-	c.msgs[e.ID] = m
-	c.later(m.due+endSlack, func() { c.overdue(m) })
+	message.request.idCount++
+	c.messages[e.ID] = message
+	c.schedule(message.dueAt+endSlack, func() { c.checkEnd(message) })
 }
 
-func (c *Checker) heard(e history.Event) {
-	m := c.msgs[e.ID]
-	if m == nil || m.left {
+func (c *Checker) clientAnswered(e history.Event) {
+	message := c.messages[e.ID]
+	if message == nil || message.clientLeft {
 		return
 	}
-	m.lines = append(m.lines, e)
+	message.events = append(message.events, e)
 	if e.Whole > 0 { // the time of a request counts from its last byte
-		m.due = e.Whole + m.Left*ms
+		message.dueAt = e.Whole + message.Left*ms
 	}
-	p := c.proc(e.Relay)
+	relay := c.relay(e.Relay)
 	switch {
 	case e.Status == 200 || e.Status == 202:
-		m.taken = e.T
-		if m.delivered > 0 {
-			m.want.deliver(m.delivered)
-			p.counts["served"].must.add(m.delivered)
+		message.acceptedAt = e.T
+		if message.deliveredAt > 0 {
+			message.request.recordDelivery(message.deliveredAt)
+			relay.counters["served"].least.add(message.deliveredAt)
 		}
 	case e.Status == 429 || e.Status == 503:
-		m.refused, m.want.refused = true, true
-		if m.How != history.HalfClosed { // to its relay such a client has left, and what it wanted need not be counted
-			p.counts["refused"].must.add(e.T)
+		message.refused, message.request.refused = true, true
+		if message.How != history.HalfClosed { // to its relay such a client has left, and what it wanted need not be counted
+			relay.counters["refused"].least.add(e.T)
 		}
-		p.counts["refused"].may.add(e.T)
-		c.handedBack(m, e)
+		relay.counters["refused"].most.add(e.T)
+		c.checkRejection(message, e)
 	default:
-		m.want.failed = true
-		p.counts["failed"].may.add(e.T)
+		message.request.failed = true
+		relay.counters["failed"].most.add(e.T)
 	}
 }
 
 // hungUp takes in that a client has stopped waiting, or that its connection ended. A request that the relay had read is
 // owed an answer, on a new connection as well as on a kept one; only a process that is killed cannot give it.
-func (c *Checker) hungUp(e history.Event) {
-	m := c.msgs[e.ID]
-	if m == nil {
+func (c *Checker) clientDisconnected(e history.Event) {
+	message := c.messages[e.ID]
+	if message == nil {
 		return
 	}
-	m.left, m.lines = true, append(m.lines, e)
-	p := c.proc(e.Relay)
+	message.clientLeft, message.events = true, append(message.events, e)
+	relay := c.relay(e.Relay)
 	for _, name := range []string{"refused", "failed"} { // the relay may count it, though nobody hears its answer
-		p.counts[name].may.add(e.T)
+		relay.counters[name].most.add(e.T)
 	}
 	if e.How != history.Unanswered {
 		return
 	}
-	c.looked(End)
-	if p.killed > 0 && p.killed >= m.T {
+	c.countCheck(End)
+	if relay.killedAt > 0 && relay.killedAt >= message.T {
 		return
 	}
-	c.broken(End, e.T, m.ID, "its request was read, and its connection closed with no answer", []string{e.Relay}, m.lines...)
+	c.addViolation(End, e.T, message.ID, "its request was read, and its connection closed with no answer", []string{e.Relay}, message.events...)
 	c.report.Lost++
 }
 
 // handedBack looks whether a message may be handed in again, as its client was told.
-func (c *Checker) handedBack(m *msg, e history.Event) {
-	c.looked(Repeat)
-	for _, a := range m.calls {
-		if a.end > 0 && !a.mayRun() {
+func (c *Checker) checkRejection(message *messageState, e history.Event) {
+	c.countCheck(Repeat)
+	for _, call := range message.calls {
+		if call.endedAt > 0 && !call.mayHaveRun() {
 			continue
 		}
-		if m.class.Effect == "at_most_once" || m.class.Effect == "deduplicated" && m.class.SameZone {
-			c.broken(Repeat, e.T, m.ID, "it may have run, and its client was told to hand it in again", []string{e.Relay}, append(m.lines, a.Event)...)
+		if message.class.Effect == "at_most_once" || message.class.Effect == "deduplicated" && message.class.SameZone {
+			c.addViolation(Repeat, e.T, message.ID, "it may have run, and its client was told to hand it in again", []string{e.Relay}, append(message.events, call.Event)...)
 			return
 		}
 	}
 }
 
-func (w *want) deliver(at int64) {
-	if w.delivered == 0 || at < w.delivered {
-		w.delivered = at
+func (w *requestState) recordDelivery(at int64) {
+	if w.deliveredAt == 0 || at < w.deliveredAt {
+		w.deliveredAt = at
 	}
 }
 
-func (c *Checker) noticed(e history.Event) {
-	c.looked(Once)
-	m := c.msgs[e.ID]
-	if m == nil {
+func (c *Checker) noticeReceived(e history.Event) {
+	c.countCheck(Once)
+	message := c.messages[e.ID]
+	if message == nil {
 		return // of a message that was over long ago: it does no harm
 	}
-	procs := []string{e.Relay}
+	processes := []string{e.Relay}
 	switch {
-	case m.notice.T > 0 && m.notice.How != e.How:
-		c.broken(Once, e.T, m.ID, fmt.Sprintf("it has ended as %s and as %s", m.notice.How, e.How), procs, append(m.lines, m.notice, e)...)
-	case m.notice.T > 0: // told again, for the answer was not heard
+	case message.notice.T > 0 && message.notice.How != e.How:
+		c.addViolation(Once, e.T, message.ID, fmt.Sprintf("it has ended as %s and as %s", message.notice.How, e.How), processes, append(message.events, message.notice, e)...)
+	case message.notice.T > 0: // told again, for the answer was not heard
 		return
-	case m.delivered > 0 && !m.crossed() && e.T > m.delivered+slack && !c.restarted(e.Relay, m.delivered, e.T) && !c.inherited(e.Relay, m.deliverer(), m.delivered):
-		c.broken(Once, e.T, m.ID, fmt.Sprintf("it was delivered, and %.3f s later told to be %s", float64(e.T-m.delivered)/1e6, e.How), procs, append(m.lines, e)...)
+	case message.deliveredAt > 0 && !message.answersCrossedClose() && e.T > message.deliveredAt+slack && !c.restartedBetween(e.Relay, message.deliveredAt, e.T) && !c.mayHaveTakenOver(e.Relay, message.deliveredBy(), message.deliveredAt):
+		c.addViolation(Once, e.T, message.ID, fmt.Sprintf("it was delivered, and %.3f s later told to be %s", float64(e.T-message.deliveredAt)/1e6, e.How), processes, append(message.events, e)...)
 	}
-	m.notice = e
-	if len(m.lines) < linesMost {
-		m.lines = append(m.lines, e)
+	message.notice = e
+	if len(message.events) < maxEvents {
+		message.events = append(message.events, e)
 	}
-	p := c.proc(e.Relay)
-	if m.delivered > 0 && m.taken > 0 { // its time was up as the answer came, and it was counted so
-		p.counts["served"].unread++
+	relay := c.relay(e.Relay)
+	if message.deliveredAt > 0 && message.acceptedAt > 0 { // its time was up as the answer came, and it was counted so
+		relay.counters["served"].maybeUnread++
 	}
 	if e.How == "deferred" {
-		c.handedBack(m, e)
-		m.want.refused = true
-		p.counts["refused"].may.add(e.T)
-		if !m.left {
-			p.counts["refused"].must.add(e.T)
+		c.checkRejection(message, e)
+		message.request.refused = true
+		relay.counters["refused"].most.add(e.T)
+		if !message.clientLeft {
+			relay.counters["refused"].least.add(e.T)
 		}
 	} else {
-		m.want.failed = true
-		p.counts["failed"].may.add(e.T)
-		if !m.left {
-			p.counts["failed"].must.add(e.T)
+		message.request.failed = true
+		relay.counters["failed"].most.add(e.T)
+		if !message.clientLeft {
+			relay.counters["failed"].least.add(e.T)
 		}
 	}
 }
 
 // restarted tells whether a relay's process ended or began between two times.
-func (c *Checker) restarted(relay string, from, to int64) bool {
-	p := c.proc(relay)
-	return p.down > 0 && p.down <= to || p.resumed > 0 && p.resumed >= from-restart
+func (c *Checker) restartedBetween(name string, from, to int64) bool {
+	relay := c.relay(name)
+	return relay.downSince > 0 && relay.downSince <= to || relay.resumedAt > 0 && relay.resumedAt >= from-restartGrace
 }
 
 // overdue looks whether a message that was taken on has its end, once it should.
-func (c *Checker) overdue(m *msg) {
-	p := c.proc(m.Relay)
-	if m.taken == 0 {
-		c.forget(m)
+func (c *Checker) checkEnd(message *messageState) {
+	relay := c.relay(message.Relay)
+	if message.acceptedAt == 0 {
+		c.forget(message)
 		return
 	}
-	if c.excused(p) {
-		c.later(c.now+500*ms, func() { c.overdue(m) })
+	if c.cannotEnd(relay) {
+		c.schedule(c.now+500*ms, func() { c.checkEnd(message) })
 		return
 	}
-	allowed := m.allowedUntil(p)
+	allowed := message.endAllowedUntil(relay)
 	if c.now < allowed {
-		c.later(allowed, func() { c.overdue(m) })
+		c.schedule(allowed, func() { c.checkEnd(message) })
 		return
 	}
-	c.looked(End)
-	ended := m.delivered
-	if m.notice.T > 0 && (ended == 0 || m.notice.T < ended) {
-		ended = m.notice.T
+	c.countCheck(End)
+	endedAt := message.deliveredAt
+	if message.notice.T > 0 && (endedAt == 0 || message.notice.T < endedAt) {
+		endedAt = message.notice.T
 	}
 	switch {
-	case ended == 0:
-		c.broken(End, allowed, m.ID, "it was taken on, its time is up, and it has no end", []string{m.Relay}, m.lines...)
+	case endedAt == 0:
+		c.addViolation(End, allowed, message.ID, "it was taken on, its time is up, and it has no end", []string{message.Relay}, message.events...)
 		c.report.Lost++
-	case ended > allowed:
-		c.broken(End, ended, m.ID, fmt.Sprintf("its end came %.3f s late", float64(ended-allowed)/1e6), []string{m.Relay}, m.lines...)
+	case endedAt > allowed:
+		c.addViolation(End, endedAt, message.ID, fmt.Sprintf("its end came %.3f s late", float64(endedAt-allowed)/1e6), []string{message.Relay}, message.events...)
 	}
-	c.forget(m)
+	c.forget(message)
 }
 
 // excused tells whether a relay cannot end anything now, by the terms: it restarts, its machine is lost and not taken over
 // yet, or the lab has stopped it. One that crashed is not excused.
-func (c *Checker) excused(p *process) bool {
+func (c *Checker) cannotEnd(relay *relayState) bool {
 	switch {
-	case p.down == 0 || p.crashed:
+	case relay.downSince == 0 || relay.crashed:
 		return false
-	case p.lost:
-		return c.now <= p.down+c.takeOver()
+	case relay.machineLost:
+		return c.now <= relay.downSince+c.takeoverTime()
 	}
 	return true
 }
@@ -188,16 +188,18 @@
 // allowedUntil is by when a message must have its end: in its time and the slack. Besides, no end is overdue until some time
 // after a restart of its relay, nor before a lost machine's messages can be taken over. A relay that the lab had stopped has
 // the slack once it goes on, and no more.
-func (m *msg) allowedUntil(p *process) int64 {
-	allowed := max(m.due+endSlack, m.allowed)
-	if p.ready > m.taken {
-		allowed = max(allowed, p.ready+restart+slack)
+func (m *messageState) endAllowedUntil(relay *relayState) int64 {
+	allowed := max(m.dueAt+endSlack, m.extendedUntil)
+	if relay.readyAt > m.acceptedAt {
+		allowed = max(allowed, relay.readyAt+restartGrace+slack)
 	}
-	if p.continued > m.taken {
-		allowed = max(allowed, p.continued+endSlack)
+	if relay.continuedAt > m.acceptedAt {
+		allowed = max(allowed, relay.continuedAt+endSlack)
 	}
 	return allowed
 }
 
 // forget drops a message some time after it is over: until then it may yet be sent where it must not be.
-func (c *Checker) forget(m *msg) { c.later(c.now+keepFor, func() { delete(c.msgs, m.ID) }) }
+func (c *Checker) forget(message *messageState) {
+	c.schedule(c.now+retention, func() { delete(c.messages, message.ID) })
+}
--- a/internal/lab/rules/processes.go
+++ b/internal/lab/rules/processes.go
@@ -11,131 +11,131 @@
 
 // Relays: what they were told, how they ran, what they tell of themselves.
 
-func (c *Checker) process(e history.Event) {
+func (c *Checker) processChanged(e history.Event) {
 	if e.How != "start" && e.How != "exit" { // a keeper's, too: who leads anew waits for a lease
-		c.trouble = e.T
-		c.delayOrphans(e.T)
+		c.lastDisruption = e.T
+		c.extendOrphanDeadlines(e.T)
 	}
 	if !strings.HasPrefix(e.Proc, "relay/") {
 		return
 	}
-	p := c.proc(e.Proc)
-	c.looked(Process)
+	relay := c.relay(e.Proc)
+	c.countCheck(Process)
 	switch e.How {
 	case "start":
-		p.starts++
-		p.lost, p.crashed = false, false
+		relay.starts++
+		relay.machineLost, relay.crashed = false, false
 		if e.Text != "beside" {
-			p.waits = map[int][]span{} // a restart ends them
+			relay.waits = map[int][]timeSpan{} // a restart ends them
 		}
-		if len(p.listCalls) > 0 { // the process that made them has ended
-			p.listCalls, p.listFailed = nil, true
+		if len(relay.pendingListCalls) > 0 { // the process that made them has ended
+			relay.pendingListCalls, relay.lastListCallFailed = nil, true
 		}
 	case "ready", "cont":
-		if p.starts > 1 || e.How == "cont" {
-			p.resumed = e.T
+		if relay.starts > 1 || e.How == "cont" {
+			relay.resumedAt = e.T
 		}
-		for _, told := range []map[string]int64{p.told, p.banned} {
-			for name, at := range told { // one that is stopped hears nothing until it goes on
-				if p.down > 0 && at >= p.down {
-					told[name] = e.T
+		for _, times := range []map[string]int64{relay.reportedAt, relay.disabledAt} {
+			for name, at := range times { // one that is stopped hears nothing until it goes on
+				if relay.downSince > 0 && at >= relay.downSince {
+					times[name] = e.T
 				}
 			}
 		}
-		p.down = 0
+		relay.downSince = 0
 		if e.How == "cont" {
-			p.continued = e.T
+			relay.continuedAt = e.T
 		} else {
-			p.ready = e.T
+			relay.readyAt = e.T
 		}
 	case "stop":
-		p.down = e.T
+		relay.downSince = e.T
 	case "term", "kill":
 		if e.How == "kill" {
-			p.killed = e.T
+			relay.killedAt = e.T
 		}
 		if e.Text != "handed over" {
-			p.down = e.T
+			relay.downSince = e.T
 		}
 	case "lose":
-		c.lost(e, p)
+		c.machineLost(e, relay)
 	case "crash":
-		p.down, p.crashed = e.T, true
-		c.broken(Process, e.T, "", cmp.Or(e.Text, "it ended unasked"), []string{e.Proc}, e)
+		relay.downSince, relay.crashed = e.T, true
+		c.addViolation(Process, e.T, "", cmp.Or(e.Text, "it ended unasked"), []string{e.Proc}, e)
 	}
 }
 
 // fell judges a destination in slow start that got too much, whoever sent it.
-func (c *Checker) fell(e history.Event) {
-	c.looked(Cold)
+func (c *Checker) slowStartExceeded(e history.Event) {
+	c.countCheck(Cold)
 	if calls, allowed := e.Figures["calls"], e.Figures["allowed"]; calls > history.SlowStartMost(allowed) {
-		c.broken(Cold, e.T, "", fmt.Sprintf("destination %d, back and cold, was pushed over: %s", e.Dest, e.Text), nil, e)
+		c.addViolation(Cold, e.T, "", fmt.Sprintf("destination %d, back and cold, was pushed over: %s", e.Dest, e.Text), nil, e)
 	}
 }
 
 // stranger looks whether a peer that is no client got what it is owed. One that a stop, a restart or an end of the
 // relay came between is not judged.
-func (c *Checker) stranger(e history.Event) {
-	p := c.proc(e.Relay)
-	if p.down > 0 || p.resumed >= e.Begun {
+func (c *Checker) strangerEnded(e history.Event) {
+	relay := c.relay(e.Relay)
+	if relay.downSince > 0 || relay.resumedAt >= e.Begun {
 		return
 	}
-	c.looked(Strange)
+	c.countCheck(Strange)
 	took := e.T - e.Begun
 	switch {
 	case e.Status > 0 && e.Status < 400:
-		c.broken(Strange, e.T, "", fmt.Sprintf("a peer that sent %s was answered %d", e.How, e.Status), []string{e.Relay}, e)
+		c.addViolation(Strange, e.T, "", fmt.Sprintf("a peer that sent %s was answered %d", e.How, e.Status), []string{e.Relay}, e)
 	case e.State == "waits" || took > e.Left*ms+slack:
-		c.broken(Strange, e.T, "", fmt.Sprintf("a peer that sent %s had neither an error nor a close after %.3f s", e.How, float64(took)/1e6), []string{e.Relay}, e)
+		c.addViolation(Strange, e.T, "", fmt.Sprintf("a peer that sent %s had neither an error nor a close after %.3f s", e.How, float64(took)/1e6), []string{e.Relay}, e)
 	}
 }
 
-func (c *Checker) sample(e history.Event) {
+func (c *Checker) checkUsage(e history.Event) {
 	limits, ok := c.terms.Limits[e.Proc]
 	if !ok {
 		return
 	}
-	c.looked(Process)
-	for name, most := range map[string]float64{"memory_mb": limits.MemoryMB, "descriptors": limits.Sockets, "disk_mb": limits.DiskMB} {
-		if v := e.Figures[name]; v > most {
-			c.broken(Process, e.T, "", fmt.Sprintf("%s is %.1f, of %.1f", name, v, most), []string{e.Proc}, e)
+	c.countCheck(Process)
+	for name, limit := range map[string]float64{"memory_mb": limits.MemoryMB, "descriptors": limits.Sockets, "disk_mb": limits.DiskMB} {
+		if value := e.Figures[name]; value > limit {
+			c.addViolation(Process, e.T, "", fmt.Sprintf("%s is %.1f, of %.1f", name, value, limit), []string{e.Proc}, e)
 		}
 	}
-	c.report.use(e)
+	c.report.addSample(e)
 }
 
 // figures holds what a relay tells of itself against what was seen. Only of one that has run from the start are
 // all counts known.
-func (c *Checker) figures(e history.Event) {
-	p := c.proc(e.Relay)
-	if p.starts != 1 || p.resumed > e.Whole-2*lag { // one that stood still has yet to read what came meanwhile
+func (c *Checker) metricsRead(e history.Event) {
+	relay := c.relay(e.Relay)
+	if relay.starts != 1 || relay.resumedAt > e.Whole-2*metricsLag { // one that stood still has yet to read what came meanwhile
 		return
 	}
 	// A message may be counted a little before its end is seen.
-	c.later(e.T+lag, func() { c.compare(p, e) })
+	c.schedule(e.T+metricsLag, func() { c.compareMetrics(relay, e) })
 }
 
-func (c *Checker) compare(p *process, e history.Event) {
-	c.looked(Figures)
-	told := map[string]float64{"attempts": e.Figures["svc.attempts"]}
-	for name, v := range e.Figures {
-		for _, end := range []string{"served", "refused", "failed"} {
-			if strings.HasPrefix(name, "svc.requests.") && strings.HasSuffix(name, "."+end) {
-				told[end] += v
+func (c *Checker) compareMetrics(relay *relayState, e history.Event) {
+	c.countCheck(Figures)
+	reported := map[string]float64{"attempts": e.Figures["svc.attempts"]}
+	for name, value := range e.Figures {
+		for _, outcome := range []string{"served", "refused", "failed"} {
+			if strings.HasPrefix(name, "svc.requests.") && strings.HasSuffix(name, "."+outcome) {
+				reported[outcome] += value
 			}
 		}
 	}
-	for name, k := range p.counts {
-		part := 0.01
+	for name, bounds := range relay.counters {
+		tolerance := 0.01
 		if name == "attempts" {
-			part = 0.02
+			tolerance = 0.02
 		}
-		least, most := float64(max(0, k.must.at(e.Whole-lag)-k.unread)), float64(k.may.at(e.T+lag))
+		least, most := float64(max(0, bounds.least.countAt(e.Whole-metricsLag)-bounds.maybeUnread)), float64(bounds.most.countAt(e.T+metricsLag))
 		if name == "attempts" && c.lossy {
 			most = math.Inf(1)
 		}
-		if v := told[name]; v < least-max(3, part*least) || v > most+max(3, part*most) {
-			c.broken(Figures, e.T, "", fmt.Sprintf("%s is told to be %.0f and is %.0f to %.0f", name, v, least, most), []string{e.Relay}, e)
+		if value := reported[name]; value < least-max(3, tolerance*least) || value > most+max(3, tolerance*most) {
+			c.addViolation(Figures, e.T, "", fmt.Sprintf("%s is told to be %.0f and is %.0f to %.0f", name, value, least, most), []string{e.Relay}, e)
 		}
 	}
 }
--- a/internal/lab/rules/report.go
+++ b/internal/lab/rules/report.go
@@ -10,29 +10,29 @@
 
 // Report is what a history shows.
 type Report struct {
-	Broken    map[Rule]int    `json:"broken"`
-	Looked    map[Rule]int    `json:"looked"` // how often each rule was looked at: what was never tried is not shown to hold
-	Shown     []Broken        `json:"shown,omitempty"`
-	Served    float64         `json:"served"` // worth delivered over the worth asked for
-	Asked     int             `json:"asked"`
-	InTime    int             `json:"in_time"`
-	Late      int             `json:"late"`
-	Refused   int             `json:"refused"`
-	Failed    int             `json:"failed"`
-	Unheard   int             `json:"unheard"` // no relay answered in time
-	Lost      int             `json:"lost"`
-	Owed      int             `json:"owed"` // taken on by a relay that was down at the end
-	Latency   Latency         `json:"latency_ms"`
-	Seconds   []Second        `json:"seconds"`
-	Use       map[string]*Use `json:"use"`
-	Agreed    *Agreed         `json:"agreed,omitempty"`     // nil where relays share nothing
-	TakenOver []TakenOver     `json:"taken_over,omitempty"` // machines that were lost
-	Calls     map[int]*Series `json:"calls"`                // that reached each destination, by second
-	Limits    map[int][]Limit `json:"limits"`               // of each destination, in calls a second
-	Held      *Series         `json:"held"`                 // messages by all relays that told, by second
-	worth     float64
-	got       float64
-	hist      *hdrhistogram.Histogram
+	Broken         map[Rule]int      `json:"broken"`
+	Checked        map[Rule]int      `json:"looked"` // how often each rule was looked at: what was never tried is not shown to hold
+	Violations     []Violation       `json:"shown,omitempty"`
+	Served         float64           `json:"served"` // worth delivered over the worth asked for
+	Asked          int               `json:"asked"`
+	InTime         int               `json:"in_time"`
+	Late           int               `json:"late"`
+	Refused        int               `json:"refused"`
+	Failed         int               `json:"failed"`
+	Unanswered     int               `json:"unheard"` // no relay answered in time
+	Lost           int               `json:"lost"`
+	Pending        int               `json:"owed"` // taken on by a relay that was down at the end
+	Latency        Latency           `json:"latency_ms"`
+	Seconds        []Second          `json:"seconds"`
+	Usage          map[string]*Usage `json:"use"`
+	Generations    *GenerationUse    `json:"agreed,omitempty"`     // nil where relays share nothing
+	Takeovers      []Takeover        `json:"taken_over,omitempty"` // machines that were lost
+	Calls          map[int]*Series   `json:"calls"`                // that reached each destination, by second
+	Limits         map[int][]Limit   `json:"limits"`               // of each destination, in calls a second
+	InFlight       *Series           `json:"held"`                 // messages by all relays that told, by second
+	worthRequested float64
+	worthDelivered float64
+	histogram      *hdrhistogram.Histogram
 }
 
 // Latency is the time from a message's handing-in to its delivery, in milliseconds.
@@ -46,15 +46,15 @@
 
 // Second is what became of the messages of one second.
 type Second struct {
-	Asked   int     `json:"asked"`
-	InTime  int     `json:"in_time"`
-	Late    int     `json:"late"`
-	Refused int     `json:"refused"`
-	Other   int     `json:"other"`
-	Worth   float64 `json:"worth"`
-	P50     float64 `json:"p50_ms"` // of the time to delivery
-	P99     float64 `json:"p99_ms"`
-	took    []int32 // milliseconds, until the second is settled
+	Asked         int     `json:"asked"`
+	InTime        int     `json:"in_time"`
+	Late          int     `json:"late"`
+	Refused       int     `json:"refused"`
+	Other         int     `json:"other"`
+	Worth         float64 `json:"worth"`
+	P50           float64 `json:"p50_ms"` // of the time to delivery
+	P99           float64 `json:"p99_ms"`
+	deliveryTimes []int32 // milliseconds, until the second is settled
 }
 
 // Limit is what a destination takes from a time on.
@@ -64,100 +64,100 @@
 }
 
 // settle counts what became of a message that a client wanted delivered.
-func (c *Checker) settle(first string) {
-	w := c.wants[first]
-	if w == nil {
+func (c *Checker) settleRequest(first string) {
+	request := c.requests[first]
+	if request == nil {
 		return
 	}
-	delete(c.wants, first)
+	delete(c.requests, first)
 	r := &c.report
-	for n := int(w.at / 1e6); len(r.Seconds) <= n; {
+	for number := int(request.submittedAt / 1e6); len(r.Seconds) <= number; {
 		r.Seconds = append(r.Seconds, Second{})
 	}
-	s := &r.Seconds[w.at/1e6]
-	if old := int(w.at/1e6) - 2; old >= 0 { // all of it is settled: messages are in the order of their times
-		r.Seconds[old].close()
+	second := &r.Seconds[request.submittedAt/1e6]
+	if previous := int(request.submittedAt/1e6) - 2; previous >= 0 { // all of it is settled: messages are in the order of their times
+		r.Seconds[previous].close()
 	}
 	r.Asked++
-	s.Asked++
-	r.worth += w.class.Worth
-	took := time.Duration(w.delivered-w.at) * time.Microsecond
+	second.Asked++
+	r.worthRequested += request.class.Worth
+	took := time.Duration(request.deliveredAt-request.submittedAt) * time.Microsecond
 	switch {
-	case w.delivered > 0 && took <= w.class.Deadline:
-		worth := w.class.WorthAfter(took)
-		r.got += worth
-		s.Worth += worth
-		if r.hist == nil {
-			r.hist = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
+	case request.deliveredAt > 0 && took <= request.class.Deadline:
+		worth := request.class.WorthAfter(took)
+		r.worthDelivered += worth
+		second.Worth += worth
+		if r.histogram == nil {
+			r.histogram = hdrhistogram.New(1, int64(time.Hour/time.Microsecond), 3)
 		}
-		r.hist.RecordValue(took.Microseconds())
-		s.took = append(s.took, int32(took.Milliseconds()))
-		if took <= w.class.Aim {
+		r.histogram.RecordValue(took.Microseconds())
+		second.deliveryTimes = append(second.deliveryTimes, int32(took.Milliseconds()))
+		if took <= request.class.Aim {
 			r.InTime++
-			s.InTime++
+			second.InTime++
 		} else {
 			r.Late++
-			s.Late++
+			second.Late++
 		}
-	case w.refused:
+	case request.refused:
 		r.Refused++
-		s.Refused++
-	case w.failed:
+		second.Refused++
+	case request.failed:
 		r.Failed++
-		s.Other++
+		second.Other++
 	default:
-		r.Unheard++
-		s.Other++
+		r.Unanswered++
+		second.Other++
 	}
 }
 
 // Close judges what is left, and returns the report. Messages whose time is not up are not judged.
 func (c *Checker) Close() *Report {
-	for len(c.due) > 0 && c.due[0].at <= c.now {
-		heap.Pop(&c.due).(due).what()
+	for len(c.queue) > 0 && c.queue[0].at <= c.now {
+		heap.Pop(&c.queue).(scheduledCheck).run()
 	}
-	for _, m := range c.msgs {
-		if m.taken > 0 && m.delivered == 0 && m.notice.T == 0 && c.proc(m.Relay).down > 0 {
-			c.report.Owed++
+	for _, message := range c.messages {
+		if message.acceptedAt > 0 && message.deliveredAt == 0 && message.notice.T == 0 && c.relay(message.Relay).downSince > 0 {
+			c.report.Pending++
 		}
 	}
-	for first := range c.wants {
-		c.settle(first)
+	for first := range c.requests {
+		c.settleRequest(first)
 	}
 	r := &c.report
 	for i := range r.Seconds {
 		r.Seconds[i].close()
 	}
-	if r.Held != nil {
-		r.Held.close()
+	if r.InFlight != nil {
+		r.InFlight.close()
 	}
-	for _, k := range r.Calls {
-		k.close()
+	for _, series := range r.Calls {
+		series.close()
 	}
-	for _, u := range r.Use {
-		for _, k := range u.Over {
-			k.close()
+	for _, usage := range r.Usage {
+		for _, series := range usage.OverTime {
+			series.close()
 		}
 	}
-	if r.worth > 0 {
-		r.Served = r.got / r.worth
+	if r.worthRequested > 0 {
+		r.Served = r.worthDelivered / r.worthRequested
 	}
-	if h := r.hist; h != nil {
-		at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		r.Latency = Latency{P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1000}
-		for _, q := range []float64{0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9, 99.95, 99.98, 99.99} {
-			r.Latency.Curve = append(r.Latency.Curve, Quantile{q, at(q)})
+	if histogram := r.histogram; histogram != nil {
+		quantileMs := func(percent float64) float64 { return float64(histogram.ValueAtQuantile(percent)) / 1000 }
+		r.Latency = Latency{P50: quantileMs(50), P90: quantileMs(90), P99: quantileMs(99), P999: quantileMs(99.9), Max: float64(histogram.Max()) / 1000}
+		for _, percent := range []float64{0, 10, 25, 50, 75, 90, 95, 98, 99, 99.5, 99.8, 99.9, 99.95, 99.98, 99.99} {
+			r.Latency.Curve = append(r.Latency.Curve, Quantile{percent, quantileMs(percent)})
 		}
 	}
 	return r
 }
 
 // Standing is how many messages were asked for and served in time so far, and how many rules are broken.
-func (c *Checker) Standing() (asked, inTime, broken int) {
+func (c *Checker) Progress() (asked, inTime, broken int) {
 	asked, inTime = c.report.Asked, c.report.InTime
-	for _, w := range c.wants {
+	for _, request := range c.requests {
 		asked++
-		if w.delivered > 0 && w.delivered-w.at <= w.class.Aim.Microseconds() {
+		if request.deliveredAt > 0 && request.deliveredAt-request.submittedAt <= request.class.Aim.Microseconds() {
 			inTime++
 		}
 	}
@@ -169,14 +169,14 @@
 
 // Total is how many rules were broken.
 func (r *Report) Total() (n int) {
-	for _, k := range r.Broken {
-		n += k
+	for _, broken := range r.Broken {
+		n += broken
 	}
 	return n
 }
 
 func (r *Report) String() string {
 	return fmt.Sprintf("served %.3f of the worth asked for; %d messages: %d in time, %d late, %d refused, %d failed, %d unheard; lost %d, owed %d; "+
-		"latency p50 %.0f p99 %.0f ms; rules broken %d", r.Served, r.Asked, r.InTime, r.Late, r.Refused, r.Failed, r.Unheard, r.Lost, r.Owed,
+		"latency p50 %.0f p99 %.0f ms; rules broken %d", r.Served, r.Asked, r.InTime, r.Late, r.Refused, r.Failed, r.Unanswered, r.Lost, r.Pending,
 		r.Latency.P50, r.Latency.P99, r.Total())
 }
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -36,28 +36,28 @@
 
 // The slack of the protocol's page, in microseconds.
 const (
-	ms        = int64(1000)
-	slack     = 50 * ms
-	endSlack  = 300*ms + slack
-	waitGrace = 100*ms + slack
-	restart   = 1500 * ms // after a restart is ready again its notices are not overdue for so long
-	lag       = 500 * ms  // figures may be so old
-	keepFor   = 5000 * ms // what has ended is remembered for so long
-	linesMost = 40
-	shownMost = 20 // broken rules of a kind that are told in full
+	ms            = int64(1000)
+	slack         = 50 * ms
+	endSlack      = 300*ms + slack
+	waitGrace     = 100*ms + slack
+	restartGrace  = 1500 * ms // after a restart is ready again its notices are not overdue for so long
+	metricsLag    = 500 * ms  // figures may be so old
+	retention     = 5000 * ms // what has ended is remembered for so long
+	maxEvents     = 40
+	maxViolations = 20 // broken rules of a kind that are told in full
 )
 
 // Broken is one rule that was broken.
-type Broken struct {
+type Violation struct {
 	Rule      Rule            `json:"rule"`
 	T         int64           `json:"t"`
 	Message   string          `json:"message,omitempty"`
 	Processes []string        `json:"processes,omitempty"`
 	Text      string          `json:"text"`
-	Lines     []history.Event `json:"lines,omitempty"` // of the history that show it
+	Events    []history.Event `json:"lines,omitempty"` // of the history that show it
 }
 
-func (b Broken) String() string {
+func (b Violation) String() string {
 	var s strings.Builder
 	fmt.Fprintf(&s, "%8.3f s  %s: %s", float64(b.T)/1e6, b.Rule, b.Text)
 	if b.Message != "" {
@@ -70,156 +70,156 @@
 }
 
 // Owing is how many messages were taken on and have no end yet.
-func (c *Checker) Owing() (n int) {
-	for _, m := range c.msgs {
-		if m.taken > 0 && m.delivered == 0 && m.notice.T == 0 {
-			n++
+func (c *Checker) PendingMessages() (count int) {
+	for _, message := range c.messages {
+		if message.acceptedAt > 0 && message.deliveredAt == 0 && message.notice.T == 0 {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // Checker reads a history.
 type Checker struct {
-	terms   *history.Terms
-	classes map[string]*history.Class
-	now     int64
-	msgs    map[string]*msg
-	calls   map[int64]*call
-	wants   map[string]*want
-	procs   map[string]*process
-	changes []history.Event // of the list
+	terms       *history.Terms
+	classes     map[string]*history.Class
+	now         int64
+	messages    map[string]*messageState
+	calls       map[int64]*callState
+	requests    map[string]*requestState
+	relays      map[string]*relayState
+	listChanges []history.Event // of the list
 	// listDown is set during an outage of discovery; listUp is when the last one ended, 0 for never.
-	listDown bool
-	listUp   int64
-	due      dues
-	report   Report
-	longest  int64 // deadline of a class
-	lossy    bool  // what relays write may be seen by nobody
-	trouble  int64 // when something last began or ended that may have a message's relay be another
+	discoveryDown   bool
+	discoveryUpAt   int64
+	queue           checkQueue
+	report          Report
+	longestDeadline int64 // deadline of a class
+	lossy           bool  // what relays write may be seen by nobody
+	lastDisruption  int64 // when something last began or ended that may have a message's relay be another
 }
 
 // New returns a checker that has seen nothing.
 func New() *Checker {
-	return &Checker{msgs: map[string]*msg{}, calls: map[int64]*call{}, wants: map[string]*want{}, procs: map[string]*process{},
-		classes: map[string]*history.Class{}, report: Report{Broken: map[Rule]int{}, Looked: map[Rule]int{}}}
+	return &Checker{messages: map[string]*messageState{}, calls: map[int64]*callState{}, requests: map[string]*requestState{}, relays: map[string]*relayState{},
+		classes: map[string]*history.Class{}, report: Report{Broken: map[Rule]int{}, Checked: map[Rule]int{}}}
 }
 
 // due is when something has to be looked at again.
-type due struct {
-	at   int64
-	what func()
+type scheduledCheck struct {
+	at  int64
+	run func()
 }
 
-type dues []due
+type checkQueue []scheduledCheck
 
-func (d dues) Len() int           { return len(d) }
-func (d dues) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d dues) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *dues) Push(x any)        { *d = append(*d, x.(due)) }
-func (d *dues) Pop() any {
+func (d checkQueue) Len() int           { return len(d) }
+func (d checkQueue) Less(i, j int) bool { return d[i].at < d[j].at }
+func (d checkQueue) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
+func (d *checkQueue) Push(x any)        { *d = append(*d, x.(scheduledCheck)) }
+func (d *checkQueue) Pop() any {
 	last := (*d)[len(*d)-1]
 	*d = (*d)[:len(*d)-1]
 	return last
 }
 
-func (c *Checker) later(at int64, what func()) { heap.Push(&c.due, due{at, what}) }
+func (c *Checker) schedule(at int64, run func()) { heap.Push(&c.queue, scheduledCheck{at, run}) }
 
-func (c *Checker) broken(rule Rule, t int64, message, text string, procs []string, lines ...history.Event) {
+func (c *Checker) addViolation(rule Rule, t int64, message, text string, processes []string, events ...history.Event) {
 	c.report.Broken[rule]++
-	if c.report.Broken[rule] > shownMost {
+	if c.report.Broken[rule] > maxViolations {
 		return
 	}
-	slices.SortStableFunc(lines, func(a, b history.Event) int { return cmp.Compare(a.T, b.T) })
-	c.report.Shown = append(c.report.Shown, Broken{rule, t, message, procs, text, lines})
+	slices.SortStableFunc(events, func(a, b history.Event) int { return cmp.Compare(a.T, b.T) })
+	c.report.Violations = append(c.report.Violations, Violation{rule, t, message, processes, text, events})
 }
 
-func (c *Checker) looked(rule Rule) { c.report.Looked[rule]++ }
+func (c *Checker) countCheck(rule Rule) { c.report.Checked[rule]++ }
 
-func (c *Checker) proc(name string) *process {
-	p := c.procs[name]
-	if p == nil {
-		p = &process{told: map[string]int64{}, banned: map[string]int64{}, waits: map[int][]span{}, counts: map[string]*counter{}}
+func (c *Checker) relay(name string) *relayState {
+	relay := c.relays[name]
+	if relay == nil {
+		relay = &relayState{reportedAt: map[string]int64{}, disabledAt: map[string]int64{}, waits: map[int][]timeSpan{}, counters: map[string]*metricBounds{}}
 		for _, name := range []string{"served", "refused", "failed", "attempts"} {
-			p.counts[name] = &counter{}
+			relay.counters[name] = &metricBounds{}
 		}
-		c.procs[name] = p
+		c.relays[name] = relay
 	}
-	return p
+	return relay
 }
 
 // See takes in the next event.
-func (c *Checker) See(e history.Event) {
-	for len(c.due) > 0 && c.due[0].at <= e.T {
-		next := heap.Pop(&c.due).(due)
+func (c *Checker) Observe(e history.Event) {
+	for len(c.queue) > 0 && c.queue[0].at <= e.T {
+		next := heap.Pop(&c.queue).(scheduledCheck)
 		c.now = next.at
-		next.what()
+		next.run()
 	}
 	c.now = e.T
 	switch e.Kind {
 	case history.Run:
 		c.terms = e.Terms
 		for dest, rate := range e.Terms.Rates {
-			c.report.limit(dest, e.T, rate)
+			c.report.addLimit(dest, e.T, rate)
 		}
 		for i := range e.Terms.Classes {
 			c.classes[e.Terms.Classes[i].Name] = &e.Terms.Classes[i]
-			c.longest = max(c.longest, e.Terms.Classes[i].Deadline.Microseconds())
+			c.longestDeadline = max(c.longestDeadline, e.Terms.Classes[i].Deadline.Microseconds())
 		}
 	case history.Hand:
-		c.hand(e)
+		c.messageSubmitted(e)
 	case history.Heard:
-		c.heard(e)
+		c.clientAnswered(e)
 	case history.Left:
-		c.hungUp(e)
+		c.clientDisconnected(e)
 	case history.Call:
-		c.call(e)
+		c.callArrived(e)
 	case history.Answer, history.Gone:
-		c.answered(e)
+		c.callEnded(e)
 	case history.Notice:
-		c.noticed(e)
+		c.noticeReceived(e)
 	case history.Change:
-		c.changes = append(c.changes, e)
+		c.listChanges = append(c.listChanges, e)
 	case history.Asked:
-		c.proc(e.Relay).ask(e)
+		c.relay(e.Relay).listRequested(e)
 	case history.Untold:
-		c.unanswered(e)
+		c.listCallFailed(e)
 	case history.ListDown, history.ListUp:
-		c.listDown, c.listUp = e.Kind == history.ListDown, e.T
+		c.discoveryDown, c.discoveryUpAt = e.Kind == history.ListDown, e.T
 	case history.Told:
-		c.told(e)
+		c.listSent(e)
 	case history.ByHand:
-		p := c.proc(e.Relay)
+		p := c.relay(e.Relay)
 		if e.How == "enable" {
-			delete(p.banned, e.Endpoint)
-		} else if e.Status/100 == 2 && p.banned[e.Endpoint] == 0 {
-			p.banned[e.Endpoint] = e.T
+			delete(p.disabledAt, e.Endpoint)
+		} else if e.Status/100 == 2 && p.disabledAt[e.Endpoint] == 0 {
+			p.disabledAt[e.Endpoint] = e.T
 		}
 	case history.Proc:
-		c.process(e)
+		c.processChanged(e)
 	case history.Fault:
 		c.lossy = c.lossy || e.State == history.Lossy
 		if c.lossy {
-			c.trouble = e.T
+			c.lastDisruption = e.T
 		}
 	case history.Limit:
-		c.report.limit(e.Dest, e.T, e.Figures["rate"])
+		c.report.addLimit(e.Dest, e.T, e.Figures["rate"])
 	case history.Metrics:
-		if c.report.Held == nil {
-			c.report.Held = newSeries(true)
+		if c.report.InFlight == nil {
+			c.report.InFlight = newSeries(true)
 		}
-		c.report.Held.add(e.T, e.Figures["svc.in_flight"])
-		c.tookOver(e)
-		c.figures(e)
+		c.report.InFlight.add(e.T, e.Figures["svc.in_flight"])
+		c.updateTakeovers(e)
+		c.metricsRead(e)
 	case history.Sample:
-		c.sample(e)
+		c.checkUsage(e)
 	case history.Up:
-		c.looked(Cold)
+		c.countCheck(Cold)
 	case history.Fell:
-		c.fell(e)
+		c.slowStartExceeded(e)
 	case history.Stranger:
-		c.stranger(e)
+		c.strangerEnded(e)
 	case history.Bad:
-		c.broken(Own, e.T, "", fmt.Sprintf("%s was sent what it could not read: %s", e.Endpoint, e.Text), []string{e.Relay}, e)
+		c.addViolation(Own, e.T, "", fmt.Sprintf("%s was sent what it could not read: %s", e.Endpoint, e.Text), []string{e.Relay}, e)
 	}
 }
--- a/internal/lab/rules/series.go
+++ b/internal/lab/rules/series.go
@@ -10,86 +10,86 @@
 
 // Series is a figure by time. It keeps its length in bounds: where it grows too long, two points become one.
 type Series struct {
-	Every float64   `json:"every_s"` // seconds that a point stands for
-	V     []float64 `json:"v"`
-	n     []int
-	sums  bool // a point is the sum of what falls into it, per second; else the mean
+	Interval float64   `json:"every_s"` // seconds that a point stands for
+	Values   []float64 `json:"v"`
+	counts   []int
+	isSum    bool // a point is the sum of what falls into it, per second; else the mean
 }
 
-const pointsMost = 1200
+const maxPoints = 1200
 
-func newSeries(sums bool) *Series { return &Series{Every: 1, sums: sums} }
+func newSeries(sums bool) *Series { return &Series{Interval: 1, isSum: sums} }
 
 // add takes in a value at a time in microseconds.
-func (s *Series) add(at int64, v float64) {
-	i := int(float64(at) / 1e6 / s.Every)
-	for i >= pointsMost {
-		half := (len(s.V) + 1) / 2
+func (s *Series) add(at int64, value float64) {
+	i := int(float64(at) / 1e6 / s.Interval)
+	for i >= maxPoints {
+		half := (len(s.Values) + 1) / 2
 		for k := range half {
-			v, n := s.V[2*k], s.n[2*k]
-			if 2*k+1 < len(s.V) {
-				v, n = v+s.V[2*k+1], n+s.n[2*k+1]
+			value, n := s.Values[2*k], s.counts[2*k]
+			if 2*k+1 < len(s.Values) {
+				value, n = value+s.Values[2*k+1], n+s.counts[2*k+1]
 			}
-			s.V[k], s.n[k] = v, n
+			s.Values[k], s.counts[k] = value, n
 		}
-		s.V, s.n, s.Every = s.V[:half], s.n[:half], 2*s.Every
-		i = int(float64(at) / 1e6 / s.Every)
+		s.Values, s.counts, s.Interval = s.Values[:half], s.counts[:half], 2*s.Interval
+		i = int(float64(at) / 1e6 / s.Interval)
 	}
-	for len(s.V) <= i {
-		s.V, s.n = append(s.V, 0), append(s.n, 0)
+	for len(s.Values) <= i {
+		s.Values, s.counts = append(s.Values, 0), append(s.counts, 0)
 	}
-	s.V[i] += v
-	s.n[i]++
+	s.Values[i] += value
+	s.counts[i]++
 }
 
 // close turns sums into what the points tell.
 func (s *Series) close() {
-	for i := range s.V {
-		if s.sums {
-			s.V[i] /= s.Every
-		} else if s.n[i] > 0 {
-			s.V[i] /= float64(s.n[i])
+	for i := range s.Values {
+		if s.isSum {
+			s.Values[i] /= s.Interval
+		} else if s.counts[i] > 0 {
+			s.Values[i] /= float64(s.counts[i])
 		}
 	}
 }
 
 // Use is what the processes of a relay used: processor time of all, and the most of the rest.
-type Use struct {
+type Usage struct {
 	CPU         float64            `json:"cpu_s"`
 	MemoryMB    float64            `json:"memory_mb"`
 	Descriptors float64            `json:"descriptors"`
 	DiskMB      float64            `json:"disk_mb"`
-	Over        map[string]*Series `json:"over_time"` // processor time in percent, memory, descriptors
-	cpu         map[int]float64    // by process number
-	last        int64
+	OverTime    map[string]*Series `json:"over_time"` // processor time in percent, memory, descriptors
+	cpuByPID    map[int]float64    // by process number
+	lastAt      int64
 }
 
-func (r *Report) use(e history.Event) {
-	if r.Use == nil {
-		r.Use = map[string]*Use{}
+func (r *Report) addSample(e history.Event) {
+	if r.Usage == nil {
+		r.Usage = map[string]*Usage{}
 	}
-	u := r.Use[e.Proc]
-	if u == nil {
-		u = &Use{cpu: map[int]float64{}, Over: map[string]*Series{"cpu_percent": newSeries(false), "memory_mb": newSeries(false), "descriptors": newSeries(false)}}
-		r.Use[e.Proc] = u
+	usage := r.Usage[e.Proc]
+	if usage == nil {
+		usage = &Usage{cpuByPID: map[int]float64{}, OverTime: map[string]*Series{"cpu_percent": newSeries(false), "memory_mb": newSeries(false), "descriptors": newSeries(false)}}
+		r.Usage[e.Proc] = usage
 	}
-	if was, cpu := u.cpu[e.PID], e.Figures["cpu_s"]; cpu >= was {
-		u.CPU += cpu - was
-		if u.last > 0 && e.T > u.last {
-			u.Over["cpu_percent"].add(e.T, 100*(cpu-was)/(float64(e.T-u.last)/1e6))
+	if previous, cpu := usage.cpuByPID[e.PID], e.Figures["cpu_s"]; cpu >= previous {
+		usage.CPU += cpu - previous
+		if usage.lastAt > 0 && e.T > usage.lastAt {
+			usage.OverTime["cpu_percent"].add(e.T, 100*(cpu-previous)/(float64(e.T-usage.lastAt)/1e6))
 		}
-		u.cpu[e.PID] = cpu
+		usage.cpuByPID[e.PID] = cpu
 	}
-	u.last = e.T
-	u.MemoryMB = max(u.MemoryMB, e.Figures["memory_mb"])
-	u.Descriptors = max(u.Descriptors, e.Figures["descriptors"])
-	u.DiskMB = max(u.DiskMB, e.Figures["disk_mb"])
-	u.Over["memory_mb"].add(e.T, e.Figures["memory_mb"])
-	u.Over["descriptors"].add(e.T, e.Figures["descriptors"])
+	usage.lastAt = e.T
+	usage.MemoryMB = max(usage.MemoryMB, e.Figures["memory_mb"])
+	usage.Descriptors = max(usage.Descriptors, e.Figures["descriptors"])
+	usage.DiskMB = max(usage.DiskMB, e.Figures["disk_mb"])
+	usage.OverTime["memory_mb"].add(e.T, e.Figures["memory_mb"])
+	usage.OverTime["descriptors"].add(e.T, e.Figures["descriptors"])
 }
 
 // arrived counts a call at its destination.
-func (r *Report) arrived(e history.Event) {
+func (r *Report) addCall(e history.Event) {
 	if r.Calls == nil {
 		r.Calls = map[int]*Series{}
 	}
@@ -100,7 +100,7 @@
 }
 
 // limit notes what a destination takes from now on.
-func (r *Report) limit(dest int, at int64, rate float64) {
+func (r *Report) addLimit(dest int, at int64, rate float64) {
 	if r.Limits == nil {
 		r.Limits = map[int][]Limit{}
 	}
@@ -109,9 +109,9 @@
 
 // close settles a second.
 func (s *Second) close() {
-	if n := len(s.took); n > 0 {
-		slices.Sort(s.took)
-		s.P50, s.P99 = float64(s.took[n/2]), float64(s.took[min(n-1, n*99/100)])
-		s.took = nil
+	if count := len(s.deliveryTimes); count > 0 {
+		slices.Sort(s.deliveryTimes)
+		s.P50, s.P99 = float64(s.deliveryTimes[count/2]), float64(s.deliveryTimes[min(count-1, count*99/100)])
+		s.deliveryTimes = nil
 	}
 }
--- a/internal/lab/rules/slowstart_test.go
+++ b/internal/lab/rules/slowstart_test.go
@@ -13,13 +13,13 @@
 }
 
 // check holds the verdict on each history against what it should be.
-func check(t *testing.T, cases map[string]ruleCase) {
+func checkCases(t *testing.T, cases map[string]ruleCase) {
 	t.Helper()
 	for name, c := range cases {
-		r := play(c.events...)
+		r := reportOf(c.events...)
 		for rule, n := range r.Broken {
 			if rule != c.rule {
-				t.Errorf("%s: %s is broken %d times: %v", name, rule, n, r.Shown)
+				t.Errorf("%s: %s is broken %d times: %v", name, rule, n, r.Violations)
 			}
 		}
 		if c.rule != "" && r.Broken[c.rule] == 0 {
@@ -33,19 +33,19 @@
 
 // A destination in slow start bears so many calls at most, whoever sends them and however many relays there are.
 func TestSlowStartBound(t *testing.T) {
-	fell := func(allowed, calls float64, more map[string]float64) []history.Event {
+	exceeded := func(allowed, calls float64, more map[string]float64) []history.Event {
 		figures := map[string]float64{"allowed": allowed, "calls": calls}
 		for k, v := range more {
 			figures[k] = v
 		}
 		return []history.Event{{T: 100, Kind: history.Fell, Figures: figures}}
 	}
-	check(t, map[string]ruleCase{
-		"a small one at its bound":       {"", fell(16, 31, map[string]float64{"relay/0": 31})}, // 16 + 3*4 + 3
-		"a small one above":              {Cold, fell(16, 32, map[string]float64{"relay/0": 32})},
-		"a large one at its bound":       {"", fell(100, 122, map[string]float64{"relay/0": 122})}, // 100 + 2*10 + 2
-		"a large one above":              {Cold, fell(100, 123, map[string]float64{"relay/0": 123})},
-		"by relays of which few know it": {Cold, fell(100, 123, map[string]float64{"relay/0": 23, "relay/1": 50, "relay/2": 50})},
-		"by many relays, a call each":    {Cold, fell(4, 14, map[string]float64{"relay/0": 1, "relay/1": 1, "relay/2": 1})}, // 4 + 3*2 + 3
+	checkCases(t, map[string]ruleCase{
+		"a small one at its bound":       {"", exceeded(16, 31, map[string]float64{"relay/0": 31})}, // 16 + 3*4 + 3
+		"a small one above":              {Cold, exceeded(16, 32, map[string]float64{"relay/0": 32})},
+		"a large one at its bound":       {"", exceeded(100, 122, map[string]float64{"relay/0": 122})}, // 100 + 2*10 + 2
+		"a large one above":              {Cold, exceeded(100, 123, map[string]float64{"relay/0": 123})},
+		"by relays of which few know it": {Cold, exceeded(100, 123, map[string]float64{"relay/0": 23, "relay/1": 50, "relay/2": 50})},
+		"by many relays, a call each":    {Cold, exceeded(4, 14, map[string]float64{"relay/0": 1, "relay/1": 1, "relay/2": 1})}, // 4 + 3*2 + 3
 	})
 }
--- a/internal/lab/rules/terms_test.go
+++ b/internal/lab/rules/terms_test.go
@@ -7,77 +7,77 @@
 )
 
 // begunFault is a fault of links, of which the history says that what relays write may be seen by nobody.
-func begunFault(t int64, how, text string) history.Event {
+func linkFault(t int64, how, text string) history.Event {
 	return history.Event{T: t, Kind: history.Fault, How: how, Text: text, State: history.Lossy}
 }
 
 // Trouble of any kind but a restart or a lost machine frees no message of its end: each history keeps the rule by a hair, or
 // just breaks it.
-func TestTroubleFreesNoMessage(t *testing.T) {
-	message := []history.Event{hand(100, "m", "keyed"), heard(110, "m", 202)} // its end is due by 4450
-	with := func(events ...history.Event) []history.Event { return append(message[:2:2], events...) }
-	left := func(t int64, how string) history.Event {
+func TestDisruptionsExtendNoDeadline(t *testing.T) {
+	message := []history.Event{submitted(100, "m", "keyed"), clientAnswer(110, "m", 202)} // its end is due by 4450
+	withMessage := func(events ...history.Event) []history.Event { return append(message[:2:2], events...) }
+	clientLeft := func(t int64, how string) history.Event {
 		return history.Event{T: t, Kind: history.Left, ID: "n", How: how}
 	}
-	stopped := proc(4000, "stop")
-	readLate := []history.Event{proc(50, "stop"), hand(100, "m", "keyed"), proc(400, "cont"), heard(410, "m", 202)}
-	for name, trouble := range map[string][]history.Event{
-		"a server that fails":              {sentAs(200, 1, "m", "endpoint/0"), answer(300, 1, 500)},
-		"a server that is silent":          {sentAs(200, 1, "m", "endpoint/0"), gone(4400, 1)},
-		"a server that refuses":            {sentAs(200, 1, "m", "endpoint/0"), answer(300, 1, 503)},
+	stopped := processEvent(4000, "stop")
+	readLate := []history.Event{processEvent(50, "stop"), submitted(100, "m", "keyed"), processEvent(400, "cont"), clientAnswer(410, "m", 202)}
+	for name, disruption := range map[string][]history.Event{
+		"a server that fails":              {callAt(200, 1, "m", "endpoint/0"), callAnswer(300, 1, 500)},
+		"a server that is silent":          {callAt(200, 1, "m", "endpoint/0"), callClosed(4400, 1)},
+		"a server that refuses":            {callAt(200, 1, "m", "endpoint/0"), callAnswer(300, 1, 503)},
 		"an outage":                        {{T: 200, Kind: history.Down, How: "outage"}, {T: 4440, Kind: history.Up, How: "outage"}},
-		"a connection that breaks":         {begunFault(200, "begin", "reset"), sentAs(250, 1, "m", "endpoint/0"), gone(300, 1), begunFault(4400, "end", "reset")},
-		"a silent platform":                {begunFault(200, "begin", "cut discovery to relays"), begunFault(4440, "end", "cut discovery to relays")},
+		"a connection that breaks":         {linkFault(200, "begin", "reset"), callAt(250, 1, "m", "endpoint/0"), callClosed(300, 1), linkFault(4400, "end", "reset")},
+		"a silent platform":                {linkFault(200, "begin", "cut discovery to relays"), linkFault(4440, "end", "cut discovery to relays")},
 		"discovery that fails":             {{T: 200, Kind: history.Asked}, {T: 300, Kind: history.Untold}},
 		"another client that misbehaves":   {{T: 3300, Kind: history.Stranger, Begun: 300, Left: 3000, State: "closed"}},
-		"another client that gives up":     {hand(300, "n", "keyed"), left(700, "no answer in time")},
+		"another client that gives up":     {submitted(300, "n", "keyed"), clientLeft(700, "no answer in time")},
 		"a keeper that is killed":          {{T: 4400, Kind: history.Proc, Proc: "keeper/0", How: "kill"}},
 		"another relay that is killed":     {{T: 4400, Kind: history.Proc, Proc: "relay/1", How: "kill"}},
-		"a restart long before":            {proc(111, "kill"), proc(200, "start"), proc(300, "ready")},
-		"a pause that is over":             {proc(200, "stop"), proc(4000, "cont")},
-		"a pause that is over, read again": {proc(111, "stop"), proc(300, "cont")},
+		"a restart long before":            {processEvent(111, "kill"), processEvent(200, "start"), processEvent(300, "ready")},
+		"a pause that is over":             {processEvent(200, "stop"), processEvent(4000, "cont")},
+		"a pause that is over, read again": {processEvent(111, "stop"), processEvent(300, "cont")},
 	} {
-		check(t, map[string]ruleCase{
-			name + ", its end in time":   {"", with(append(trouble, notice(4449, "m", "undeliverable"))...)},
-			name + ", its end too late":  {End, with(append(trouble, notice(4460, "m", "undeliverable"))...)},
-			name + ", and it never ends": {End, with(trouble...)},
+		checkCases(t, map[string]ruleCase{
+			name + ", its end in time":   {"", withMessage(append(disruption, noticeEvent(4449, "m", "undeliverable"))...)},
+			name + ", its end too late":  {End, withMessage(append(disruption, noticeEvent(4460, "m", "undeliverable"))...)},
+			name + ", and it never ends": {End, withMessage(disruption...)},
 		})
 	}
-	written := heard(310, "m", 202)
+	written := clientAnswer(310, "m", 202)
 	written.Whole = 300
-	writtenLate := []history.Event{hand(100, "m", "keyed"), written}
-	check(t, map[string]ruleCase{
-		"counted from its last byte":       {"", append(writtenLate[:2:2], notice(4649, "m", "deferred"))},
-		"late, counted from its last byte": {End, append(writtenLate[:2:2], notice(4651, "m", "deferred"))},
-		"a pause as it is due":             {"", with(stopped, proc(6000, "cont"), notice(6350, "m", "deferred"))},
-		"too late after that":              {End, with(stopped, proc(6000, "cont"), notice(6360, "m", "deferred"))},
-		"read late, and ended in its time": {"", append(readLate, notice(4449, "m", "deferred"))},
-		"read late, and ended late for it": {End, append(readLate, notice(4460, "m", "deferred"))},
-		"a crash frees none":               {Process, with(proc(200, "crash"), notice(4449, "m", "deferred"))},
+	writtenLate := []history.Event{submitted(100, "m", "keyed"), written}
+	checkCases(t, map[string]ruleCase{
+		"counted from its last byte":       {"", append(writtenLate[:2:2], noticeEvent(4649, "m", "deferred"))},
+		"late, counted from its last byte": {End, append(writtenLate[:2:2], noticeEvent(4651, "m", "deferred"))},
+		"a pause as it is due":             {"", withMessage(stopped, processEvent(6000, "cont"), noticeEvent(6350, "m", "deferred"))},
+		"too late after that":              {End, withMessage(stopped, processEvent(6000, "cont"), noticeEvent(6360, "m", "deferred"))},
+		"read late, and ended in its time": {"", append(readLate, noticeEvent(4449, "m", "deferred"))},
+		"read late, and ended late for it": {End, append(readLate, noticeEvent(4460, "m", "deferred"))},
+		"a crash frees none":               {Process, withMessage(processEvent(200, "crash"), noticeEvent(4449, "m", "deferred"))},
 	})
-	r := play(with(proc(200, "crash"))...)
+	r := reportOf(withMessage(processEvent(200, "crash"))...)
 	if r.Broken[End] != 1 || r.Lost != 1 {
 		t.Errorf("of a process that crashed %d ends are broken and %d messages lost, want 1 and 1", r.Broken[End], r.Lost)
 	}
 }
 
 // A request that was read is owed an answer, on whatever connection; one that was not is the client's to send anew.
-func TestReadRequestIsOwedAnAnswer(t *testing.T) {
-	left := func(t int64, how string) history.Event {
+func TestReadRequestGetsAnswer(t *testing.T) {
+	clientLeft := func(t int64, how string) history.Event {
 		return history.Event{T: t, Kind: history.Left, ID: "m", How: how}
 	}
-	handed := hand(100, "m", "keyed")
-	check(t, map[string]ruleCase{
-		"read, and closed with no answer":       {End, []history.Event{handed, left(120, history.Unanswered)}},
-		"closed unread":                         {"", []history.Event{handed, left(120, "connection ended")}},
-		"the client gave up":                    {"", []history.Event{handed, left(500, "no answer in time")}},
-		"ended by SIGKILL":                      {"", []history.Event{handed, proc(110, "kill"), left(111, history.Unanswered), proc(700, "start"), proc(800, "ready")}},
-		"handed in after the SIGKILL":           {End, []history.Event{proc(50, "kill"), proc(60, "start"), proc(70, "ready"), handed, left(120, history.Unanswered)}},
-		"SIGTERM frees none that was read":      {End, []history.Event{handed, proc(110, "term"), left(120, history.Unanswered), proc(700, "start"), proc(800, "ready")}},
-		"an upgrade frees none that was read":   {End, []history.Event{handed, {T: 105, Kind: history.Proc, Proc: "relay/0", How: "term", Text: "handed over"}, left(120, history.Unanswered)}},
-		"a crash frees none that was read":      {End, []history.Event{handed, left(109, history.Unanswered)}},
-		"a pause before frees none":             {End, []history.Event{proc(50, "stop"), proc(90, "cont"), handed, left(120, history.Unanswered)}},
-		"trouble of links frees none":           {End, []history.Event{begunFault(50, "begin", "cut"), handed, left(120, history.Unanswered)}},
-		"handed in anew under another id since": {End, []history.Event{handed, left(120, history.Unanswered), hand(130, "n", "keyed"), heard(140, "n", 202), sentAs(150, 1, "n", "endpoint/0"), answer(200, 1, 200)}},
+	request := submitted(100, "m", "keyed")
+	checkCases(t, map[string]ruleCase{
+		"read, and closed with no answer":       {End, []history.Event{request, clientLeft(120, history.Unanswered)}},
+		"closed unread":                         {"", []history.Event{request, clientLeft(120, "connection ended")}},
+		"the client gave up":                    {"", []history.Event{request, clientLeft(500, "no answer in time")}},
+		"ended by SIGKILL":                      {"", []history.Event{request, processEvent(110, "kill"), clientLeft(111, history.Unanswered), processEvent(700, "start"), processEvent(800, "ready")}},
+		"handed in after the SIGKILL":           {End, []history.Event{processEvent(50, "kill"), processEvent(60, "start"), processEvent(70, "ready"), request, clientLeft(120, history.Unanswered)}},
+		"SIGTERM frees none that was read":      {End, []history.Event{request, processEvent(110, "term"), clientLeft(120, history.Unanswered), processEvent(700, "start"), processEvent(800, "ready")}},
+		"an upgrade frees none that was read":   {End, []history.Event{request, {T: 105, Kind: history.Proc, Proc: "relay/0", How: "term", Text: "handed over"}, clientLeft(120, history.Unanswered)}},
+		"a crash frees none that was read":      {End, []history.Event{request, clientLeft(109, history.Unanswered)}},
+		"a pause before frees none":             {End, []history.Event{processEvent(50, "stop"), processEvent(90, "cont"), request, clientLeft(120, history.Unanswered)}},
+		"trouble of links frees none":           {End, []history.Event{linkFault(50, "begin", "cut"), request, clientLeft(120, history.Unanswered)}},
+		"handed in anew under another id since": {End, []history.Event{request, clientLeft(120, history.Unanswered), submitted(130, "n", "keyed"), clientAnswer(140, "n", 202), callAt(150, 1, "n", "endpoint/0"), callAnswer(200, 1, 200)}},
 	})
 }
