--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -38,13 +38,13 @@
 <h2>Rules</h2><table><tr><th>rule</th><th>looked at</th><th>broken</th></tr>
 {{range .Rules}}<tr><td>{{.Name}}</td><td class="n">{{.Looked}}</td><td class="n{{if .Broken}} bad{{end}}">{{.Broken}}</td></tr>
 {{end}}</table>
-{{range .R.Report.Shown}}<h3 class="bad">{{.Rule}}</h3><p>{{.}}</p><pre>{{range .Lines}}{{.}}
+{{range .R.Report.Violations}}<h3 class="bad">{{.Rule}}</h3><p>{{.}}</p><pre>{{range .Events}}{{.}}
 {{end}}</pre>{{end}}
 <h2>Plots</h2>
 {{range .Figures}}<figure>{{.SVG}}<figcaption>{{.Note}}</figcaption></figure>
 {{end}}
 <h2>Processes</h2><table><tr><th></th><th>processor time, s</th><th>memory, MB</th><th>descriptors</th><th>disk, MB</th></tr>
-{{range $name, $u := .R.Report.Use}}<tr><td>{{$name}}</td><td class="n">{{printf "%.2f" $u.CPU}}</td><td class="n">{{printf "%.1f" $u.MemoryMB}}</td><td class="n">{{printf "%.0f" $u.Descriptors}}</td><td class="n">{{printf "%.2f" $u.DiskMB}}</td></tr>
+{{range $name, $u := .R.Report.Usage}}<tr><td>{{$name}}</td><td class="n">{{printf "%.2f" $u.CPU}}</td><td class="n">{{printf "%.1f" $u.MemoryMB}}</td><td class="n">{{printf "%.0f" $u.Descriptors}}</td><td class="n">{{printf "%.2f" $u.DiskMB}}</td></tr>
 {{end}}</table>
 <h2>What the seed drew</h2><pre>{{.Draw}}</pre>
 </body></html>
--- a/internal/lab/rules/calls.go
+++ b/internal/lab/rules/calls.go
@@ -30,7 +30,7 @@
 		relay.counters["attempts"].most.add(e.Whole)
 		c.countCheck(Own)
 		switch {
-		case message == nil && e.T-e.Whole > retention: // a cut held it up for longer than messages are remembered
+		case message == nil && e.T-e.Whole > retention: // a cut link delayed the call for longer than messages are remembered
 			continue
 		case message == nil:
 			c.addViolation(Own, e.T, id, "no client handed it in, or its time was long over", []string{e.Relay, e.Endpoint}, e)
@@ -44,7 +44,7 @@
 	}
 }
 
-// attempt takes in that a message is part of a call.
+// addAttempt records that a message is part of a call, and checks the rules for attempts, repeats and deliveries.
 func (c *Checker) addAttempt(message *messageState, current *callState) {
 	events := func(more ...history.Event) []history.Event {
 		return append(append(slices.Clone(message.events), current.Event), more...)
@@ -67,7 +67,7 @@
 		if previous.status == 200 && !previous.answerCrossedClose && current.Begun > previous.endedAt+slack && !c.restartedBetween(current.Relay, previous.endedAt, current.Begun) && !c.mayHaveTakenOver(current.Relay, previous.Relay, previous.endedAt) {
 			c.addViolation(Once, current.Begun, message.ID, "it was sent again after it was delivered", processes, events(previous.Event)...)
 		}
-		// A call that a cut held up comes after those that were made later.
+		// A call that was delayed by a cut link arrives after calls that were made later.
 		first, later := previous, current
 		if current.Whole < previous.Whole {
 			first, later = current, previous
@@ -93,7 +93,7 @@
 	}
 }
 
-// overlap judges two calls of one message once the ends of both are known.
+// checkOverlap checks two calls with the same message once the ends of both are known.
 func (c *Checker) checkOverlap(pair *callPair) {
 	earlier, later := pair.earlier, pair.later
 	if earlier.endedAt == 0 || later.endedAt == 0 {
@@ -113,7 +113,7 @@
 	relay := c.relay(call.Relay)
 	if call.endedAt > 0 {
 		if e.Kind == history.Gone && e.T-call.endedAt <= slack && !call.answerCrossedClose {
-			call.answerCrossedClose = true // it need not know of what the answer told
+			call.answerCrossedClose = true // the relay may not have read what the answer said
 			relay.waits[call.Dest] = slices.DeleteFunc(relay.waits[call.Dest], func(s timeSpan) bool { return s.from == call.endedAt })
 			relay.counters["served"].maybeUnread += len(call.IDs)
 		}
@@ -145,7 +145,8 @@
 		relay.counters["served"].most.add(e.T)
 		if message.acceptedAt > 0 {
 			message.request.recordDelivery(e.T)
-			// Else the relay has counted its end already, or is stopped and may never read it: its time-out comes first.
+			// Otherwise the relay has counted the message's end already, or is stopped and may time out before it reads the
+			// answer.
 			if message.notice.T == 0 && relay.downSince == 0 {
 				relay.counters["served"].least.add(e.T)
 			}
--- a/internal/lab/rules/agreed.go
+++ b/internal/lab/rules/generations.go
@@ -6,26 +6,28 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Agreed is how relays went from one generation to the next, by what their calls say that they acted by.
+// GenerationUse describes how relays moved from one generation of the configuration to the next, according to what
+// their calls report (X-Agreed).
 type GenerationUse struct {
-	Calls map[string]int `json:"calls"` // by mode
-	// Contradiction is the longest time in seconds for which a relay still acted without a generation after another
-	// had begun to act by that alone; 0 for never. Acting by the fallback contradicts none.
+	Calls map[string]int `json:"calls"` // number of calls by mode
+	// Contradiction is the longest time in seconds for which a relay still acted without a generation after another relay
+	// had begun to act by that generation alone; 0 for never. Acting by the fallback contradicts nothing.
 	Contradiction float64 `json:"contradiction_s"`
-	// Three is the longest time for which the join of two was acted by after a third generation had been.
+	// ThreeInUse is the longest time in seconds for which the join of two generations was still acted by after a third had
+	// come into use.
 	ThreeInUse  float64           `json:"three_s"`
-	Generations []GenerationTimes `json:"seen"` // generations, in their order
+	Generations []GenerationTimes `json:"seen"` // in ascending order of their numbers
 }
 
-// Seen is when a generation was acted by, in seconds.
+// GenerationTimes says when calls acted by a generation, in seconds since the start of the run.
 type GenerationTimes struct {
 	Number uint64  `json:"number"`
-	Joined float64 `json:"joined_s"` // the first call by it and another; below 0 for none
-	Alone  float64 `json:"alone_s"`  // the first call by it alone; below 0 for none
-	Last   float64 `json:"last_s"`   // the last call by it, or by a join of which it is the newer
+	Joined float64 `json:"joined_s"` // first call by this generation joined with another; negative for none
+	Alone  float64 `json:"alone_s"`  // first call by this generation alone; negative for none
+	Last   float64 `json:"last_s"`   // last call by this generation, or by a join of which it is the newer
 }
 
-// seen is the entry of a generation, in its place.
+// generation returns the entry of a generation, which it inserts in order if it is missing.
 func (use *GenerationUse) generation(number uint64) *GenerationTimes {
 	i := 0
 	for i < len(use.Generations) && use.Generations[i].Number < number {
@@ -39,8 +41,8 @@
 	return &use.Generations[i]
 }
 
-// agreed takes in by what a call was decided. Calls are in the order of their ends, so each is held against those
-// that began before it and after.
+// recordGenerations records the generations by which a call was decided. Calls arrive in the order of their ends, not
+// of their starts, so each is compared with calls that began before it and after it.
 func (c *Checker) recordGenerations(e history.Event) {
 	if e.Agreed == "" {
 		return
--- a/internal/lab/rules/lists.go
+++ b/internal/lab/rules/lists.go
@@ -9,25 +9,27 @@
 	"larchrouter/internal/lab/history"
 )
 
-// What relays were told of the list, and when a change counts as told to one that has not heard of it.
+// What discovery sent to each relay, and when a change of the list takes effect for a relay that has not received it.
 
-// heardIn is how soon a change counts as told to a relay whose calls for the list fail or stay unanswered, from when
-// discovery had it and could be reached.
+// reportTimeout is how soon a change takes effect for a relay whose calls for the list fail or stay unanswered,
+// counted from when discovery had the change and could be reached.
 const reportTimeout = 6 * time.Second
 
-// watchOver is how long after the wait of a watch what it missed counts as told, if that is later than heardIn.
+// watchMargin is how long after the wait of a watch call the changes that it missed take effect, if that is later than
+// reportTimeout.
 const watchMargin = 2 * time.Second
 
-// listCall is a call for the list. Times are microseconds.
+// pendingListCall is a call for the list without an answer. Times are in microseconds.
 type pendingListCall struct{ arrivedAt, wait int64 }
 
-// ask takes in a call for the list.
+// listRequested records a call for the list.
 func (p *relayState) listRequested(e history.Event) {
 	p.lastListCall = e.T
 	p.pendingListCalls = append(p.pendingListCalls, pendingListCall{e.T, e.Left * ms})
 }
 
-// over takes a call for the list off the open ones: the one that came at a time, or the oldest. It returns when it came.
+// closeListCall removes a call for the list from the pending ones: the one that arrived at the given time, or else the
+// oldest. It returns the time at which the removed call arrived.
 func (p *relayState) closeListCall(arrivedAt int64) int64 {
 	i := slices.IndexFunc(p.pendingListCalls, func(c pendingListCall) bool { return c.arrivedAt == arrivedAt })
 	if i < 0 && len(p.pendingListCalls) == 0 {
@@ -39,10 +41,12 @@
 	return found
 }
 
-// unheard is a call to an endpoint that drains or is gone by a change that the relay has not heard of, made while it did not count as told.
+// unreportedCall is a call to an endpoint that drains or has been removed by a change that the relay has not received,
+// made before that change took effect for the relay.
 type unreportedCall struct{ call, change history.Event }
 
-// answered takes in that a call for the list was answered. What went out before it was within the time that the settings give.
+// listAnswered records that a call for the list was answered. Calls to endpoints that were made before it were within
+// the time that the settings give.
 func (p *relayState) listAnswered(e history.Event) {
 	if arrivedAt := p.closeListCall(e.Begun); arrivedAt >= p.lastAnsweredListCall {
 		p.lastAnsweredListCall, p.lastListCallFailed = arrivedAt, false
@@ -50,9 +54,10 @@
 	}
 }
 
-// unanswered takes in that a call for the list failed. One that was given up long ago says nothing of those after it. The settings'
-// time for asking is for a relay that is answered: a change counts as told heardIn after it was made from then on, and what
-// the relay sent meanwhile is judged by that.
+// listCallFailed records that a call for the list failed. A call that was older than the last answered one says
+// nothing about later calls. The settings' time for asking (AskWithin) is for a relay that gets answers. After a
+// failure a change takes effect at most reportTimeout after it was made, and what the relay has sent in the meantime
+// is judged by that.
 func (c *Checker) listCallFailed(e history.Event) {
 	relay := c.relay(e.Relay)
 	if arrivedAt := relay.closeListCall(e.Begun); arrivedAt < relay.lastAnsweredListCall {
@@ -66,12 +71,12 @@
 	}
 }
 
-// told takes in an answer of discovery as it is written.
+// listSent records an answer of discovery at the time it is written.
 func (c *Checker) listSent(e history.Event) {
 	relay := c.relay(e.Relay)
 	switch e.How {
 	case "between watches", "configuration":
-	case history.CutShort: // what was written counts; the call has failed all the same
+	case history.CutShort: // what was written counts as received, but the call has failed
 		c.listCallFailed(e)
 	default:
 		relay.listAnswered(e)
@@ -89,7 +94,7 @@
 	relay.listVersion = max(relay.listVersion, e.Version)
 }
 
-// countsAsTold is when a change that a relay has not heard of counts as told to it all the same, in microseconds.
+// effectiveFrom returns when a change that a relay has not received takes effect for it nevertheless, in microseconds.
 func (c *Checker) effectiveFrom(relay *relayState, change history.Event) int64 {
 	if c.discoveryDown {
 		return math.MaxInt64
@@ -99,7 +104,7 @@
 	switch {
 	case relay.lastListCallFailed:
 		return knownAt + min(4*askWithin, reportTimeout.Microseconds())
-	case len(relay.pendingListCalls) > 0: // if it has fallen silent, it has done so since it came
+	case len(relay.pendingListCalls) > 0: // discovery may be silent, at the earliest since the oldest pending call arrived
 		oldest := relay.pendingListCalls[0]
 		effective := max(knownAt, oldest.arrivedAt) + reportTimeout.Microseconds()
 		if oldest.wait > 0 {
@@ -110,7 +115,7 @@
 	return max(knownAt, relay.lastListCall) + askWithin
 }
 
-// drained looks whether an endpoint may be sent anything new.
+// checkDrain checks whether the endpoint of a call may be sent anything new.
 func (c *Checker) checkDrain(relay *relayState, e history.Event) {
 	c.countCheck(Drain)
 	if since, ok := relay.reportedAt[e.Endpoint]; ok && c.checkDrainGrace(since, "its relay was told that it drains or is gone", e) {
@@ -130,7 +135,8 @@
 	}
 }
 
-// lateBy tells whether a call went out after the grace from a time on, and breaks the rule then.
+// checkDrainGrace reports whether a call began after the grace period that starts at the given time, and records a
+// violation if so.
 func (c *Checker) checkDrainGrace(since int64, reason string, call history.Event, events ...history.Event) bool {
 	if since == math.MaxInt64 || call.Begun <= since+c.terms.DrainGrace.Microseconds()+slack {
 		return false
--- a/internal/lab/rules/lists_test.go
+++ b/internal/lab/rules/lists_test.go
@@ -6,8 +6,8 @@
 	"larchrouter/internal/lab/history"
 )
 
-// A change that a relay has not heard of counts as told to it all the same. Each history keeps the term by a hair, or just
-// breaks it; the endpoint drains at 5 s.
+// A change that a relay has not received takes effect for it nevertheless. Each history just meets the limit or just
+// exceeds it; the endpoint drains at 5 s.
 func TestListChangesTakeEffect(t *testing.T) {
 	drain := history.Event{T: 5000, Kind: history.Change, Version: 2, Endpoint: "endpoint/0", State: "leaving"}
 	listCall := func(t, wait int64) history.Event { return history.Event{T: t, Kind: history.Asked, Left: wait} }
@@ -18,22 +18,22 @@
 	answering := func(asked int64, e history.Event) history.Event { e.Begun = asked; return e }
 	discoveryDown := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListDown} }
 	discoveryUp := func(t int64) history.Event { return history.Event{T: t, Kind: history.ListUp} }
-	// Each message is handed in and sent at once, and is the only one.
+	// The message is submitted and sent at once, and is the only one.
 	withCall := func(at int64, before ...history.Event) []history.Event {
 		return append(before, submitted(at-10, "m", "keyed"), callAt(at, 1, "m", "endpoint/0"), callAnswer(at+10, 1, 200))
 	}
 	checkCases(t, map[string]ruleCase{
 		"failed calls, within 6 s and the grace":     {"", withCall(12040, listCall(4000, 0), listAnswer(4100, 1, ""), drain, listCall(7000, 0), listFailure(7010), listCall(11000, 0), listFailure(11010))},
 		"failed calls, later":                        {Drain, withCall(12060, listCall(4000, 0), listAnswer(4100, 1, ""), drain, listCall(7000, 0), listFailure(7010), listCall(11000, 0), listFailure(11010))},
-		"a whole list that is not answered, in time": {"", withCall(13040, drain, listCall(6000, 0))},
-		"a whole list that is not answered, later":   {Drain, withCall(13060, drain, listCall(6000, 0))},
-		"not answered, after a failed call":          {Drain, withCall(12060, drain, listCall(5500, 0), listFailure(5600), listCall(11000, 0))},
+		"whole list unanswered, in time":             {"", withCall(13040, drain, listCall(6000, 0))},
+		"whole list unanswered, later":               {Drain, withCall(13060, drain, listCall(6000, 0))},
+		"unanswered, after a failed call":            {Drain, withCall(12060, drain, listCall(5500, 0), listFailure(5600), listCall(11000, 0))},
 		"a silent watch, in time":                    {"", withCall(12040, listCall(4000, 3000), drain)},
 		"a silent watch, later":                      {Drain, withCall(12060, listCall(4000, 3000), drain)},
 		"a silent watch with a long wait, in time":   {"", withCall(22040, listCall(4000, 15000), drain)},
 		"a silent watch with a long wait, later":     {Drain, withCall(22060, listCall(4000, 15000), drain)},
-		"an answer ago, within the settings' time":   {"", withCall(16040, listCall(4000, 0), listAnswer(4100, 1, ""), drain)},
-		"an answer ago, later":                       {Drain, withCall(16060, listCall(4000, 0), listAnswer(4100, 1, ""), drain)},
+		"after an answer, within the settings' time": {"", withCall(16040, listCall(4000, 0), listAnswer(4100, 1, ""), drain)},
+		"after an answer, later":                     {Drain, withCall(16060, listCall(4000, 0), listAnswer(4100, 1, ""), drain)},
 		"before a call that fails, in time":          {"", append(withCall(12040, listCall(4000, 0), listAnswer(4100, 1, ""), drain), listCall(12500, 0), listFailure(12510))},
 		"before a call that fails, later":            {Drain, append(withCall(12060, listCall(4000, 0), listAnswer(4100, 1, ""), drain), listCall(12500, 0), listFailure(12510))},
 		"before a call that is answered":             {"", append(withCall(12060, listCall(4000, 0), listAnswer(4100, 1, ""), drain), listCall(12500, 0), listAnswer(12600, 2, ""))},
--- a/internal/lab/rules/messages.go
+++ b/internal/lab/rules/messages.go
@@ -6,7 +6,7 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Messages: what clients heard, and how they ended.
+// Messages: what clients received, and how the messages ended.
 
 func (c *Checker) messageSubmitted(e history.Event) {
 	message := &messageState{Event: e, class: c.classes[e.Class], dueAt: e.T + e.Left*ms, events: []history.Event{e}}
@@ -30,7 +30,7 @@
 		return
 	}
 	message.events = append(message.events, e)
-	if e.Whole > 0 { // the time of a request counts from its last byte
+	if e.Whole > 0 { // a request's deadline counts from when its last byte was written
 		message.dueAt = e.Whole + message.Left*ms
 	}
 	relay := c.relay(e.Relay)
@@ -43,7 +43,7 @@
 		}
 	case e.Status == 429 || e.Status == 503:
 		message.refused, message.request.refused = true, true
-		if message.How != history.HalfClosed { // to its relay such a client has left, and what it wanted need not be counted
+		if message.How != history.HalfClosed { // the relay sees such a client as disconnected and need not count its request
 			relay.counters["refused"].least.add(e.T)
 		}
 		relay.counters["refused"].most.add(e.T)
@@ -54,8 +54,9 @@
 	}
 }
 
-// hungUp takes in that a client has stopped waiting, or that its connection ended. A request that the relay had read is
-// owed an answer, on a new connection as well as on a kept one; only a process that is killed cannot give it.
+// clientDisconnected records that a client has stopped waiting, or that its connection ended. A request that the relay
+// had read must be answered, on a new connection as well as on a reused one; only a process that is killed cannot do
+// so.
 func (c *Checker) clientDisconnected(e history.Event) {
 	message := c.messages[e.ID]
 	if message == nil {
@@ -63,7 +64,7 @@
 	}
 	message.clientLeft, message.events = true, append(message.events, e)
 	relay := c.relay(e.Relay)
-	for _, name := range []string{"refused", "failed"} { // the relay may count it, though nobody hears its answer
+	for _, name := range []string{"refused", "failed"} { // the relay may count the request, though nobody receives its answer
 		relay.counters[name].most.add(e.T)
 	}
 	if e.How != history.Unanswered {
@@ -77,7 +78,7 @@
 	c.report.Lost++
 }
 
-// handedBack looks whether a message may be handed in again, as its client was told.
+// checkRejection checks whether a message may be submitted again, as its client has been told that it can be.
 func (c *Checker) checkRejection(message *messageState, e history.Event) {
 	c.countCheck(Repeat)
 	for _, call := range message.calls {
@@ -101,13 +102,13 @@
 	c.countCheck(Once)
 	message := c.messages[e.ID]
 	if message == nil {
-		return // of a message that was over long ago: it does no harm
+		return // the message ended long ago: the notice does no harm
 	}
 	processes := []string{e.Relay}
 	switch {
 	case message.notice.T > 0 && message.notice.How != e.How:
 		c.addViolation(Once, e.T, message.ID, fmt.Sprintf("it has ended as %s and as %s", message.notice.How, e.How), processes, append(message.events, message.notice, e)...)
-	case message.notice.T > 0: // told again, for the answer was not heard
+	case message.notice.T > 0: // repeated because the answer to the notice did not arrive
 		return
 	case message.deliveredAt > 0 && !message.answersCrossedClose() && e.T > message.deliveredAt+slack && !c.restartedBetween(e.Relay, message.deliveredAt, e.T) && !c.mayHaveTakenOver(e.Relay, message.deliveredBy(), message.deliveredAt):
 		c.addViolation(Once, e.T, message.ID, fmt.Sprintf("it was delivered, and %.3f s later told to be %s", float64(e.T-message.deliveredAt)/1e6, e.How), processes, append(message.events, e)...)
@@ -117,7 +118,7 @@
 		message.events = append(message.events, e)
 	}
 	relay := c.relay(e.Relay)
-	if message.deliveredAt > 0 && message.acceptedAt > 0 { // its time was up as the answer came, and it was counted so
+	if message.deliveredAt > 0 && message.acceptedAt > 0 { // the message timed out as the answer arrived, and the relay counted a time-out
 		relay.counters["served"].maybeUnread++
 	}
 	if e.How == "deferred" {
@@ -136,13 +137,13 @@
 	}
 }
 
-// restarted tells whether a relay's process ended or began between two times.
+// restartedBetween reports whether a relay's process ended or started between two times.
 func (c *Checker) restartedBetween(name string, from, to int64) bool {
 	relay := c.relay(name)
 	return relay.downSince > 0 && relay.downSince <= to || relay.resumedAt > 0 && relay.resumedAt >= from-restartGrace
 }
 
-// overdue looks whether a message that was taken on has its end, once it should.
+// checkEnd checks, once its time is up, whether an accepted message has its end.
 func (c *Checker) checkEnd(message *messageState) {
 	relay := c.relay(message.Relay)
 	if message.acceptedAt == 0 {
@@ -173,8 +174,8 @@
 	c.forget(message)
 }
 
-// excused tells whether a relay cannot end anything now, by the terms: it restarts, its machine is lost and not taken over
-// yet, or the lab has stopped it. One that crashed is not excused.
+// cannotEnd reports whether the terms of the run allow that a relay ends no message now: it restarts, its machine is
+// lost and not taken over yet, or the lab has stopped it. A relay that crashed is not excused.
 func (c *Checker) cannotEnd(relay *relayState) bool {
 	switch {
 	case relay.downSince == 0 || relay.crashed:
@@ -185,9 +186,9 @@
 	return true
 }
 
-// allowedUntil is by when a message must have its end: in its time and the slack. Besides, no end is overdue until some time
-// after a restart of its relay, nor before a lost machine's messages can be taken over. A relay that the lab had stopped has
-// the slack once it goes on, and no more.
+// endAllowedUntil returns the latest time at which a message may end: its deadline plus endSlack. No end is overdue
+// until restartGrace (plus slack) after the restart of its relay, nor before a lost machine's messages can be taken
+// over. A relay that the lab had stopped has endSlack once it continues, and no more.
 func (m *messageState) endAllowedUntil(relay *relayState) int64 {
 	allowed := max(m.dueAt+endSlack, m.extendedUntil)
 	if relay.readyAt > m.acceptedAt {
@@ -199,7 +200,7 @@
 	return allowed
 }
 
-// forget drops a message some time after it is over: until then it may yet be sent where it must not be.
+// forget drops a message some time after its end: until then it may still be sent where it must not be.
 func (c *Checker) forget(message *messageState) {
 	c.schedule(c.now+retention, func() { delete(c.messages, message.ID) })
 }
--- a/internal/lab/rules/figures_test.go
+++ b/internal/lab/rules/metrics_test.go
@@ -7,8 +7,8 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Guards against a relay that is blamed for not counting what clients wanted that had left, as far as it can know, and against one
-// that does not count what others were refused.
+// Guards against a violation reported for a relay that does not count requests of clients that, as far as it can know,
+// had disconnected; and against missing one for a relay that does not count the rejections of others.
 func TestUncountedRefusals(t *testing.T) {
 	for how, rule := range map[string]Rule{history.HalfClosed: "", "": Figures} {
 		var events []history.Event
--- a/internal/lab/rules/processes.go
+++ b/internal/lab/rules/processes.go
@@ -9,10 +9,10 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Relays: what they were told, how they ran, what they tell of themselves.
+// Relays: the events of their processes, their use of resources and their metrics.
 
 func (c *Checker) processChanged(e history.Event) {
-	if e.How != "start" && e.How != "exit" { // a keeper's, too: who leads anew waits for a lease
+	if e.How != "start" && e.How != "exit" { // also for keepers: a new leader first waits for a lease to expire
 		c.lastDisruption = e.T
 		c.extendOrphanDeadlines(e.T)
 	}
@@ -26,9 +26,9 @@
 		relay.starts++
 		relay.machineLost, relay.crashed = false, false
 		if e.Text != "beside" {
-			relay.waits = map[int][]timeSpan{} // a restart ends them
+			relay.waits = map[int][]timeSpan{} // a restart ends the waits; the next process of an upgrade runs beside the old one and keeps them
 		}
-		if len(relay.pendingListCalls) > 0 { // the process that made them has ended
+		if len(relay.pendingListCalls) > 0 { // the process that made these calls has ended
 			relay.pendingListCalls, relay.lastListCallFailed = nil, true
 		}
 	case "ready", "cont":
@@ -36,7 +36,7 @@
 			relay.resumedAt = e.T
 		}
 		for _, times := range []map[string]int64{relay.reportedAt, relay.disabledAt} {
-			for name, at := range times { // one that is stopped hears nothing until it goes on
+			for name, at := range times { // a relay that was stopped reads nothing until it continues
 				if relay.downSince > 0 && at >= relay.downSince {
 					times[name] = e.T
 				}
@@ -65,7 +65,7 @@
 	}
 }
 
-// fell judges a destination in slow start that got too much, whoever sent it.
+// slowStartExceeded judges a destination in slow start that received too many calls, whoever sent them.
 func (c *Checker) slowStartExceeded(e history.Event) {
 	c.countCheck(Cold)
 	if calls, allowed := e.Figures["calls"], e.Figures["allowed"]; calls > history.SlowStartMost(allowed) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// stranger looks whether a peer that is no client got what it is owed. One that a stop, a restart or an end of the
-// relay came between is not judged.
+// strangerEnded checks whether a peer that is no client got an error or a close in time. It is not judged if a stop, a
+// restart or an end of the relay came in between.
 func (c *Checker) strangerEnded(e history.Event) {
 	relay := c.relay(e.Relay)
 	if relay.downSince > 0 || relay.resumedAt >= e.Begun {
@@ -104,14 +104,14 @@
 	c.report.addSample(e)
 }
 
-// figures holds what a relay tells of itself against what was seen. Only of one that has run from the start are
-// all counts known.
+// metricsRead compares a relay's metrics with what was observed. All counts are known only of a relay that has run
+// since the start.
 func (c *Checker) metricsRead(e history.Event) {
 	relay := c.relay(e.Relay)
-	if relay.starts != 1 || relay.resumedAt > e.Whole-2*metricsLag { // one that stood still has yet to read what came meanwhile
+	if relay.starts != 1 || relay.resumedAt > e.Whole-2*metricsLag { // a relay that was stopped has yet to read what arrived meanwhile
 		return
 	}
-	// A message may be counted a little before its end is seen.
+	// A relay may count a message a little before the lab observes its end.
 	c.schedule(e.T+metricsLag, func() { c.compareMetrics(relay, e) })
 }
 
--- a/internal/lab/rules/report.go
+++ b/internal/lab/rules/report.go
@@ -8,12 +8,12 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is what a history shows.
+// Report is the result of judging a history.
 type Report struct {
 	Broken         map[Rule]int      `json:"broken"`
-	Checked        map[Rule]int      `json:"looked"` // how often each rule was looked at: what was never tried is not shown to hold
+	Checked        map[Rule]int      `json:"looked"` // number of checks by rule: a rule that was never checked has not been shown to hold
 	Violations     []Violation       `json:"shown,omitempty"`
-	Served         float64           `json:"served"` // worth delivered over the worth asked for
+	Served         float64           `json:"served"` // worth delivered as a share of the worth asked for
 	Asked          int               `json:"asked"`
 	InTime         int               `json:"in_time"`
 	Late           int               `json:"late"`
@@ -21,30 +21,30 @@
 	Failed         int               `json:"failed"`
 	Unanswered     int               `json:"unheard"` // no relay answered in time
 	Lost           int               `json:"lost"`
-	Pending        int               `json:"owed"` // taken on by a relay that was down at the end
+	Pending        int               `json:"owed"` // accepted by a relay that was down at the end
 	Latency        Latency           `json:"latency_ms"`
 	Seconds        []Second          `json:"seconds"`
 	Usage          map[string]*Usage `json:"use"`
-	Generations    *GenerationUse    `json:"agreed,omitempty"`     // nil where relays share nothing
-	Takeovers      []Takeover        `json:"taken_over,omitempty"` // machines that were lost
-	Calls          map[int]*Series   `json:"calls"`                // that reached each destination, by second
-	Limits         map[int][]Limit   `json:"limits"`               // of each destination, in calls a second
-	InFlight       *Series           `json:"held"`                 // messages by all relays that told, by second
+	Generations    *GenerationUse    `json:"agreed,omitempty"`     // nil if relays share no configuration
+	Takeovers      []Takeover        `json:"taken_over,omitempty"` // one for each lost machine
+	Calls          map[int]*Series   `json:"calls"`                // calls that reached each destination, by second
+	Limits         map[int][]Limit   `json:"limits"`               // limits of each destination, in calls per second
+	InFlight       *Series           `json:"held"`                 // messages in flight in all relays whose metrics were read, by second
 	worthRequested float64
 	worthDelivered float64
 	histogram      *hdrhistogram.Histogram
 }
 
-// Latency is the time from a message's handing-in to its delivery, in milliseconds.
+// Latency is the time from a message's submission to its delivery, in milliseconds.
 type Latency struct {
 	P50, P90, P99, P999, Max float64
 	Curve                    []Quantile `json:"curve"`
 }
 
-// Quantile is the time within which so many of a hundred messages were delivered.
+// Quantile is the time in milliseconds within which the given percentage of messages were delivered.
 type Quantile struct{ Percent, Ms float64 }
 
-// Second is what became of the messages of one second.
+// Second counts the outcomes of the messages that were submitted in one second.
 type Second struct {
 	Asked         int     `json:"asked"`
 	InTime        int     `json:"in_time"`
@@ -54,16 +54,16 @@
 	Worth         float64 `json:"worth"`
 	P50           float64 `json:"p50_ms"` // of the time to delivery
 	P99           float64 `json:"p99_ms"`
-	deliveryTimes []int32 // milliseconds, until the second is settled
+	deliveryTimes []int32 // milliseconds, until close computes P50 and P99
 }
 
-// Limit is what a destination takes from a time on.
+// Limit is the number of calls per second that a destination accepts from a time (in seconds) on.
 type Limit struct {
 	From float64 `json:"from_s"`
 	Rate float64 `json:"rate"`
 }
 
-// settle counts what became of a message that a client wanted delivered.
+// settleRequest counts the outcome of a message that a client wanted delivered, whatever ids it was submitted under.
 func (c *Checker) settleRequest(first string) {
 	request := c.requests[first]
 	if request == nil {
@@ -75,7 +75,7 @@
 		r.Seconds = append(r.Seconds, Second{})
 	}
 	second := &r.Seconds[request.submittedAt/1e6]
-	if previous := int(request.submittedAt/1e6) - 2; previous >= 0 { // all of it is settled: messages are in the order of their times
+	if previous := int(request.submittedAt/1e6) - 2; previous >= 0 { // that second is complete: requests are settled in the order of their times
 		r.Seconds[previous].close()
 	}
 	r.Asked++
@@ -111,7 +111,7 @@
 	}
 }
 
-// Close judges what is left, and returns the report. Messages whose time is not up are not judged.
+// Close judges what is still open and returns the report. Messages whose time is not up are not judged.
 func (c *Checker) Close() *Report {
 	for len(c.queue) > 0 && c.queue[0].at <= c.now {
 		heap.Pop(&c.queue).(scheduledCheck).run()
@@ -152,7 +152,8 @@
 	return r
 }
 
-// Standing is how many messages were asked for and served in time so far, and how many rules are broken.
+// Progress returns how many messages were asked for and how many were served in time so far, and the number of
+// violations.
 func (c *Checker) Progress() (asked, inTime, broken int) {
 	asked, inTime = c.report.Asked, c.report.InTime
 	for _, request := range c.requests {
@@ -164,10 +165,10 @@
 	return asked, inTime, c.report.Total()
 }
 
-// Now is the time of the last event.
+// Now returns the time of the last event, from the start of the run.
 func (c *Checker) Now() time.Duration { return time.Duration(c.now) * time.Microsecond }
 
-// Total is how many rules were broken.
+// Total returns the number of violations of all rules.
 func (r *Report) Total() (n int) {
 	for _, broken := range r.Broken {
 		n += broken
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -1,5 +1,5 @@
 // Package rules judges a history: whether the rules of the platform were kept, and what was served. It reads the
-// events in order and holds only what is still open, so that a run may be long.
+// events in order and keeps only what is still open, so memory does not grow with the length of a run.
 package rules
 
 import (
@@ -12,49 +12,49 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Rule is the name of one.
+// Rule is the name of a rule.
 type Rule string
 
-// The rules. Each says what must hold; times have the slack of the protocol's page.
+// The rules. Each comment says what must hold; times are subject to the slack constants below.
 const (
-	End      Rule = "end"      // a request that was read has its answer, a message that was taken on one end, in time
-	Once     Rule = "once"     // and only one
-	Twice    Rule = "twice"    // never two attempts of a message out at once
-	Repeat   Rule = "repeat"   // what may have run is repeated, or handed back, only as its class allows
-	Attempts Rule = "attempts" // no message has more than its attempts
-	Wait     Rule = "wait"     // nothing goes to a destination while a wait lasts that it told
-	Drain    Rule = "drain"    // nothing new goes to an endpoint that drains, is gone or out by hand
-	Cold     Rule = "cold"     // no cold destination gets more calls than it may in slow start
-	Own      Rule = "own"      // a call has what a client handed in, unchanged, at an endpoint of its destination
-	Figures  Rule = "figures"  // /metrics tells the truth
-	Process  Rule = "process"  // no process ends unasked or goes over a limit
-	Strange  Rule = "strange"  // who sends what is no message, or nothing, gets an error or a close in time
+	End      Rule = "end"      // a request that was read is answered, and an accepted message ends, in time
+	Once     Rule = "once"     // an accepted message has exactly one end
+	Twice    Rule = "twice"    // a message never has two attempts in flight at once
+	Repeat   Rule = "repeat"   // a message that may have taken effect is repeated, or rejected for the client to repeat, only as its class allows
+	Attempts Rule = "attempts" // no message has more than the allowed number of attempts
+	Wait     Rule = "wait"     // nothing is sent to a destination during a wait (Retry-After) that it gave
+	Drain    Rule = "drain"    // nothing new is sent to an endpoint that drains, has been removed or was manually disabled
+	Cold     Rule = "cold"     // no cold destination gets more calls than slow start allows
+	Own      Rule = "own"      // a call contains what a client submitted, unchanged, at an endpoint of the message's destination
+	Figures  Rule = "figures"  // the values on /metrics agree with what was observed
+	Process  Rule = "process"  // no process ends unexpectedly or exceeds a resource limit
+	Strange  Rule = "strange"  // a peer that sends no valid message, or nothing, gets an error or a close in time
 )
 
-// All are the rules, in the order of the pages.
+// All lists the rules in the order in which reports show them.
 var All = []Rule{End, Once, Twice, Repeat, Attempts, Wait, Drain, Cold, Own, Figures, Process, Strange}
 
-// The slack of the protocol's page, in microseconds.
+// The protocol's tolerances, in microseconds, and limits on what is stored and shown.
 const (
 	ms            = int64(1000)
 	slack         = 50 * ms
 	endSlack      = 300*ms + slack
 	waitGrace     = 100*ms + slack
-	restartGrace  = 1500 * ms // after a restart is ready again its notices are not overdue for so long
-	metricsLag    = 500 * ms  // figures may be so old
-	retention     = 5000 * ms // what has ended is remembered for so long
+	restartGrace  = 1500 * ms // time after a restarted relay is ready in which its notices are not overdue
+	metricsLag    = 500 * ms  // greatest age of metrics
+	retention     = 5000 * ms // time for which ended messages and calls are remembered
 	maxEvents     = 40
-	maxViolations = 20 // broken rules of a kind that are told in full
+	maxViolations = 20 // violations of each rule that are stored in full
 )
 
-// Broken is one rule that was broken.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule      Rule            `json:"rule"`
 	T         int64           `json:"t"`
 	Message   string          `json:"message,omitempty"`
 	Processes []string        `json:"processes,omitempty"`
 	Text      string          `json:"text"`
-	Events    []history.Event `json:"lines,omitempty"` // of the history that show it
+	Events    []history.Event `json:"lines,omitempty"` // the events that show it
 }
 
 func (b Violation) String() string {
@@ -69,7 +69,7 @@
 	return s.String()
 }
 
-// Owing is how many messages were taken on and have no end yet.
+// PendingMessages returns the number of messages that were accepted and have no end yet.
 func (c *Checker) PendingMessages() (count int) {
 	for _, message := range c.messages {
 		if message.acceptedAt > 0 && message.deliveredAt == 0 && message.notice.T == 0 {
@@ -79,7 +79,7 @@
 	return count
 }
 
-// Checker reads a history.
+// Checker judges a history, event by event. It is not safe for concurrent use.
 type Checker struct {
 	terms       *history.Terms
 	classes     map[string]*history.Class
@@ -88,24 +88,24 @@
 	calls       map[int64]*callState
 	requests    map[string]*requestState
 	relays      map[string]*relayState
-	listChanges []history.Event // of the list
-	// listDown is set during an outage of discovery; listUp is when the last one ended, 0 for never.
+	listChanges []history.Event // changes of the discovery list
+	// discoveryDown is set during an outage of discovery; discoveryUpAt is when the last outage ended, 0 for never.
 	discoveryDown   bool
 	discoveryUpAt   int64
 	queue           checkQueue
 	report          Report
-	longestDeadline int64 // deadline of a class
-	lossy           bool  // what relays write may be seen by nobody
-	lastDisruption  int64 // when something last began or ended that may have a message's relay be another
+	longestDeadline int64 // longest deadline of a class, in microseconds
+	lossy           bool  // a link fault has occurred: what relays write may be lost
+	lastDisruption  int64 // when something last began or ended that may move messages to another relay
 }
 
-// New returns a checker that has seen nothing.
+// New returns a checker that has observed no event.
 func New() *Checker {
 	return &Checker{messages: map[string]*messageState{}, calls: map[int64]*callState{}, requests: map[string]*requestState{}, relays: map[string]*relayState{},
 		classes: map[string]*history.Class{}, report: Report{Broken: map[Rule]int{}, Checked: map[Rule]int{}}}
 }
 
-// due is when something has to be looked at again.
+// scheduledCheck is a function to be run at a time in microseconds.
 type scheduledCheck struct {
 	at  int64
 	run func()
@@ -148,7 +148,7 @@
 	return relay
 }
 
-// See takes in the next event.
+// Observe processes the next event. Events must be passed in the order of their times.
 func (c *Checker) Observe(e history.Event) {
 	for len(c.queue) > 0 && c.queue[0].at <= e.T {
 		next := heap.Pop(&c.queue).(scheduledCheck)
--- a/internal/lab/rules/series.go
+++ b/internal/lab/rules/series.go
@@ -6,21 +6,21 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Figures over time, and what processes used.
+// Values over time, and what processes used.
 
-// Series is a figure by time. It keeps its length in bounds: where it grows too long, two points become one.
+// Series is a value over time. Its length is bounded by maxPoints: beyond that, pairs of points are merged into one.
 type Series struct {
-	Interval float64   `json:"every_s"` // seconds that a point stands for
+	Interval float64   `json:"every_s"` // seconds per point
 	Values   []float64 `json:"v"`
 	counts   []int
-	isSum    bool // a point is the sum of what falls into it, per second; else the mean
+	isSum    bool // a point is the sum of its values, per second; otherwise their mean
 }
 
 const maxPoints = 1200
 
 func newSeries(sums bool) *Series { return &Series{Interval: 1, isSum: sums} }
 
-// add takes in a value at a time in microseconds.
+// add adds a value at a time in microseconds.
 func (s *Series) add(at int64, value float64) {
 	i := int(float64(at) / 1e6 / s.Interval)
 	for i >= maxPoints {
@@ -42,7 +42,7 @@
 	s.counts[i]++
 }
 
-// close turns sums into what the points tell.
+// close converts the sums of each point into rates or means.
 func (s *Series) close() {
 	for i := range s.Values {
 		if s.isSum {
@@ -53,14 +53,15 @@
 	}
 }
 
-// Use is what the processes of a relay used: processor time of all, and the most of the rest.
+// Usage is what the processes of a relay used: the processor time of all of them in seconds, and the maxima of memory,
+// descriptors and disk.
 type Usage struct {
 	CPU         float64            `json:"cpu_s"`
 	MemoryMB    float64            `json:"memory_mb"`
 	Descriptors float64            `json:"descriptors"`
 	DiskMB      float64            `json:"disk_mb"`
-	OverTime    map[string]*Series `json:"over_time"` // processor time in percent, memory, descriptors
-	cpuByPID    map[int]float64    // by process number
+	OverTime    map[string]*Series `json:"over_time"` // processor time in percent of a core, memory in MB, descriptors
+	cpuByPID    map[int]float64    // seconds, by process id
 	lastAt      int64
 }
 
@@ -88,7 +89,7 @@
 	usage.OverTime["descriptors"].add(e.T, e.Figures["descriptors"])
 }
 
-// arrived counts a call at its destination.
+// addCall counts a call at its destination.
 func (r *Report) addCall(e history.Event) {
 	if r.Calls == nil {
 		r.Calls = map[int]*Series{}
@@ -99,7 +100,7 @@
 	r.Calls[e.Dest].add(e.T, 1)
 }
 
-// limit notes what a destination takes from now on.
+// addLimit records what a destination accepts from now on, in calls per second.
 func (r *Report) addLimit(dest int, at int64, rate float64) {
 	if r.Limits == nil {
 		r.Limits = map[int][]Limit{}
@@ -107,7 +108,7 @@
 	r.Limits[dest] = append(r.Limits[dest], Limit{float64(at) / 1e6, rate})
 }
 
-// close settles a second.
+// close computes the percentiles of a second.
 func (s *Second) close() {
 	if count := len(s.deliveryTimes); count > 0 {
 		slices.Sort(s.deliveryTimes)
--- a/internal/lab/rules/slowstart_test.go
+++ b/internal/lab/rules/slowstart_test.go
@@ -6,13 +6,13 @@
 	"larchrouter/internal/lab/history"
 )
 
-// ruleCase is a history, in the form of play, and the rule that it breaks.
+// ruleCase is a history, in the form that reportOf takes, and the rule that it breaks.
 type ruleCase struct {
-	rule   Rule // that is broken; empty for none
+	rule   Rule // the rule that is broken; empty for none
 	events []history.Event
 }
 
-// check holds the verdict on each history against what it should be.
+// checkCases compares the verdict on each history with the expected one.
 func checkCases(t *testing.T, cases map[string]ruleCase) {
 	t.Helper()
 	for name, c := range cases {
@@ -23,7 +23,7 @@
 			}
 		}
 		if c.rule != "" && r.Broken[c.rule] == 0 {
-			t.Errorf("%s: %s is not seen to be broken", name, c.rule)
+			t.Errorf("%s: no violation of %s is reported", name, c.rule)
 		}
 		if lost := r.Lost > 0; lost && c.rule != End {
 			t.Errorf("%s: %d messages count as lost", name, r.Lost)
@@ -31,7 +31,8 @@
 	}
 }
 
-// A destination in slow start bears so many calls at most, whoever sends them and however many relays there are.
+// The number of calls that a destination in slow start may receive is bounded, whoever sends them and however many
+// relays there are.
 func TestSlowStartBound(t *testing.T) {
 	exceeded := func(allowed, calls float64, more map[string]float64) []history.Event {
 		figures := map[string]float64{"allowed": allowed, "calls": calls}
--- a/internal/lab/rules/estates.go
+++ b/internal/lab/rules/takeover.go
@@ -7,15 +7,15 @@
 	"larchrouter/internal/lab/history"
 )
 
-// TakenOver is how a lost machine's relay was followed by others.
+// Takeover describes how other relays took over from the relay of a lost machine.
 type Takeover struct {
 	Relay string  `json:"relay"`
-	At    float64 `json:"at_s"` // when the machine was lost
-	// After is how long it was until all it held had an heir or an end, in seconds; below 0 for never.
+	At    float64 `json:"at_s"` // when the machine was lost, in seconds since the start of the run
+	// After is the time in seconds until each of its messages had a successor or an end; negative for never.
 	After           float64 `json:"after_s"`
-	Successor       string  `json:"heir,omitempty"` // that took up the last of it; empty if all had its end first
+	Successor       string  `json:"heir,omitempty"` // the relay that took over the last replication group; empty if all messages had ended before
 	lostAt          int64
-	remainingGroups map[string]bool // estates that it had, by the names of their figures, that nobody has yet
+	remainingGroups map[string]bool // metric names of its replication groups that no relay has taken over yet
 }
 
 func (takeover Takeover) String() string {
@@ -28,11 +28,12 @@
 	return fmt.Sprintf("%s, lost at %.3f s, was taken over by %s after %.3f s", takeover.Relay, takeover.At, takeover.Successor, takeover.After)
 }
 
-// takeOver is how long it may take, in microseconds; 0 where nobody takes over.
+// takeoverTime is the time allowed for taking over from a lost machine, in microseconds; 0 where nobody takes over.
 func (c *Checker) takeoverTime() int64 { return c.terms.TakeOver.Microseconds() }
 
-// delayOrphans notes that a relay or a keeper ended, stopped or went on, without which a lost machine's messages may not be taken
-// up: their ends that are not overdue yet may come as much later as that takes. No other message has more time for it.
+// extendOrphanDeadlines is called when a relay or a keeper ends, stops or continues: without it, the messages of a
+// lost machine may not be taken over. Those whose end is not overdue yet get the time of one more takeover. No other
+// message gets more time.
 func (c *Checker) extendOrphanDeadlines(at int64) {
 	takeover := c.takeoverTime()
 	if takeover == 0 {
@@ -45,13 +46,14 @@
 	}
 }
 
-// inherited tells whether a relay may go on with what another delivered at a time and could not tell of: it was lost, or cut
-// off, not long after, so its holders may not have heard.
+// mayHaveTakenOver reports whether a relay may go on with a message that another relay delivered at the given time
+// without being able to pass that on: the other one was lost or cut off not long after, so its replicas may not have
+// received it.
 func (c *Checker) mayHaveTakenOver(successor, predecessor string, at int64) bool {
 	return c.takeoverTime() > 0 && successor != predecessor && c.lastDisruption > 0 && c.lastDisruption >= at-c.takeoverTime()
 }
 
-// deliverer is the relay that a message was delivered by; empty for none.
+// deliveredBy returns the relay that delivered the message; empty for none.
 func (m *messageState) deliveredBy() string {
 	for _, call := range m.calls {
 		if call.status == 200 {
@@ -61,7 +63,7 @@
 	return ""
 }
 
-// lost notes that a machine has gone, with what it had.
+// machineLost records that a machine is lost, and which replication groups its relay had.
 func (c *Checker) machineLost(e history.Event, relay *relayState) {
 	relay.downSince, relay.machineLost, relay.killedAt = e.T, true, e.T
 	for _, message := range c.messages {
@@ -72,7 +74,8 @@
 	relay.groups = nil
 }
 
-// tookOver looks whether a relay tells that it has the estate of one that was lost, or whether that owes nothing more.
+// updateTakeovers checks whether a relay's metrics show that it has taken over a group of a lost relay, or whether no
+// message of that group is pending any more.
 func (c *Checker) updateTakeovers(e history.Event) {
 	groups := map[string]bool{}
 	for name, value := range e.Figures {
@@ -93,7 +96,7 @@
 				delete(takeover.remainingGroups, name)
 				takeover.Successor = e.Relay
 			} else if !c.hasPending(groupOwner(name), takeover.lostAt) {
-				delete(takeover.remainingGroups, name) // it had run out, perhaps since its figures were read last
+				delete(takeover.remainingGroups, name) // the group had ended, perhaps since the relay's metrics were last read
 			}
 		}
 		if len(takeover.remainingGroups) > 0 || takeover.Successor == "" && c.hasPending(takeover.Relay, takeover.lostAt) {
@@ -103,16 +106,16 @@
 	}
 }
 
-// estateFigure begins the names of the figures that tell of estates: NAME.NUMBER follows.
+// groupMetricPrefix begins the names of the metrics for replication groups; OWNER.NUMBER follows.
 const groupMetricPrefix = "svc.estates.of."
 
-// estateOwner is the relay that took on what is in the estate of a figure.
+// groupOwner returns the relay that accepted the messages of the group that a metric names.
 func groupOwner(figure string) string {
 	name := strings.TrimPrefix(figure, groupMetricPrefix)
 	return name[:max(0, strings.LastIndexByte(name, '.'))]
 }
 
-// owes tells whether a message that a relay took on before a time has no end yet.
+// hasPending reports whether a message that the relay accepted before the given time has no end yet.
 func (c *Checker) hasPending(relay string, before int64) bool {
 	for _, message := range c.messages {
 		if message.Relay == relay && message.acceptedAt > 0 && message.T < before && message.deliveredAt == 0 && message.notice.T == 0 {
--- a/internal/lab/rules/estates_test.go
+++ b/internal/lab/rules/takeover_test.go
@@ -7,7 +7,8 @@
 	"larchrouter/internal/lab/history"
 )
 
-// lossOf is a history in which a relay takes a message on and its machine is lost; more is what follows.
+// reportAfterLoss returns the report of a history in which a relay accepts a message and its machine is lost; more
+// holds the events that follow.
 func reportAfterLoss(more ...history.Event) *Report {
 	checker := newTwoRelayChecker()
 	checker.Observe(history.Event{T: 1e5, Kind: history.Metrics, Relay: "relay/0", Whole: 9e4, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}})
@@ -21,7 +22,8 @@
 	return checker.Close()
 }
 
-// Guards against a promise that is lost and not seen, and against ends and heirs that come in time and are blamed.
+// Guards against a lost message that goes undetected, and against ends and takeovers that come in time and are
+// reported as late.
 func TestLostMachines(t *testing.T) {
 	successor := history.Event{T: 3e6, Kind: history.Metrics, Relay: "relay/1", Whole: 29e5, Figures: map[string]float64{"svc.estates.of.relay/0.7": 1}}
 	otherGroup := successor
@@ -32,34 +34,35 @@
 	for name, c := range map[string]struct {
 		more  []history.Event
 		lost  int
-		ends  int // that came late
+		ends  int // number of ends that came late
 		after float64
 		heir  string
 	}{
-		"nobody takes over":               {nil, 1, 1, -1, ""},
-		"an heir ends it":                 {[]history.Event{successor, notice(4e6)}, 0, 0, 2.7, "relay/1"},
-		"another estate is no heir":       {[]history.Event{otherGroup, notice(4e6), {T: 5e6, Kind: history.Metrics, Relay: "relay/1", Whole: 5e6}}, 0, 0, 4.7, ""},
-		"an end just in time":             {[]history.Event{successor, notice(4290e3)}, 0, 0, 2.7, "relay/1"},
-		"an end too late":                 {[]history.Event{successor, notice(48e5)}, 1, 1, 2.7, "relay/1"},
-		"a heir that has it ends nothing": {[]history.Event{successor}, 1, 1, 2.7, "relay/1"},
+		"nobody takes over":                   {nil, 1, 1, -1, ""},
+		"a successor ends it":                 {[]history.Event{successor, notice(4e6)}, 0, 0, 2.7, "relay/1"},
+		"takeover of another group":           {[]history.Event{otherGroup, notice(4e6), {T: 5e6, Kind: history.Metrics, Relay: "relay/1", Whole: 5e6}}, 0, 0, 4.7, ""},
+		"an end just in time":                 {[]history.Event{successor, notice(4290e3)}, 0, 0, 2.7, "relay/1"},
+		"an end too late":                     {[]history.Event{successor, notice(48e5)}, 1, 1, 2.7, "relay/1"},
+		"a successor has it and ends nothing": {[]history.Event{successor}, 1, 1, 2.7, "relay/1"},
 	} {
 		r := reportAfterLoss(c.more...)
 		if r.Lost != c.lost || r.Broken[End] != c.ends {
-			t.Errorf("%s: %d lost and %d ends broken, want %d and %d", name, r.Lost, r.Broken[End], c.lost, c.ends)
+			t.Errorf("%s: %d messages lost and %d violations of the rule for ends, want %d and %d", name, r.Lost, r.Broken[End], c.lost, c.ends)
 		}
 		if len(r.Takeovers) != 1 || r.Takeovers[0].After != c.after || r.Takeovers[0].Successor != c.heir {
-			t.Errorf("%s: %v, want after %.1f s by %q", name, r.Takeovers, c.after, c.heir)
+			t.Errorf("%s: %v, want a takeover after %.1f s by %q", name, r.Takeovers, c.after, c.heir)
 		}
 	}
 }
 
-// Guards against a take-over that seems to last long because the lost machine had just run out of another relay's estate, which then
-// nobody has, and against one that seems over while a message of such an estate is open.
+// Guards against a takeover that seems to last long because a group that the lost machine had adopted from another
+// relay had just ended, and so nobody has it; and against one that seems complete while a message of such a group is
+// pending.
 func TestTakeoverOfLostMachinesAdoptedGroups(t *testing.T) {
 	for name, c := range map[string]struct {
-		open  bool // a message of the inherited estate, until 5 s
+		open  bool // a message of the adopted group is pending until 5 s
 		after float64
-	}{"run out": {false, 2.7}, "a message is open": {true, 5.2}} {
+	}{"group has ended": {false, 2.7}, "message is pending": {true, 5.2}} {
 		checker := newTwoRelayChecker()
 		figures := map[string]float64{"svc.estates.of.relay/0.7": 1, "svc.estates.of.relay/1.3": 1}
 		events := []history.Event{{T: 1e5, Kind: history.Metrics, Relay: "relay/0", Whole: 9e4, Figures: figures}}
@@ -80,26 +83,27 @@
 		}
 		r := checker.Close()
 		if len(r.Takeovers) != 1 || r.Takeovers[0].After != c.after || r.Takeovers[0].Successor != "relay/1" {
-			t.Errorf("%s: %v, want after %.1f s by relay/1", name, r.Takeovers, c.after)
+			t.Errorf("%s: %v, want a takeover after %.1f s by relay/1", name, r.Takeovers, c.after)
 		}
 	}
 }
 
-// Guards against ends that have more time because something else failed: a relay that still has its machine has no heir to wait for.
+// Guards against deadlines that are extended because something else failed: a relay that still has its machine waits
+// for no successor.
 func TestOnlyLostMachineExtendsDeadlines(t *testing.T) {
 	at := int64(15e5)
 	for name, disruption := range map[string]history.Event{
-		"links are cut":           {T: at, Kind: history.Fault, How: "begin", Text: "cut relay/0 to keepers", State: history.Lossy},
-		"a keeper is killed":      {T: at, Kind: history.Proc, Proc: "keeper/0", How: "kill"},
-		"a keeper leads anew":     {T: at, Kind: history.Proc, Proc: "keeper/0", How: "ready"},
-		"another relay is killed": {T: at, Kind: history.Proc, Proc: "relay/1", How: "kill"},
-		"another relay is lost":   {T: at, Kind: history.Proc, Proc: "relay/1", How: "lose", Text: "for good"},
-		"another relay stands":    {T: at, Kind: history.Proc, Proc: "relay/1", How: "stop"},
+		"links are cut":            {T: at, Kind: history.Fault, How: "begin", Text: "cut relay/0 to keepers", State: history.Lossy},
+		"a keeper is killed":       {T: at, Kind: history.Proc, Proc: "keeper/0", How: "kill"},
+		"a keeper becomes ready":   {T: at, Kind: history.Proc, Proc: "keeper/0", How: "ready"},
+		"another relay is killed":  {T: at, Kind: history.Proc, Proc: "relay/1", How: "kill"},
+		"another relay is lost":    {T: at, Kind: history.Proc, Proc: "relay/1", How: "lose", Text: "for good"},
+		"another relay is stopped": {T: at, Kind: history.Proc, Proc: "relay/1", How: "stop"},
 	} {
 		for _, end := range []struct {
 			at     int64
 			broken int
-		}{{2540e3, 0}, {2560e3, 1}} { // its time is up at 2.2 s
+		}{{2540e3, 0}, {2560e3, 1}} { // its time is up at 2.2 s; the slack is 350 ms
 			c := newTwoRelayChecker()
 			for _, e := range []history.Event{
 				{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000},
@@ -109,13 +113,14 @@
 				c.Observe(e)
 			}
 			if r := c.Close(); r.Broken[End] != end.broken {
-				t.Errorf("%s, and its end comes at %.2f s: %d ends are broken, want %d", name, float64(end.at)/1e6, r.Broken[End], end.broken)
+				t.Errorf("%s, and the end comes at %.2f s: %d violations of the rule for ends, want %d", name, float64(end.at)/1e6, r.Broken[End], end.broken)
 			}
 		}
 	}
 }
 
-// A lost machine's messages wait for an heir, whom only keepers can name: a keeper that is killed meanwhile gives them more time.
+// A lost machine's messages wait for a successor, which only keepers can appoint: a keeper that is killed meanwhile
+// gives them more time.
 func TestKeeperEndExtendsDeadlinesOfLostMachine(t *testing.T) {
 	for name, c := range map[string]struct {
 		killed int64
@@ -141,12 +146,13 @@
 			checker.Observe(e)
 		}
 		if r := checker.Close(); r.Broken[End] != c.broken {
-			t.Errorf("%s: %d ends are broken, want %d", name, r.Broken[End], c.broken)
+			t.Errorf("%s: %d violations of the rule for ends, want %d", name, r.Broken[End], c.broken)
 		}
 	}
 }
 
-// checkerOfTwoRelays has seen two relays get ready, of which each takes over from the other within 4 s.
+// newTwoRelayChecker returns a checker that has observed two relays become ready, each of which takes over from the
+// other within 4 s.
 func newTwoRelayChecker() *Checker {
 	checker := New()
 	checker.Observe(history.Event{Kind: history.Run, Terms: &history.Terms{MaxAttempts: 8, TakeOver: 4 * time.Second, DrainGrace: time.Second, AskWithin: time.Minute,
--- a/internal/lab/rules/terms_test.go
+++ b/internal/lab/rules/terms_test.go
@@ -6,15 +6,15 @@
 	"larchrouter/internal/lab/history"
 )
 
-// begunFault is a fault of links, of which the history says that what relays write may be seen by nobody.
+// linkFault is the begin or end of a link fault under which what relays write may be lost.
 func linkFault(t int64, how, text string) history.Event {
 	return history.Event{T: t, Kind: history.Fault, How: how, Text: text, State: history.Lossy}
 }
 
-// Trouble of any kind but a restart or a lost machine frees no message of its end: each history keeps the rule by a hair, or
-// just breaks it.
+// Only a restart or a lost machine extends the deadline of a message's end; other disruptions don't. Each history just
+// meets the limit or just exceeds it.
 func TestDisruptionsExtendNoDeadline(t *testing.T) {
-	message := []history.Event{submitted(100, "m", "keyed"), clientAnswer(110, "m", 202)} // its end is due by 4450
+	message := []history.Event{submitted(100, "m", "keyed"), clientAnswer(110, "m", 202)} // its end is due by 4450 ms
 	withMessage := func(events ...history.Event) []history.Event { return append(message[:2:2], events...) }
 	clientLeft := func(t int64, how string) history.Event {
 		return history.Event{T: t, Kind: history.Left, ID: "n", How: how}
@@ -38,8 +38,8 @@
 		"a pause that is over, read again": {processEvent(111, "stop"), processEvent(300, "cont")},
 	} {
 		checkCases(t, map[string]ruleCase{
-			name + ", its end in time":   {"", withMessage(append(disruption, noticeEvent(4449, "m", "undeliverable"))...)},
-			name + ", its end too late":  {End, withMessage(append(disruption, noticeEvent(4460, "m", "undeliverable"))...)},
+			name + ", the end in time":   {"", withMessage(append(disruption, noticeEvent(4449, "m", "undeliverable"))...)},
+			name + ", the end too late":  {End, withMessage(append(disruption, noticeEvent(4460, "m", "undeliverable"))...)},
 			name + ", and it never ends": {End, withMessage(disruption...)},
 		})
 	}
@@ -53,31 +53,32 @@
 		"too late after that":              {End, withMessage(stopped, processEvent(6000, "cont"), noticeEvent(6360, "m", "deferred"))},
 		"read late, and ended in its time": {"", append(readLate, noticeEvent(4449, "m", "deferred"))},
 		"read late, and ended late for it": {End, append(readLate, noticeEvent(4460, "m", "deferred"))},
-		"a crash frees none":               {Process, withMessage(processEvent(200, "crash"), noticeEvent(4449, "m", "deferred"))},
+		"a crash extends no deadline":      {Process, withMessage(processEvent(200, "crash"), noticeEvent(4449, "m", "deferred"))},
 	})
 	r := reportOf(withMessage(processEvent(200, "crash"))...)
 	if r.Broken[End] != 1 || r.Lost != 1 {
-		t.Errorf("of a process that crashed %d ends are broken and %d messages lost, want 1 and 1", r.Broken[End], r.Lost)
+		t.Errorf("after a crash: %d violations of the rule for ends and %d messages lost, want 1 and 1", r.Broken[End], r.Lost)
 	}
 }
 
-// A request that was read is owed an answer, on whatever connection; one that was not is the client's to send anew.
+// A request that was read must be answered, on whatever connection; one that was not read is for the client to submit
+// again.
 func TestReadRequestGetsAnswer(t *testing.T) {
 	clientLeft := func(t int64, how string) history.Event {
 		return history.Event{T: t, Kind: history.Left, ID: "m", How: how}
 	}
 	request := submitted(100, "m", "keyed")
 	checkCases(t, map[string]ruleCase{
-		"read, and closed with no answer":       {End, []history.Event{request, clientLeft(120, history.Unanswered)}},
-		"closed unread":                         {"", []history.Event{request, clientLeft(120, "connection ended")}},
-		"the client gave up":                    {"", []history.Event{request, clientLeft(500, "no answer in time")}},
-		"ended by SIGKILL":                      {"", []history.Event{request, processEvent(110, "kill"), clientLeft(111, history.Unanswered), processEvent(700, "start"), processEvent(800, "ready")}},
-		"handed in after the SIGKILL":           {End, []history.Event{processEvent(50, "kill"), processEvent(60, "start"), processEvent(70, "ready"), request, clientLeft(120, history.Unanswered)}},
-		"SIGTERM frees none that was read":      {End, []history.Event{request, processEvent(110, "term"), clientLeft(120, history.Unanswered), processEvent(700, "start"), processEvent(800, "ready")}},
-		"an upgrade frees none that was read":   {End, []history.Event{request, {T: 105, Kind: history.Proc, Proc: "relay/0", How: "term", Text: "handed over"}, clientLeft(120, history.Unanswered)}},
-		"a crash frees none that was read":      {End, []history.Event{request, clientLeft(109, history.Unanswered)}},
-		"a pause before frees none":             {End, []history.Event{processEvent(50, "stop"), processEvent(90, "cont"), request, clientLeft(120, history.Unanswered)}},
-		"trouble of links frees none":           {End, []history.Event{linkFault(50, "begin", "cut"), request, clientLeft(120, history.Unanswered)}},
-		"handed in anew under another id since": {End, []history.Event{request, clientLeft(120, history.Unanswered), submitted(130, "n", "keyed"), clientAnswer(140, "n", 202), callAt(150, 1, "n", "endpoint/0"), callAnswer(200, 1, 200)}},
+		"read, and closed with no answer":  {End, []history.Event{request, clientLeft(120, history.Unanswered)}},
+		"closed unread":                    {"", []history.Event{request, clientLeft(120, "connection ended")}},
+		"the client gave up":               {"", []history.Event{request, clientLeft(500, "no answer in time")}},
+		"ended by SIGKILL":                 {"", []history.Event{request, processEvent(110, "kill"), clientLeft(111, history.Unanswered), processEvent(700, "start"), processEvent(800, "ready")}},
+		"submitted after the SIGKILL":      {End, []history.Event{processEvent(50, "kill"), processEvent(60, "start"), processEvent(70, "ready"), request, clientLeft(120, history.Unanswered)}},
+		"SIGTERM after it was read":        {End, []history.Event{request, processEvent(110, "term"), clientLeft(120, history.Unanswered), processEvent(700, "start"), processEvent(800, "ready")}},
+		"an upgrade after it was read":     {End, []history.Event{request, {T: 105, Kind: history.Proc, Proc: "relay/0", How: "term", Text: "handed over"}, clientLeft(120, history.Unanswered)}},
+		"a crash after it was read":        {End, []history.Event{request, clientLeft(109, history.Unanswered)}},
+		"a pause before it":                {End, []history.Event{processEvent(50, "stop"), processEvent(90, "cont"), request, clientLeft(120, history.Unanswered)}},
+		"a link fault before it":           {End, []history.Event{linkFault(50, "begin", "cut"), request, clientLeft(120, history.Unanswered)}},
+		"submitted again under another id": {End, []history.Event{request, clientLeft(120, history.Unanswered), submitted(130, "n", "keyed"), clientAnswer(140, "n", 202), callAt(150, 1, "n", "endpoint/0"), callAnswer(200, 1, 200)}},
 	})
 }
