--- a/internal/lab/keeper.go
+++ b/internal/lab/keeper.go
@@ -179,7 +179,7 @@
 // resolve picks those that a target names now.
 func (w *world) resolve(ctx context.Context, text string) ([]scenario.Party, error) {
 	found, err := scenario.Resolve(text, w.scenario.Parties())
-	if err != nil || found[0].Name != scenario.Leader {
+	if err != nil || found[0].Name != scenario.LeaderTarget {
 		return found, err
 	}
 	k := w.leader(ctx)
--- a/internal/lab/lose.go
+++ b/internal/lab/lose.go
@@ -147,4 +147,4 @@
 }
 
 // takeOver is for what a machine held to be taken over: the rules allow what it costs.
-func (w *world) takeOver() time.Duration { return scenario.TakeOver(w.scenario) }
+func (w *world) takeOver() time.Duration { return scenario.TakeoverTime(w.scenario) }
--- a/internal/lab/platform/draw.go
+++ b/internal/lab/platform/draw.go
@@ -169,7 +169,7 @@
 // Terms are the figures by which the run's history is judged.
 func (d *Draw) Terms(s *scenario.Scenario) *history.Terms {
 	t := &history.Terms{Seed: s.Seed, Classes: d.Classes, MaxAttempts: 8, DrainGrace: time.Second, AskWithin: 10 * time.Second,
-		Endpoints: map[string]int{}, Zones: map[string]string{}, Limits: map[string]history.Limits{}, TakeOver: scenario.TakeOver(s)}
+		Endpoints: map[string]int{}, Zones: map[string]string{}, Limits: map[string]history.Limits{}, TakeOver: scenario.TakeoverTime(s)}
 	for _, v := range d.Dests {
 		t.Rates = append(t.Rates, v.Rate)
 	}
--- a/internal/lab/scenario/backlog_test.go
+++ b/internal/lab/scenario/backlog_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against a backlog that no relay could keep, or that is told of another key.
-func TestBacklogIsChecked(t *testing.T) {
+// Guards against a backlog that no relay could store, and against an error that names another key.
+func TestBacklogCheck(t *testing.T) {
 	for text, want := range map[string]string{
 		"[fleet]\ndisk-mb = 4\nbacklog-mb = 3":                                "",
 		"[fleet]\ndisk-mb = 4\nbacklog-mb = 3.5":                              "the journal needs 1",
--- a/internal/lab/scenario/contended_test.go
+++ b/internal/lab/scenario/contention_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against faults and manners of clients that a file names and a run would pass over.
-func TestContentionIsChecked(t *testing.T) {
+// Guards against faults and client behaviours that a file names and a run would ignore.
+func TestContentionCheck(t *testing.T) {
 	const silence = "[[fault]]\nkind = \"silence\"\nfrom = \"discovery\"\nto = \"relays\"\n"
 	const slow = "[[fault]]\nkind = \"slow-notices\"\nfrom = \"discovery\"\n"
 	for text, want := range map[string]string{
@@ -14,7 +14,7 @@
 		silence:                               "needs for",
 		slow + "for = \"1s\"\nby = \"700ms\"": "",
 		slow + "for = \"1s\"":                 "slow-notices needs by",
-		slow + "for = \"1s\"\nby = \"1s\"\nto = \"relays\"": "nothing that is wrong with a link",
+		slow + "for = \"1s\"\nby = \"1s\"\nto = \"relays\"": "not a fault of a link",
 		"[fleet]\nshared-cores = 2":                         "",
 		"[fleet]\nshared-cores = -1":                        "line 2: fleet.shared-cores",
 		"[load]\npipelined = 0.5\nhalf-closed = 1.0":        "",
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -1,5 +1,5 @@
-// Package scenario reads the files that say what a run of the lab consists of: a fleet, a platform, its load,
-// what fails and is done when, and what is expected.
+// Package scenario reads the files that describe a run of the lab: the fleet, the platform, the load, the faults and
+// operator's steps with their times, and what is expected.
 package scenario
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Duration is a time as the file has it: "40s".
+// Duration is a duration that a file writes as text: "40s".
 type Duration time.Duration
 
-// UnmarshalText reads a time; none may be negative.
+// UnmarshalText parses a duration; a negative one is an error.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
@@ -29,12 +29,13 @@
 	return nil
 }
 
-// MarshalText writes a time as it is read.
+// MarshalText writes a duration in the form that UnmarshalText reads.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Scenario is one file.
+// Scenario is the content of one file. The fields of this and the following types have no JSON tags and are written to
+// results under their Go names.
 type Scenario struct {
 	Name     string   `toml:"name"`
 	Seed     uint64   `toml:"seed"`
@@ -47,99 +48,100 @@
 	Expect   Expect   `toml:"expect"`
 }
 
-// Fleet is the processes under test.
+// Fleet describes the processes under test.
 type Fleet struct {
 	Relays   int      `toml:"relays"`
 	Keepers  int      `toml:"keepers"`
 	Zones    []string `toml:"zones"`
 	Lease    Duration `toml:"lease"`
-	Copies   int      `toml:"copies"`    // further relays that hold what one holds; 0 for none
-	Short    string   `toml:"short"`     // what a relay does without them: refuse or own-disk
-	MemoryMB float64  `toml:"memory-mb"` // limits of each relay
+	Copies   int      `toml:"copies"`    // number of other relays that store what one has accepted; 0 for none
+	Short    string   `toml:"short"`     // what a relay does when it lacks copies: refuse or own-disk
+	MemoryMB float64  `toml:"memory-mb"` // this and the following: limits of each relay
 	Sockets  int      `toml:"sockets"`
 	DiskMB   float64  `toml:"disk-mb"`
-	// BacklogMB is what messages that wait may take of the disk; 0 for a relay that keeps none there.
+	// BacklogMB is the disk space that pending messages may use; 0 for a relay that stores none on disk.
 	BacklogMB float64 `toml:"backlog-mb"`
 	Cores     float64 `toml:"cores"`
-	// SharedCores is how many of the machine's cores all relays share, and the lab keeps off; 0 for no division.
+	// SharedCores is the number of the machine's cores that all relays share and the lab does not use; 0 for no division.
 	SharedCores int `toml:"shared-cores"`
 }
 
-// Platform bounds what the seed draws of the partners.
+// Platform bounds what the seed draws for the destinations and their endpoints.
 type Platform struct {
 	Destinations int      `toml:"destinations"`
-	Endpoints    int      `toml:"endpoints"` // for each destination
+	Endpoints    int      `toml:"endpoints"` // per destination
 	Latency      Duration `toml:"latency"`   // median of a call
-	Limit        float64  `toml:"limit"`     // calls a second of a destination from all relays; 0 for none
-	Cold         Duration `toml:"cold"`      // time in which a destination that comes back warms up
-	Shared       bool     `toml:"shared"`    // all relays reach an endpoint at one address, and are known by theirs
+	Limit        float64  `toml:"limit"`     // calls per second that a destination accepts from all relays; 0 for no limit
+	Cold         Duration `toml:"cold"`      // warm-up time of a destination that recovers from an outage
+	Shared       bool     `toml:"shared"`    // all relays reach an endpoint at the same address and are identified by their source addresses
 }
 
-// Load is what clients hand in.
+// Load describes what clients submit.
 type Load struct {
-	Rate     float64  `toml:"rate"`  // messages a second
-	Burst    float64  `toml:"burst"` // the rate is as much higher in bursts; 1 for none
+	Rate     float64  `toml:"rate"`  // messages per second
+	Burst    float64  `toml:"burst"` // factor of the rate in bursts; 1 for none
 	Deadline Duration `toml:"deadline"`
 	Clients  int      `toml:"clients"`
 	Early    float64  `toml:"early"` // share of clients that leave before their answer
-	// Classes are what may be repeated: keyed (for a time), safe (always) and once (never). Each gets its share.
+	// Classes are the kinds of class, by what may be repeated: keyed (within a time), safe (always) and once (never). Each
+	// gets an equal share of the messages.
 	Classes   []string `toml:"classes"`
-	Clump     int      `toml:"clump"`     // messages that come at once for one destination, in the mean; 1 for one by one
-	Strangers float64  `toml:"strangers"` // peers a second that send what is no message, or nothing
-	// Pipelined is the share of messages that another one is written behind, before the answer to the first.
+	Clump     int      `toml:"clump"`     // mean number of messages for one destination that arrive at once; 1 for single messages
+	Strangers float64  `toml:"strangers"` // peers per second that send no valid message, or nothing
+	// Pipelined is the share of messages behind which another one is written before the first is answered.
 	Pipelined float64 `toml:"pipelined"`
-	// HalfClosed is the share of messages whose client ends its sending behind the request, and waits for the answer.
+	// HalfClosed is the share of messages whose client closes its sending side after the request and waits for the answer.
 	HalfClosed float64 `toml:"half-closed"`
 }
 
-// Fault is something that is wrong for a while.
+// Fault is a fault that is injected at a time and may last for a while.
 type Fault struct {
 	At     Duration `toml:"at"`
 	For    Duration `toml:"for"`
 	Kind   string   `toml:"kind"`
 	From   string   `toml:"from"`
 	To     string   `toml:"to"`
-	Both   bool     `toml:"both"`   // both ways of the links
-	By     Duration `toml:"by"`     // of delay, late-list, slow-notices and slow-lists
+	Both   bool     `toml:"both"`   // in both directions of the links
+	By     Duration `toml:"by"`     // delay of delay, lateclose, late-list, slow-notices and slow-lists; age of the state folder of rollback
 	Spread Duration `toml:"spread"` // of delay
-	Part   float64  `toml:"part"`   // share of errors, drops, calls for the list; factor of slow
-	Rate   int64    `toml:"rate"`   // bytes a second of slow links
+	Part   float64  `toml:"part"`   // share of dropped, failed or garbled calls, or of calls for the list; factor of slow and limit
+	Rate   int64    `toml:"rate"`   // bytes per second of slow links
 	Bytes  int64    `toml:"bytes"`  // of reset
 }
 
-// Step is something that an operator does.
+// Step is an action of an operator.
 type Step struct {
 	At    Duration       `toml:"at"`
 	Do    string         `toml:"do"`
 	To    string         `toml:"to"`
 	Set   map[string]any `toml:"set"`
-	Break string         `toml:"break"` // settings: how the file is broken: cut, empty or missing
+	Break string         `toml:"break"` // for settings: how the file is broken: cut, empty or missing
 }
 
-// Expect is what has to hold beside the rules, which always do.
+// Expect is what must hold in addition to the rules, which always apply.
 type Expect struct {
 	Served        *float64  `toml:"served"`
 	Contradiction *Duration `toml:"contradiction"`
-	Promised      *int      `toml:"promised"`   // most messages taken on that got no end
-	TakenOver     *Duration `toml:"taken-over"` // longest from a machine's loss until all it held has an heir or an end
+	Promised      *int      `toml:"promised"`   // greatest number of accepted messages without an end
+	TakenOver     *Duration `toml:"taken-over"` // longest time from a machine's loss until all its messages have a successor or an end
 	OverBudget    *float64  `toml:"over-budget"`
 	OutRelays     *int      `toml:"out-relays"`
 	OutEndpoints  *int      `toml:"out-endpoints"`
 }
 
-// The kinds of fault: those of links, of processes, of partners and of discovery.
+// The kinds of fault of links, processes, endpoints and discovery, and the steps.
 var (
-	linkFaults    = []string{"cut", "drop", "delay", "slow", "reset", "halfopen", "refuse", "lateclose", "silence"}
-	processFaults = []string{"pause", "kill", "term", "upgrade", "lose", "rollback"}
-	partnerFaults = []string{"outage", "shut", "errors", "slow", "limit", "garble"}
-	listFaults    = []string{"outage", "late-list", "slow-notices", "slow-lists", "busy-lists", "cut-lists", "stalled-lists", "mute-lists"}
-	steps         = []string{"settings", "list", "drain", "ban", "unban"}
-	// laterSteps and the expectations without a measure need grants and permits, which are not there yet. They
-	// are refused rather than passed over: nothing would have been shown.
-	laterSteps = []string{"release", "halt", "back"}
+	linkFaultKinds      = []string{"cut", "drop", "delay", "slow", "reset", "halfopen", "refuse", "lateclose", "silence"}
+	processFaultKinds   = []string{"pause", "kill", "term", "upgrade", "lose", "rollback"}
+	endpointFaultKinds  = []string{"outage", "shut", "errors", "slow", "limit", "garble"}
+	discoveryFaultKinds = []string{"outage", "late-list", "slow-notices", "slow-lists", "busy-lists", "cut-lists", "stalled-lists", "mute-lists"}
+	stepKinds           = []string{"settings", "list", "drain", "ban", "unban"}
+	// unsupportedSteps, like the expectations that are not measured, need grants and permits of the keepers, which do not
+	// exist yet. They are rejected rather than ignored, because a run with them would show nothing.
+	unsupportedSteps = []string{"release", "halt", "back"}
 )
 
-// Error is a fault in a file, with its line.
+// Error is an error in a file, with its line (0 if unknown) and key.
 type Error struct {
 	Line, Column int
 	Key          string
@@ -160,20 +162,20 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Read reads a file. All that is wrong with it is told at once, each with line and key.
+// Read reads a scenario from a file. It reports all errors in the file at once, each with its line and key.
 func Read(path string) (*Scenario, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	s, err := Parse(data)
+	scenario, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return s, nil
+	return scenario, nil
 }
 
-// Default is the run of which a file changes what it names.
+// Default returns the scenario whose values apply where a file sets none.
 func Default() *Scenario {
 	return &Scenario{Name: "unnamed", Seed: 1, Duration: Duration(20 * time.Second),
 		Fleet: Fleet{Relays: 3, Zones: []string{"a"}, Lease: Duration(10 * time.Second), MemoryMB: 64, Sockets: 512, DiskMB: 3, Cores: 1},
@@ -182,40 +184,40 @@
 		Load: Load{Rate: 60, Burst: 1, Deadline: Duration(6 * time.Second), Clients: 8, Classes: []string{"keyed"}, Clump: 1}}
 }
 
-// Parse reads a scenario from the text of a file.
+// Parse reads a scenario from the text of a file and checks it.
 func Parse(data []byte) (*Scenario, error) {
-	s := Default()
-	d := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
-	if err := d.Decode(s); err != nil {
-		var strict *toml.StrictMissingError
-		var bad *toml.DecodeError
+	scenario := Default()
+	decoder := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields()
+	if err := decoder.Decode(scenario); err != nil {
+		var unknownKeys *toml.StrictMissingError
+		var malformed *toml.DecodeError
 		switch {
-		case errors.As(err, &strict):
-			var all []error
-			for _, e := range strict.Errors {
-				line, col := e.Position()
-				all = append(all, &Error{line, col, strings.Join(e.Key(), "."), errors.New("no such key")})
+		case errors.As(err, &unknownKeys):
+			var problems []error
+			for _, e := range unknownKeys.Errors {
+				line, column := e.Position()
+				problems = append(problems, &Error{line, column, strings.Join(e.Key(), "."), errors.New("no such key")})
 			}
-			return nil, errors.Join(all...)
-		case errors.As(err, &bad):
-			line, col := bad.Position()
-			return nil, &Error{line, col, strings.Join(bad.Key(), "."), errors.New(bad.Error())}
+			return nil, errors.Join(problems...)
+		case errors.As(err, &malformed):
+			line, column := malformed.Position()
+			return nil, &Error{line, column, strings.Join(malformed.Key(), "."), errors.New(malformed.Error())}
 		}
 		return nil, err
 	}
-	if err := s.Check(); err != nil {
-		return nil, locate(data, err)
+	if err := scenario.Check(); err != nil {
+		return nil, addLineNumbers(data, err)
 	}
-	return s, nil
+	return scenario, nil
 }
 
-// Classes are the kinds of class that a load may have.
-var Classes = []string{"keyed", "safe", "once"}
+// ClassKinds are the kinds of class that a load may have.
+var ClassKinds = []string{"keyed", "safe", "once"}
 
-// Settable are the settings that a step can set.
-var Settable = []string{"max-attempts", "most-held", "destination-limit", "aim", "give-up", "workers"}
+// SettableKeys are the settings that a step may set.
+var SettableKeys = []string{"max-attempts", "most-held", "destination-limit", "aim", "give-up", "workers"}
 
-func number(v any) (float64, bool) {
+func toNumber(v any) (float64, bool) {
 	switch v := v.(type) {
 	case int64:
 		return float64(v), true
@@ -225,5 +227,5 @@
 	return 0, false
 }
 
-// Number is the number that a step sets a key to.
-func (st Step) Number(key string) (float64, bool) { return number(st.Set[key]) }
+// Number returns the number to which a step sets a key, and whether it sets it to one.
+func (st Step) Number(key string) (float64, bool) { return toNumber(st.Set[key]) }
