--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -12,8 +12,9 @@
 	"larchrouter/internal/lab/rules"
 )
 
-// page needs nothing but itself: the plots stand in it.
-var page = template.Must(template.New("page").Parse(`<!DOCTYPE html>
+// pageTemplate is the HTML page of a run. It contains its plots and loads nothing else. Its fields are looked up by
+// name when it is executed.
+var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><meta name="viewport" content="width=device-width">
 <title>{{.R.Scenario.Name}}</title>
 <style>
@@ -35,8 +36,8 @@
 {{if .R.Faults}}<h2>Faults</h2><table><tr><th>from</th><th>to</th><th></th></tr>
 {{range .R.Faults}}<tr><td class="n">{{printf "%.1f s" .From}}</td><td class="n">{{printf "%.1f s" .To}}</td><td>{{.Text}}</td></tr>
 {{end}}</table>{{end}}
-<h2>Rules</h2><table><tr><th>rule</th><th>looked at</th><th>broken</th></tr>
-{{range .Rules}}<tr><td>{{.Name}}</td><td class="n">{{.Looked}}</td><td class="n{{if .Broken}} bad{{end}}">{{.Broken}}</td></tr>
+<h2>Rules</h2><table><tr><th>rule</th><th>checked</th><th>broken</th></tr>
+{{range .Rules}}<tr><td>{{.Name}}</td><td class="n">{{.Checked}}</td><td class="n{{if .Broken}} bad{{end}}">{{.Broken}}</td></tr>
 {{end}}</table>
 {{range .R.Report.Violations}}<h3 class="bad">{{.Rule}}</h3><p>{{.}}</p><pre>{{range .Events}}{{.}}
 {{end}}</pre>{{end}}
@@ -46,67 +47,67 @@
 <h2>Processes</h2><table><tr><th></th><th>processor time, s</th><th>memory, MB</th><th>descriptors</th><th>disk, MB</th></tr>
 {{range $name, $u := .R.Report.Usage}}<tr><td>{{$name}}</td><td class="n">{{printf "%.2f" $u.CPU}}</td><td class="n">{{printf "%.1f" $u.MemoryMB}}</td><td class="n">{{printf "%.0f" $u.Descriptors}}</td><td class="n">{{printf "%.2f" $u.DiskMB}}</td></tr>
 {{end}}</table>
-<h2>What the seed drew</h2><pre>{{.Draw}}</pre>
+<h2>Platform drawn from the seed</h2><pre>{{.Draw}}</pre>
 </body></html>
 `))
 
-type row struct{ Name, Value string }
+type factRow struct{ Name, Value string }
 
 type ruleRow struct {
-	Name           rules.Rule
-	Looked, Broken int
+	Name            rules.Rule
+	Checked, Broken int
 }
 
-// Write puts a run's page, its plots and its result into a folder.
-func Write(dir string, r *lab.Result) error {
+// Write writes a run's page, its plots and its result into a directory, which it creates if necessary.
+func Write(dir string, result *lab.Result) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	figs, err := figures(r)
+	figures, err := drawFigures(result)
 	if err != nil {
 		return err
 	}
-	drawn, err := json.MarshalIndent(r.Draw, "", " ")
+	drawJSON, err := json.MarshalIndent(result.Draw, "", " ")
 	if err != nil {
 		return err
 	}
 	data := struct {
 		R       *lab.Result
-		Rows    []row
+		Rows    []factRow
 		Rules   []ruleRow
 		Figures []struct {
 			Note string
 			SVG  template.HTML
 		}
 		Draw string
-	}{R: r, Draw: string(drawn)}
-	for _, f := range Facts(r) {
-		data.Rows = append(data.Rows, row{f.Name, f.String()})
+	}{R: result, Draw: string(drawJSON)}
+	for _, item := range Facts(result) {
+		data.Rows = append(data.Rows, factRow{item.Name, item.String()})
 	}
 	for _, rule := range rules.All {
-		data.Rules = append(data.Rules, ruleRow{rule, r.Report.Checked[rule], r.Report.Broken[rule]})
+		data.Rules = append(data.Rules, ruleRow{rule, result.Report.Checked[rule], result.Report.Broken[rule]})
 	}
-	for i, f := range figs {
+	for i, item := range figures {
 		name := fmt.Sprintf("plot-%02d.svg", i+1)
-		if err := os.WriteFile(filepath.Join(dir, name), []byte(f.SVG), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, name), []byte(item.SVG), 0o644); err != nil {
 			return err
 		}
 		data.Figures = append(data.Figures, struct {
 			Note string
 			SVG  template.HTML
-		}{f.Note, template.HTML(f.SVG)}) // drawn here, from numbers and names that the plot library escapes
+		}{item.Note, template.HTML(item.SVG)}) // the SVG is generated here, from numbers and names that the plot library escapes
 	}
 	out, err := os.Create(filepath.Join(dir, "index.html"))
 	if err != nil {
 		return err
 	}
-	if err := errors.Join(page.Execute(out, data), out.Close()); err != nil {
+	if err := errors.Join(pageTemplate.Execute(out, data), out.Close()); err != nil {
 		return err
 	}
-	return WriteJSON(filepath.Join(dir, "result.json"), r)
+	return WriteJSON(filepath.Join(dir, "result.json"), result)
 }
 
-// WriteJSON writes a value to a file that is there whole or not at all.
+// WriteJSON writes a value to a file as JSON, atomically: it writes path.next and renames it.
 func WriteJSON(path string, v any) error {
 	data, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -1,5 +1,4 @@
-// Package report draws what a run showed: a page that stands without a network, and tables that set runs side
-// by side.
+// Package report writes what a run showed: a self-contained HTML page with plots, and tables that compare runs.
 package report
 
 import (
@@ -21,159 +20,159 @@
 	"larchrouter/internal/lab/rules"
 )
 
-// The colours: told apart also by those who see few.
+// palette holds the colours of lines; they can also be told apart with colour blindness.
 var palette = []color.RGBA{{0, 114, 178, 255}, {213, 94, 0, 255}, {0, 158, 115, 255}, {204, 121, 167, 255}, {86, 180, 233, 255},
 	{230, 159, 0, 255}, {110, 110, 110, 255}, {150, 80, 30, 255}}
 
 var (
-	shade = color.NRGBA{230, 170, 60, 45} // one over the other is darker
-	grid  = color.RGBA{225, 225, 225, 255}
+	faultColour = color.NRGBA{230, 170, 60, 45} // translucent, so that overlapping faults are darker
+	gridColour  = color.RGBA{225, 225, 225, 255}
 )
 
-// size of a plot on the page.
+// plotWidth and plotHeight are the size of a plot on the page.
 const (
-	width  = 9 * vg.Inch
-	height = 3 * vg.Inch
+	plotWidth  = 9 * vg.Inch
+	plotHeight = 3 * vg.Inch
 )
 
-// figure is a plot with what is said of it.
-type figure struct {
+// plotFigure is a plot with its title and a note below it.
+type plotFigure struct {
 	Title, Note string
 	SVG         string
 }
 
-// canvas begins a plot over the time of a run, with its faults drawn in.
-func canvas(r *lab.Result, title, unit string) *plot.Plot {
-	p := plot.New()
-	p.Title.Text = title
-	p.Title.Padding = 4
-	p.X.Label.Text, p.Y.Label.Text = "seconds", unit
-	p.Legend.Top, p.Legend.Left = true, true // names to the right of their lines: a viewer's font may be wider
-	p.Legend.XOffs, p.Legend.Padding = vg.Points(10), vg.Points(1)
-	p.Legend.TextStyle.Font.Size = vg.Points(9)
-	g := plotter.NewGrid()
-	g.Horizontal.Color, g.Vertical.Color = grid, grid
-	p.Add(faults(r.Faults), g)
-	return p
+// newTimePlot returns an empty plot over the time of a run, in seconds, with the run's faults shaded.
+func newTimePlot(r *lab.Result, title, unit string) *plot.Plot {
+	chart := plot.New()
+	chart.Title.Text = title
+	chart.Title.Padding = 4
+	chart.X.Label.Text, chart.Y.Label.Text = "seconds", unit
+	chart.Legend.Top, chart.Legend.Left = true, true // names to the right of their lines, as a viewer's font may be wider
+	chart.Legend.XOffs, chart.Legend.Padding = vg.Points(10), vg.Points(1)
+	chart.Legend.TextStyle.Font.Size = vg.Points(9)
+	gridLines := plotter.NewGrid()
+	gridLines.Horizontal.Color, gridLines.Vertical.Color = gridColour, gridColour
+	chart.Add(faultSpans(r.Faults), gridLines)
+	return chart
 }
 
-// faults shades the times at which faults were on.
-type faults []lab.Span
+// faultSpans are the times at which faults were active, to be shaded.
+type faultSpans []lab.Span
 
-// Plot draws the shades behind all else.
-func (f faults) Plot(c draw.Canvas, p *plot.Plot) {
-	x, _ := p.Transforms(&c)
-	for _, s := range f {
-		from, to := max(s.From, p.X.Min), min(max(s.To, s.From+0.15), p.X.Max)
+// Plot implements plot.Plotter. It is added first, so that everything else is drawn over it.
+func (f faultSpans) Plot(canvas draw.Canvas, chart *plot.Plot) {
+	x, _ := chart.Transforms(&canvas)
+	for _, span := range f {
+		from, to := max(span.From, chart.X.Min), min(max(span.To, span.From+0.15), chart.X.Max)
 		if to <= from {
 			continue
 		}
-		c.FillPolygon(shade, []vg.Point{{X: x(from), Y: c.Min.Y}, {X: x(to), Y: c.Min.Y}, {X: x(to), Y: c.Max.Y}, {X: x(from), Y: c.Max.Y}})
+		canvas.FillPolygon(faultColour, []vg.Point{{X: x(from), Y: canvas.Min.Y}, {X: x(to), Y: canvas.Min.Y}, {X: x(to), Y: canvas.Max.Y}, {X: x(from), Y: canvas.Max.Y}})
 	}
 }
 
-// line adds a line to a plot, with a name for its legend.
-func line(p *plot.Plot, name string, nth int, xy plotter.XYs) error {
-	if len(xy) == 0 {
+// addLine adds a line to a plot, with a name for its legend unless that is empty.
+func addLine(chart *plot.Plot, name string, index int, points plotter.XYs) error {
+	if len(points) == 0 {
 		return nil
 	}
-	l, err := plotter.NewLine(xy)
+	line, err := plotter.NewLine(points)
 	if err != nil {
 		return fmt.Errorf("line %s: %w", name, err)
 	}
-	l.Color = palette[nth%len(palette)]
-	l.Width = vg.Points(1.4)
-	if nth >= len(palette) {
-		l.Dashes = []vg.Length{vg.Points(4), vg.Points(2)}
+	line.Color = palette[index%len(palette)]
+	line.Width = vg.Points(1.4)
+	if index >= len(palette) {
+		line.Dashes = []vg.Length{vg.Points(4), vg.Points(2)}
 	}
-	p.Add(l)
+	chart.Add(line)
 	if name != "" {
-		p.Legend.Add(name, l)
+		chart.Legend.Add(name, line)
 	}
 	return nil
 }
 
-// points turns a series into what is drawn.
-func points(s *rules.Series) plotter.XYs {
-	if s == nil {
+// seriesPoints converts a series to points, each in the middle of its interval.
+func seriesPoints(series *rules.Series) plotter.XYs {
+	if series == nil {
 		return nil
 	}
-	xy := make(plotter.XYs, 0, len(s.Values))
-	for i, v := range s.Values {
-		xy = append(xy, plotter.XY{X: (float64(i) + 0.5) * s.Interval, Y: v})
+	points := make(plotter.XYs, 0, len(series.Values))
+	for i, value := range series.Values {
+		points = append(points, plotter.XY{X: (float64(i) + 0.5) * series.Interval, Y: value})
 	}
-	return xy
+	return points
 }
 
-// svg draws a plot, with room above for the names of so many lines.
-func svg(p *plot.Plot, names int) (string, error) {
-	if p.Y.Min > 0 {
-		p.Y.Min = 0
+// renderSVG draws a plot as SVG, with space at the top for the given number of lines in the legend.
+func renderSVG(chart *plot.Plot, legendLines int) (string, error) {
+	if chart.Y.Min > 0 {
+		chart.Y.Min = 0
 	}
-	if p.Y.Max <= p.Y.Min {
-		p.Y.Max = p.Y.Min + 1
+	if chart.Y.Max <= chart.Y.Min {
+		chart.Y.Max = chart.Y.Min + 1
 	}
-	p.Y.Max += (p.Y.Max - p.Y.Min) * (0.05 + 0.09*float64(names))
-	c := vgsvg.New(width, height)
-	p.Draw(draw.Crop(draw.New(c), vg.Points(4), -vg.Points(14), 0, -vg.Points(2)))
-	var b bytes.Buffer
-	if _, err := c.WriteTo(&b); err != nil {
+	chart.Y.Max += (chart.Y.Max - chart.Y.Min) * (0.05 + 0.09*float64(legendLines))
+	canvas := vgsvg.New(plotWidth, plotHeight)
+	chart.Draw(draw.Crop(draw.New(canvas), vg.Points(4), -vg.Points(14), 0, -vg.Points(2)))
+	var buffer bytes.Buffer
+	if _, err := canvas.WriteTo(&buffer); err != nil {
 		return "", err
 	}
-	text := b.String()
-	if i := strings.Index(text, "<svg"); i >= 0 { // it stands in a page
-		text = text[i:]
+	text := buffer.String()
+	if start := strings.Index(text, "<svg"); start >= 0 { // without the XML header, as it is embedded in a page
+		text = text[start:]
 	}
 	return text, nil
 }
 
-// linesMost is how many processes are drawn one by one.
-const linesMost = 8
+// maxProcessLines is the greatest number of processes that a plot shows.
+const maxProcessLines = 8
 
-// figures draws all plots of a run.
-func figures(r *lab.Result) ([]figure, error) {
-	var all []figure
-	for _, k := range []struct {
+// drawFigures draws all plots of a run.
+func drawFigures(result *lab.Result) ([]plotFigure, error) {
+	var figures []plotFigure
+	for _, kind := range []struct {
 		draw  func(*lab.Result) (*plot.Plot, string, error)
 		names int
-	}{{served, 5}, {latency, 2}, {curve, 0}, {held, 0}} {
-		p, note, err := k.draw(r)
+	}{{outcomesPlot, 5}, {latencyPlot, 2}, {percentilePlot, 0}, {inFlightPlot, 0}} {
+		chart, note, err := kind.draw(result)
 		if err != nil {
 			return nil, err
 		}
-		text, err := svg(p, k.names)
+		text, err := renderSVG(chart, kind.names)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, figure{p.Title.Text, note, text})
+		figures = append(figures, plotFigure{chart.Title.Text, note, text})
 	}
-	for _, dest := range slices.Sorted(keys(r.Report.Calls)) {
-		p, err := calls(r, dest)
+	for _, dest := range slices.Sorted(mapKeys(result.Report.Calls)) {
+		chart, err := callsPlot(result, dest)
 		if err != nil {
 			return nil, err
 		}
-		text, err := svg(p, 2)
+		text, err := renderSVG(chart, 2)
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, figure{p.Title.Text, r.Draw.Dests[dest].String(), text})
+		figures = append(figures, plotFigure{chart.Title.Text, result.Draw.Dests[dest].String(), text})
 	}
-	for _, use := range []struct{ name, title, unit string }{{"cpu_percent", "Processor time by process", "% of a core"},
+	for _, resource := range []struct{ name, title, unit string }{{"cpu_percent", "Processor time by process", "% of a core"},
 		{"memory_mb", "Memory by process", "MB"}, {"descriptors", "Descriptors by process", "open"}} {
-		p, note, err := used(r, use.name, use.title, use.unit)
+		chart, note, err := usagePlot(result, resource.name, resource.title, resource.unit)
 		if err != nil {
 			return nil, err
 		}
-		text, err := svg(p, min(linesMost, len(r.Report.Usage)))
+		text, err := renderSVG(chart, min(maxProcessLines, len(result.Report.Usage)))
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, figure{p.Title.Text, note, text})
+		figures = append(figures, plotFigure{chart.Title.Text, note, text})
 	}
-	return all, nil
+	return figures, nil
 }
 
-func keys[V any](m map[int]V) func(func(int) bool) {
+func mapKeys[V any](m map[int]V) func(func(int) bool) {
 	return func(yield func(int) bool) {
 		for k := range m {
 			if !yield(k) {
@@ -183,89 +182,89 @@
 	}
 }
 
-func served(r *lab.Result) (*plot.Plot, string, error) {
-	p := canvas(r, "What became of the messages of each second", "messages")
-	of := func(f func(rules.Second) int) plotter.XYs {
-		var xy plotter.XYs
-		for i, s := range r.Report.Seconds {
-			xy = append(xy, plotter.XY{X: float64(i) + 0.5, Y: float64(f(s))})
+func outcomesPlot(result *lab.Result) (*plot.Plot, string, error) {
+	chart := newTimePlot(result, "Outcomes of messages by second", "messages")
+	countPoints := func(count func(rules.Second) int) plotter.XYs {
+		var points plotter.XYs
+		for i, second := range result.Report.Seconds {
+			points = append(points, plotter.XY{X: float64(i) + 0.5, Y: float64(count(second))})
 		}
-		return xy
+		return points
 	}
-	for i, l := range []struct {
+	for i, outcome := range []struct {
 		name string
 		of   func(rules.Second) int
-	}{{"in time", func(s rules.Second) int { return s.InTime }}, {"refused", func(s rules.Second) int { return s.Refused }},
-		{"late", func(s rules.Second) int { return s.Late }}, {"failed or unheard", func(s rules.Second) int { return s.Other }},
-		{"asked for", func(s rules.Second) int { return s.Asked }}} {
-		if err := line(p, l.name, i, of(l.of)); err != nil {
+	}{{"in time", func(second rules.Second) int { return second.InTime }}, {"refused", func(second rules.Second) int { return second.Refused }},
+		{"late", func(second rules.Second) int { return second.Late }}, {"failed or unheard", func(second rules.Second) int { return second.Other }},
+		{"asked for", func(second rules.Second) int { return second.Asked }}} {
+		if err := addLine(chart, outcome.name, i, countPoints(outcome.of)); err != nil {
 			return nil, "", err
 		}
 	}
-	return p, "By the second in which a message was first handed in. Shaded: a fault was on.", nil
+	return chart, "By the second in which a message was first submitted. Shaded: a fault was active.", nil
 }
 
-func latency(r *lab.Result) (*plot.Plot, string, error) {
-	p := canvas(r, "Time to delivery", "ms")
-	var mid, high plotter.XYs
-	for i, s := range r.Report.Seconds {
-		if s.InTime+s.Late > 0 {
-			mid = append(mid, plotter.XY{X: float64(i) + 0.5, Y: s.P50})
-			high = append(high, plotter.XY{X: float64(i) + 0.5, Y: s.P99})
+func latencyPlot(result *lab.Result) (*plot.Plot, string, error) {
+	chart := newTimePlot(result, "Time to delivery", "ms")
+	var medians, p99 plotter.XYs
+	for i, second := range result.Report.Seconds {
+		if second.InTime+second.Late > 0 {
+			medians = append(medians, plotter.XY{X: float64(i) + 0.5, Y: second.P50})
+			p99 = append(p99, plotter.XY{X: float64(i) + 0.5, Y: second.P99})
 		}
 	}
-	if err := line(p, "median", 0, mid); err != nil {
+	if err := addLine(chart, "median", 0, medians); err != nil {
 		return nil, "", err
 	}
-	return p, "From the first handing-in, over all that were delivered.", line(p, "99 of 100", 1, high)
+	return chart, "From the first submission, over all delivered messages.", addLine(chart, "99 of 100", 1, p99)
 }
 
-func curve(r *lab.Result) (*plot.Plot, string, error) {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "Time to delivery by percentile", "percentile", "ms"
+func percentilePlot(result *lab.Result) (*plot.Plot, string, error) {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = "Time to delivery by percentile", "percentile", "ms"
 	var ticks []plot.Tick
-	var xy plotter.XYs
-	for _, q := range r.Report.Latency.Curve {
-		x := -math.Log10(1 - q.Percent/100)
-		xy = append(xy, plotter.XY{X: x, Y: q.Ms})
-		if slices.Contains([]float64{0, 50, 90, 99, 99.9, 99.99}, q.Percent) {
-			ticks = append(ticks, plot.Tick{Value: x, Label: fmt.Sprintf("%g", q.Percent)})
+	var points plotter.XYs
+	for _, quantile := range result.Report.Latency.Curve {
+		x := -math.Log10(1 - quantile.Percent/100)
+		points = append(points, plotter.XY{X: x, Y: quantile.Ms})
+		if slices.Contains([]float64{0, 50, 90, 99, 99.9, 99.99}, quantile.Percent) {
+			ticks = append(ticks, plot.Tick{Value: x, Label: fmt.Sprintf("%g", quantile.Percent)})
 		}
 	}
-	p.X.Tick.Marker = plot.ConstantTicks(ticks)
-	p.Add(plotter.NewGrid())
-	return p, "The axis is stretched towards the slowest.", line(p, "", 0, xy)
+	chart.X.Tick.Marker = plot.ConstantTicks(ticks)
+	chart.Add(plotter.NewGrid())
+	return chart, "The axis is logarithmic towards the highest percentiles.", addLine(chart, "", 0, points)
 }
 
-func held(r *lab.Result) (*plot.Plot, string, error) {
-	p := canvas(r, "Messages that relays hold", "messages")
-	return p, "By all relays that answered; one that is down or stands still tells nothing.", line(p, "", 0, points(r.Report.InFlight))
+func inFlightPlot(result *lab.Result) (*plot.Plot, string, error) {
+	chart := newTimePlot(result, "Messages in flight in relays", "messages")
+	return chart, "Sum over the relays that answered; one that is down or stopped is missing.", addLine(chart, "", 0, seriesPoints(result.Report.InFlight))
 }
 
-func calls(r *lab.Result, dest int) (*plot.Plot, error) {
-	p := canvas(r, fmt.Sprintf("Calls to destination %d", dest), "a second")
-	if err := line(p, "calls", 0, points(r.Report.Calls[dest])); err != nil {
+func callsPlot(result *lab.Result, dest int) (*plot.Plot, error) {
+	chart := newTimePlot(result, fmt.Sprintf("Calls to destination %d", dest), "per second")
+	if err := addLine(chart, "calls", 0, seriesPoints(result.Report.Calls[dest])); err != nil {
 		return nil, err
 	}
-	var limit plotter.XYs
-	end := float64(len(r.Report.Seconds))
-	for i, l := range r.Report.Limits[dest] {
+	var limitPoints plotter.XYs
+	end := float64(len(result.Report.Seconds))
+	for i, limit := range result.Report.Limits[dest] {
 		to := end
-		if i+1 < len(r.Report.Limits[dest]) {
-			to = r.Report.Limits[dest][i+1].From
+		if i+1 < len(result.Report.Limits[dest]) {
+			to = result.Report.Limits[dest][i+1].From
 		}
-		if l.Rate > 0 {
-			limit = append(limit, plotter.XY{X: l.From, Y: l.Rate}, plotter.XY{X: to, Y: l.Rate})
+		if limit.Rate > 0 {
+			limitPoints = append(limitPoints, plotter.XY{X: limit.From, Y: limit.Rate}, plotter.XY{X: to, Y: limit.Rate})
 		}
 	}
-	return p, line(p, "its limit", 1, limit)
+	return chart, addLine(chart, "limit", 1, limitPoints)
 }
 
-func used(r *lab.Result, name, title, unit string) (*plot.Plot, string, error) {
-	p := canvas(r, title, unit)
-	names := make([]string, 0, len(r.Report.Usage))
-	for n := range r.Report.Usage {
-		names = append(names, n)
+func usagePlot(result *lab.Result, name, title, unit string) (*plot.Plot, string, error) {
+	chart := newTimePlot(result, title, unit)
+	names := make([]string, 0, len(result.Report.Usage))
+	for process := range result.Report.Usage {
+		names = append(names, process)
 	}
 	sort.Slice(names, func(i, j int) bool {
 		a, b := names[i], names[j]
@@ -275,21 +274,21 @@
 		return a < b
 	})
 	note := ""
-	if len(names) > linesMost {
-		note = fmt.Sprintf("%d of %d processes: those that used most.", linesMost, len(names))
-		most := func(n string) float64 {
-			if v := r.Report.Usage[n].OverTime[name].Values; len(v) > 0 {
-				return slices.Max(v)
+	if len(names) > maxProcessLines {
+		note = fmt.Sprintf("%d of %d processes: those with the highest use.", maxProcessLines, len(names))
+		maximum := func(process string) float64 {
+			if values := result.Report.Usage[process].OverTime[name].Values; len(values) > 0 {
+				return slices.Max(values)
 			}
 			return 0
 		}
-		sort.SliceStable(names, func(i, j int) bool { return most(names[i]) > most(names[j]) })
-		names = names[:linesMost]
+		sort.SliceStable(names, func(i, j int) bool { return maximum(names[i]) > maximum(names[j]) })
+		names = names[:maxProcessLines]
 	}
-	for i, n := range names {
-		if err := line(p, n, i, points(r.Report.Usage[n].OverTime[name])); err != nil {
+	for i, process := range names {
+		if err := addLine(chart, process, i, seriesPoints(result.Report.Usage[process].OverTime[name])); err != nil {
 			return nil, "", err
 		}
 	}
-	return p, note, nil
+	return chart, note, nil
 }
--- a/internal/lab/report/report_test.go
+++ b/internal/lab/report/report_test.go
@@ -13,32 +13,33 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// sample is a run of a few seconds, made of events.
-func sample(t *testing.T, served int) *lab.Result {
+// sampleResult returns the result of a run of 5 s, computed from generated events of 100 messages, of which the given
+// number are delivered.
+func sampleResult(t *testing.T, served int) *lab.Result {
 	t.Helper()
 	s := scenario.Default()
 	s.Name = "<b>sample</b>"
-	d := platform.NewDraw(s)
-	c := rules.New()
-	c.Observe(history.Event{Kind: history.Run, Terms: d.Terms(s)})
+	draw := platform.NewDraw(s)
+	checker := rules.New()
+	checker.Observe(history.Event{Kind: history.Run, Terms: draw.Terms(s)})
 	for i := range int64(100) {
 		at, id := i*50_000, "m"+string(rune('a'+i%26))+string(rune('a'+i/26))
-		c.Observe(history.Event{T: at, Kind: history.Hand, ID: id, First: id, Class: "order-msg", Left: 6000, Sum: "s", Relay: "relay/0"})
-		c.Observe(history.Event{T: at + 1000, Kind: history.Heard, ID: id, Status: 202, Relay: "relay/0"})
+		checker.Observe(history.Event{T: at, Kind: history.Hand, ID: id, First: id, Class: "order-msg", Left: 6000, Sum: "s", Relay: "relay/0"})
+		checker.Observe(history.Event{T: at + 1000, Kind: history.Heard, ID: id, Status: 202, Relay: "relay/0"})
 		if int(i) < served {
-			c.Observe(history.Event{T: at + 2000, Kind: history.Call, Call: i + 1, IDs: []string{id}, Sums: []string{"s"}, Endpoint: "endpoint/0", Relay: "relay/0"})
-			c.Observe(history.Event{T: at + 30000, Kind: history.Answer, Call: i + 1, Status: 200, Relay: "relay/0"})
+			checker.Observe(history.Event{T: at + 2000, Kind: history.Call, Call: i + 1, IDs: []string{id}, Sums: []string{"s"}, Endpoint: "endpoint/0", Relay: "relay/0"})
+			checker.Observe(history.Event{T: at + 30000, Kind: history.Answer, Call: i + 1, Status: 200, Relay: "relay/0"})
 		}
-		c.Observe(history.Event{T: at + 31000, Kind: history.Sample, Proc: "relay/0", PID: 7, Figures: map[string]float64{"cpu_s": float64(i) / 100, "memory_mb": 12, "descriptors": 30}})
+		checker.Observe(history.Event{T: at + 31000, Kind: history.Sample, Proc: "relay/0", PID: 7, Figures: map[string]float64{"cpu_s": float64(i) / 100, "memory_mb": 12, "descriptors": 30}})
 	}
-	return &lab.Result{Scenario: s, Draw: d, Report: c.Close(), Faults: []lab.Span{{From: 1, To: 2, Text: "cut <x>"}},
+	return &lab.Result{Scenario: s, Draw: draw, Report: checker.Close(), Faults: []lab.Span{{From: 1, To: 2, Text: "cut <x>"}},
 		Failures: []lab.Failure{{Expectation: "served", Text: "too little"}}}
 }
 
-// Guards against a page that lacks what it is for, or that needs anything but itself.
-func TestPage(t *testing.T) {
+// Guards against a page that lacks essential content, or that loads anything else.
+func TestWrittenPage(t *testing.T) {
 	dir := t.TempDir()
-	if err := Write(dir, sample(t, 90)); err != nil {
+	if err := Write(dir, sampleResult(t, 90)); err != nil {
 		t.Fatal(err)
 	}
 	data, err := os.ReadFile(filepath.Join(dir, "index.html"))
@@ -48,15 +49,15 @@
 	text := string(data)
 	for _, want := range []string{"&lt;b&gt;sample", "Not held", "too little", "cut &lt;x&gt;", "Calls to destination 0", "Processor time by process", "0.9000"} {
 		if !strings.Contains(text, want) {
-			t.Errorf("the page does not have %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	if n := strings.Count(text, "<svg"); n != 8 {
 		t.Errorf("%d plots, want 8", n)
 	}
-	for _, not := range []string{"src=\"http", "href=\"http", "<script", "NaN"} {
-		if strings.Contains(text, not) {
-			t.Errorf("the page has %q", not)
+	for _, unwanted := range []string{"src=\"http", "href=\"http", "<script", "NaN"} {
+		if strings.Contains(text, unwanted) {
+			t.Errorf("the page contains %q", unwanted)
 		}
 	}
 	if _, err := Read(filepath.Join(dir, "result.json")); err != nil {
@@ -64,12 +65,12 @@
 	}
 }
 
-// Guards against a difference that is called more than the noise when it is not, and the reverse.
-func TestDiff(t *testing.T) {
+// Guards against a difference that is reported as more than the noise when it is not, and the reverse.
+func TestDiffNoise(t *testing.T) {
 	set := func(name string, served ...int) *Set {
 		s := &Set{Name: name}
 		for _, n := range served {
-			s.Runs = append(s.Runs, sample(t, n))
+			s.Runs = append(s.Runs, sampleResult(t, n))
 		}
 		return s
 	}
@@ -83,7 +84,7 @@
 				return line
 			}
 		}
-		t.Fatal("no row for what was served")
+		t.Fatal("no row for the worth served")
 		return ""
 	}
 	for _, c := range []struct {
@@ -97,14 +98,14 @@
 	}
 }
 
-func TestReadRefusesOtherFiles(t *testing.T) {
+func TestReadRejectsOtherFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "x.json")
 	for _, text := range []string{"", "{}", "[]", `{"runs":[]}`, `{"runs":[null]}`, `{"runs":[{}]}`} {
 		if err := os.WriteFile(path, []byte(text), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := Read(path); err == nil {
-			t.Errorf("%q passes for a result", text)
+			t.Errorf("%q is accepted as a result", text)
 		}
 	}
 }
