--- a/internal/lab/command/command.go
+++ b/internal/lab/command/command.go
@@ -1,4 +1,4 @@
-// Package command is the lab's command line.
+// Package command implements the lab's command line.
 package command
 
 import (
@@ -25,38 +25,38 @@
 
 // The exit codes.
 const (
-	held      = 0 // every expectation held
-	failed    = 1 // one did not
-	wrongFile = 2 // the file, or the command line, is wrong
-	stuck     = 3 // the lab itself could not go on, or the run shows nothing
+	exitOK     = 0 // every expectation held
+	exitFailed = 1 // at least one expectation did not hold
+	exitUsage  = 2 // the file or the command line is wrong
+	exitError  = 3 // the lab itself failed, or the run shows nothing
 )
 
-// exit carries an exit code with what went wrong.
-type exit struct {
+// codedError is an error with the exit code that it leads to.
+type codedError struct {
 	code int
 	err  error
 }
 
-func (e *exit) Error() string { return e.err.Error() }
-func (e *exit) Unwrap() error { return e.err }
+func (e *codedError) Error() string { return e.err.Error() }
+func (e *codedError) Unwrap() error { return e.err }
 
-// Main runs a command line and returns its exit code.
-func Main(args []string, out, errs io.Writer) int {
+// Main runs a command line and returns its exit code. An interrupt or SIGTERM ends the run.
+func Main(args []string, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	root := newRoot(out)
 	root.SetArgs(args)
 	root.SetOut(out)
-	root.SetErr(errs)
+	root.SetErr(errOut)
 	err := root.ExecuteContext(ctx)
 	if err == nil {
-		return held
+		return exitOK
 	}
-	fmt.Fprintln(errs, "larchlab:", err)
-	if e := (*exit)(nil); errors.As(err, &e) {
-		return e.code
+	fmt.Fprintln(errOut, "larchlab:", err)
+	if exitErr := (*codedError)(nil); errors.As(err, &exitErr) {
+		return exitErr.code
 	}
-	return wrongFile // cobra's own: an argument that is none
+	return exitUsage // an error of cobra: an unknown command or a wrong argument
 }
 
 func newRoot(out io.Writer) *cobra.Command {
@@ -66,128 +66,128 @@
 	return root
 }
 
-// built reads the deploy file, and builds what it starts.
-func built(ctx context.Context, noBuild bool, keepers int) (lab.Options, error) {
-	var o lab.Options
-	here, err := os.Getwd()
+// prepareOptions reads the deploy file, and builds what it starts unless noBuild is set.
+func prepareOptions(ctx context.Context, noBuild bool, keepers int) (lab.Options, error) {
+	var options lab.Options
+	workDir, err := os.Getwd()
 	if err != nil {
-		return o, err
+		return options, err
 	}
-	root, err := lab.FindRoot(here)
+	root, err := lab.FindRoot(workDir)
 	if err != nil {
-		return o, err
+		return options, err
 	}
 	data, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
-		return o, err
+		return options, err
 	}
-	d := proc.Deploy{Root: root}
-	if err := toml.Unmarshal(data, &d); err != nil {
-		return o, fmt.Errorf("deploy/balancer.toml: %w", err)
+	deploy := proc.Deploy{Root: root}
+	if err := toml.Unmarshal(data, &deploy); err != nil {
+		return options, fmt.Errorf("deploy/balancer.toml: %w", err)
 	}
-	if d.Run == "" || d.Build == "" {
-		return o, errors.New("deploy/balancer.toml: build or run is missing")
+	if deploy.Run == "" || deploy.Build == "" {
+		return options, errors.New("deploy/balancer.toml: build or run is missing")
 	}
 	if !noBuild {
-		if keepers > 0 { // the deploy file builds what a relay's machine needs
-			d.Build += " && go build -o bin/ ./cmd/larchkeeper"
+		if keepers > 0 { // the deploy file builds only what a relay's machine needs
+			deploy.Build += " && go build -o bin/ ./cmd/larchkeeper"
 		}
-		if err := d.Built(ctx); err != nil {
-			return o, err
+		if err := deploy.Built(ctx); err != nil {
+			return options, err
 		}
 	}
-	return lab.Options{Root: root, Command: d.Run, Keeper: "exec bin/larchkeeper"}, nil
+	return lab.Options{Root: root, Command: deploy.Run, Keeper: "exec bin/larchkeeper"}, nil
 }
 
 func newRun(out io.Writer) *cobra.Command {
 	var seed uint64
-	var jsonPath, historyPath, dir, drawn string
+	var jsonPath, historyPath, reportDir, drawPath string
 	var keep, noBuild, quiet bool
-	c := &cobra.Command{Use: "run FILE.toml", Short: "Play a scenario and judge it", Args: cobra.ExactArgs(1),
-		Long: "Play a scenario and judge it.\n\nExit code 0: every expectation held. 1: one did not. 2: the file is wrong.\n3: the lab could not go on, or the machine was too busy for the run to show anything.",
-		RunE: func(c *cobra.Command, args []string) error {
-			s, err := scenario.Read(args[0])
+	command := &cobra.Command{Use: "run FILE.toml", Short: "Run a scenario and judge it", Args: cobra.ExactArgs(1),
+		Long: "Run a scenario and judge it.\n\nExit code 0: every expectation held. 1: at least one did not. 2: the file is wrong.\n3: the lab failed, or the machine was too busy for the run to show anything.",
+		RunE: func(command *cobra.Command, args []string) error {
+			spec, err := scenario.Read(args[0])
 			if err != nil {
-				return &exit{wrongFile, err}
+				return &codedError{exitUsage, err}
 			}
-			if c.Flags().Changed("seed") {
-				s.Seed = seed
+			if command.Flags().Changed("seed") {
+				spec.Seed = seed
 			}
-			o, err := built(c.Context(), noBuild, s.Fleet.Keepers)
+			options, err := prepareOptions(command.Context(), noBuild, spec.Fleet.Keepers)
 			if err != nil {
-				return &exit{stuck, err}
+				return &codedError{exitError, err}
 			}
-			o.Keep, o.History = keep, historyPath
-			if drawn != "" {
-				if o.Draw, err = readDraw(drawn, s); err != nil {
-					return &exit{wrongFile, err}
+			options.Keep, options.History = keep, historyPath
+			if drawPath != "" {
+				if options.Draw, err = readDraw(drawPath, spec); err != nil {
+					return &codedError{exitUsage, err}
 				}
 			}
 			if !quiet {
-				o.Each = func(p lab.Progress) { fmt.Fprintln(out, line(p)) }
+				options.Each = func(progress lab.Progress) { fmt.Fprintln(out, progressLine(progress)) }
 			}
-			r, err := lab.Run(c.Context(), s, o)
+			result, err := lab.Run(command.Context(), spec, options)
 			if err != nil {
-				return &exit{stuck, err}
+				return &codedError{exitError, err}
 			}
 			if jsonPath != "" {
-				if err := report.WriteJSON(jsonPath, r); err != nil {
-					return &exit{stuck, err}
+				if err := report.WriteJSON(jsonPath, result); err != nil {
+					return &codedError{exitError, err}
 				}
 			}
-			if dir != "" {
-				if err := report.Write(dir, r); err != nil {
-					return &exit{stuck, err}
+			if reportDir != "" {
+				if err := report.Write(reportDir, result); err != nil {
+					return &codedError{exitError, err}
 				}
-				fmt.Fprintln(out, "report:", filepath.Join(dir, "index.html"))
+				fmt.Fprintln(out, "report:", filepath.Join(reportDir, "index.html"))
 			}
-			return verdict(c.Context(), out, r)
+			return printVerdict(command.Context(), out, result)
 		}}
-	c.Flags().Uint64Var(&seed, "seed", 0, "draw with this seed, not with the file's")
-	c.Flags().StringVar(&jsonPath, "json", "", "write the result to this file")
-	c.Flags().StringVar(&dir, "report", "", "write a page with plots to this folder")
-	c.Flags().StringVar(&drawn, "draw", "", "take the platform as it was drawn in this result, not from the seed")
-	c.Flags().StringVar(&historyPath, "history", "", "write the history to this file, to be checked again with larchlab check")
-	c.Flags().BoolVar(&keep, "keep", false, "keep the folder of the run, with logs and configurations")
-	c.Flags().BoolVar(&noBuild, "no-build", false, "start what is built already")
-	c.Flags().BoolVar(&quiet, "quiet", false, "no line for each second")
-	return c
+	command.Flags().Uint64Var(&seed, "seed", 0, "use this seed instead of the file's")
+	command.Flags().StringVar(&jsonPath, "json", "", "write the result to this file")
+	command.Flags().StringVar(&reportDir, "report", "", "write a page with plots to this directory")
+	command.Flags().StringVar(&drawPath, "draw", "", "use the platform that was drawn in this result instead of drawing it from the seed")
+	command.Flags().StringVar(&historyPath, "history", "", "write the history to this file, for larchlab check")
+	command.Flags().BoolVar(&keep, "keep", false, "keep the directory of the run, with logs and configurations")
+	command.Flags().BoolVar(&noBuild, "no-build", false, "do not build; start the existing binaries")
+	command.Flags().BoolVar(&quiet, "quiet", false, "do not print a line each second")
+	return command
 }
 
-// readDraw takes what another run drew, which must be of a platform of the same size.
-func readDraw(path string, s *scenario.Scenario) (*platform.Draw, error) {
+// readDraw reads the platform that was drawn for another run. It must have as many destinations as the scenario.
+func readDraw(path string, spec *scenario.Scenario) (*platform.Draw, error) {
 	set, err := report.Read(path)
 	if err != nil {
 		return nil, err
 	}
-	d := set.Runs[0].Draw
-	if d == nil || len(d.Dests) != s.Platform.Destinations {
-		return nil, fmt.Errorf("%s: was not drawn for %d destinations", path, s.Platform.Destinations)
+	drawn := set.Runs[0].Draw
+	if drawn == nil || len(drawn.Dests) != spec.Platform.Destinations {
+		return nil, fmt.Errorf("%s: its platform was not drawn for %d destinations", path, spec.Platform.Destinations)
 	}
-	return d, nil
+	return drawn, nil
 }
 
 func newCheck(out io.Writer) *cobra.Command {
 	return &cobra.Command{Use: "check HISTORY", Short: "Judge a history again", Args: cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
-			f, err := os.Open(args[0])
+			file, err := os.Open(args[0])
 			if err != nil {
-				return &exit{wrongFile, err}
+				return &codedError{exitUsage, err}
 			}
-			defer f.Close()
+			defer file.Close()
 			checker := rules.New()
-			cut, err := history.Read(f, checker.Observe)
+			truncated, err := history.Read(file, checker.Observe)
 			if err != nil {
-				return &exit{wrongFile, fmt.Errorf("%s: %w", args[0], err)}
+				return &codedError{exitUsage, fmt.Errorf("%s: %w", args[0], err)}
 			}
-			r := checker.Close()
-			if cut {
-				fmt.Fprintln(out, "the last line is cut off: the lab that wrote it did not end in order")
+			findings := checker.Close()
+			if truncated {
+				fmt.Fprintln(out, "the last line is cut off: the lab that wrote it did not end normally")
 			}
-			fmt.Fprintln(out, r)
-			shown(out, r)
-			if n := r.Total(); n > 0 {
-				return &exit{failed, fmt.Errorf("rules broken %d times", n)}
+			fmt.Fprintln(out, findings)
+			printViolations(out, findings)
+			if broken := findings.Total(); broken > 0 {
+				return &codedError{exitFailed, fmt.Errorf("rules broken %d times", broken)}
 			}
 			return nil
 		}}
--- a/internal/lab/command/sweep.go
+++ b/internal/lab/command/sweep.go
@@ -18,7 +18,7 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// setting is one key of a scenario with the values that a sweep gives it.
+// setting is a key of a scenario with the values that a sweep gives it.
 type setting struct {
 	key    string
 	values []string
@@ -32,68 +32,68 @@
 	return setting{key, strings.Split(values, ",")}, nil
 }
 
-// with is the text of a scenario in which keys have other values.
-func with(data []byte, keys, values []string) ([]byte, error) {
-	var file map[string]any
-	if err := toml.Unmarshal(data, &file); err != nil {
+// withSettings returns the text of a scenario in which the keys have other values.
+func withSettings(data []byte, keys, values []string) ([]byte, error) {
+	var document map[string]any
+	if err := toml.Unmarshal(data, &document); err != nil {
 		return nil, err
 	}
 	for i, key := range keys {
-		if err := assign(file, strings.Split(key, "."), literal(values[i])); err != nil {
+		if err := setKey(document, strings.Split(key, "."), parseValue(values[i])); err != nil {
 			return nil, fmt.Errorf("--set %s: %w", key, err)
 		}
 	}
-	return toml.Marshal(file)
+	return toml.Marshal(document)
 }
 
-// literal reads a value as TOML has it; what is none is a string.
-func literal(text string) any {
-	var v struct{ V any }
-	if toml.Unmarshal([]byte("V = "+text), &v) == nil {
-		return v.V
+// parseValue parses a value as TOML; a value that is not valid TOML is a string.
+func parseValue(text string) any {
+	var document struct{ V any }
+	if toml.Unmarshal([]byte("V = "+text), &document) == nil {
+		return document.V
 	}
 	return text
 }
 
-// assign sets load.rate, or fault.0.for of a list of tables.
-func assign(at any, path []string, v any) error {
-	switch at := at.(type) {
+// setKey sets the value at a path in a document of TOML, such as load.rate, or fault.0.for in a list of tables.
+func setKey(node any, path []string, value any) error {
+	switch node := node.(type) {
 	case map[string]any:
 		if len(path) == 1 {
-			if old, ok := at[path[0]]; ok { // a whole number where the file has a fraction
+			if old, ok := node[path[0]]; ok { // convert an integer where the file has a float
 				if _, isFloat := old.(float64); isFloat {
-					if n, isInt := v.(int64); isInt {
-						v = float64(n)
+					if integer, isInt := value.(int64); isInt {
+						value = float64(integer)
 					}
 				}
 			}
-			at[path[0]] = v
+			node[path[0]] = value
 			return nil
 		}
-		next, ok := at[path[0]]
+		next, ok := node[path[0]]
 		if !ok {
 			next = map[string]any{}
-			at[path[0]] = next
+			node[path[0]] = next
 		}
-		return assign(next, path[1:], v)
+		return setKey(next, path[1:], value)
 	case []any:
-		i, err := strconv.Atoi(path[0])
-		if err != nil || i < 0 || i >= len(at) || len(path) < 2 {
-			return fmt.Errorf("%q is none of %d tables", path[0], len(at))
+		index, err := strconv.Atoi(path[0])
+		if err != nil || index < 0 || index >= len(node) || len(path) < 2 {
+			return fmt.Errorf("%q is not an index of one of %d tables, followed by a key", path[0], len(node))
 		}
-		return assign(at[i], path[1:], v)
+		return setKey(node[index], path[1:], value)
 	}
-	return fmt.Errorf("%q stands under what is no table", strings.Join(path, "."))
+	return fmt.Errorf("%q is not inside a table", strings.Join(path, "."))
 }
 
-// combinations are all ways to take one value of each setting.
-func combinations(all []setting) [][]string {
+// allCombinations returns all ways to take one value of each setting.
+func allCombinations(settings []setting) [][]string {
 	rows := [][]string{nil}
-	for _, s := range all {
+	for _, setting := range settings {
 		var next [][]string
 		for _, row := range rows {
-			for _, v := range s.values {
-				next = append(next, append(append([]string(nil), row...), v))
+			for _, value := range setting.values {
+				next = append(next, append(append([]string(nil), row...), value))
 			}
 		}
 		rows = next
@@ -101,120 +101,120 @@
 	return rows
 }
 
-var unsafeName = regexp.MustCompile(`[^A-Za-z0-9.=_-]+`)
+var unsafeFileChars = regexp.MustCompile(`[^A-Za-z0-9.=_-]+`)
 
 func newSweep(out io.Writer) *cobra.Command {
-	var sets []string
+	var setFlags []string
 	var seeds int
-	var dir string
+	var reportDir string
 	var noBuild bool
-	c := &cobra.Command{Use: "sweep FILE.toml --set KEY=VALUE,VALUE", Short: "Play a scenario with several values of its keys, and several seeds",
+	command := &cobra.Command{Use: "sweep FILE.toml --set KEY=VALUE,VALUE", Short: "Run a scenario with several values of its keys, and several seeds",
 		Args: cobra.ExactArgs(1),
-		RunE: func(c *cobra.Command, args []string) error {
+		RunE: func(command *cobra.Command, args []string) error {
 			data, err := os.ReadFile(args[0])
 			if err != nil {
-				return &exit{wrongFile, err}
+				return &codedError{exitUsage, err}
 			}
-			var all []setting
+			var settings []setting
 			var keys []string
-			for _, text := range sets {
-				s, err := parseSetting(text)
+			for _, text := range setFlags {
+				spec, err := parseSetting(text)
 				if err != nil {
-					return &exit{wrongFile, err}
+					return &codedError{exitUsage, err}
 				}
-				all, keys = append(all, s), append(keys, s.key)
+				settings, keys = append(settings, spec), append(keys, spec.key)
 			}
-			if seeds < 1 || dir == "" {
-				return &exit{wrongFile, errors.New("sweep wants --seeds of 1 at least and --report")}
+			if seeds < 1 || reportDir == "" {
+				return &codedError{exitUsage, errors.New("sweep needs --seeds of at least 1 and --report")}
 			}
 			type point struct {
-				name string
-				s    *scenario.Scenario
+				name     string
+				scenario *scenario.Scenario
 			}
 			var points []point
 			keepers := 0
-			for _, values := range combinations(all) {
-				text, err := with(data, keys, values)
+			for _, values := range allCombinations(settings) {
+				text, err := withSettings(data, keys, values)
 				if err != nil {
-					return &exit{wrongFile, err}
+					return &codedError{exitUsage, err}
 				}
-				s, err := scenario.Parse(text)
+				spec, err := scenario.Parse(text)
 				if err != nil {
-					return &exit{wrongFile, fmt.Errorf("%s with %v: %w", args[0], values, err)}
+					return &codedError{exitUsage, fmt.Errorf("%s with %v: %w", args[0], values, err)}
 				}
 				var name []string
-				for i, k := range keys {
-					name = append(name, k+"="+values[i])
+				for i, key := range keys {
+					name = append(name, key+"="+values[i])
 				}
-				points = append(points, point{strings.Join(name, " "), s})
-				keepers = max(keepers, s.Fleet.Keepers)
+				points = append(points, point{strings.Join(name, " "), spec})
+				keepers = max(keepers, spec.Fleet.Keepers)
 			}
-			o, err := built(c.Context(), noBuild, keepers)
+			options, err := prepareOptions(command.Context(), noBuild, keepers)
 			if err != nil {
-				return &exit{stuck, err}
+				return &codedError{exitError, err}
 			}
 			var broken int
-			var sum []report.Set
-			for _, p := range points {
-				set := report.Set{Name: p.name}
-				first := p.s.Seed
+			var summary []report.Set
+			for _, point := range points {
+				set := report.Set{Name: point.name}
+				firstSeed := point.scenario.Seed
 				for i := range seeds {
-					p.s.Seed = first + uint64(i)
-					r, err := lab.Run(c.Context(), copyOf(p.s), o)
+					point.scenario.Seed = firstSeed + uint64(i)
+					result, err := lab.Run(command.Context(), copyScenario(point.scenario), options)
 					if err != nil {
-						return &exit{stuck, err}
+						return &codedError{exitError, err}
 					}
-					if c.Context().Err() != nil {
-						return &exit{stuck, errors.New("interrupted")}
+					if command.Context().Err() != nil {
+						return &codedError{exitError, errors.New("interrupted")}
 					}
-					set.Runs = append(set.Runs, r)
-					fmt.Fprintf(out, "%s seed %d: %s\n", p.name, p.s.Seed, r.Report)
-					if r.Void != "" {
-						fmt.Fprintln(out, "void:", r.Void)
+					set.Runs = append(set.Runs, result)
+					fmt.Fprintf(out, "%s seed %d: %s\n", point.name, point.scenario.Seed, result.Report)
+					if result.Void != "" {
+						fmt.Fprintln(out, "void:", result.Void)
 					}
-					broken += r.Report.Total()
-					sub := filepath.Join(dir, unsafeName.ReplaceAllString(fmt.Sprintf("%s_seed=%d", p.name, p.s.Seed), "_"))
-					if err := report.Write(sub, r); err != nil {
-						return &exit{stuck, err}
+					broken += result.Report.Total()
+					runDir := filepath.Join(reportDir, unsafeFileChars.ReplaceAllString(fmt.Sprintf("%s_seed=%d", point.name, point.scenario.Seed), "_"))
+					if err := report.Write(runDir, result); err != nil {
+						return &codedError{exitError, err}
 					}
 				}
-				if err := report.WriteJSON(filepath.Join(dir, unsafeName.ReplaceAllString("set_"+p.name, "_")+".json"), set); err != nil {
-					return &exit{stuck, err}
+				if err := report.WriteJSON(filepath.Join(reportDir, unsafeFileChars.ReplaceAllString("set_"+point.name, "_")+".json"), set); err != nil {
+					return &codedError{exitError, err}
 				}
-				sum = append(sum, set)
+				summary = append(summary, set)
 			}
-			if err := report.Table(out, sum); err != nil {
-				return &exit{stuck, err}
+			if err := report.Table(out, summary); err != nil {
+				return &codedError{exitError, err}
 			}
 			if broken > 0 {
-				return &exit{failed, fmt.Errorf("rules broken %d times", broken)}
+				return &codedError{exitFailed, fmt.Errorf("rules broken %d times", broken)}
 			}
 			return nil
 		}}
-	c.Flags().StringArrayVar(&sets, "set", nil, "a key of the file with its values; several are combined")
-	c.Flags().IntVar(&seeds, "seeds", 1, "seeds for each, from the file's on")
-	c.Flags().StringVar(&dir, "report", "", "folder for the reports")
-	c.Flags().BoolVar(&noBuild, "no-build", false, "start what is built already")
-	return c
+	command.Flags().StringArrayVar(&setFlags, "set", nil, "a key of the file with its values; several such flags are combined")
+	command.Flags().IntVar(&seeds, "seeds", 1, "number of seeds for each combination, starting with the file's seed")
+	command.Flags().StringVar(&reportDir, "report", "", "directory for the reports")
+	command.Flags().BoolVar(&noBuild, "no-build", false, "do not build; start the existing binaries")
+	return command
 }
 
-// copyOf keeps a run's scenario from the next one's seed.
-func copyOf(s *scenario.Scenario) *scenario.Scenario {
+// copyScenario returns a copy whose seed does not change with the next run's.
+func copyScenario(s *scenario.Scenario) *scenario.Scenario {
 	c := *s
 	return &c
 }
 
 func newDiff(out io.Writer) *cobra.Command {
-	return &cobra.Command{Use: "diff A.json B.json", Short: "Set two results, or two sets of a sweep, side by side", Args: cobra.ExactArgs(2),
+	return &cobra.Command{Use: "diff A.json B.json", Short: "Compare two results, or two sets of a sweep", Args: cobra.ExactArgs(2),
 		RunE: func(_ *cobra.Command, args []string) error {
-			a, err := report.Read(args[0])
+			first, err := report.Read(args[0])
 			if err != nil {
-				return &exit{wrongFile, err}
+				return &codedError{exitUsage, err}
 			}
-			b, err := report.Read(args[1])
+			second, err := report.Read(args[1])
 			if err != nil {
-				return &exit{wrongFile, err}
+				return &codedError{exitUsage, err}
 			}
-			return report.Diff(out, a, b)
+			return report.Diff(out, first, second)
 		}}
 }
--- a/internal/lab/command/table.go
+++ b/internal/lab/command/table.go
@@ -12,64 +12,64 @@
 	"larchrouter/internal/lab"
 )
 
-// table shows a run on a terminal, redrawn in place; elsewhere a line for each second.
-type table struct {
-	out      io.Writer
-	terminal bool
-	lines    int
-	last     map[string]sight
-	at       time.Duration
+// progressTable shows the progress of a run on a terminal, redrawn in place; elsewhere it writes a line each second.
+type progressTable struct {
+	out       io.Writer
+	terminal  bool
+	lineCount int
+	samples   map[string]relaySample
+	drawnAt   time.Duration
 }
 
-type sight struct {
+type relaySample struct {
 	cpu    time.Duration
 	served float64
 }
 
-func newTable(out io.Writer) *table {
-	f, ok := out.(*os.File)
-	return &table{out: out, terminal: ok && term.IsTerminal(int(f.Fd())), last: map[string]sight{}}
+func newProgressTable(out io.Writer) *progressTable {
+	file, ok := out.(*os.File)
+	return &progressTable{out: out, terminal: ok && term.IsTerminal(int(file.Fd())), samples: map[string]relaySample{}}
 }
 
-// tableMost is how many relays are shown one by one.
-const tableMost = 20
+// maxTableRows is the greatest number of relays that the table shows.
+const maxTableRows = 20
 
-func (t *table) draw(p lab.Progress) {
+func (t *progressTable) draw(progress lab.Progress) {
 	if !t.terminal {
-		fmt.Fprintln(t.out, line(p))
+		fmt.Fprintln(t.out, progressLine(progress))
 		return
 	}
-	var b strings.Builder
-	if t.lines > 0 {
-		fmt.Fprintf(&b, "\x1b[%dA", t.lines)
+	var buffer strings.Builder
+	if t.lineCount > 0 {
+		fmt.Fprintf(&buffer, "\x1b[%dA", t.lineCount)
 	}
-	row := func(format string, args ...any) { fmt.Fprintf(&b, "\x1b[2K"+format+"\n", args...) }
-	span := (p.At - t.at).Seconds()
-	row("%6.0f s   %d messages asked for, %d served in time, rules broken: %d", p.At.Seconds(), p.Asked, p.InTime, p.Broken)
-	row("%s", strings.Join(p.Faults, "; "))
+	row := func(format string, args ...any) { fmt.Fprintf(&buffer, "\x1b[2K"+format+"\n", args...) }
+	seconds := (progress.At - t.drawnAt).Seconds()
+	row("%6.0f s   %d messages asked for, %d served in time, rules broken: %d", progress.At.Seconds(), progress.Asked, progress.InTime, progress.Broken)
+	row("%s", strings.Join(progress.Faults, "; "))
 	row("%-10s %-7s %10s %8s %8s %8s %8s %8s", "relay", "state", "served/s", "refused", "held", "cpu %", "MB", "sockets")
-	for i, r := range p.Rows {
+	for i, relay := range progress.Rows {
 		var served, refused float64
-		for name, v := range r.Figures {
+		for name, value := range relay.Figures {
 			switch {
 			case strings.HasSuffix(name, ".served"):
-				served += v
+				served += value
 			case strings.HasSuffix(name, ".refused"):
-				refused += v
+				refused += value
 			}
 		}
-		was := t.last[r.Name]
-		t.last[r.Name] = sight{r.Use.CPU, served}
-		if i >= tableMost {
+		previous := t.samples[relay.Name]
+		t.samples[relay.Name] = relaySample{relay.Use.CPU, served}
+		if i >= maxTableRows {
 			continue
 		}
-		rate, cpu := max(0, served-was.served)/span, max(0, (r.Use.CPU-was.cpu).Seconds())/span*100
-		row("%-10s %-7s %10.1f %8.0f %8.0f %8.1f %8.1f %8d", r.Name, r.State, rate, refused, r.Figures["svc.in_flight"], cpu, r.Use.MemoryMB, r.Use.Descriptors)
+		rate, cpu := max(0, served-previous.served)/seconds, max(0, (relay.Use.CPU-previous.cpu).Seconds())/seconds*100
+		row("%-10s %-7s %10.1f %8.0f %8.0f %8.1f %8.1f %8d", relay.Name, relay.State, rate, refused, relay.Figures["svc.in_flight"], cpu, relay.Use.MemoryMB, relay.Use.Descriptors)
 	}
-	if n := len(p.Rows) - tableMost; n > 0 {
-		row("and %d more", n)
+	if hidden := len(progress.Rows) - maxTableRows; hidden > 0 {
+		row("and %d more", hidden)
 	}
-	t.at = p.At
-	t.lines = strings.Count(b.String(), "\n")
-	io.WriteString(t.out, b.String())
+	t.drawnAt = progress.At
+	t.lineCount = strings.Count(buffer.String(), "\n")
+	io.WriteString(t.out, buffer.String())
 }
--- a/internal/lab/command/up.go
+++ b/internal/lab/command/up.go
@@ -14,58 +14,58 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// What a newcomer runs first.
+// The up command, which runs a fleet without a scenario file.
 
-// upFor bounds a run that goes on until it is interrupted.
-const upFor = 24 * time.Hour
+// maxUpDuration bounds a run that goes on until it is interrupted.
+const maxUpDuration = 24 * time.Hour
 
 func newUp(out io.Writer) *cobra.Command {
-	s := scenario.Default()
-	s.Name = "up"
+	spec := scenario.Default()
+	spec.Name = "up"
 	var rate float64
-	var dir string
+	var reportDir string
 	var noBuild bool
-	c := &cobra.Command{Use: "up", Short: "An emulated platform and relays under steady load, until interrupted", Args: cobra.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error {
-			s.Load.Rate = rate
-			if !c.Flags().Changed("for") {
-				s.Duration = scenario.Duration(upFor)
+	command := &cobra.Command{Use: "up", Short: "Run relays and an emulated platform under steady load, until interrupted", Args: cobra.NoArgs,
+		RunE: func(command *cobra.Command, _ []string) error {
+			spec.Load.Rate = rate
+			if !command.Flags().Changed("for") {
+				spec.Duration = scenario.Duration(maxUpDuration)
 			}
-			if err := s.Check(); err != nil {
-				return &exit{wrongFile, err}
+			if err := spec.Check(); err != nil {
+				return &codedError{exitUsage, err}
 			}
 			fmt.Fprintln(out, "building what deploy/balancer.toml starts ...")
-			o, err := built(c.Context(), noBuild, s.Fleet.Keepers)
+			options, err := prepareOptions(command.Context(), noBuild, spec.Fleet.Keepers)
 			if err != nil {
-				return &exit{stuck, err}
+				return &codedError{exitError, err}
 			}
-			fmt.Fprintf(out, "starting %d relays; Ctrl-C ends everything\n", s.Fleet.Relays)
-			t := newTable(out)
-			o.Each = t.draw
-			r, err := lab.Run(c.Context(), s, o)
+			fmt.Fprintf(out, "starting %d relays; Ctrl-C ends everything\n", spec.Fleet.Relays)
+			table := newProgressTable(out)
+			options.Each = table.draw
+			result, err := lab.Run(command.Context(), spec, options)
 			if err != nil {
-				return &exit{stuck, err}
+				return &codedError{exitError, err}
 			}
 			fmt.Fprintln(out)
-			if dir != "" {
-				if err := report.Write(dir, r); err != nil {
-					return &exit{stuck, err}
+			if reportDir != "" {
+				if err := report.Write(reportDir, result); err != nil {
+					return &codedError{exitError, err}
 				}
-				fmt.Fprintln(out, "report:", filepath.Join(dir, "index.html"))
+				fmt.Fprintln(out, "report:", filepath.Join(reportDir, "index.html"))
 			}
-			return verdict(context.Background(), out, r)
+			return printVerdict(context.Background(), out, result)
 		}}
-	c.Flags().IntVar(&s.Fleet.Relays, "relays", s.Fleet.Relays, "how many relays")
-	c.Flags().IntVar(&s.Fleet.Keepers, "keepers", 0, "how many keepers: 0, 1, 3 or 5")
-	c.Flags().Float64Var(&rate, "rate", s.Load.Rate, "messages a second")
-	c.Flags().Uint64Var(&s.Seed, "seed", s.Seed, "what the platform is drawn from")
-	c.Flags().StringVar(&dir, "report", "", "write a page with plots to this folder at the end")
-	c.Flags().Var((*durationFlag)(&s.Duration), "for", "end by itself after this time")
-	c.Flags().BoolVar(&noBuild, "no-build", false, "start what is built already")
-	return c
+	command.Flags().IntVar(&spec.Fleet.Relays, "relays", spec.Fleet.Relays, "number of relays")
+	command.Flags().IntVar(&spec.Fleet.Keepers, "keepers", 0, "number of keepers: 0, 1, 3 or 5")
+	command.Flags().Float64Var(&rate, "rate", spec.Load.Rate, "messages per second")
+	command.Flags().Uint64Var(&spec.Seed, "seed", spec.Seed, "seed from which the platform is drawn")
+	command.Flags().StringVar(&reportDir, "report", "", "write a page with plots to this directory at the end")
+	command.Flags().Var((*durationFlag)(&spec.Duration), "for", "end the run after this time")
+	command.Flags().BoolVar(&noBuild, "no-build", false, "do not build; start the existing binaries")
+	return command
 }
 
-// durationFlag reads a time as a scenario does.
+// durationFlag is a flag that parses a duration as a scenario does.
 type durationFlag scenario.Duration
 
 func (d *durationFlag) Set(text string) error {
--- a/internal/lab/command/verdict.go
+++ b/internal/lab/command/verdict.go
@@ -11,76 +11,76 @@
 	"larchrouter/internal/lab/rules"
 )
 
-// What a run shows.
+// Output of a run's result and progress.
 
-// verdict prints a result, and returns what its exit code has to tell.
-func verdict(ctx context.Context, out io.Writer, r *lab.Result) error {
-	fmt.Fprintf(out, "%s, seed %d: %s\n", r.Scenario.Name, r.Scenario.Seed, r.Report)
-	shown(out, r.Report)
-	var relays float64
-	for _, u := range r.Report.Usage {
-		relays += u.CPU
+// printVerdict prints a result, and returns an error with the exit code for it; nil if every expectation held.
+func printVerdict(ctx context.Context, out io.Writer, result *lab.Result) error {
+	fmt.Fprintf(out, "%s, seed %d: %s\n", result.Scenario.Name, result.Scenario.Seed, result.Report)
+	printViolations(out, result.Report)
+	var relayCPU float64
+	for _, usage := range result.Report.Usage {
+		relayCPU += usage.CPU
 	}
-	for _, t := range r.Report.Takeovers {
-		fmt.Fprintln(out, t)
+	for _, takeover := range result.Report.Takeovers {
+		fmt.Fprintln(out, takeover)
 	}
-	if a := r.Report.Generations; a != nil {
-		fmt.Fprintln(out, "agreement:", a)
+	if generations := result.Report.Generations; generations != nil {
+		fmt.Fprintln(out, "agreement:", generations)
 	}
 	fmt.Fprintf(out, "processor time: relays %.1f s, lab %.1f s; the lab's timers late by %.1f ms (50%%), %.1f (99%%), %.1f at most\n",
-		relays, r.LabCPU, r.Lateness.P50, r.Lateness.P99, r.Lateness.Max)
-	if r.Folder != "" {
-		fmt.Fprintln(out, "kept in", r.Folder)
+		relayCPU, result.LabCPU, result.Lateness.P50, result.Lateness.P99, result.Lateness.Max)
+	if result.Folder != "" {
+		fmt.Fprintln(out, "kept in", result.Folder)
 	}
-	for _, f := range r.Failures {
-		fmt.Fprintf(out, "NOT HELD  %s: %s\n", f.Expectation, f.Text)
+	for _, failure := range result.Failures {
+		fmt.Fprintf(out, "NOT HELD  %s: %s\n", failure.Expectation, failure.Text)
 	}
 	switch {
 	case ctx.Err() != nil:
-		return &exit{stuck, errors.New("interrupted")}
-	case r.Void != "":
-		return &exit{stuck, errors.New("void: " + r.Void)}
-	case len(r.Failures) > 0:
-		return &exit{failed, fmt.Errorf("%d expectations did not hold", len(r.Failures))}
+		return &codedError{exitError, errors.New("interrupted")}
+	case result.Void != "":
+		return &codedError{exitError, errors.New("void: " + result.Void)}
+	case len(result.Failures) > 0:
+		return &codedError{exitFailed, fmt.Errorf("%d expectations did not hold", len(result.Failures))}
 	}
 	fmt.Fprintln(out, "every expectation held")
 	return nil
 }
 
-// shown prints the broken rules, and what of the rules was never tried.
-func shown(out io.Writer, r *rules.Report) {
-	for _, b := range r.Violations {
-		fmt.Fprintln(out, b)
-		for _, e := range b.Events {
+// printViolations prints the violations, and the rules that were never checked.
+func printViolations(out io.Writer, findings *rules.Report) {
+	for _, violation := range findings.Violations {
+		fmt.Fprintln(out, violation)
+		for _, e := range violation.Events {
 			fmt.Fprintln(out, "    ", e)
 		}
 	}
-	var untried []string
+	var unchecked []string
 	for _, rule := range rules.All {
-		if r.Checked[rule] == 0 {
-			untried = append(untried, string(rule))
+		if findings.Checked[rule] == 0 {
+			unchecked = append(unchecked, string(rule))
 		}
 	}
-	if len(untried) > 0 {
-		fmt.Fprintln(out, "rules that nothing in this run tried:", strings.Join(untried, ", "))
+	if len(unchecked) > 0 {
+		fmt.Fprintln(out, "rules that nothing in this run tried:", strings.Join(unchecked, ", "))
 	}
 }
 
-// line is a run's progress in one line.
-func line(p lab.Progress) string {
+// progressLine formats a run's progress as one line.
+func progressLine(progress lab.Progress) string {
 	up := 0
-	var open, cpu float64
-	for _, r := range p.Rows {
-		if r.State == "up" {
+	var inFlight, cpu float64
+	for _, relay := range progress.Rows {
+		if relay.State == "up" {
 			up++
 		}
-		open += r.Figures["svc.in_flight"]
-		cpu += r.Use.CPU.Seconds()
+		inFlight += relay.Figures["svc.in_flight"]
+		cpu += relay.Use.CPU.Seconds()
 	}
 	text := fmt.Sprintf("%5.1f s  %d of %d relays up, %d messages asked for, %d served in time, %.0f held, %d rules broken",
-		p.At.Seconds(), up, len(p.Rows), p.Asked, p.InTime, open, p.Broken)
-	if len(p.Faults) > 0 {
-		text += "  [" + strings.Join(p.Faults, "; ") + "]"
+		progress.At.Seconds(), up, len(progress.Rows), progress.Asked, progress.InTime, inFlight, progress.Broken)
+	if len(progress.Faults) > 0 {
+		text += "  [" + strings.Join(progress.Faults, "; ") + "]"
 	}
 	return text
 }
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -257,7 +257,7 @@
 			limitPoints = append(limitPoints, plotter.XY{X: limit.From, Y: limit.Rate}, plotter.XY{X: to, Y: limit.Rate})
 		}
 	}
-	return chart, addLine(chart, "limit", 1, limitPoints)
+	return chart, addLine(chart, "its limit", 1, limitPoints)
 }
 
 func usagePlot(result *lab.Result, name, title, unit string) (*plot.Plot, string, error) {
