--- a/internal/lab/command/sweep.go
+++ b/internal/lab/command/sweep.go
@@ -24,6 +24,7 @@
 	values []string
 }
 
+// parseSetting parses the value of a --set flag.
 func parseSetting(text string) (setting, error) {
 	key, values, ok := strings.Cut(text, "=")
 	if !ok || key == "" || values == "" {
@@ -79,7 +80,7 @@
 	case []any:
 		index, err := strconv.Atoi(path[0])
 		if err != nil || index < 0 || index >= len(node) || len(path) < 2 {
-			return fmt.Errorf("%q is not an index of one of %d tables, followed by a key", path[0], len(node))
+			return fmt.Errorf("%q must be the index of one of %d tables, followed by a key", path[0], len(node))
 		}
 		return setKey(node[index], path[1:], value)
 	}
@@ -101,6 +102,7 @@
 	return rows
 }
 
+// unsafeFileChars matches what is replaced by _ in file names.
 var unsafeFileChars = regexp.MustCompile(`[^A-Za-z0-9.=_-]+`)
 
 func newSweep(out io.Writer) *cobra.Command {
@@ -118,11 +120,11 @@
 			var settings []setting
 			var keys []string
 			for _, text := range setFlags {
-				spec, err := parseSetting(text)
+				parsed, err := parseSetting(text)
 				if err != nil {
 					return &codedError{exitUsage, err}
 				}
-				settings, keys = append(settings, spec), append(keys, spec.key)
+				settings, keys = append(settings, parsed), append(keys, parsed.key)
 			}
 			if seeds < 1 || reportDir == "" {
 				return &codedError{exitUsage, errors.New("sweep needs --seeds of at least 1 and --report")}
--- a/internal/lab/command/table.go
+++ b/internal/lab/command/table.go
@@ -21,6 +21,7 @@
 	drawnAt   time.Duration
 }
 
+// relaySample is what a relay had used and served when the table was last drawn.
 type relaySample struct {
 	cpu    time.Duration
 	served float64
--- a/internal/lab/command/verdict.go
+++ b/internal/lab/command/verdict.go
@@ -69,16 +69,16 @@
 // progressLine formats a run's progress as one line.
 func progressLine(progress lab.Progress) string {
 	up := 0
-	var inFlight, cpu float64
+	var pending, cpu float64
 	for _, relay := range progress.Rows {
 		if relay.State == "up" {
 			up++
 		}
-		inFlight += relay.Figures["svc.in_flight"]
+		pending += relay.Figures["svc.in_flight"]
 		cpu += relay.Use.CPU.Seconds()
 	}
 	text := fmt.Sprintf("%5.1f s  %d of %d relays up, %d messages asked for, %d served in time, %.0f held, %d rules broken",
-		progress.At.Seconds(), up, len(progress.Rows), progress.Asked, progress.InTime, inFlight, progress.Broken)
+		progress.At.Seconds(), up, len(progress.Rows), progress.Asked, progress.InTime, pending, progress.Broken)
 	if len(progress.Faults) > 0 {
 		text += "  [" + strings.Join(progress.Faults, "; ") + "]"
 	}
--- a/internal/lab/report/compare.go
+++ b/internal/lab/report/compare.go
@@ -32,7 +32,7 @@
 	}
 	return []Fact{{"served, of the worth asked for", report.Served, 4}, {"messages asked for", float64(report.Asked), 0}, {"in time", share(report.InTime), 4},
 		{"late", share(report.Late), 4}, {"refused", share(report.Refused), 4}, {"failed or unheard", share(report.Failed + report.Unanswered), 4},
-		{"lost", float64(report.Lost), 0}, {"owed by a relay that was down at the end", float64(report.Pending), 0}, {"rules broken", float64(report.Total()), 0}, {"median time to delivery, ms", report.Latency.P50, 1},
+		{"lost", float64(report.Lost), 0}, {"owed by a relay that was down at the end", float64(report.PendingAtEnd), 0}, {"rules broken", float64(report.Total()), 0}, {"median time to delivery, ms", report.Latency.P50, 1},
 		{"99 of 100 within, ms", report.Latency.P99, 1}, {"processor time of relays, s", cpu, 2}, {"processor time of the lab, s", result.LabCPU, 2},
 		{"most memory of a relay, MB", memory, 1}, {"most descriptors of a relay", descriptors, 0}, {"lab's timers late, 99 of 100, ms", result.Lateness.P99, 1}}
 }
@@ -79,6 +79,7 @@
 	runs   int
 }
 
+// stats returns the means and standard deviations of all facts.
 func (s *Set) stats() []factStats {
 	var all []factStats
 	for i, result := range s.Runs {
@@ -128,6 +129,7 @@
 	return table.Flush()
 }
 
+// formatStdDev formats the standard deviation of a fact; "-" if it is not known.
 func formatStdDev(stats factStats) string {
 	if math.IsNaN(stats.stdDev) {
 		return "-"
--- a/internal/lab/report/plots.go
+++ b/internal/lab/report/plots.go
@@ -133,14 +133,14 @@
 func drawFigures(result *lab.Result) ([]plotFigure, error) {
 	var figures []plotFigure
 	for _, kind := range []struct {
-		draw  func(*lab.Result) (*plot.Plot, string, error)
-		names int
-	}{{outcomesPlot, 5}, {latencyPlot, 2}, {percentilePlot, 0}, {inFlightPlot, 0}} {
+		draw        func(*lab.Result) (*plot.Plot, string, error)
+		legendLines int
+	}{{outcomesPlot, 5}, {latencyPlot, 2}, {percentilePlot, 0}, {pendingPlot, 0}} {
 		chart, note, err := kind.draw(result)
 		if err != nil {
 			return nil, err
 		}
-		text, err := renderSVG(chart, kind.names)
+		text, err := renderSVG(chart, kind.legendLines)
 		if err != nil {
 			return nil, err
 		}
@@ -172,6 +172,7 @@
 	return figures, nil
 }
 
+// mapKeys iterates over the keys of a map.
 func mapKeys[V any](m map[int]V) func(func(int) bool) {
 	return func(yield func(int) bool) {
 		for k := range m {
@@ -182,6 +183,7 @@
 	}
 }
 
+// outcomesPlot plots the number of messages by outcome for each second.
 func outcomesPlot(result *lab.Result) (*plot.Plot, string, error) {
 	chart := newTimePlot(result, "Outcomes of messages by second", "messages")
 	countPoints := func(count func(rules.Second) int) plotter.XYs {
@@ -192,18 +194,19 @@
 		return points
 	}
 	for i, outcome := range []struct {
-		name string
-		of   func(rules.Second) int
+		name  string
+		count func(rules.Second) int
 	}{{"in time", func(second rules.Second) int { return second.InTime }}, {"refused", func(second rules.Second) int { return second.Refused }},
 		{"late", func(second rules.Second) int { return second.Late }}, {"failed or unheard", func(second rules.Second) int { return second.Other }},
 		{"asked for", func(second rules.Second) int { return second.Asked }}} {
-		if err := addLine(chart, outcome.name, i, countPoints(outcome.of)); err != nil {
+		if err := addLine(chart, outcome.name, i, countPoints(outcome.count)); err != nil {
 			return nil, "", err
 		}
 	}
 	return chart, "By the second in which a message was first submitted. Shaded: a fault was active.", nil
 }
 
+// latencyPlot plots the median and the 99th percentile of the time to delivery for each second.
 func latencyPlot(result *lab.Result) (*plot.Plot, string, error) {
 	chart := newTimePlot(result, "Time to delivery", "ms")
 	var medians, p99 plotter.XYs
@@ -219,6 +222,7 @@
 	return chart, "From the first submission, over all delivered messages.", addLine(chart, "99 of 100", 1, p99)
 }
 
+// percentilePlot plots the time to delivery by percentile.
 func percentilePlot(result *lab.Result) (*plot.Plot, string, error) {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = "Time to delivery by percentile", "percentile", "ms"
@@ -236,11 +240,13 @@
 	return chart, "The axis is logarithmic towards the highest percentiles.", addLine(chart, "", 0, points)
 }
 
-func inFlightPlot(result *lab.Result) (*plot.Plot, string, error) {
-	chart := newTimePlot(result, "Messages in flight in relays", "messages")
-	return chart, "Sum over the relays that answered; one that is down or stopped is missing.", addLine(chart, "", 0, seriesPoints(result.Report.InFlight))
+// pendingPlot plots the number of messages that relays have.
+func pendingPlot(result *lab.Result) (*plot.Plot, string, error) {
+	chart := newTimePlot(result, "Messages pending in relays", "messages")
+	return chart, "Sum over the relays that answered; one that is down or stopped is missing.", addLine(chart, "", 0, seriesPoints(result.Report.PendingOverTime))
 }
 
+// callsPlot plots the calls to a destination, with its limit.
 func callsPlot(result *lab.Result, dest int) (*plot.Plot, error) {
 	chart := newTimePlot(result, fmt.Sprintf("Calls to destination %d", dest), "per second")
 	if err := addLine(chart, "calls", 0, seriesPoints(result.Report.Calls[dest])); err != nil {
@@ -260,6 +266,7 @@
 	return chart, addLine(chart, "its limit", 1, limitPoints)
 }
 
+// usagePlot plots a resource that processes use, for at most maxProcessLines processes.
 func usagePlot(result *lab.Result, name, title, unit string) (*plot.Plot, string, error) {
 	chart := newTimePlot(result, title, unit)
 	names := make([]string, 0, len(result.Report.Usage))
--- a/internal/lab/rules/calls.go
+++ b/internal/lab/rules/calls.go
@@ -9,6 +9,7 @@
 
 // Calls at endpoints.
 
+// callArrived records a call to an endpoint, and checks its destination, its messages and the waits.
 func (c *Checker) callArrived(e history.Event) {
 	call := &callState{Event: e, zone: c.terms.Zones[e.Endpoint]}
 	c.calls[e.Call] = call
@@ -105,6 +106,7 @@
 	}
 }
 
+// callEnded records that a call was answered or given up.
 func (c *Checker) callEnded(e history.Event) {
 	call := c.calls[e.Call]
 	if call == nil {
@@ -145,8 +147,7 @@
 		relay.counters["served"].most.add(e.T)
 		if message.acceptedAt > 0 {
 			message.request.recordDelivery(e.T)
-			// Otherwise the relay has counted the message's end already, or is stopped and may time out before it reads the
-			// answer.
+			// Otherwise the relay has counted the message's end already, or is stopped and may time out before it reads this.
 			if message.notice.T == 0 && relay.downSince == 0 {
 				relay.counters["served"].least.add(e.T)
 			}
--- a/internal/lab/rules/generations.go
+++ b/internal/lab/rules/generations.go
@@ -28,17 +28,17 @@
 }
 
 // generation returns the entry of a generation, which it inserts in order if it is missing.
-func (use *GenerationUse) generation(number uint64) *GenerationTimes {
+func (u *GenerationUse) generation(number uint64) *GenerationTimes {
 	i := 0
-	for i < len(use.Generations) && use.Generations[i].Number < number {
+	for i < len(u.Generations) && u.Generations[i].Number < number {
 		i++
 	}
-	if i == len(use.Generations) || use.Generations[i].Number != number {
-		use.Generations = append(use.Generations, GenerationTimes{})
-		copy(use.Generations[i+1:], use.Generations[i:])
-		use.Generations[i] = GenerationTimes{Number: number, Joined: -1, Alone: -1, Last: -1}
+	if i == len(u.Generations) || u.Generations[i].Number != number {
+		u.Generations = append(u.Generations, GenerationTimes{})
+		copy(u.Generations[i+1:], u.Generations[i:])
+		u.Generations[i] = GenerationTimes{Number: number, Joined: -1, Alone: -1, Last: -1}
 	}
-	return &use.Generations[i]
+	return &u.Generations[i]
 }
 
 // recordGenerations records the generations by which a call was decided. Calls arrive in the order of their ends, not
@@ -90,6 +90,6 @@
 	}
 }
 
-func (a *GenerationUse) String() string {
-	return fmt.Sprintf("%d generations acted by, calls by mode %v, longest contradiction %.3f s, three in use %.3f s", len(a.Generations), a.Calls, a.Contradiction, a.ThreeInUse)
+func (u *GenerationUse) String() string {
+	return fmt.Sprintf("%d generations acted by, calls by mode %v, longest contradiction %.3f s, three in use %.3f s", len(u.Generations), u.Calls, u.Contradiction, u.ThreeInUse)
 }
--- a/internal/lab/rules/lists.go
+++ b/internal/lab/rules/lists.go
@@ -23,21 +23,21 @@
 type pendingListCall struct{ arrivedAt, wait int64 }
 
 // listRequested records a call for the list.
-func (p *relayState) listRequested(e history.Event) {
-	p.lastListCall = e.T
-	p.pendingListCalls = append(p.pendingListCalls, pendingListCall{e.T, e.Left * ms})
+func (r *relayState) listRequested(e history.Event) {
+	r.lastListCall = e.T
+	r.pendingListCalls = append(r.pendingListCalls, pendingListCall{e.T, e.Left * ms})
 }
 
 // closeListCall removes a call for the list from the pending ones: the one that arrived at the given time, or else the
 // oldest. It returns the time at which the removed call arrived.
-func (p *relayState) closeListCall(arrivedAt int64) int64 {
-	i := slices.IndexFunc(p.pendingListCalls, func(c pendingListCall) bool { return c.arrivedAt == arrivedAt })
-	if i < 0 && len(p.pendingListCalls) == 0 {
+func (r *relayState) closeListCall(arrivedAt int64) int64 {
+	i := slices.IndexFunc(r.pendingListCalls, func(c pendingListCall) bool { return c.arrivedAt == arrivedAt })
+	if i < 0 && len(r.pendingListCalls) == 0 {
 		return arrivedAt
 	}
 	i = max(i, 0)
-	found := p.pendingListCalls[i].arrivedAt
-	p.pendingListCalls = slices.Delete(p.pendingListCalls, i, i+1)
+	found := r.pendingListCalls[i].arrivedAt
+	r.pendingListCalls = slices.Delete(r.pendingListCalls, i, i+1)
 	return found
 }
 
@@ -47,10 +47,10 @@
 
 // listAnswered records that a call for the list was answered. Calls to endpoints that were made before it were within
 // the time that the settings give.
-func (p *relayState) listAnswered(e history.Event) {
-	if arrivedAt := p.closeListCall(e.Begun); arrivedAt >= p.lastAnsweredListCall {
-		p.lastAnsweredListCall, p.lastListCallFailed = arrivedAt, false
-		p.unreportedCalls = nil
+func (r *relayState) listAnswered(e history.Event) {
+	if arrivedAt := r.closeListCall(e.Begun); arrivedAt >= r.lastAnsweredListCall {
+		r.lastAnsweredListCall, r.lastListCallFailed = arrivedAt, false
+		r.unreportedCalls = nil
 	}
 }
 
@@ -104,7 +104,7 @@
 	switch {
 	case relay.lastListCallFailed:
 		return knownAt + min(4*askWithin, reportTimeout.Microseconds())
-	case len(relay.pendingListCalls) > 0: // discovery may be silent, at the earliest since the oldest pending call arrived
+	case len(relay.pendingListCalls) > 0: // discovery can be silent only since the oldest of them arrived
 		oldest := relay.pendingListCalls[0]
 		effective := max(knownAt, oldest.arrivedAt) + reportTimeout.Microseconds()
 		if oldest.wait > 0 {
--- a/internal/lab/rules/messages.go
+++ b/internal/lab/rules/messages.go
@@ -8,6 +8,7 @@
 
 // Messages: what clients received, and how the messages ended.
 
+// messageSubmitted records that a client has sent a message, and schedules the checks of its end.
 func (c *Checker) messageSubmitted(e history.Event) {
 	message := &messageState{Event: e, class: c.classes[e.Class], dueAt: e.T + e.Left*ms, events: []history.Event{e}}
 	if message.class == nil {
@@ -24,6 +25,7 @@
 	c.schedule(message.dueAt+endSlack, func() { c.checkEnd(message) })
 }
 
+// clientAnswered records the answer that a client has received for a message.
 func (c *Checker) clientAnswered(e history.Event) {
 	message := c.messages[e.ID]
 	if message == nil || message.clientLeft {
@@ -43,7 +45,7 @@
 		}
 	case e.Status == 429 || e.Status == 503:
 		message.refused, message.request.refused = true, true
-		if message.How != history.HalfClosed { // the relay sees such a client as disconnected and need not count its request
+		if message.How != history.HalfClosed { // to the relay such a client has left: it need not count it
 			relay.counters["refused"].least.add(e.T)
 		}
 		relay.counters["refused"].most.add(e.T)
@@ -92,12 +94,13 @@
 	}
 }
 
-func (w *requestState) recordDelivery(at int64) {
-	if w.deliveredAt == 0 || at < w.deliveredAt {
-		w.deliveredAt = at
+func (r *requestState) recordDelivery(at int64) {
+	if r.deliveredAt == 0 || at < r.deliveredAt {
+		r.deliveredAt = at
 	}
 }
 
+// noticeReceived records a notice that a message ended undelivered, and checks that the message has no other end.
 func (c *Checker) noticeReceived(e history.Event) {
 	c.countCheck(Once)
 	message := c.messages[e.ID]
@@ -118,7 +121,7 @@
 		message.events = append(message.events, e)
 	}
 	relay := c.relay(e.Relay)
-	if message.deliveredAt > 0 && message.acceptedAt > 0 { // the message timed out as the answer arrived, and the relay counted a time-out
+	if message.deliveredAt > 0 && message.acceptedAt > 0 { // it timed out as the answer arrived, and was counted so
 		relay.counters["served"].maybeUnread++
 	}
 	if e.How == "deferred" {
--- a/internal/lab/rules/processes.go
+++ b/internal/lab/rules/processes.go
@@ -11,6 +11,7 @@
 
 // Relays: the events of their processes, their use of resources and their metrics.
 
+// processChanged records that a process has started, become ready, been stopped or ended.
 func (c *Checker) processChanged(e history.Event) {
 	if e.How != "start" && e.How != "exit" { // also for keepers: a new leader first waits for a lease to expire
 		c.lastDisruption = e.T
@@ -26,7 +27,7 @@
 		relay.starts++
 		relay.machineLost, relay.crashed = false, false
 		if e.Text != "beside" {
-			relay.waits = map[int][]timeSpan{} // a restart ends the waits; the next process of an upgrade runs beside the old one and keeps them
+			relay.waits = map[int][]timeSpan{} // a restart ends the waits; an upgrade does not
 		}
 		if len(relay.pendingListCalls) > 0 { // the process that made these calls has ended
 			relay.pendingListCalls, relay.lastListCallFailed = nil, true
@@ -90,6 +91,7 @@
 	}
 }
 
+// checkUsage compares a process's use of resources with its limits, and adds it to the report.
 func (c *Checker) checkUsage(e history.Event) {
 	limits, ok := c.terms.Limits[e.Proc]
 	if !ok {
@@ -108,13 +110,15 @@
 // since the start.
 func (c *Checker) metricsRead(e history.Event) {
 	relay := c.relay(e.Relay)
-	if relay.starts != 1 || relay.resumedAt > e.Whole-2*metricsLag { // a relay that was stopped has yet to read what arrived meanwhile
+	if relay.starts != 1 || relay.resumedAt > e.Whole-2*metricsLag { // it has yet to read what arrived during the pause
 		return
 	}
 	// A relay may count a message a little before the lab observes its end.
 	c.schedule(e.T+metricsLag, func() { c.compareMetrics(relay, e) })
 }
 
+// compareMetrics checks that the values that a relay reports are within the bounds of what was observed. The tolerance
+// is 1 % (2 % for attempts), but at least 3.
 func (c *Checker) compareMetrics(relay *relayState, e history.Event) {
 	c.countCheck(Figures)
 	reported := map[string]float64{"attempts": e.Figures["svc.attempts"]}
--- a/internal/lab/rules/report.go
+++ b/internal/lab/rules/report.go
@@ -10,29 +10,29 @@
 
 // Report is the result of judging a history.
 type Report struct {
-	Broken         map[Rule]int      `json:"broken"`
-	Checked        map[Rule]int      `json:"looked"` // number of checks by rule: a rule that was never checked has not been shown to hold
-	Violations     []Violation       `json:"shown,omitempty"`
-	Served         float64           `json:"served"` // worth delivered as a share of the worth asked for
-	Asked          int               `json:"asked"`
-	InTime         int               `json:"in_time"`
-	Late           int               `json:"late"`
-	Refused        int               `json:"refused"`
-	Failed         int               `json:"failed"`
-	Unanswered     int               `json:"unheard"` // no relay answered in time
-	Lost           int               `json:"lost"`
-	Pending        int               `json:"owed"` // accepted by a relay that was down at the end
-	Latency        Latency           `json:"latency_ms"`
-	Seconds        []Second          `json:"seconds"`
-	Usage          map[string]*Usage `json:"use"`
-	Generations    *GenerationUse    `json:"agreed,omitempty"`     // nil if relays share no configuration
-	Takeovers      []Takeover        `json:"taken_over,omitempty"` // one for each lost machine
-	Calls          map[int]*Series   `json:"calls"`                // calls that reached each destination, by second
-	Limits         map[int][]Limit   `json:"limits"`               // limits of each destination, in calls per second
-	InFlight       *Series           `json:"held"`                 // messages in flight in all relays whose metrics were read, by second
-	worthRequested float64
-	worthDelivered float64
-	histogram      *hdrhistogram.Histogram
+	Broken          map[Rule]int      `json:"broken"`
+	Checked         map[Rule]int      `json:"looked"` // number of checks by rule: a rule that was never checked has not been shown to hold
+	Violations      []Violation       `json:"shown,omitempty"`
+	Served          float64           `json:"served"` // worth delivered as a share of the worth asked for
+	Asked           int               `json:"asked"`
+	InTime          int               `json:"in_time"`
+	Late            int               `json:"late"`
+	Refused         int               `json:"refused"`
+	Failed          int               `json:"failed"`
+	Unanswered      int               `json:"unheard"` // no relay answered in time
+	Lost            int               `json:"lost"`
+	PendingAtEnd    int               `json:"owed"` // accepted by a relay that was down at the end, and without an end
+	Latency         Latency           `json:"latency_ms"`
+	Seconds         []Second          `json:"seconds"`
+	Usage           map[string]*Usage `json:"use"`
+	Generations     *GenerationUse    `json:"agreed,omitempty"`     // nil if relays share no configuration
+	Takeovers       []Takeover        `json:"taken_over,omitempty"` // one for each lost machine
+	Calls           map[int]*Series   `json:"calls"`                // calls that reached each destination, by second
+	Limits          map[int][]Limit   `json:"limits"`               // limits of each destination, in calls per second
+	PendingOverTime *Series           `json:"held"`                 // messages in all relays whose metrics were read, by second
+	worthRequested  float64
+	worthDelivered  float64
+	histogram       *hdrhistogram.Histogram
 }
 
 // Latency is the time from a message's submission to its delivery, in milliseconds.
@@ -75,7 +75,7 @@
 		r.Seconds = append(r.Seconds, Second{})
 	}
 	second := &r.Seconds[request.submittedAt/1e6]
-	if previous := int(request.submittedAt/1e6) - 2; previous >= 0 { // that second is complete: requests are settled in the order of their times
+	if previous := int(request.submittedAt/1e6) - 2; previous >= 0 { // it is complete: requests are settled in order
 		r.Seconds[previous].close()
 	}
 	r.Asked++
@@ -118,7 +118,7 @@
 	}
 	for _, message := range c.messages {
 		if message.acceptedAt > 0 && message.deliveredAt == 0 && message.notice.T == 0 && c.relay(message.Relay).downSince > 0 {
-			c.report.Pending++
+			c.report.PendingAtEnd++
 		}
 	}
 	for first := range c.requests {
@@ -128,8 +128,8 @@
 	for i := range r.Seconds {
 		r.Seconds[i].close()
 	}
-	if r.InFlight != nil {
-		r.InFlight.close()
+	if r.PendingOverTime != nil {
+		r.PendingOverTime.close()
 	}
 	for _, series := range r.Calls {
 		series.close()
@@ -178,6 +178,6 @@
 
 func (r *Report) String() string {
 	return fmt.Sprintf("served %.3f of the worth asked for; %d messages: %d in time, %d late, %d refused, %d failed, %d unheard; lost %d, owed %d; "+
-		"latency p50 %.0f p99 %.0f ms; rules broken %d", r.Served, r.Asked, r.InTime, r.Late, r.Refused, r.Failed, r.Unanswered, r.Lost, r.Pending,
+		"latency p50 %.0f p99 %.0f ms; rules broken %d", r.Served, r.Asked, r.InTime, r.Late, r.Refused, r.Failed, r.Unanswered, r.Lost, r.PendingAtEnd,
 		r.Latency.P50, r.Latency.P99, r.Total())
 }
--- a/internal/lab/rules/rules.go
+++ b/internal/lab/rules/rules.go
@@ -20,7 +20,7 @@
 	End      Rule = "end"      // a request that was read is answered, and an accepted message ends, in time
 	Once     Rule = "once"     // an accepted message has exactly one end
 	Twice    Rule = "twice"    // a message never has two attempts in flight at once
-	Repeat   Rule = "repeat"   // a message that may have taken effect is repeated, or rejected for the client to repeat, only as its class allows
+	Repeat   Rule = "repeat"   // what may have taken effect is repeated, or rejected for the client to repeat, only as its class allows
 	Attempts Rule = "attempts" // no message has more than the allowed number of attempts
 	Wait     Rule = "wait"     // nothing is sent to a destination during a wait (Retry-After) that it gave
 	Drain    Rule = "drain"    // nothing new is sent to an endpoint that drains, has been removed or was manually disabled
@@ -37,14 +37,14 @@
 // The protocol's tolerances, in microseconds, and limits on what is stored and shown.
 const (
 	ms            = int64(1000)
-	slack         = 50 * ms
-	endSlack      = 300*ms + slack
-	waitGrace     = 100*ms + slack
-	restartGrace  = 1500 * ms // time after a restarted relay is ready in which its notices are not overdue
-	metricsLag    = 500 * ms  // greatest age of metrics
-	retention     = 5000 * ms // time for which ended messages and calls are remembered
-	maxEvents     = 40
-	maxViolations = 20 // violations of each rule that are stored in full
+	slack         = 50 * ms        // general tolerance
+	endSlack      = 300*ms + slack // tolerance for the end of a message
+	waitGrace     = 100*ms + slack // time after a wait is written in which calls may still arrive
+	restartGrace  = 1500 * ms      // time after a restarted relay is ready in which its notices are not overdue
+	metricsLag    = 500 * ms       // greatest age of metrics
+	retention     = 5000 * ms      // time for which ended messages and calls are remembered
+	maxEvents     = 40             // bound on the events that are stored with a message
+	maxViolations = 20             // violations of each rule that are stored in full
 )
 
 // Violation is one breach of a rule.
@@ -57,14 +57,14 @@
 	Events    []history.Event `json:"lines,omitempty"` // the events that show it
 }
 
-func (b Violation) String() string {
+func (v Violation) String() string {
 	var s strings.Builder
-	fmt.Fprintf(&s, "%8.3f s  %s: %s", float64(b.T)/1e6, b.Rule, b.Text)
-	if b.Message != "" {
-		fmt.Fprintf(&s, " (message %s)", b.Message)
+	fmt.Fprintf(&s, "%8.3f s  %s: %s", float64(v.T)/1e6, v.Rule, v.Text)
+	if v.Message != "" {
+		fmt.Fprintf(&s, " (message %s)", v.Message)
 	}
-	if len(b.Processes) > 0 {
-		fmt.Fprintf(&s, " [%s]", strings.Join(b.Processes, ", "))
+	if len(v.Processes) > 0 {
+		fmt.Fprintf(&s, " [%s]", strings.Join(v.Processes, ", "))
 	}
 	return s.String()
 }
@@ -111,20 +111,23 @@
 	run func()
 }
 
+// checkQueue is a heap of checks, the earliest first.
 type checkQueue []scheduledCheck
 
-func (d checkQueue) Len() int           { return len(d) }
-func (d checkQueue) Less(i, j int) bool { return d[i].at < d[j].at }
-func (d checkQueue) Swap(i, j int)      { d[i], d[j] = d[j], d[i] }
-func (d *checkQueue) Push(x any)        { *d = append(*d, x.(scheduledCheck)) }
-func (d *checkQueue) Pop() any {
-	last := (*d)[len(*d)-1]
-	*d = (*d)[:len(*d)-1]
+func (q checkQueue) Len() int           { return len(q) }
+func (q checkQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q checkQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *checkQueue) Push(x any)        { *q = append(*q, x.(scheduledCheck)) }
+func (q *checkQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
+// schedule has a function run once the history reaches the given time.
 func (c *Checker) schedule(at int64, run func()) { heap.Push(&c.queue, scheduledCheck{at, run}) }
 
+// addViolation counts a violation, and stores the first maxViolations of each rule.
 func (c *Checker) addViolation(rule Rule, t int64, message, text string, processes []string, events ...history.Event) {
 	c.report.Broken[rule]++
 	if c.report.Broken[rule] > maxViolations {
@@ -134,8 +137,10 @@
 	c.report.Violations = append(c.report.Violations, Violation{rule, t, message, processes, text, events})
 }
 
+// countCheck counts that a rule was checked.
 func (c *Checker) countCheck(rule Rule) { c.report.Checked[rule]++ }
 
+// relay returns the state of a relay, which it creates if necessary.
 func (c *Checker) relay(name string) *relayState {
 	relay := c.relays[name]
 	if relay == nil {
@@ -189,11 +194,11 @@
 	case history.Told:
 		c.listSent(e)
 	case history.ByHand:
-		p := c.relay(e.Relay)
+		relay := c.relay(e.Relay)
 		if e.How == "enable" {
-			delete(p.disabledAt, e.Endpoint)
-		} else if e.Status/100 == 2 && p.disabledAt[e.Endpoint] == 0 {
-			p.disabledAt[e.Endpoint] = e.T
+			delete(relay.disabledAt, e.Endpoint)
+		} else if e.Status/100 == 2 && relay.disabledAt[e.Endpoint] == 0 {
+			relay.disabledAt[e.Endpoint] = e.T
 		}
 	case history.Proc:
 		c.processChanged(e)
@@ -205,10 +210,10 @@
 	case history.Limit:
 		c.report.addLimit(e.Dest, e.T, e.Figures["rate"])
 	case history.Metrics:
-		if c.report.InFlight == nil {
-			c.report.InFlight = newSeries(true)
+		if c.report.PendingOverTime == nil {
+			c.report.PendingOverTime = newSeries(true)
 		}
-		c.report.InFlight.add(e.T, e.Figures["svc.in_flight"])
+		c.report.PendingOverTime.add(e.T, e.Figures["svc.in_flight"])
 		c.updateTakeovers(e)
 		c.metricsRead(e)
 	case history.Sample:
--- a/internal/lab/rules/series.go
+++ b/internal/lab/rules/series.go
@@ -16,9 +16,11 @@
 	isSum    bool // a point is the sum of its values, per second; otherwise their mean
 }
 
+// maxPoints is the greatest number of points of a series.
 const maxPoints = 1200
 
-func newSeries(sums bool) *Series { return &Series{Interval: 1, isSum: sums} }
+// newSeries returns an empty series with an interval of 1 s.
+func newSeries(isSum bool) *Series { return &Series{Interval: 1, isSum: isSum} }
 
 // add adds a value at a time in microseconds.
 func (s *Series) add(at int64, value float64) {
@@ -65,6 +67,7 @@
 	lastAt      int64
 }
 
+// addSample adds a sample of what a process uses.
 func (r *Report) addSample(e history.Event) {
 	if r.Usage == nil {
 		r.Usage = map[string]*Usage{}
--- a/internal/lab/rules/state.go
+++ b/internal/lab/rules/state.go
@@ -100,6 +100,7 @@
 	lastUsage            history.Event
 }
 
+// timeSpan is a span of time in microseconds.
 type timeSpan struct{ from, until int64 }
 
 // metricBounds gives the range in which a metric must lie: the lower bound and the upper bound of its count.
--- a/internal/lab/rules/takeover.go
+++ b/internal/lab/rules/takeover.go
@@ -13,26 +13,26 @@
 	At    float64 `json:"at_s"` // when the machine was lost, in seconds since the start of the run
 	// After is the time in seconds until each of its messages had a successor or an end; negative for never.
 	After           float64 `json:"after_s"`
-	Successor       string  `json:"heir,omitempty"` // the relay that took over the last replication group; empty if all messages had ended before
+	Successor       string  `json:"heir,omitempty"` // the relay that took over the last group; empty if all messages ended first
 	lostAt          int64
 	remainingGroups map[string]bool // metric names of its replication groups that no relay has taken over yet
 }
 
-func (takeover Takeover) String() string {
+func (t Takeover) String() string {
 	switch {
-	case takeover.After < 0:
-		return fmt.Sprintf("what %s held when it was lost at %.3f s has not been taken over", takeover.Relay, takeover.At)
-	case takeover.Successor == "":
-		return fmt.Sprintf("%s, lost at %.3f s, owed nothing more after %.3f s", takeover.Relay, takeover.At, takeover.After)
+	case t.After < 0:
+		return fmt.Sprintf("what %s held when it was lost at %.3f s has not been taken over", t.Relay, t.At)
+	case t.Successor == "":
+		return fmt.Sprintf("%s, lost at %.3f s, owed nothing more after %.3f s", t.Relay, t.At, t.After)
 	}
-	return fmt.Sprintf("%s, lost at %.3f s, was taken over by %s after %.3f s", takeover.Relay, takeover.At, takeover.Successor, takeover.After)
+	return fmt.Sprintf("%s, lost at %.3f s, was taken over by %s after %.3f s", t.Relay, t.At, t.Successor, t.After)
 }
 
 // takeoverTime is the time allowed for taking over from a lost machine, in microseconds; 0 where nobody takes over.
 func (c *Checker) takeoverTime() int64 { return c.terms.TakeOver.Microseconds() }
 
 // extendOrphanDeadlines is called when a relay or a keeper ends, stops or continues: without it, the messages of a
-// lost machine may not be taken over. Those whose end is not overdue yet get the time of one more takeover. No other
+// lost machine may not be taken over. Those whose end is not overdue yet get the time of one more takeover from now on. No other
 // message gets more time.
 func (c *Checker) extendOrphanDeadlines(at int64) {
 	takeover := c.takeoverTime()
@@ -96,7 +96,7 @@
 				delete(takeover.remainingGroups, name)
 				takeover.Successor = e.Relay
 			} else if !c.hasPending(groupOwner(name), takeover.lostAt) {
-				delete(takeover.remainingGroups, name) // the group had ended, perhaps since the relay's metrics were last read
+				delete(takeover.remainingGroups, name) // it had ended, perhaps since the metrics were last read
 			}
 		}
 		if len(takeover.remainingGroups) > 0 || takeover.Successor == "" && c.hasPending(takeover.Relay, takeover.lostAt) {
@@ -110,9 +110,9 @@
 const groupMetricPrefix = "svc.estates.of."
 
 // groupOwner returns the relay that accepted the messages of the group that a metric names.
-func groupOwner(figure string) string {
-	name := strings.TrimPrefix(figure, groupMetricPrefix)
-	return name[:max(0, strings.LastIndexByte(name, '.'))]
+func groupOwner(metric string) string {
+	group := strings.TrimPrefix(metric, groupMetricPrefix)
+	return group[:max(0, strings.LastIndexByte(group, '.'))]
 }
 
 // hasPending reports whether a message that the relay accepted before the given time has no end yet.
--- a/internal/lab/scenario/check.go
+++ b/internal/lab/scenario/check.go
@@ -121,6 +121,7 @@
 	return time.Duration(s.Fleet.Lease)*101/100 + 3*time.Second
 }
 
+// checkFault returns the first error in a fault.
 func (s *Scenario) checkFault(fault Fault) error {
 	from, err := s.checkTarget(fault.From)
 	if err != nil {
@@ -174,6 +175,7 @@
 	return nil
 }
 
+// checkStep returns the first error in a step.
 func (s *Scenario) checkStep(step Step) error {
 	if slices.Contains(unsupportedSteps, step.Do) {
 		return fmt.Errorf("%q needs permits of the keepers, which do not exist yet", step.Do)
--- a/internal/lab/scenario/scenario.go
+++ b/internal/lab/scenario/scenario.go
@@ -217,6 +217,7 @@
 // SettableKeys are the settings that a step may set.
 var SettableKeys = []string{"max-attempts", "most-held", "destination-limit", "aim", "give-up", "workers"}
 
+// toNumber returns a number as TOML decodes it, and whether the value is one.
 func toNumber(v any) (float64, bool) {
 	switch v := v.(type) {
 	case int64:
--- a/internal/lab/scenario/target.go
+++ b/internal/lab/scenario/target.go
@@ -34,6 +34,7 @@
 	return kind
 }
 
+// parseTarget parses the text of a target, without resolving it.
 func parseTarget(text string) (target, error) {
 	invalid := func(format string, args ...any) (target, error) {
 		return target{}, fmt.Errorf("%q: %s", text, fmt.Sprintf(format, args...))
