--- a/internal/lab/rules/rules_test.go
+++ b/internal/lab/rules/rules_test.go
@@ -98,7 +98,7 @@
 		"given up as its answer came":         {"", accepted("keyed", append(served, callClosed(320, 1), callAt(400, 2, "m", "endpoint/1"), callAnswer(500, 2, 200))...)},
 		"given up well after its answer":      {Once, accepted("keyed", append(served, callClosed(360, 1), callAt(400, 2, "m", "endpoint/1"), callAnswer(500, 2, 200))...)},
 		"an end as the answer came":           {"", accepted("keyed", append(served, callClosed(320, 1), noticeEvent(400, "m", "undeliverable"))...)},
-		"an end told by the next process":     {"", accepted("keyed", append(served, processEvent(310, "kill"), processEvent(400, "start"), processEvent(500, "ready"), noticeEvent(600, "m", "undeliverable"))...)},
+		"an end reported by the next process": {"", accepted("keyed", append(served, processEvent(310, "kill"), processEvent(400, "start"), processEvent(500, "ready"), noticeEvent(600, "m", "undeliverable"))...)},
 		"sent after delivery":                 {Once, accepted("keyed", append(served, callAt(400, 2, "m", "endpoint/1"), callAnswer(500, 2, 200))...)},
 		"sent after its end":                  {Once, accepted("keyed", noticeEvent(1000, "m", "deferred"), callAt(1100, 2, "m", "endpoint/1"), callAnswer(1200, 2, 200))},
 		"two attempts in flight":              {Twice, accepted("keyed", callAt(200, 1, "m", "endpoint/0"), callAt(300, 2, "m", "endpoint/1"), callAnswer(400, 2, 200), callClosed(410, 1))},
--- a/internal/lab/rules/takeover.go
+++ b/internal/lab/rules/takeover.go
@@ -32,8 +32,8 @@
 func (c *Checker) takeoverTime() int64 { return c.terms.TakeOver.Microseconds() }
 
 // extendOrphanDeadlines is called when a relay or a keeper ends, stops or continues: without it, the messages of a
-// lost machine may not be taken over. Those whose end is not overdue yet get the time of one more takeover from now on. No other
-// message gets more time.
+// lost machine may not be taken over. Those whose end is not overdue yet get the time of one more takeover from now
+// on. No other message gets more time.
 func (c *Checker) extendOrphanDeadlines(at int64) {
 	takeover := c.takeoverTime()
 	if takeover == 0 {
--- a/internal/lab/rules/takeover_test.go
+++ b/internal/lab/rules/takeover_test.go
@@ -32,11 +32,11 @@
 		return history.Event{T: at, Kind: history.Notice, Relay: "relay/1", ID: "m", How: "deferred"}
 	}
 	for name, c := range map[string]struct {
-		more  []history.Event
-		lost  int
-		ends  int // number of ends that came late
-		after float64
-		heir  string
+		more      []history.Event
+		lost      int
+		ends      int // number of ends that came late
+		after     float64
+		successor string
 	}{
 		"nobody takes over":                   {nil, 1, 1, -1, ""},
 		"a successor ends it":                 {[]history.Event{successor, notice(4e6)}, 0, 0, 2.7, "relay/1"},
@@ -49,8 +49,8 @@
 		if r.Lost != c.lost || r.Broken[End] != c.ends {
 			t.Errorf("%s: %d messages lost and %d violations of the rule for ends, want %d and %d", name, r.Lost, r.Broken[End], c.lost, c.ends)
 		}
-		if len(r.Takeovers) != 1 || r.Takeovers[0].After != c.after || r.Takeovers[0].Successor != c.heir {
-			t.Errorf("%s: %v, want a takeover after %.1f s by %q", name, r.Takeovers, c.after, c.heir)
+		if len(r.Takeovers) != 1 || r.Takeovers[0].After != c.after || r.Takeovers[0].Successor != c.successor {
+			t.Errorf("%s: %v, want a takeover after %.1f s by %q", name, r.Takeovers, c.after, c.successor)
 		}
 	}
 }
@@ -123,9 +123,9 @@
 // gives them more time.
 func TestKeeperEndExtendsDeadlinesOfLostMachine(t *testing.T) {
 	for name, c := range map[string]struct {
-		killed int64
-		told   int64
-		broken int
+		killedAt int64
+		noticeAt int64
+		broken   int
 	}{
 		"a keeper is killed, and the end is in time":   {3e6, 6900e3, 0},
 		"a keeper is killed, and the end is late":      {3e6, 7100e3, 1},
@@ -138,10 +138,10 @@
 			{T: 2e5, Kind: history.Hand, Relay: "relay/0", ID: "m", First: "m", Class: "k", Left: 2000},
 			{T: 21e4, Kind: history.Heard, Relay: "relay/0", ID: "m", Status: 202},
 			{T: 15e5, Kind: history.Proc, Proc: "relay/0", How: "lose", Text: "for good"}}
-		if c.killed > 0 {
-			events = append(events, history.Event{T: c.killed, Kind: history.Proc, Proc: "keeper/0", How: "kill"})
+		if c.killedAt > 0 {
+			events = append(events, history.Event{T: c.killedAt, Kind: history.Proc, Proc: "keeper/0", How: "kill"})
 		}
-		events = append(events, history.Event{T: c.told, Kind: history.Notice, Relay: "relay/1", ID: "m", How: "deferred"}, history.Event{T: 60e6, Kind: history.End})
+		events = append(events, history.Event{T: c.noticeAt, Kind: history.Notice, Relay: "relay/1", ID: "m", How: "deferred"}, history.Event{T: 60e6, Kind: history.End})
 		for _, e := range events {
 			checker.Observe(e)
 		}
