--- a/choice/fuzz_test.go
+++ b/choice/fuzz_test.go
@@ -7,24 +7,24 @@
 	"time"
 )
 
-// life is what the rules need to know of one message.
-type life struct {
-	class    int
-	due      time.Duration
-	key      string
-	seq      int
-	tries    int
-	out      string
-	ran      bool
-	ranAt    time.Duration
-	ranZone  int
-	over     bool
-	unsureAt time.Duration
+// messageState is what the rules need to know of one message.
+type messageState struct {
+	class        int
+	deadline     time.Duration
+	key          string
+	sequence     int
+	attempts     int
+	host         string
+	mayHaveRun   bool
+	firstRunAt   time.Duration
+	firstRunZone int
+	ended        bool
+	uncertainAt  time.Duration
 }
 
-// lawful plays bytes as lawful events, asserts the rules on every action and returns them all. It
-// models no server: outcomes come as the bytes say.
-func lawful(t *testing.T, data []byte) [][]Action {
+// playAndCheckRules turns bytes into valid events, checks the rules on every action, and returns
+// all actions. It models no server: outcomes come from the bytes.
+func playAndCheckRules(t *testing.T, data []byte) [][]Action {
 	s := settings()
 	s.Kinds[0].PerCall = 2
 	c, err := New(s, 7)
@@ -32,13 +32,13 @@
 		t.Fatal(err)
 	}
 	hosts := []Host{ready("a", 1, 0, 0), ready("b", 1, 0, 1), ready("c", 2, 2, 0), ready("d", 2, 2, 1)}
-	where := map[string]*Host{}
+	hostsByAddr := map[string]*Host{}
 	for i := range hosts {
-		where[hosts[i].Addr] = &hosts[i]
+		hostsByAddr[hosts[i].Addr] = &hosts[i]
 	}
 	now := time.Hour
-	out := map[string]bool{}
-	lives, wait, settled := map[string]*life{}, map[string]time.Duration{}, map[string]time.Duration{}
+	disabled := map[string]bool{}
+	states, retryAfters, keyPauses := map[string]*messageState{}, map[string]time.Duration{}, map[string]time.Duration{}
 	var ids []string
 	var all [][]Action
 	play := func(events ...Event) {
@@ -47,114 +47,116 @@
 		for _, a := range acts {
 			switch a := a.(type) {
 			case Send:
-				l, h := lives[a.ID], where[a.Host]
+				l, h := states[a.ID], hostsByAddr[a.Host]
 				unit := fmt.Sprint(h.Dest)
 				if h.Dest == 2 {
 					unit = a.Host
 				}
 				class := s.Classes[l.class]
 				switch {
-				case l.over:
+				case l.ended:
 					t.Fatalf("sent %s after its end", a.ID)
-				case l.out != "":
-					t.Fatalf("two attempts of %s out at once", a.ID)
-				case l.tries >= s.MaxAttempts:
-					t.Fatalf("attempt %d of %s", l.tries+1, a.ID)
+				case l.host != "":
+					t.Fatalf("two attempts of %s in flight", a.ID)
+				case l.attempts >= s.MaxAttempts:
+					t.Fatalf("attempt %d of %s", l.attempts+1, a.ID)
 				case h.State != Ready:
 					t.Fatalf("sent to %s in state %d", a.Host, h.State)
-				case out[a.Host]:
-					t.Fatalf("sent to %s, which is out by hand", a.Host)
-				case now < wait[unit]:
-					t.Fatalf("sent to %s within a told wait", a.Host)
-				case l.ran && class.Effect == Unsafe:
+				case disabled[a.Host]:
+					t.Fatalf("sent to %s, which operators disabled", a.Host)
+				case now < retryAfters[unit]:
+					t.Fatalf("sent to %s before its retry-after time", a.Host)
+				case l.mayHaveRun && class.Effect == Unsafe:
 					t.Fatalf("repeated unsafe %s", a.ID)
-				case l.ran && class.Effect == Keyed && (now > l.ranAt+class.Window || h.Zone != l.ranZone):
+				case l.mayHaveRun && class.Effect == Keyed &&
+					(now > l.firstRunAt+class.Window || h.Zone != l.firstRunZone):
 					t.Fatalf("repeated keyed %s outside its window or zone", a.ID)
-				case a.Timeout <= 0 || now+a.Timeout > l.due:
-					t.Fatalf("time-out %v of %s with %v left", a.Timeout, a.ID, l.due-now)
+				case a.Timeout <= 0 || now+a.Timeout > l.deadline:
+					t.Fatalf("time-out %v of %s with %v left", a.Timeout, a.ID, l.deadline-now)
 				}
 				if class.Ordered && l.key != "" {
-					if now < settled[l.key] {
-						t.Fatalf("key %s sent while it rests", l.key)
+					if now < keyPauses[l.key] {
+						t.Fatalf("key %s sent during its pause", l.key)
 					}
 					for _, id := range ids {
-						if o := lives[id]; o.key == l.key && o.seq < l.seq && (!o.over || o.out != "") {
+						if o := states[id]; o.key == l.key && o.sequence < l.sequence && (!o.ended || o.host != "") {
 							t.Fatalf("%s overtook %s", a.ID, id)
 						}
 					}
 				}
-				l.tries++
-				l.out = a.Host
-				if !l.ran {
-					l.ranAt, l.ranZone = now, h.Zone
+				l.attempts++
+				l.host = a.Host
+				if !l.mayHaveRun {
+					l.firstRunAt, l.firstRunZone = now, h.Zone
 				}
 			case Refuse:
-				l := lives[a.ID]
-				if l.over || l.out != "" || l.ran && s.Classes[l.class].Effect != Safe || now > l.due {
-					t.Fatalf("refused %s unlawfully", a.ID)
+				l := states[a.ID]
+				if l.ended || l.host != "" || l.mayHaveRun && s.Classes[l.class].Effect != Safe || now > l.deadline {
+					t.Fatalf("refused %s against the rules", a.ID)
 				}
-				l.over = true
+				l.ended = true
 			case Fail:
-				l := lives[a.ID]
-				if l.over || now > l.due+s.Rules.AnswerGrace {
-					t.Fatalf("failed %s twice or late", a.ID)
+				l := states[a.ID]
+				if l.ended || now > l.deadline+s.Rules.AnswerGrace {
+					t.Fatalf("failed %s twice or too late", a.ID)
 				}
-				l.over = true
+				l.ended = true
 			}
 		}
 		for _, id := range ids {
-			if l := lives[id]; !l.over && now > l.due+s.Rules.AnswerGrace {
-				t.Fatalf("%s was lost", id)
+			if l := states[id]; !l.ended && now > l.deadline+s.Rules.AnswerGrace {
+				t.Fatalf("%s got no final answer in time", id)
 			}
 		}
-		if out := c.busy; out > s.Workers {
-			t.Fatalf("%d calls out with %d slots", out, s.Workers)
+		if disabled := c.inFlight; disabled > s.Workers {
+			t.Fatalf("%d calls in flight with %d slots", disabled, s.Workers)
 		}
 	}
-	finish := func(id string, o Outcome, told time.Duration) Event {
-		l := lives[id]
-		h := where[l.out]
-		e := Result{ID: id, Host: l.out, Attempt: l.tries - 1, Outcome: o, Took: 30 * ms, Done: o == Served || l.over}
+	finish := func(id string, o Outcome, retryAfter time.Duration) Event {
+		l := states[id]
+		h := hostsByAddr[l.host]
+		e := Result{ID: id, Host: l.host, Attempt: l.attempts - 1, Outcome: o, Took: 30 * ms, Done: o == Served ||
+			l.ended}
 		switch o {
 		case Served:
-			l.over = true
+			l.ended = true
 		case Refused:
-			e.Wait = told
+			e.RetryAfter = retryAfter
 			unit := fmt.Sprint(h.Dest)
 			if h.Dest == 2 {
-				unit = l.out
+				unit = l.host
 			}
-			wait[unit] = max(wait[unit], now+told)
+			retryAfters[unit] = max(retryAfters[unit], now+retryAfter)
 		case Timeout, Reset, Cancelled, Error:
-			l.ran = true
+			l.mayHaveRun = true
 			if o != Error && l.key != "" {
-				l.unsureAt = now
+				l.uncertainAt = now
 			}
 		}
-		l.out = ""
+		l.host = ""
 		return e
 	}
-	play(Listing{Whole: true, Hosts: hosts})
+	play(ListUpdate{Complete: true, Hosts: hosts})
 	for i := 0; i+1 < len(data); i += 2 {
 		op, arg := data[i], int(data[i+1])
 		switch op % 6 {
 		case 0:
 			id := fmt.Sprint("m", len(ids))
-			l := &life{class: arg % 4, due: now + time.Duration(1+arg/32)*time.Second, seq: len(ids)}
+			l := &messageState{class: arg % 4, deadline: now + time.Duration(1+arg/32)*time.Second, sequence: len(ids)}
 			if l.class == 3 {
 				l.key = fmt.Sprint("k", arg/16%3)
 			}
-			lives[id] = l
+			states[id] = l
 			ids = append(ids, id)
-			play(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.due - now, Key: l.key})
+			play(Arrival{ID: id, Class: l.class, Dest: 1 + arg/8%2, Left: l.deadline - now, Key: l.key})
 		case 1:
 			for _, id := range ids {
-				if lives[id].out != "" {
+				if states[id].host != "" {
 					o := Outcome(arg % int(NotSent+1))
 					play(finish(id, o, time.Duration(arg/8)*50*ms))
-					if l := lives[id]; l.over || o == Timeout || o == Reset || o == Cancelled {
-						if l.key != "" && l.over && l.unsureAt > 0 {
-							settled[l.key] = max(settled[l.key], l.unsureAt+s.Rules.OrderSettle)
+					if l := states[id]; l.ended || o == Timeout || o == Reset || o == Cancelled {
+						if l.key != "" && l.ended && l.uncertainAt > 0 {
+							keyPauses[l.key] = max(keyPauses[l.key], l.uncertainAt+s.Rules.OrderSettle)
 						}
 					}
 					break
@@ -163,20 +165,20 @@
 		case 2:
 			h := &hosts[arg%4]
 			h.State = State(arg / 4 % 3)
-			play(Listing{Hosts: []Host{*h}})
-			if h.State == Gone {
-				h.State = Draining // still named by calls out; nothing new may go there
+			play(ListUpdate{Hosts: []Host{*h}})
+			if h.State == Removed {
+				h.State = Draining // still named by calls in flight; nothing new may go there
 			}
 		case 3:
 			id := hosts[arg%4].Addr
-			out[id] = arg/4%2 == 0
-			play(ByHand{Host: id, Out: out[id]})
+			disabled[id] = arg/4%2 == 0
+			play(ManualChange{Host: id, Disabled: disabled[id]})
 		default:
 			for range 1 + arg/8 {
 				now += 5 * ms
 				var due []Event
 				for _, id := range ids {
-					if l := lives[id]; l.out != "" && now >= l.due {
+					if l := states[id]; l.host != "" && now >= l.deadline {
 						due = append(due, finish(id, Timeout, 0))
 					}
 				}
@@ -207,15 +209,15 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		if len(data) > 4000 {
-			t.Skip("longer inputs only take longer")
+			t.Skip("longer inputs find no more")
 		}
-		lawful(t, data)
+		playAndCheckRules(t, data)
 	})
 }
 
 func TestSameEventsSameActions(t *testing.T) {
 	for i, s := range seeds() {
-		if a, b := lawful(t, s), lawful(t, s); !reflect.DeepEqual(a, b) {
+		if a, b := playAndCheckRules(t, s), playAndCheckRules(t, s); !reflect.DeepEqual(a, b) {
 			t.Errorf("seed %d: two runs differ", i)
 		}
 	}
--- a/choice/index.go
+++ b/choice/index.go
@@ -1,154 +1,203 @@
 package choice
 
-import "container/heap"
-
-// Plain containers, without decisions: what leaves them does so without a walk.
-
-// links are the neighbours of an element of a chain.
-type links[T any] struct {
-	prev, next *T
-	in         bool
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// This file keeps track of what a Step has to check: what is due, and what has changed. It makes no
+// decisions.
+
+// index tells a Step what to check.
+type index struct {
+	destOrder     linkedList[dest]       // all, in the order in which they became known
+	liveDests     linkedList[dest]       // with messages waiting or in flight, in the order in which they got them
+	callingDests  []*dest                // with calls in flight at their units
+	activeDests   []*dest                // with messages waiting, not deferred
+	deferredDests indexedHeap[*dest]     // by deferredUntil
+	byAnswerTime  indexedHeap[*message]  // waiting messages, by the time of their final answer
+	pausedKeys    indexedHeap[*keyQueue] // without messages, by the end of their pause
+	maybeIdle     []*dest                // left without messages waiting or in flight since the last Step
+	changedDests  []*dest                // to which something happened in this Step
+	listChecks    []*dest                // to check at the next list update
+	// stepCount counts all Steps; stepTimes are the times of the last of them. The others number
+	// the messages queued, the destinations added to liveDests, and all destinations known.
+	stepCount, queueCount, liveCount, destCount int
+	stepTimes                                   []time.Duration
+	excluded                                    int
+}
+
+func newIndex() index {
+	return index{destOrder: linkedList[dest]{links: func(d *dest) *chainLinks[dest] { return &d.orderLinks }},
+		liveDests: linkedList[dest]{links: func(d *dest) *chainLinks[dest] { return &d.liveLinks }},
+		deferredDests: indexedHeap[*dest]{before: func(a, b *dest) bool { return a.deferredUntil < b.deferredUntil },
+			index: func(d *dest) *int { return &d.heapIndex }},
+		byAnswerTime: indexedHeap[*message]{before: func(a, b *message) bool { return a.answerAt < b.answerAt },
+			index: func(m *message) *int { return &m.heapIndex }},
+		pausedKeys: indexedHeap[*keyQueue]{before: func(a, b *keyQueue) bool { return a.pauseUntil < b.pauseUntil },
+			index: func(queue *keyQueue) *int { return &queue.heapIndex }}}
+}
+
+// compareLive orders destinations as in liveDests.
+func compareLive(a, b *dest) int { return cmp.Compare(a.liveNumber, b.liveNumber) }
+
+// enqueue appends a message to those that wait for its destination.
+func (c *Chooser) enqueue(m *message) {
+	d := m.dest
+	c.queueCount++
+	m.queueNumber = c.queueCount
+	d.waiting.add(m)
+	c.updateAnswerTime(m)
+	if !d.liveLinks.in {
+		c.liveCount++
+		d.liveNumber = c.liveCount
+		c.liveDests.add(d)
+	}
+	if d.schedule == destIdle {
+		d.schedule, c.activeDests = destActive, append(c.activeDests, d)
+	}
 }
 
-// chain is a linked list whose elements hold their own links. What is left keeps its order.
-type chain[T any] struct {
-	first, last *T
-	n           int
-	of          func(*T) *links[T]
+// updateAnswerTime recomputes when a waiting message gets its final answer.
+func (c *Chooser) updateAnswerTime(m *message) {
+	m.answerAt = c.finalAnswerAt(m)
+	c.byAnswerTime.update(m)
 }
 
-func (c *chain[T]) add(x *T) {
-	l := c.of(x)
-	if *l = (links[T]{prev: c.last, in: true}); c.last == nil {
-		c.first = x
-	} else {
-		c.of(c.last).next = x
+// dequeue removes a message from those that wait.
+func (c *Chooser) dequeue(m *message) {
+	if m.dest.waiting.drop(m); m.dest.waiting.count == 0 {
+		c.markChanged(m.dest)
 	}
-	c.last, c.n = x, c.n+1
+	c.byAnswerTime.drop(m)
+	c.noteIfIdle(m.dest)
 }
 
-// drop takes an element out; one that is not in stays out.
-func (c *chain[T]) drop(x *T) {
-	l := c.of(x)
-	if !l.in {
-		return
-	}
-	if l.prev == nil {
-		c.first = l.next
-	} else {
-		c.of(l.prev).next = l.next
-	}
-	if l.next == nil {
-		c.last = l.prev
-	} else {
-		c.of(l.next).prev = l.prev
-	}
-	*l = links[T]{}
-	c.n--
-}
-
-// each ranges over a chain from which the element at hand may be taken.
-func (c *chain[T]) each(yield func(*T) bool) {
-	for x := c.first; x != nil; {
-		next := c.of(x).next
-		if !yield(x) {
-			return
+// noteIfIdle notes a destination that has no messages waiting or in flight any more.
+func (c *Chooser) noteIfIdle(d *dest) {
+	if d.idle() {
+		if c.maybeIdle = append(c.maybeIdle, d); len(d.hosts) == 0 {
+			c.scheduleListCheck(d)
 		}
-		x = next
 	}
 }
 
-// row is a slice whose elements know their places in it, counted from 1; 0 is outside. What leaves is nil until more than
-// half is: it is faster to walk than a chain.
-type row[T any] struct {
-	all   []*T
-	n     int
-	place func(*T) *int
-}
+// idle reports whether a destination has no messages waiting or in flight.
+func (d *dest) idle() bool { return d.waiting.count == 0 && d.inFlight == 0 }
 
-func (r *row[T]) add(x *T) {
-	r.all, r.n = append(r.all, x), r.n+1
-	*r.place(x) = len(r.all)
-}
-
-// drop takes an element out; one that is not in stays out.
-func (r *row[T]) drop(x *T) {
-	p := r.place(x)
-	if *p == 0 {
-		return
-	}
-	r.all[*p-1], *p, r.n = nil, 0, r.n-1
-	if len(r.all) > 2*r.n {
-		left := r.all[:0]
-		for _, x := range r.all {
-			if x != nil {
-				left = append(left, x)
-				*r.place(x) = len(left)
-			}
-		}
-		clear(r.all[len(left):])
-		if r.all = left; cap(left) > 64 && cap(left) > 8*len(left) { // or what was needed once stays
-			r.all = append([]*T(nil), left...)
+// dropIdle removes destinations from liveDests that have no messages waiting or in flight.
+func (c *Chooser) dropIdle() {
+	for _, d := range c.maybeIdle {
+		if d.idle() {
+			c.liveDests.drop(d)
 		}
 	}
+	clear(c.maybeIdle)
+	c.maybeIdle = c.maybeIdle[:0]
 }
 
-// sorted is a binary heap whose elements know their places in it, counted from 1; 0 is outside.
-type sorted[T any] struct {
-	all    []T
-	before func(a, b T) bool
-	place  func(T) *int
+// enqueueKey appends a message to those of its key.
+func (c *Chooser) enqueueKey(m *message) {
+	queue := c.keyQueues[m.Key]
+	if queue == nil {
+		queue = &keyQueue{key: m.Key, messages: linkedList[message]{links: func(m *message) *chainLinks[message] { return &m.keyLinks }}}
+		c.keyQueues[m.Key] = queue
+	}
+	c.pausedKeys.drop(queue)
+	queue.messages.add(m)
 }
 
-func (s *sorted[T]) Len() int           { return len(s.all) }
-func (s *sorted[T]) Less(i, j int) bool { return s.before(s.all[i], s.all[j]) }
-
-func (s *sorted[T]) Swap(i, j int) {
-	s.all[i], s.all[j] = s.all[j], s.all[i]
-	*s.place(s.all[i]), *s.place(s.all[j]) = i+1, j+1
+// releaseKeys forgets the keys whose pause is over.
+func (c *Chooser) releaseKeys() {
+	for _, queue := range c.pausedKeys.popWhile(func(queue *keyQueue) bool { return queue.pauseUntil <= c.now }) {
+		delete(c.keyQueues, queue.key)
+	}
 }
 
-func (s *sorted[T]) Push(x any) {
-	s.all = append(s.all, x.(T))
-	*s.place(x.(T)) = len(s.all)
+// takeDue removes and returns the waiting messages whose final answer is due: by destination, the
+// last queued first.
+func (c *Chooser) takeDue() []*message {
+	due := c.byAnswerTime.popWhile(func(m *message) bool { return m.answerAt <= c.now })
+	slices.SortFunc(due, func(a, b *message) int {
+		return cmp.Or(cmp.Compare(a.dest.liveNumber, b.dest.liveNumber), cmp.Compare(b.queueNumber, a.queueNumber))
+	})
+	return due
+}
+
+// detachFromCall removes a message from its call. With the last message the call's slots become
+// free.
+func (c *Chooser) detachFromCall(m *message) {
+	call, h := m.call, m.call.host
+	m.call, m.lastHost = nil, h
+	if call.messages = without(call.messages, m); len(call.messages) == 0 {
+		c.inFlight, m.dest.inFlight, h.inFlight = c.inFlight-1, m.dest.inFlight-1, h.inFlight-1
+		h.unit.calls = without(h.unit.calls, call)
+		c.countUnitCalls(h.dest, -1)
+		c.noteIfIdle(m.dest)
+	}
 }
 
-func (s *sorted[T]) Pop() any {
-	var none T
-	x := s.all[len(s.all)-1]
-	s.all[len(s.all)-1] = none // or the memory of what has left stays
-	s.all = s.all[:len(s.all)-1]
-	*s.place(x) = 0
-	return x
+// countUnitCalls adds n to the number of calls in flight at the units of a destination.
+func (c *Chooser) countUnitCalls(d *dest, n int) {
+	switch d.unitCalls += n; {
+	case d.unitCalls == 1 && n > 0:
+		c.callingDests = append(c.callingDests, d)
+	case d.unitCalls == 0:
+		c.callingDests = without(c.callingDests, d)
+	}
 }
 
-// queueOf is a heap of what is there already; its elements learn no places.
-func queueOf[T any](all []T, before func(a, b T) bool) *sorted[T] {
-	none := 0
-	s := &sorted[T]{all: all, before: before, place: func(T) *int { return &none }}
-	heap.Init(s)
-	return s
+// calledDests ranges over the destinations with calls in flight, in the order of liveDests.
+func (c *Chooser) calledDests(yield func(*dest) bool) {
+	slices.SortFunc(c.callingDests, compareLive)
+	for _, d := range c.callingDests {
+		if d.liveLinks.in && !yield(d) {
+			return
+		}
+	}
 }
 
-// put takes an element in, or to its new place.
-func (s *sorted[T]) put(x T) {
-	if i := *s.place(x); i > 0 {
-		heap.Fix(s, i-1)
-		return
+// close ends a Step: it records the Step's time, and counts the excluded endpoints of the
+// destinations that changed.
+func (c *Chooser) close() {
+	c.stepTimes, c.stepCount = append(c.stepTimes, c.now), c.stepCount+1
+	if c.stepTimes[0] < c.now-2*recheckAfter { // not in each Step, since the rest of the slice is moved
+		i, _ := slices.BinarySearch(c.stepTimes, c.now-recheckAfter+1)
+		c.stepTimes = slices.Delete(c.stepTimes, 0, i)
 	}
-	heap.Push(s, x)
+	for _, d := range c.changedDests {
+		n := 0
+		for _, h := range d.hosts {
+			if h.State != Removed && (c.disabled[h.Addr] || h.unit.state == suspect) {
+				n++
+			}
+		}
+		c.excluded += n - d.excluded
+		d.excluded, d.changed = n, false
+	}
+	clear(c.changedDests)
+	c.changedDests = c.changedDests[:0]
 }
 
-func (s *sorted[T]) drop(x T) {
-	if i := *s.place(x); i > 0 {
-		heap.Remove(s, i-1)
+// Excluded returns the number of listed endpoints that get no regular messages: those disabled by
+// operators and those in an outage, which get single trials. It is as of the last Step.
+func (c *Chooser) Excluded() int { return c.excluded }
+
+// scheduleListCheck has the next list update check a destination, even if the update doesn't name
+// it.
+func (c *Chooser) scheduleListCheck(d *dest) {
+	if !d.listCheckDue {
+		d.listCheckDue, c.listChecks = true, append(c.listChecks, d)
 	}
 }
 
-// upTo takes out all for which a test holds, that holds for all before them as well.
-func (s *sorted[T]) upTo(due func(T) bool) (out []T) {
-	for len(s.all) > 0 && due(s.all[0]) {
-		out = append(out, heap.Pop(s).(T))
-	}
-	return out
+// runListChecks calls a function for each destination to check, in the order in which they became
+// known. Those for which it returns true are checked again at the next list update.
+func (c *Chooser) runListChecks(again func(*dest) bool) {
+	slices.SortFunc(c.listChecks, func(a, b *dest) int { return cmp.Compare(a.knownNumber, b.knownNumber) })
+	c.listChecks = slices.DeleteFunc(c.listChecks, func(d *dest) bool {
+		d.listCheckDue = again(d)
+		return !d.listCheckDue
+	})
 }
--- a/choice/rules.go
+++ b/choice/rules.go
@@ -6,82 +6,92 @@
 	"slices"
 )
 
-// Settings that change while messages are open.
+// This file changes the settings while messages are pending.
 
+// reconfigure replaces the settings, unless they are out of range.
 func (c *Chooser) reconfigure(s Settings) {
 	if err := s.Check(); err != nil {
 		c.log("settings not taken: %v", err)
 		return
 	}
-	c.touchAll()
-	c.apply(s)
-	for _, m := range slices.Clone(c.ends.all) {
-		c.retime(m)
+	c.markAllChanged()
+	c.applySettings(s)
+	for _, m := range slices.Clone(c.byAnswerTime.items) {
+		c.updateAnswerTime(m)
 	}
 	c.log("settings taken: %d classes, %d attempts", len(s.Classes), s.MaxAttempts)
 }
 
-// apply takes settings up, and keeps what was learnt under earlier ones.
-func (c *Chooser) apply(s Settings) {
-	shares := make([]share, len(s.Tenants))
+// applySettings puts settings into effect, and keeps what was learnt under earlier ones.
+func (c *Chooser) applySettings(s Settings) {
+	shares := make([]tenantShare, len(s.Tenants))
 	for i, t := range s.Tenants {
-		shares[i].left = math.MaxInt32 // full
-		if j := slices.IndexFunc(c.set.Tenants, func(o Tenant) bool { return o.Name == t.Name }); j >= 0 && j < len(c.shares) {
-			shares[i] = c.shares[j]
+		shares[i].remaining = math.MaxInt32 // the whole share is available
+		if j := slices.IndexFunc(c.settings.Tenants, func(old Tenant) bool {
+			return old.Name == t.Name
+		}); j >= 0 && j < len(c.tenantShares) {
+			shares[i] = c.tenantShares[j]
 		}
 	}
-	c.set, c.shares, c.bound, c.minAim = s, shares, 0, math.MaxInt64
+	c.settings, c.tenantShares, c.maxTimeout, c.minAim = s, shares, 0, math.MaxInt64
 	for _, k := range s.Classes {
-		c.bound, c.minAim = max(c.bound, k.Aim), min(c.minAim, k.Aim)
+		c.maxTimeout, c.minAim = max(c.maxTimeout, k.Aim), min(c.minAim, k.Aim)
 	}
-	c.nap = max(s.Tick, c.minAim/glance)
-	c.pool.spread(c.bound / buckets)
-	for d := range c.order.each {
-		d.table.spread(c.bound / buckets)
+	c.checkInterval = max(s.Tick, c.minAim/checksPerAim)
+	c.pooledLatencies.rebucket(c.maxTimeout / buckets)
+	for d := range c.destOrder.each {
+		d.latencies.rebucket(c.maxTimeout / buckets)
 	}
-	for len(c.luck) < max(1, len(s.Kinds)) {
-		c.luck = append(c.luck, 0.5)
+	for len(c.retrySuccess) < max(1, len(s.Kinds)) {
+		c.retrySuccess = append(c.retrySuccess, 0.5)
 	}
 }
 
-// Join is the settings that both allow, for relays of which some act by one and some by the other: the smaller budget,
-// the longer wait, the fewer attempts, and the class by which less may be repeated and for less long. What contradicts
-// nothing, as an aim, is the second's. Kinds and tenants stand at the same places in both.
+// Join returns settings that both a and b allow, for a time in which some relays follow a and some
+// b: the smaller budget, the longer wait, the fewer attempts, and for each class in both the terms
+// by which less may be repeated and for a shorter time. Where there is no conflict, as with an aim,
+// those of b hold. Kinds and tenants must be at the same indices in both.
 func Join(a, b Settings) Settings {
-	j := b
-	j.Workers, j.MaxAttempts = min(a.Workers, b.Workers), min(a.MaxAttempts, b.MaxAttempts)
-	if a.MaxHeld > 0 { // 0 is no limit
-		j.MaxHeld = min(a.MaxHeld, cmp.Or(b.MaxHeld, a.MaxHeld))
+	joined := b
+	joined.Workers, joined.MaxAttempts = min(a.Workers, b.Workers), min(a.MaxAttempts, b.MaxAttempts)
+	if a.MaxPending > 0 { // 0 is no limit
+		joined.MaxPending = min(a.MaxPending, cmp.Or(b.MaxPending, a.MaxPending))
 	}
-	j.Fleet, j.Tick, j.Cancels = max(a.Fleet, b.Fleet), max(a.Tick, b.Tick), a.Cancels && b.Cancels
-	j.OverShare, j.Classes, j.Kinds, j.Tenants = min(a.OverShare, b.OverShare), nil, slices.Clone(b.Kinds), slices.Clone(b.Tenants)
-	p, q := a.Rules, b.Rules
-	j.Rules = Rules{AnswerGrace: min(p.AnswerGrace, q.AnswerGrace), DrainGrace: min(p.DrainGrace, q.DrainGrace),
-		OverloadFactor: min(p.OverloadFactor, q.OverloadFactor), Fall: max(p.Fall, q.Fall), ColdFrom: min(p.ColdFrom, q.ColdFrom),
-		Cold: max(p.Cold, q.Cold), OrderSettle: max(p.OrderSettle, q.OrderSettle)}
-	for _, k := range b.Classes {
-		i := slices.IndexFunc(a.Classes, func(c Class) bool { return c.Name == k.Name })
+	joined.Fleet, joined.Tick, joined.CanCancel = max(a.Fleet, b.Fleet), max(a.Tick, b.Tick), a.CanCancel && b.CanCancel
+	joined.OverShareFactor, joined.Classes, joined.Kinds, joined.Tenants = min(a.OverShareFactor, b.OverShareFactor), nil,
+		slices.Clone(b.Kinds), slices.Clone(b.Tenants)
+	first, second := a.Rules, b.Rules
+	joined.Rules = Rules{AnswerGrace: min(first.AnswerGrace, second.AnswerGrace),
+		DrainGrace:     min(first.DrainGrace, second.DrainGrace),
+		OverloadFactor: min(first.OverloadFactor, second.OverloadFactor),
+		OverloadWindow: max(first.OverloadWindow, second.OverloadWindow),
+		ColdShare:      min(first.ColdShare, second.ColdShare),
+		WarmUp:         max(first.WarmUp, second.WarmUp), OrderSettle: max(first.OrderSettle, second.OrderSettle)}
+	for _, class := range b.Classes {
+		i := slices.IndexFunc(a.Classes, func(c Class) bool { return c.Name == class.Name })
 		if i < 0 {
 			continue
 		}
-		j.Classes = append(j.Classes, Stricter(a.Classes[i], k))
+		joined.Classes = append(joined.Classes, Stricter(a.Classes[i], class))
 	}
-	for i := range min(len(a.Kinds), len(j.Kinds)) {
-		j.Kinds[i] = Kind{a.Kinds[i].Apart && b.Kinds[i].Apart, min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
+	for i := range min(len(a.Kinds), len(joined.Kinds)) {
+		joined.Kinds[i] = Kind{a.Kinds[i].SeparateRoutes && b.Kinds[i].SeparateRoutes,
+			min(a.Kinds[i].PerCall, b.Kinds[i].PerCall)}
 	}
-	for i := range min(len(a.Tenants), len(j.Tenants)) {
-		j.Tenants[i].Quota = min(a.Tenants[i].Quota, b.Tenants[i].Quota)
+	for i := range min(len(a.Tenants), len(joined.Tenants)) {
+		joined.Tenants[i].Quota = min(a.Tenants[i].Quota, b.Tenants[i].Quota)
 	}
-	return j
+	return joined
 }
 
-// Stricter is the class by which less may be repeated, and for less long, than by either of two under one name.
-func Stricter(was, k Class) Class {
-	k.Deadline, k.Effect = min(k.Deadline, was.Deadline), max(k.Effect, was.Effect)
-	k.SameZone, k.Ordered = k.SameZone || was.SameZone, k.Ordered || was.Ordered
-	if k.Effect == Keyed { // one that is safe has no window
-		k.Window = min(cmp.Or(was.Window, k.Window), cmp.Or(k.Window, was.Window))
+// Stricter returns class with the stricter of its own terms and those of other: it may be repeated
+// no more, and for no longer, than either. Both are of the same name.
+func Stricter(other, class Class) Class {
+	class.Deadline, class.Effect = min(class.Deadline, other.Deadline), max(class.Effect, other.Effect)
+	class.SameZone, class.Ordered = class.SameZone || other.SameZone, class.Ordered || other.Ordered
+	if class.Effect == Keyed { // a safe class has no window
+		class.Window = min(cmp.Or(other.Window, class.Window), cmp.Or(class.Window, other.Window))
 	}
-	k.Aim = min(k.Aim, k.Deadline)
-	return k
+	class.Aim = min(class.Aim, class.Deadline)
+	return class
 }
--- a/choice/share.go
+++ b/choice/share.go
@@ -5,53 +5,57 @@
 	"time"
 )
 
-// Shares of the tenants, and what messages are worth. What a tenant sends beyond its share is worth little, so it must not
-// take the place of what others send within theirs.
+// This file computes the shares of the tenants, and the worth of messages. A message over its
+// tenant's share is worth little, so that it doesn't displace messages of others that are within
+// theirs.
 
-// shareSpan is for how long a tenant may save up its share: messages come to a relay in clumps.
-const shareSpan = 2 * time.Second
+// shareSavingSpan is the time for which a tenant may save up its share, since messages come to a
+// relay in bursts.
+const shareSavingSpan = 2 * time.Second
 
-// savedMost is how many messages it may save up at least. Where a relay's part of the share is less than
-// that, chance alone brings more in a span, and they would pass for beyond the share.
-const savedMost = 6
+// minSavedMessages is the number of messages that a tenant may save up at least. Where a relay's
+// part of the share is less than that, more may come in shareSavingSpan by chance alone, and would
+// count as over the share.
+const minSavedMessages = 6
 
-// share is what a tenant has left of its share at this relay.
-type share struct {
-	left float64
-	at   time.Duration
+// tenantShare is what is left of a tenant's share at this relay, in messages.
+type tenantShare struct {
+	remaining float64
+	updatedAt time.Duration
 }
 
-// within takes one message off the share of its tenant, and tells whether it fits.
-func (c *Chooser) within(tenant int) bool {
-	if tenant < 0 || tenant >= len(c.shares) {
+// withinShare takes one message off its tenant's share, and reports whether it fits.
+func (c *Chooser) withinShare(tenant int) bool {
+	if tenant < 0 || tenant >= len(c.tenantShares) {
 		return true
 	}
-	s, rate := &c.shares[tenant], c.set.Tenants[tenant].Quota/float64(c.set.Fleet)
-	s.left = min(s.left+rate*(c.now-s.at).Seconds(), max(savedMost, rate*shareSpan.Seconds()))
-	s.at = c.now
-	if s.left < 1 {
+	share, rate := &c.tenantShares[tenant], c.settings.Tenants[tenant].Quota/float64(c.settings.Fleet)
+	share.remaining = min(share.remaining+rate*(c.now-share.updatedAt).Seconds(),
+		max(minSavedMessages, rate*shareSavingSpan.Seconds()))
+	share.updatedAt = c.now
+	if share.remaining < 1 {
 		return false
 	}
-	s.left--
+	share.remaining--
 	return true
 }
 
-// worth of a message if it is served at a time.
+// worth returns what a message earns if it is served at the given time.
 func (c *Chooser) worth(m *message, at time.Duration) float64 {
-	k, full := m.class, m.class.Worth
-	if at >= m.due {
+	class, worth := m.class, m.class.Worth
+	if at >= m.deadline {
 		return 0
 	}
-	if m.past {
-		full *= c.set.OverShare
+	if m.overShare {
+		worth *= c.settings.OverShareFactor
 	}
-	age := at - m.born
-	if age <= k.Aim {
-		return full
+	age := at - m.createdAt
+	if age <= class.Aim {
+		return worth
 	}
-	late := (age - k.Aim).Seconds()
-	if c.set.Halving {
-		return full * max(k.LateShare, math.Exp2(-late/k.Aim.Seconds()))
+	late := (age - class.Aim).Seconds()
+	if c.settings.WorthHalves {
+		return worth * max(class.LateShare, math.Exp2(-late/class.Aim.Seconds()))
 	}
-	return full * (1 - (1-k.LateShare)*late/(k.Deadline-k.Aim).Seconds())
+	return worth * (1 - (1-class.LateShare)*late/(class.Deadline-class.Aim).Seconds())
 }
--- a/choice/state.go
+++ b/choice/state.go
@@ -1,6 +1,6 @@
 package choice
 
-// State without decisions: what a Chooser remembers, and checks of its settings.
+// This file holds a Chooser's state, without decisions, and the check of its settings.
 
 import (
 	"fmt"
@@ -9,169 +9,169 @@
 	"time"
 )
 
-// message is one message until its final answer and its last outcome.
+// message is one message until its final answer and the outcome of its last attempt.
 type message struct {
 	Arrival
-	class    *Class // that it came under
-	most     int    // attempts, likewise
-	dest     *dest
-	due      time.Duration // deadline
-	came     time.Duration // the Step that heard of it
-	born     time.Duration // due less the class's deadline: first handed in
-	attempts int
-	timeout  time.Duration // of the last try
-	call     *call         // out now
-	ran      bool          // an attempt may have run
-	ranAt    time.Duration // the first such attempt went out
-	ranZone  int
-	last     *host
-	unsure   time.Duration // time of the last unsure outcome; its key rests after it
-	over     bool          // answered or withdrawn
-	past     bool          // its tenant's share was used up
-	restored bool          // an earlier process took it on
-	// As it waits: its place among those of its destination and, while it is open, of its key; when it was
-	// queued, as a number; the time of its final answer, and its place by that.
-	at, queued, place int
-	inLine            links[message]
-	until             time.Duration
+	class        *Class // it was accepted under
+	maxAttempts  int    // it was accepted under
+	dest         *dest
+	deadline     time.Duration
+	arrivedAt    time.Duration // time of the Step that received it
+	createdAt    time.Duration // deadline less the class's Deadline: when a relay first received it
+	attempts     int
+	timeout      time.Duration // of the last attempt
+	call         *call         // in flight; nil for none
+	mayHaveRun   bool          // an attempt may have run
+	firstRunAt   time.Duration // when the first such attempt was sent
+	firstRunZone int
+	lastHost     *host         // of the last attempt that ended
+	uncertainAt  time.Duration // time of the last uncertain outcome, after which its key pauses; below 0 for none
+	ended        bool          // answered or withdrawn
+	overShare    bool          // its tenant's share was used up on arrival
+	restored     bool          // accepted by an earlier process
+	// Position while waiting: sliceIndex among the messages of its destination, queueNumber as a
+	// sequence number of when it was queued, heapIndex in byAnswerTime. keyLinks hold its place
+	// among those of its key until it ends; answerAt is the time of its final answer.
+	sliceIndex, queueNumber, heapIndex int
+	keyLinks                           chainLinks[message]
+	answerAt                           time.Duration
 }
 
-// call is one call out; sends of one turn to one host may share it.
+// call is one call in flight. Messages sent to one host in the same Step may share it.
 type call struct {
-	host    *host
-	sent    time.Duration
-	members []*message // outcomes still due
-	off     bool       // called off
-	adopted int        // number at the process that made it; 0 for this one
+	host          *host
+	sentAt        time.Duration
+	messages      []*message // whose outcomes are due
+	cancelled     bool       // a Cancel was sent
+	resumedNumber int        // number at the process that made the call; 0 if made by this one
 }
 
 // host is one endpoint.
 type host struct {
 	Host
-	dest    *dest
-	unit    *unit
-	out     int
-	liking  float64       // this relay's own liking, by chance
-	fails   int           // in a row
-	retryAt time.Duration // after failures
-	// restUntil is when it is called again after it refused as one that drains, before the list says so.
-	restUntil time.Duration
-	sends     []time.Duration // while it is cold after operators gave it back
+	dest        *dest
+	unit        *unit
+	inFlight    int
+	preference  float64         // random, so that relays prefer different hosts
+	failures    int             // in a row
+	retryAt     time.Duration   // earliest time of use at no extra cost after failures
+	pauseUntil  time.Duration   // no calls before this time, after a refusal as by one that drains
+	recentSends []time.Duration // send times while it is cold after operators enabled it
 }
 
-// health of a unit.
+// health is the health of a unit.
 type health int
 
 const (
 	healthy    health = iota
-	suspect           // single trials only
-	recovering        // within the budget for a cold destination
+	suspect           // gets single trials only
+	recovering        // gets calls within the budget of a cold destination
 )
 
-// unit is what health, limits and waits hang on: a destination, or a route where routes are apart.
+// unit is what health, limits and waits are kept for: a destination, or one of its separate routes.
 type unit struct {
-	name       string
-	born       time.Duration
-	weight     float64 // as the list has it
-	listed     float64 // calls a second from all relays, 0 if unknown: by the list, then by answers
-	told       bool    // answers bear reports
-	many       bool    // a call takes more than one message
-	state      health
-	since      time.Duration // of the state
-	waitUntil  time.Duration // told
-	pauseUntil time.Duration // own
-	recent     uint          // recent outcomes, a bit set for each failure
-	streak     int           // answers served in a row
-	errors     bool          // errors answered were among them
-	risky      bool          // failures that may have run were seen in this outage
-	trialAt    time.Duration // next trial
-	trials     int           // trials failed in a row
-	bad        int           // failures and refusals since then
-	downAt     time.Duration // a connection to it was refused
-	lastServed time.Duration // or first listed
-	outs       []*call
-	sends      []time.Duration // in the last Fall or second
-	pace       float64         // smoothed latency, seconds
-	served     float64         // smoothed rate served to this relay, messages a second
-	base       float64         // served when the outage began
-	limit      float64         // calls a second this relay allows itself; 0 for no limit
-	limitAt    time.Duration   // last time that limit or tokens were brought up to date
-	cutAt      time.Duration
-	tokens     float64
+	name           string
+	createdAt      time.Duration
+	listedRate     float64 // as listed
+	knownRate      float64 // calls per second accepted from all relays: as listed, then as reported; 0 if unknown
+	hasReports     bool    // its answers carry load reports
+	sharesCalls    bool    // a call may carry more than one message
+	state          health
+	stateSince     time.Duration // when the state began
+	retryAfter     time.Duration // no calls before this time, as the unit asked
+	pauseUntil     time.Duration // no calls before this time, by this relay's own choice
+	recentFailures uint          // bits of the last outcomes, 1 for a failure
+	servedStreak   int           // attempts served in a row
+	sawErrors      bool          // the failures included Error outcomes
+	mayHaveRun     bool          // in this outage there were failures after which a message may have run
+	trialAt        time.Duration // time of the next trial
+	failedTrials   int           // in a row
+	badStreak      int           // failures and refusals since the last attempt served
+	connRefusedAt  time.Duration // when it last refused a connection
+	lastServed     time.Duration // time of the last attempt served; initially createdAt
+	calls          []*call
+	recentSends    []time.Duration // send times of the calls within WarmUp, at least within a second
+	latencySec     float64         // smoothed latency in seconds
+	servedRate     float64         // smoothed rate served to this relay, messages per second
+	baseRate       float64         // servedRate when the outage began
+	pace           float64         // calls per second this relay allows itself; 0 for no limit
+	paceAt         time.Duration   // when pace and tokens were last updated
+	paceCutAt      time.Duration   // when a refusal last lowered the pace
+	tokens         float64         // calls that the pace allows now
 }
 
 // dest is one destination.
 type dest struct {
-	id         int
-	kind       Kind
-	hosts      []*host
-	units      []*unit
-	waiting    row[message]
-	out        int
-	lastTurn   time.Duration
-	table      table
-	refused    int      // refusals in a row
-	luck       *float64 // of its kind
-	pauseUntil time.Duration
-	backoff    int // time-outs in a row with nothing served since
-	// See index: when it was first heard of and came to have messages, as numbers; calls out at its units;
-	// the turn up to which its paces are brought up to date; endpoints avoided.
-	number, life, calls, seen, excluded, look, place int
-	until                                            time.Duration // while parked
-	// blocked is a time before which none of those that wait, up to the one queued as blockedTo, may go to the
-	// endpoints of blockedAt, if nothing happens to the destination or to their keys.
-	blocked          time.Duration
-	blockedTo        int
-	blockedAt        []*host
-	inOrder, inLive  links[dest]
-	touched, checked bool
+	id            int
+	kind          Kind
+	hosts         []*host
+	units         []*unit
+	waiting       indexedSlice[message]
+	inFlight      int
+	lastSentAt    time.Duration
+	latencies     latencyTable
+	refusalStreak int           // refusals since the last attempt served
+	retrySuccess  *float64      // entry of its kind in Chooser.retrySuccess
+	pauseUntil    time.Duration // no calls before this time, by this relay's own choice
+	timeoutStreak int           // time-outs in a row with nothing served in between
+	// Of index: numbers by order of becoming known and of entering liveDests, calls in flight at the units,
+	// step up to which paces are updated, number of excluded endpoints, schedule, place in deferredDests.
+	knownNumber, liveNumber, unitCalls, pacedStep, excluded, schedule, heapIndex int
+	deferredUntil                                                                time.Duration // while deferred
+	// Until blockedUntil, none of the waiting messages with a queue number of up to blockedThrough
+	// may go to any of blockedHosts, unless something happens to the destination or to the keys of
+	// its messages. 0 for none.
+	blockedUntil          time.Duration
+	blockedThrough        int
+	blockedHosts          []*host
+	orderLinks, liveLinks chainLinks[dest]
+	changed, listCheckDue bool
 }
 
-// line is the order of one key.
-type line struct {
-	key   string
-	queue chain[message]
-	rest  time.Duration
-	place int
+// keyQueue holds the pending messages of one key in order.
+type keyQueue struct {
+	key        string
+	messages   linkedList[message]
+	pauseUntil time.Duration // after an uncertain outcome
+	heapIndex  int           // in pausedKeys
 }
 
 // Chooser decides for one relay. It is not safe for concurrent use.
 type Chooser struct {
 	index
-	set    Settings
-	now    time.Duration
-	bound  time.Duration // maximal timeout of the oracle
-	minAim time.Duration
-	msgs   map[string]*message
-	dests  map[int]*dest
-	hosts  map[string]*host
-	lines  map[string]*line
-	busy   int
-	held   int
-	wakeAt time.Duration // the next wake-up asked for
-	rand   *rand.Rand
-	nap    time.Duration // between looks
-	luck   []float64     // by kind: share served of the calls to destinations that refused the last one
-	pool   table         // of all destinations together, for those that have few samples yet
-	askAt  time.Duration // ask for list changes then; below 0 for never
-	acts   []Action
-	shares []share                  // by tenant
-	out    map[string]bool          // endpoints that operators took out
-	cold   map[string]time.Duration // when operators gave an endpoint back
-	// listExpired is set while nothing may be sent, for the list may be too old.
-	listExpired bool
+	settings        Settings
+	now             time.Duration // of the current Step
+	maxTimeout      time.Duration // longest time-out that is derived from latencies
+	minAim          time.Duration // shortest aim of all classes
+	messages        map[string]*message
+	dests           map[int]*dest
+	hosts           map[string]*host
+	keyQueues       map[string]*keyQueue
+	inFlight        int           // calls
+	pending         int           // messages without a final answer
+	wakeAt          time.Duration // time of the next wake-up asked for
+	rand            *rand.Rand
+	checkInterval   time.Duration // time between checks without events
+	retrySuccess    []float64     // by kind: share served of the calls to destinations that refused the call before
+	pooledLatencies latencyTable  // of all destinations together, for those with few samples
+	subscribeAt     time.Duration // when to ask for list updates; below 0 for never
+	actions         []Action
+	tenantShares    []tenantShare            // by tenant
+	disabled        map[string]bool          // endpoints that operators disabled
+	enabledAt       map[string]time.Duration // when operators enabled an endpoint again
+	listExpired     bool                     // the list may be too old, so nothing may be sent
 }
 
-// note remembers whether the last outcome was a failure.
-func (u *unit) note(failed bool) {
-	u.recent = u.recent << 1 & (1<<history - 1)
+// recordOutcome records whether the last attempt failed.
+func (u *unit) recordOutcome(failed bool) {
+	u.recentFailures = u.recentFailures << 1 & (1<<outcomeHistory - 1)
 	if failed {
-		u.recent |= 1
+		u.recentFailures |= 1
 	}
 }
 
-// sent counts the calls within a span until now.
-func (c *Chooser) sent(sends []time.Duration, span time.Duration) float64 {
+// countWithin counts the calls within a time span before now.
+func (c *Chooser) countWithin(sends []time.Duration, span time.Duration) float64 {
 	n := 0.0
 	for _, t := range sends {
 		if c.now-t <= span {
@@ -181,8 +181,8 @@
 	return n
 }
 
-// part of a host in the budget of its unit: all endpoints on the list that do not drain have the same.
-func (h *host) part() float64 {
+// unitShare returns a host's even share, among the listed endpoints that don't drain, of its unit's budget.
+func (h *host) unitShare() float64 {
 	ready := 0
 	for _, other := range h.dest.hosts {
 		if other.unit == h.unit && other.State == Ready {
@@ -192,29 +192,29 @@
 	return 1 / float64(max(1, ready))
 }
 
-// spread has a table use buckets of another width; each one's samples stay together, at their mean.
-func (t *table) spread(width time.Duration) {
+// rebucket changes the width of the buckets. Samples of one bucket stay together, at their mean.
+func (t *latencyTable) rebucket(width time.Duration) {
 	if t.width == width {
 		return
 	}
 	old := *t
-	t.width, t.stale, t.edge, t.high = width, true, 0, 0
-	t.count, t.sum = make([]float64, buckets), make([]float64, buckets)
-	for i, n := range old.count {
-		if n > 0 {
-			to := min(int(old.sum[i]/n/width.Seconds()), buckets-1)
-			t.count[to] += n
-			t.sum[to] += old.sum[i]
+	t.width, t.outdated, t.bestTimeout, t.p98 = width, true, 0, 0
+	t.counts, t.sums = make([]float64, buckets), make([]float64, buckets)
+	for i, count := range old.counts {
+		if count > 0 {
+			bucket := min(int(old.sums[i]/count/width.Seconds()), buckets-1)
+			t.counts[bucket] += count
+			t.sums[bucket] += old.sums[i]
 		}
 	}
 }
 
-// remove deletes one element.
-func remove[T comparable](all []T, one T) []T {
+// without returns a slice with all elements equal to one deleted, in place.
+func without[T comparable](all []T, one T) []T {
 	return slices.DeleteFunc(all, func(o T) bool { return o == one })
 }
 
-// Check tells which setting is out of its range.
+// Check returns an error for a setting that is out of range.
 func (s *Settings) Check() error {
 	switch {
 	case s.Workers < 1:
@@ -223,25 +223,27 @@
 		return fmt.Errorf("Fleet is %d, must be at least 1", s.Fleet)
 	case s.MaxAttempts < 1:
 		return fmt.Errorf("MaxAttempts is %d, must be at least 1", s.MaxAttempts)
-	case s.MaxHeld < 0:
-		return fmt.Errorf("MaxHeld is %d, must be at least 0 (0 for no limit)", s.MaxHeld)
+	case s.MaxPending < 0:
+		return fmt.Errorf("MaxPending is %d, must be at least 0 (0 for no limit)", s.MaxPending)
 	case s.Tick <= 0:
 		return fmt.Errorf("Tick is %v, must be above 0", s.Tick)
-	case s.Rules.Cold <= 0 || s.Rules.Fall <= 0:
-		return fmt.Errorf("Rules.Cold is %v and Rules.Fall %v, both must be above 0", s.Rules.Cold, s.Rules.Fall)
+	case s.Rules.WarmUp <= 0 || s.Rules.OverloadWindow <= 0:
+		return fmt.Errorf("Rules.WarmUp is %v and Rules.OverloadWindow %v, both must be above 0", s.Rules.WarmUp,
+			s.Rules.OverloadWindow)
 	case len(s.Classes) == 0:
-		return fmt.Errorf("Classes is empty, must hold at least one")
+		return fmt.Errorf("Classes is empty, must have at least one entry")
 	}
-	for i, k := range s.Classes {
-		if k.Effect == Keyed && k.Window <= 0 {
-			return fmt.Errorf("Classes[%d]: Window is %v, must be above 0 where repeats are dropped", i, k.Window)
+	for i, class := range s.Classes {
+		if class.Effect == Keyed && class.Window <= 0 {
+			return fmt.Errorf("Classes[%d]: Window is %v, must be above 0 where repeats are dropped", i, class.Window)
 		}
-		if k.Aim <= 0 || k.Deadline < k.Aim {
-			return fmt.Errorf("Classes[%d]: Aim is %v, must be above 0 and at most Deadline %v", i, k.Aim, k.Deadline)
+		if class.Aim <= 0 || class.Deadline < class.Aim {
+			return fmt.Errorf("Classes[%d]: Aim is %v, must be above 0 and at most Deadline %v", i, class.Aim,
+				class.Deadline)
 		}
-		if k.Worth < 0 || k.LateShare < 0 || k.LateShare > 1 {
+		if class.Worth < 0 || class.LateShare < 0 || class.LateShare > 1 {
 			return fmt.Errorf("Classes[%d]: Worth is %v and LateShare %v, must be at least 0 and within 0 to 1",
-				i, k.Worth, k.LateShare)
+				i, class.Worth, class.LateShare)
 		}
 	}
 	return nil
--- a/internal/backlog/damage_test.go
+++ b/internal/backlog/damage_test.go
@@ -12,170 +12,171 @@
 	"testing"
 )
 
-var damageStep = flag.Int("backlog.step", 29, "which bytes are cut and flipped: each so many-th")
+var damageStepBytes = flag.Int("backlog.step", 29, "distance in bytes between the positions that are truncated at or flipped")
 
-// lived is a folder with messages of two destinations in several segments, of which some have left in order and some out of it.
-func lived(t testing.TB) (dir string, m model, gone map[string]bool) {
-	dir, m, gone = tempDir(t), model{}, map[string]bool{}
-	s := mustOpen(t, dir, small(&killer{}))
-	defer s.Close()
+// churnedFolder returns a folder with messages of two destinations in several segments, some of which were removed in order
+// and some out of order; removed has the ids of these.
+func churnedFolder(t testing.TB) (dir string, model queueModel, removed map[string]bool) {
+	dir, model, removed = tempDir(t), queueModel{}, map[string]bool{}
+	store := mustOpen(t, dir, smallOptions(&killSwitch{}))
+	defer store.Close()
 	for i := range 60 {
-		h := Message{ID: fmt.Sprint("m", i), Dest: 1 + i%2, Due: int64(i), Data: bytes.Repeat([]byte{byte(i)}, 20+i*3)}
+		message := Message{ID: fmt.Sprint("m", i), Dest: 1 + i%2, Due: int64(i), Data: bytes.Repeat([]byte{byte(i)}, 20+i*3)}
 		if i%3 == 0 {
-			h.Order = fmt.Sprint("k", h.Dest)
+			message.OrderKey = fmt.Sprint("k", message.Dest)
 		}
-		if err := s.Put(h); err != nil {
+		if err := store.Put(message); err != nil {
 			t.Fatal(err)
 		}
-		m[h.Dest] = append(m[h.Dest], Held{Message: h})
+		model[message.Dest] = append(model[message.Dest], StoredMessage{Message: message})
 	}
-	same(t, s, m)
-	for dest, q := range m {
-		var out []uint64
-		for i, h := range q {
+	checkEqual(t, store, model)
+	for dest, queue := range model {
+		var sequences []uint64
+		for i, message := range queue {
 			if i < 3 || i%7 == 5 || i > 25 && i < 28 {
-				out, gone[h.ID] = append(out, h.Place), true
+				sequences, removed[message.ID] = append(sequences, message.Sequence), true
 			}
 		}
-		if err := s.Out(dest, out...); err != nil {
+		if err := store.Remove(dest, sequences...); err != nil {
 			t.Fatal(err)
 		}
-		m.out(dest, out...)
+		model.remove(dest, sequences...)
 	}
-	same(t, s, m)
-	return dir, m, gone
+	checkEqual(t, store, model)
+	return dir, model, removed
 }
 
-// survives checks what is left of a folder after damage: at most so many messages are missing, each is told of, what has left comes back in doubt or not at all, order stays,
-// and all can be taken out.
-func survives(t testing.TB, what, dir string, m model, gone map[string]bool, most int) {
+// checkSurvives checks a folder after damage: at most that many messages are missing and each is reported, removed messages
+// stay removed or come back in doubt, the order is preserved, and all messages can be removed.
+func checkSurvives(t testing.TB, what, dir string, model queueModel, removed map[string]bool, maxMissing int) {
 	t.Helper()
-	s, err := Open(dir, small(&killer{}))
+	store, err := Open(dir, smallOptions(&killSwitch{}))
 	if err != nil {
 		t.Fatalf("%s: %v", what, err)
 	}
-	defer s.Close()
-	got := has(t, s)
-	lost, doubt, table := 0, 0, false
-	for _, err := range s.Damage() {
-		var d *Damage
-		if !errors.As(err, &d) || d.Remedy() == "" {
+	defer store.Close()
+	stored := storedMessages(t, store)
+	lost, inDoubt, tableReported := 0, 0, false
+	for _, err := range store.TakeDamageReports() {
+		var damage *DamageError
+		if !errors.As(err, &damage) || damage.Remedy() == "" {
 			t.Fatalf("%s: %v", what, err)
 		}
-		lost, doubt, table = lost+d.Lost, doubt+d.Doubt, table || d.Segment == tableName
+		lost, inDoubt, tableReported = lost+damage.Lost, inDoubt+damage.InDoubt, tableReported || damage.Segment == tableFileName
 	}
 	missing := 0
-	for dest, q := range m {
-		g := got[dest]
-		for _, h := range q {
-			i := slices.IndexFunc(g, func(x Held) bool { return x.ID == h.ID })
+	for dest, queue := range model {
+		rest := stored[dest]
+		for _, message := range queue {
+			i := slices.IndexFunc(rest, func(got StoredMessage) bool { return got.ID == message.ID })
 			if i < 0 {
 				missing++
 				continue
 			}
-			for _, x := range g[:i] {
-				if !x.Doubt || !gone[x.ID] {
-					t.Fatalf("%s: %s comes before %s", what, x.ID, h.ID)
+			for _, got := range rest[:i] {
+				if !got.InDoubt || !removed[got.ID] {
+					t.Fatalf("%s: %s precedes %s", what, got.ID, message.ID)
 				}
 			}
-			x := g[i]
-			if x.Doubt {
-				doubt--
+			got := rest[i]
+			if got.InDoubt {
+				inDoubt--
 			}
-			if x.Doubt = false; !alike(x, h) || x.Place != h.Place {
-				t.Fatalf("%s: %+v is %+v", what, h, x)
+			if got.InDoubt = false; !sameMessage(got, message) || got.Sequence != message.Sequence {
+				t.Fatalf("%s: message %+v was read as %+v", what, message, got)
 			}
-			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || f.Place != h.Place {
-				t.Fatalf("%s: %s is found as %v %v %v", what, h.ID, f, ok, err)
+			if found, ok, err := store.Find(dest, message.ID); err != nil || !ok || found.Sequence != message.Sequence {
+				t.Fatalf("%s: Find of %s returned %v %v %v", what, message.ID, found, ok, err)
 			}
-			g = g[i+1:]
+			rest = rest[i+1:]
 		}
-		for _, x := range g {
-			if !x.Doubt || !gone[x.ID] {
-				t.Fatalf("%s: %s is there", what, x.ID)
+		for _, got := range rest {
+			if !got.InDoubt || !removed[got.ID] {
+				t.Fatalf("%s: removed message %s is back without being in doubt", what, got.ID)
 			}
 		}
 	}
-	if missing > most || missing > lost || doubt < 0 {
-		t.Fatalf("%s: %d missing (at most %d), %d told of; %d in doubt untold", what, missing, most, lost, -doubt)
+	if missing > maxMissing || missing > lost || inDoubt < 0 {
+		t.Fatalf("%s: %d messages missing (at most %d), %d reported as lost; %d in doubt not reported", what, missing, maxMissing, lost, -inDoubt)
 	}
-	for dest, q := range got {
-		for _, h := range q {
-			if err := s.Out(dest, h.Place); err != nil {
+	for dest, queue := range stored {
+		for _, message := range queue {
+			if err := store.Remove(dest, message.Sequence); err != nil {
 				t.Fatalf("%s: %v", what, err)
 			}
 		}
 	}
-	if err := s.Put(Message{ID: "new", Dest: 1}); err != nil || s.Len() != 1 {
-		t.Fatalf("%s: %d left: %v", what, s.Len(), err)
+	if err := store.Put(Message{ID: "new", Dest: 1}); err != nil || store.Len() != 1 {
+		t.Fatalf("%s: %d left: %v", what, store.Len(), err)
 	}
 }
 
-func eachFile(t testing.TB, dir string, f func(name string, b []byte)) {
+func forEachFile(t testing.TB, dir string, f func(name string, content []byte)) {
 	all, err := os.ReadDir(dir)
 	if err != nil || len(all) < 8 {
 		t.Fatalf("%d files: %v", len(all), err)
 	}
 	for _, e := range all {
-		b, err := os.ReadFile(filepath.Join(dir, e.Name()))
+		content, err := os.ReadFile(filepath.Join(dir, e.Name()))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f(e.Name(), b)
+		f(e.Name(), content)
 	}
 }
 
-// with is a copy of a folder with another content of a file; none if nil.
-func with(t testing.TB, dir, name string, b []byte) string {
-	to := copyDir(t, dir)
-	err := os.Remove(filepath.Join(to, name))
+// copyWithFile returns a copy of a folder in which one file has other content, or is deleted if b is nil.
+func copyWithFile(t testing.TB, dir, name string, b []byte) string {
+	copied := copyDir(t, dir)
+	err := os.Remove(filepath.Join(copied, name))
 	if b != nil {
-		err = os.WriteFile(filepath.Join(to, name), b, 0o600)
+		err = os.WriteFile(filepath.Join(copied, name), b, 0o600)
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	return to
+	return copied
 }
 
-// Guards against one flipped bit that loses more than its record, is not told, or has come again what had left.
+// Guards against a flipped bit that loses more than its record, is not reported, or brings back a removed message.
 func TestFlippedBits(t *testing.T) {
-	dir, m, gone := lived(t)
-	eachFile(t, dir, func(name string, b []byte) {
+	dir, model, removed := churnedFolder(t)
+	forEachFile(t, dir, func(name string, content []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for i := 0; i < len(b); i += *damageStep {
-				if name == tableName && b[i] == 0 && i%(16*slotSize) != 0 {
-					continue // most of it is free
+			for i := 0; i < len(content); i += *damageStepBytes {
+				if name == tableFileName && content[i] == 0 && i%(16*slotSize) != 0 {
+					continue // most of the table is free slots
 				}
-				c := slices.Clone(b)
-				c[i] ^= 1 << (i % 8)
-				survives(t, fmt.Sprint("bit flipped at ", i), with(t, dir, name, c), m, gone, 1)
+				flipped := slices.Clone(content)
+				flipped[i] ^= 1 << (i % 8)
+				checkSurvives(t, fmt.Sprint("bit flipped at ", i), copyWithFile(t, dir, name, flipped), model, removed, 1)
 			}
 		})
 	})
 }
 
-// Guards against a file that is cut and takes more than what was in the part that is missing, or is silent about it.
-func TestCutFiles(t *testing.T) {
-	dir, m, gone := lived(t)
-	eachFile(t, dir, func(name string, b []byte) {
+// Guards against a truncated or deleted file that loses more than the messages in the missing part, or does not report it.
+func TestTruncatedFiles(t *testing.T) {
+	dir, model, removed := churnedFolder(t)
+	forEachFile(t, dir, func(name string, content []byte) {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			survives(t, "gone", with(t, dir, name, nil), m, gone, 30)
-			step := *damageStep
-			if name == tableName {
+			checkSurvives(t, "gone", copyWithFile(t, dir, name, nil), model, removed, 30)
+			step := *damageStepBytes
+			if name == tableFileName {
 				step *= 100
 			}
-			for n := 0; n < len(b); n += step {
-				if name == versionName && n == 0 {
-					continue // TestOtherVersion
+			for size := 0; size < len(content); size += step {
+				if name == versionFileName && size == 0 {
+					continue // covered by TestOtherFormatVersion
 				}
-				most := 0
+				maxMissing := 0
 				if strings.HasSuffix(name, ".dat") {
-					most = 1 + (len(b)-n)/frameHead
+					maxMissing = 1 + (len(content)-size)/frameHeaderSize
 				}
-				survives(t, fmt.Sprint("cut at ", n), with(t, dir, name, b[:n]), m, gone, most)
+				checkSurvives(t, fmt.Sprint("truncated at ", size), copyWithFile(t, dir, name, content[:size]), model, removed, maxMissing)
 			}
 		})
 	})
--- a/internal/backlog/due.go
+++ b/internal/backlog/due.go
@@ -8,170 +8,174 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// run is the first live messages of a segment by their times, so that its entries are looked through once for many of them.
-type run []entry
+// dueList holds the first live entries of a segment by due time, so that one scan of the segment's index serves many of them.
+type dueList []indexEntry
 
 const (
-	runLen  = 64
-	runMost = 2048 // segments that have one: with 48 bytes a message 6 MiB
+	dueListLength = 64
+	maxDueLists   = 2048 // segments that have a list; with 48 bytes for each message this takes 6 MiB
 )
 
-func byTime(a, b entry) int { return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.place, b.place)) }
+func compareDue(a, b indexEntry) int {
+	return cmp.Or(cmp.Compare(a.due, b.due), cmp.Compare(a.sequence, b.sequence))
+}
 
-// more is the next messages of a segment by time, after one; none before the first.
-func (s *Store) more(seg *state.Segment, after *entry) (r run, err error) {
-	s.scanned++
-	err = s.entries.all(seg, func(_ uint32, x entry) {
-		if after != nil && byTime(x, *after) <= 0 || len(r) == runLen && byTime(x, r[runLen-1]) >= 0 {
+// entriesDueAfter returns the next entries of a segment by due time after the given one, or the first ones if it is nil.
+func (s *Store) entriesDueAfter(segment *state.Segment, after *indexEntry) (earliest dueList, err error) {
+	s.dueScans++
+	err = s.indexes.liveEntries(segment, func(_ uint32, entry indexEntry) {
+		if after != nil && compareDue(entry, *after) <= 0 || len(earliest) == dueListLength && compareDue(entry, earliest[dueListLength-1]) >= 0 {
 			return
 		}
-		i, _ := slices.BinarySearchFunc(r, x, byTime)
-		if len(r) == runLen {
-			r = r[:runLen-1]
+		i, _ := slices.BinarySearchFunc(earliest, entry, compareDue)
+		if len(earliest) == dueListLength {
+			earliest = earliest[:dueListLength-1]
 		}
-		r = slices.Insert(r, i, x)
+		earliest = slices.Insert(earliest, i, entry)
 	})
-	return r, err
+	return earliest, err
 }
 
-// runOf is a segment's run; its first is the segment's next.
-func (s *Store) runOf(seg *state.Segment) (run, error) {
-	if r := s.runs[seg]; len(r) > 0 {
-		return r, nil
+// dueListOf returns the due list of a segment and builds it if necessary. Its first entry is the segment's next one due.
+func (s *Store) dueListOf(segment *state.Segment) (dueList, error) {
+	if list := s.dueLists[segment]; len(list) > 0 {
+		return list, nil
 	}
-	r, err := s.more(seg, nil)
+	list, err := s.entriesDueAfter(segment, nil)
 	if err != nil {
 		return nil, err
 	}
-	if len(s.runs) >= runMost {
-		clear(s.runs)
+	if len(s.dueLists) >= maxDueLists {
+		clear(s.dueLists)
 	}
-	s.runs[seg] = r
-	return r, nil
+	s.dueLists[segment] = list
+	return list, nil
 }
 
-// joins tells that a message has come to a segment.
-func (s *Store) joins(seg *state.Segment, due int64) {
-	if r := s.runs[seg]; len(r) > 0 && due < r[len(r)-1].due {
-		delete(s.runs, seg)
+// messageAdded updates the due list of a segment to which a message was added.
+func (s *Store) messageAdded(segment *state.Segment, due int64) {
+	if list := s.dueLists[segment]; len(list) > 0 && due < list[len(list)-1].due {
+		delete(s.dueLists, segment)
 	}
 }
 
-// parts tells which messages have left a segment.
-func (s *Store) parts(seg *state.Segment, left []found) {
-	r := s.runs[seg]
-	if r == nil {
+// messagesRemoved drops removed messages from the due list of their segment. The entries are sorted by sequence.
+func (s *Store) messagesRemoved(segment *state.Segment, removed []indexedEntry) {
+	list := s.dueLists[segment]
+	if list == nil {
 		return
 	}
-	r = slices.DeleteFunc(r, func(x entry) bool {
-		_, gone := slices.BinarySearchFunc(left, x.place, func(f found, place uint64) int { return cmp.Compare(f.place, place) })
-		return gone
+	list = slices.DeleteFunc(list, func(entry indexEntry) bool {
+		_, found := slices.BinarySearchFunc(removed, entry.sequence, func(f indexedEntry, sequence uint64) int { return cmp.Compare(f.sequence, sequence) })
+		return found
 	})
-	if s.runs[seg] = r; len(r) == 0 {
-		delete(s.runs, seg)
+	if s.dueLists[segment] = list; len(list) == 0 {
+		delete(s.dueLists, segment)
 	}
 }
 
-// NextDue is when the first has to have ended.
+// NextDue returns the earliest due time in Unix milliseconds; ok is false if the store is empty or cannot be read, which
+// TakeDamageReports then tells.
 func (s *Store) NextDue() (due int64, ok bool) {
-	err := s.mending(func() error {
+	err := s.withRepair(func() error {
 		for {
-			seg := s.st.Earliest()
-			if ok = seg != nil; !ok {
+			segment := s.state.Earliest()
+			if ok = segment != nil; !ok {
 				return nil
 			}
-			r, err := s.runOf(seg)
+			list, err := s.dueListOf(segment)
 			if err != nil {
 				return err
 			}
-			if len(r) == 0 {
-				return &brokenSegment{seg}
+			if len(list) == 0 {
+				return &damagedSegmentError{segment}
 			}
-			if due = r[0].due; due <= seg.Due {
+			if due = list[0].due; due <= segment.EarliestDue {
 				return nil
 			}
-			s.st.SetDue(seg, due) // what it was known by had left
+			s.state.SetEarliestDue(segment, due) // the message that set the earlier time was removed
 		}
 	})
 	if err != nil {
-		s.damaged(err)
+		s.reportDamage(err)
 		return 0, false
 	}
 	return due, ok
 }
 
-// Due is what has to have ended by then, earliest first: the first n of it. They stay.
-func (s *Store) Due(before int64, n int) (all []Held, err error) {
-	err = s.mending(func() error {
-		all, err = s.due(before, n)
+// Due returns the messages that are due at or before a time in Unix milliseconds, earliest first and at most maxMessages.
+// They stay in the store.
+func (s *Store) Due(before int64, maxMessages int) (all []StoredMessage, err error) {
+	err = s.withRepair(func() error {
+		all, err = s.dueMessages(before, maxMessages)
 		return err
 	})
 	return all, err
 }
 
-// cursor is how far a call of Due is in a segment.
-type cursor struct {
-	run
-	at int
+// dueCursor is the position of one call of Due in a segment.
+type dueCursor struct {
+	dueList
+	next int
 }
 
-func (s *Store) due(before int64, n int) (all []Held, err error) {
-	before = min(before, later-1)
-	cursors := map[*state.Segment]*cursor{}
-	lost := map[int][]uint64{}
+func (s *Store) dueMessages(before int64, maxMessages int) (all []StoredMessage, err error) {
+	before = min(before, noDueTime-1)
+	cursors := map[*state.Segment]*dueCursor{}
+	unreadable := map[int][]uint64{}
 	defer func() {
-		for seg, c := range cursors {
-			s.st.SetDue(seg, c.run[0].due)
-			s.runs[seg] = slices.Clone(c.run[:min(len(c.run), runLen)])
+		for segment, cursor := range cursors {
+			s.state.SetEarliestDue(segment, cursor.dueList[0].due)
+			s.dueLists[segment] = slices.Clone(cursor.dueList[:min(len(cursor.dueList), dueListLength)])
 		}
-		for dest, places := range lost {
-			err = errors.Join(err, s.drop(dest, places))
+		for dest, sequences := range unreadable {
+			err = errors.Join(err, s.removeUnreadable(dest, sequences))
 		}
 	}()
-	for len(all) < n {
-		seg := s.st.Earliest()
-		if seg == nil || seg.Due > before {
+	for len(all) < maxMessages {
+		segment := s.state.Earliest()
+		if segment == nil || segment.EarliestDue > before {
 			return all, nil
 		}
-		c := cursors[seg]
-		if c == nil {
-			r, err := s.runOf(seg)
+		cursor := cursors[segment]
+		if cursor == nil {
+			list, err := s.dueListOf(segment)
 			if err != nil {
 				return nil, err
 			}
-			if len(r) == 0 {
-				return nil, &brokenSegment{seg}
+			if len(list) == 0 {
+				return nil, &damagedSegmentError{segment}
 			}
-			c = &cursor{run: r}
-			cursors[seg] = c
+			cursor = &dueCursor{dueList: list}
+			cursors[segment] = cursor
 		}
-		if c.at == len(c.run) {
-			r, err := s.more(seg, &c.run[len(c.run)-1])
+		if cursor.next == len(cursor.dueList) {
+			list, err := s.entriesDueAfter(segment, &cursor.dueList[len(cursor.dueList)-1])
 			if err != nil {
 				return nil, err
 			}
-			c.run = append(c.run, r...)
+			cursor.dueList = append(cursor.dueList, list...)
 		}
-		if c.at == len(c.run) {
-			s.st.SetDue(seg, later)
+		if cursor.next == len(cursor.dueList) {
+			s.state.SetEarliestDue(segment, noDueTime)
 			continue
 		}
-		x := c.run[c.at]
-		if x.due > seg.Due {
-			s.st.SetDue(seg, x.due)
+		entry := cursor.dueList[cursor.next]
+		if entry.due > segment.EarliestDue {
+			s.state.SetEarliestDue(segment, entry.due)
 			continue
 		}
-		c.at++
-		h, err := s.message(seg, x)
-		if errors.Is(err, errDamaged) {
-			s.damaged(&Damage{Segment: dataName(seg), Lost: 1, Why: "a message cannot be read"})
-			lost[seg.Dest] = append(lost[seg.Dest], x.place)
+		cursor.next++
+		message, err := s.readMessage(segment, entry)
+		if errors.Is(err, errDamagedFrame) {
+			s.reportDamage(&DamageError{Segment: dataFileName(segment), Lost: 1, Reason: "a message cannot be read"})
+			unreadable[segment.Dest] = append(unreadable[segment.Dest], entry.sequence)
 			continue
 		}
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, h)
+		all = append(all, message)
 	}
 	return all, nil
 }
--- a/internal/backlog/entry/entry.go
+++ b/internal/backlog/entry/entry.go
@@ -1,4 +1,4 @@
-// Package entry turns messages of the journal into what the backlog keeps of them, and back. It has no files and no clock.
+// Package entry converts messages between the form of the journal and that of the backlog. It uses neither files nor a clock.
 package entry
 
 import (
@@ -12,137 +12,141 @@
 	"larchrouter/internal/journal"
 )
 
-// The first byte says how the rest is to be read. Later versions read all earlier ones; a relay that is older than what it
-// finds leaves it alone. Numbers are varints, texts have their length before them, the body is the rest.
+// The first byte is the version of the encoding. Later versions of the program read all earlier encodings; a program that
+// is older than the data it finds leaves it alone. Numbers are varints, strings follow their length, and the body is the
+// remainder.
 const (
 	versionOne = 1
 
 	hasTerms = 1 << iota
 	sameZone
 	ordered
-	otherName // the class of the terms has another name than the message's
+	differentClassName // the class in the terms has another name than the class of the message
 )
 
-// Unreadable is a message whose data this version of the program cannot read.
-type Unreadable struct {
-	ID  string
-	Why string
+// UnreadableError reports a message whose data this version of the program cannot read.
+type UnreadableError struct {
+	ID     string
+	Reason string
 }
 
-func (u *Unreadable) Error() string { return fmt.Sprintf("message %s of the backlog: %s", u.ID, u.Why) }
+func (u *UnreadableError) Error() string {
+	return fmt.Sprintf("message %s of the backlog: %s", u.ID, u.Reason)
+}
 
-// Remedy says what an operator can do.
-func (u *Unreadable) Remedy() string {
+// Remedy tells what an operator can do.
+func (u *UnreadableError) Remedy() string {
 	return "it ends as undeliverable, have its sender ask; if a later version of the program wrote it, go back to that one"
 }
 
-// Pack is what the backlog keeps of a message that was never tried. It is binary, not the journal's JSON: that takes 742 bytes
-// for a body of 200, for it has all names of the terms and the body as text.
-func Pack(e *journal.Entry) backlog.Message {
-	data := make([]byte, 0, 96+len(e.Body))
+// Pack converts a message that was never tried to the form of the backlog. The encoding is binary because the journal's
+// JSON takes 742 bytes for a body of 200: it spells out the names of all fields of the terms and has the body as text.
+func Pack(entry *journal.Entry) backlog.Message {
+	data := make([]byte, 0, 96+len(entry.Body))
 	var flags byte
-	if t := e.Terms; t != nil {
+	if terms := entry.Terms; terms != nil {
 		flags |= hasTerms
-		if t.Class.SameZone {
+		if terms.Class.SameZone {
 			flags |= sameZone
 		}
-		if t.Class.Ordered {
+		if terms.Class.Ordered {
 			flags |= ordered
 		}
-		if t.Class.Name != e.Class {
-			flags |= otherName
+		if terms.Class.Name != entry.Class {
+			flags |= differentClassName
 		}
 	}
 	data = append(data, versionOne, flags)
 	text := func(s string) { data = append(binary.AppendUvarint(data, uint64(len(s))), s...) }
-	text(e.Class)
-	text(e.Tenant)
-	text(e.Key)
-	if t := e.Terms; t != nil {
-		if t.Class.Name != e.Class {
-			text(t.Class.Name)
+	text(entry.Class)
+	text(entry.Tenant)
+	text(entry.Key)
+	if terms := entry.Terms; terms != nil {
+		if terms.Class.Name != entry.Class {
+			text(terms.Class.Name)
 		}
-		for _, n := range []int64{int64(t.Attempts), int64(t.Class.Effect), int64(t.Class.Aim), int64(t.Class.Deadline), int64(t.Class.Window)} {
+		for _, n := range []int64{int64(terms.Attempts), int64(terms.Class.Effect), int64(terms.Class.Aim), int64(terms.Class.Deadline), int64(terms.Class.Window)} {
 			data = binary.AppendVarint(data, n)
 		}
-		for _, f := range []float64{t.Class.Worth, t.Class.LateShare} {
+		for _, f := range []float64{terms.Class.Worth, terms.Class.LateShare} {
 			data = binary.LittleEndian.AppendUint64(data, math.Float64bits(f))
 		}
 	}
-	return backlog.Message{ID: e.ID, Dest: e.Dest, Due: e.Due, Order: e.Order, Data: append(data, e.Body...)}
+	return backlog.Message{ID: entry.ID, Dest: entry.Dest, Due: entry.Due, OrderKey: entry.OrderKey, Data: append(data, entry.Body...)}
 }
 
-// Unpack is the message again. One in doubt may have run long ago, as the journal takes it of one whose records are lost.
-func Unpack(h backlog.Held) (*journal.Entry, error) {
-	e := &journal.Entry{ID: h.ID, Dest: h.Dest, Due: h.Due, Order: h.Order, Ran: h.Doubt}
-	r := reader{data: h.Data}
-	version, flags := r.byte(), r.byte()
-	if version != versionOne && r.why == "" {
-		return nil, &Unreadable{h.ID, fmt.Sprintf("its data has version %d, this program reads %d", version, versionOne)}
+// Unpack restores the message; its error is an UnreadableError. A message in doubt counts as one that may have run at an
+// unknown time, as in a journal whose records of it are lost.
+func Unpack(message backlog.StoredMessage) (*journal.Entry, error) {
+	entry := &journal.Entry{ID: message.ID, Dest: message.Dest, Due: message.Due, OrderKey: message.OrderKey, MayHaveRun: message.InDoubt}
+	fields := fieldReader{data: message.Data}
+	version, flags := fields.byte(), fields.byte()
+	if version != versionOne && fields.problem == "" {
+		return nil, &UnreadableError{message.ID, fmt.Sprintf("its data has version %d, this program reads %d", version, versionOne)}
 	}
-	e.Class, e.Tenant, e.Key = r.text(), r.text(), r.text()
+	entry.Class, entry.Tenant, entry.Key = fields.text(), fields.text(), fields.text()
 	if flags&hasTerms != 0 {
-		t := &choice.Terms{Class: choice.Class{Name: e.Class, SameZone: flags&sameZone != 0, Ordered: flags&ordered != 0}}
-		if flags&otherName != 0 {
-			t.Class.Name = r.text()
+		terms := &choice.Terms{Class: choice.Class{Name: entry.Class, SameZone: flags&sameZone != 0, Ordered: flags&ordered != 0}}
+		if flags&differentClassName != 0 {
+			terms.Class.Name = fields.text()
 		}
-		t.Attempts, t.Class.Effect = int(r.number()), choice.Effect(r.number())
-		t.Class.Aim, t.Class.Deadline, t.Class.Window = time.Duration(r.number()), time.Duration(r.number()), time.Duration(r.number())
-		t.Class.Worth, t.Class.LateShare = r.float(), r.float()
-		e.Terms = t
+		terms.Attempts, terms.Class.Effect = int(fields.number()), choice.Effect(fields.number())
+		terms.Class.Aim, terms.Class.Deadline, terms.Class.Window = time.Duration(fields.number()), time.Duration(fields.number()), time.Duration(fields.number())
+		terms.Class.Worth, terms.Class.LateShare = fields.float(), fields.float()
+		entry.Terms = terms
 	}
-	if r.why != "" {
-		return nil, &Unreadable{h.ID, r.why}
+	if fields.problem != "" {
+		return nil, &UnreadableError{message.ID, fields.problem}
 	}
-	e.Body = r.data
-	return e, nil
+	entry.Body = fields.data
+	return entry, nil
 }
 
-// reader takes fields off the front of data. After the first that is not there it gives nothing more.
-type reader struct {
-	data []byte
-	why  string
+// fieldReader removes fields from the front of data. After the first field that is missing all others are zero.
+type fieldReader struct {
+	data    []byte
+	problem string
 }
 
-func (r *reader) take(n int) []byte {
+func (r *fieldReader) next(n int) []byte {
 	if n < 0 || n > len(r.data) {
-		r.data, r.why = nil, "its data is cut short"
+		r.data, r.problem = nil, "its data is cut short"
 		return nil
 	}
-	taken := r.data[:n]
+	field := r.data[:n]
 	r.data = r.data[n:]
-	return taken
+	return field
 }
 
-func (r *reader) byte() byte {
-	if b := r.take(1); b != nil {
+func (r *fieldReader) byte() byte {
+	if b := r.next(1); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
-func (r *reader) text() string {
+func (r *fieldReader) text() string {
 	n, used := binary.Uvarint(r.data)
 	if used <= 0 || n > uint64(len(r.data)-used) {
-		r.take(-1)
+		r.next(-1)
 		return ""
 	}
-	r.take(used)
-	return string(r.take(int(n)))
+	r.next(used)
+	return string(r.next(int(n)))
 }
 
-func (r *reader) number() int64 {
+func (r *fieldReader) number() int64 {
 	n, used := binary.Varint(r.data)
 	if used <= 0 {
-		r.take(-1)
+		r.next(-1)
 		return 0
 	}
-	r.take(used)
+	r.next(used)
 	return n
 }
 
-func (r *reader) float() float64 {
-	if b := r.take(8); b != nil {
+func (r *fieldReader) float() float64 {
+	if b := r.next(8); b != nil {
 		return math.Float64frombits(binary.LittleEndian.Uint64(b))
 	}
 	return 0
--- a/internal/backlog/kill_test.go
+++ b/internal/backlog/kill_test.go
@@ -6,88 +6,89 @@
 	"testing"
 )
 
-// step is one call of a script and what it may leave behind when killed.
-type step func(s *Store, m model) (pending, error)
+// scriptStep is one call of a script; it returns what the call may leave behind if it is killed.
+type scriptStep func(s *Store, m queueModel) (interruptedCall, error)
 
-func putStep(dest, n, size int, name string) step {
-	return func(s *Store, m model) (pending, error) {
-		var p pending
-		var ms []Message
+func putMessages(dest, n, size int, name string) scriptStep {
+	return func(s *Store, m queueModel) (interruptedCall, error) {
+		var interrupted interruptedCall
+		var messages []Message
 		for i := range n {
-			h := Message{ID: fmt.Sprint(name, i), Dest: dest, Due: int64(i), Order: fmt.Sprint("k", dest), Data: bytes.Repeat([]byte{byte(i)}, size)}
-			ms, p.put = append(ms, h), append(p.put, Held{Message: h})
+			message := Message{ID: fmt.Sprint(name, i), Dest: dest, Due: int64(i), OrderKey: fmt.Sprint("k", dest), Data: bytes.Repeat([]byte{byte(i)}, size)}
+			messages, interrupted.put = append(messages, message), append(interrupted.put, StoredMessage{Message: message})
 		}
-		err := s.Put(ms...)
+		err := s.Put(messages...)
 		if err == nil {
-			m[dest] = append(m[dest], p.put...)
-			refresh(s, m, dest)
+			m[dest] = append(m[dest], interrupted.put...)
+			adoptSequences(s, m, dest)
 		}
-		return p, err
+		return interrupted, err
 	}
 }
 
-// refresh takes over places.
-func refresh(s *Store, m model, dest int) {
-	if all, err := s.Next(dest, 1000, 1<<30); err == nil && len(all) == len(m[dest]) {
-		m[dest] = all
+// adoptSequences sets the sequence numbers of a destination's messages in the model to those of the store.
+func adoptSequences(s *Store, model queueModel, dest int) {
+	if all, err := s.Next(dest, 1000, 1<<30); err == nil && len(all) == len(model[dest]) {
+		model[dest] = all
 	}
 }
 
-func outStep(dest int, which func(i int) bool) step {
-	return func(s *Store, m model) (p pending, err error) {
-		p.dest = dest
-		for i, h := range m[dest] {
-			if which(i) {
-				p.out = append(p.out, h.Place)
+func removeMessages(dest int, selected func(i int) bool) scriptStep {
+	return func(s *Store, m queueModel) (interrupted interruptedCall, err error) {
+		interrupted.dest = dest
+		for i, message := range m[dest] {
+			if selected(i) {
+				interrupted.remove = append(interrupted.remove, message.Sequence)
 			}
 		}
-		if err = s.Out(dest, p.out...); err == nil {
-			m.out(dest, p.out...)
+		if err = s.Remove(dest, interrupted.remove...); err == nil {
+			m.remove(dest, interrupted.remove...)
 		}
-		return p, err
+		return interrupted, err
 	}
 }
 
-// Guards against a kill that takes anything confirmed, brings back what has left, or leaves a folder that does not open: at each byte of each write,
-// of putting, taking out in and out of order, of writing anew, of dropping.
+// Guards against a kill that loses a confirmed message, brings back a removed one, or leaves a folder that does not open.
+// The process is killed at each byte of each write, while messages are stored, removed in order and out of order, and while
+// segments are rewritten and dropped.
 func TestKillAtAnyByte(t *testing.T) {
-	script := []step{
-		putStep(1, 3, 10, "a"), putStep(2, 1, 10, "b"), outStep(1, func(i int) bool { return i == 0 }),
-		putStep(1, 6, 20, "c"), outStep(1, func(i int) bool { return i%3 != 0 }), outStep(2, func(int) bool { return true }),
-		putStep(1, 2, 300, "d"), outStep(1, func(i int) bool { return i < 2 }), putStep(2, 2, 0, "e"),
+	script := []scriptStep{
+		putMessages(1, 3, 10, "a"), putMessages(2, 1, 10, "b"), removeMessages(1, func(i int) bool { return i == 0 }),
+		putMessages(1, 6, 20, "c"), removeMessages(1, func(i int) bool { return i%3 != 0 }), removeMessages(2, func(int) bool { return true }),
+		putMessages(1, 2, 300, "d"), removeMessages(1, func(i int) bool { return i < 2 }), putMessages(2, 2, 0, "e"),
 	}
-	o := func(k *killer) Options {
-		return Options{Disk: 1 << 20, SegmentLeast: 256, SegmentMost: 512, Files: 3, fault: k.fault}
+	options := func(kill *killSwitch) Options {
+		return Options{DiskBytes: 1 << 20, MinSegmentBytes: 256, MaxSegmentBytes: 512, MaxOpenFiles: 3, injectFault: kill.fault}
 	}
 	const shards = 8
 	for shard := range shards {
 		t.Run(fmt.Sprint(shard), func(t *testing.T) {
 			t.Parallel()
-			for at := shard; ; at += shards {
-				dir, k, m := t.TempDir(), &killer{left: at, on: true}, model{}
-				var p pending
-				s, err := Open(dir, o(k))
+			for killAfter := shard; ; killAfter += shards {
+				dir, kill, model := t.TempDir(), &killSwitch{budget: killAfter, armed: true}, queueModel{}
+				var interrupted interruptedCall
+				store, err := Open(dir, options(kill))
 				for i := 0; i < len(script) && err == nil; i++ {
-					p, err = script[i](s, m)
+					interrupted, err = script[i](store, model)
 				}
-				if s != nil {
-					s.Close()
+				if store != nil {
+					store.Close()
 				}
-				if !k.done {
-					if at < 2000 {
-						t.Fatalf("the script ends after %d bytes", at)
+				if !kill.killed {
+					if killAfter < 2000 {
+						t.Fatalf("the script ends after %d bytes", killAfter)
 					}
 					return
 				}
-				s = mustOpen(t, dir, o(&killer{}))
-				settle(t, s, m, p)
-				same(t, s, m)
-				if err := s.Put(Message{ID: "after", Dest: 1, Data: []byte("x")}); err != nil {
+				store = mustOpen(t, dir, options(&killSwitch{}))
+				adoptAfterKill(t, store, model, interrupted)
+				checkEqual(t, store, model)
+				if err := store.Put(Message{ID: "after", Dest: 1, Data: []byte("x")}); err != nil {
 					t.Fatal(err)
 				}
-				m[1] = append(m[1], Held{Message: Message{ID: "after", Dest: 1, Data: []byte("x")}})
-				same(t, s, m)
-				s.Close()
+				model[1] = append(model[1], StoredMessage{Message: Message{ID: "after", Dest: 1, Data: []byte("x")}})
+				checkEqual(t, store, model)
+				store.Close()
 			}
 		})
 	}
--- a/internal/backlog/model_test.go
+++ b/internal/backlog/model_test.go
@@ -9,88 +9,88 @@
 	"slices"
 )
 
-// model is a backlog without files: the queues.
-type model map[int][]Held
+// queueModel is a backlog without files: the queue of each destination.
+type queueModel map[int][]StoredMessage
 
-func (m model) out(dest int, places ...uint64) {
-	m[dest] = slices.DeleteFunc(m[dest], func(h Held) bool { return slices.Contains(places, h.Place) })
+func (m queueModel) remove(dest int, sequences ...uint64) {
+	m[dest] = slices.DeleteFunc(m[dest], func(h StoredMessage) bool { return slices.Contains(sequences, h.Sequence) })
 	if len(m[dest]) == 0 {
 		delete(m, dest)
 	}
 }
 
-func (m model) all() (all []Held) {
+func (m queueModel) all() (all []StoredMessage) {
 	for _, q := range m {
 		all = append(all, q...)
 	}
-	slices.SortFunc(all, func(a, b Held) int { return cmp.Compare(a.Place, b.Place) })
+	slices.SortFunc(all, func(a, b StoredMessage) int { return cmp.Compare(a.Sequence, b.Sequence) })
 	return all
 }
 
-func alike(a, b Held) bool {
-	return a.ID == b.ID && a.Dest == b.Dest && a.Due == b.Due && a.Order == b.Order && bytes.Equal(a.Data, b.Data) && a.Doubt == b.Doubt
+func sameMessage(a, b StoredMessage) bool {
+	return a.ID == b.ID && a.Dest == b.Dest && a.Due == b.Due && a.OrderKey == b.OrderKey && bytes.Equal(a.Data, b.Data) && a.InDoubt == b.InDoubt
 }
 
-// has is all that a store has, by Next.
-func has(t fataler, s *Store) model {
-	m := model{}
+// storedMessages returns all messages of a store, as read by Next.
+func storedMessages(t testFailer, s *Store) queueModel {
+	model := queueModel{}
 	for dest := range s.Dests() {
 		all, err := s.Next(dest, math.MaxInt, math.MaxInt)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if len(all) > 0 {
-			m[dest] = all
+			model[dest] = all
 		}
 	}
-	return m
+	return model
 }
 
-type fataler interface {
+type testFailer interface {
 	Fatal(...any)
 	Fatalf(string, ...any)
 	Helper()
 }
 
-// same checks all that a store says against the model.
-func same(t fataler, s *Store, m model) {
+// checkEqual checks the answers of all reading methods of a store against the model.
+func checkEqual(t testFailer, store *Store, model queueModel) {
 	t.Helper()
-	n, least := 0, int64(math.MaxInt64)
-	for dest, q := range m {
-		got, err := s.Next(dest, math.MaxInt, math.MaxInt)
+	total, earliest := 0, int64(math.MaxInt64)
+	for dest, queue := range model {
+		got, err := store.Next(dest, math.MaxInt, math.MaxInt)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !slices.EqualFunc(got, q, alike) || s.LenOf(dest) != len(q) {
-			t.Fatalf("destination %d has %s (%d), want %s", dest, ids(got), s.LenOf(dest), ids(q))
+		if !slices.EqualFunc(got, queue, sameMessage) || store.LenOf(dest) != len(queue) {
+			t.Fatalf("destination %d has %s (%d), want %s", dest, describe(got), store.LenOf(dest), describe(queue))
 		}
-		for i, h := range got {
-			if h.Place == 0 || i > 0 && h.Place <= got[i-1].Place {
-				t.Fatalf("places of destination %d do not rise: %s", dest, ids(got))
+		for i, message := range got {
+			if message.Sequence == 0 || i > 0 && message.Sequence <= got[i-1].Sequence {
+				t.Fatalf("sequence numbers of destination %d do not increase: %s", dest, describe(got))
 			}
-			m[dest][i].Place = h.Place
-			least = min(least, h.Due)
-			if f, ok, err := s.Find(dest, h.ID); err != nil || !ok || !alike(f, h) || f.Place != h.Place {
-				t.Fatalf("%s of destination %d is found as %v %v %v", h.ID, dest, f, ok, err)
+			model[dest][i].Sequence = message.Sequence
+			earliest = min(earliest, message.Due)
+			if found, ok, err := store.Find(dest, message.ID); err != nil || !ok || !sameMessage(found, message) || found.Sequence != message.Sequence {
+				t.Fatalf("Find of %s of destination %d returned %v %v %v", message.ID, dest, found, ok, err)
 			}
-			if d, ok := s.Key(h.Order); h.Order != "" && (!ok || d != dest) {
-				t.Fatalf("key %s of destination %d is known as of %d, %v", h.Order, dest, d, ok)
+			if d, ok := store.DestOfKey(message.OrderKey); message.OrderKey != "" && (!ok || d != dest) {
+				t.Fatalf("key %s of destination %d is bound to %d, %v", message.OrderKey, dest, d, ok)
 			}
 		}
-		n += len(q)
+		total += len(queue)
 	}
-	if s.Len() != n || len(slices.Collect(s.Dests())) != len(m) {
-		t.Fatalf("%d messages of %d destinations, want %d of %d", s.Len(), len(slices.Collect(s.Dests())), n, len(m))
+	if store.Len() != total || len(slices.Collect(store.Dests())) != len(model) {
+		t.Fatalf("%d messages of %d destinations, want %d of %d", store.Len(), len(slices.Collect(store.Dests())), total, len(model))
 	}
-	if due, ok := s.NextDue(); ok != (n > 0) || ok && due != least {
-		t.Fatalf("next due %d %v, want %d", due, ok, least)
+	if due, ok := store.NextDue(); ok != (total > 0) || ok && due != earliest {
+		t.Fatalf("next due %d %v, want %d", due, ok, earliest)
 	}
 }
 
-func ids(all []Held) (s string) {
+func describe(all []StoredMessage) (s string) {
 	for _, h := range all {
-		s += fmt.Sprintf(" %s@%d", h.ID, h.Place)
-		if h.Doubt {
+		s += fmt.Sprintf(" %s@%d", h.ID, h.Sequence)
+		if h.InDoubt {
 			s += "?"
 		}
 	}
@@ -99,40 +99,40 @@
 
 var errKilled = errors.New("killed")
 
-// killer lets a number of bytes and changes through, and nothing after these.
-type killer struct {
-	left int
-	on   bool
-	done bool
-	tear bool // heads, marks and slots too, as a disk may
+// killSwitch simulates a kill: once armed it lets a number of bytes and changes through, and then fails all others.
+type killSwitch struct {
+	budget          int
+	armed           bool
+	killed          bool
+	tearSmallWrites bool // also tears writes of heads, marks and slots, as a disk may
 }
 
-func (k *killer) fault(op, name string, n int) (int, error) {
+func (k *killSwitch) fault(op, name string, size int) (int, error) {
 	switch {
-	case k.done:
+	case k.killed:
 		return 0, errKilled
-	case !k.on:
-		return n, nil
+	case !k.armed:
+		return size, nil
 	}
-	cost := max(1, n)
-	if n >= pageSize {
-		cost = 64 // of the table: not cut at each byte
+	cost := max(1, size)
+	if size >= pageSize {
+		cost = 64 // writes of whole table pages are not cut at each byte
 	}
-	if k.left -= cost; k.left >= 0 {
-		return n, nil
+	if k.budget -= cost; k.budget >= 0 {
+		return size, nil
 	}
-	k.done = true
-	if op != "write" || n <= slotSize && !k.tear {
-		return 0, errKilled // a write within a page is not cut by a kill; heads, marks and slots are aligned
+	k.killed = true
+	if op != "write" || size <= slotSize && !k.tearSmallWrites {
+		return 0, errKilled // a kill does not tear a write within a memory page; heads, marks and slots are aligned
 	}
-	return n * (cost + k.left) / cost, errKilled
+	return size * (cost + k.budget) / cost, errKilled
 }
 
-func small(k *killer) Options {
-	return Options{Disk: 4 << 20, SegmentLeast: 1 << 10, SegmentMost: 4 << 10, Files: 4, fault: k.fault}
+func smallOptions(k *killSwitch) Options {
+	return Options{DiskBytes: 4 << 20, MinSegmentBytes: 1 << 10, MaxSegmentBytes: 4 << 10, MaxOpenFiles: 4, injectFault: k.fault}
 }
 
-func mustOpen(t fataler, dir string, o Options) *Store {
+func mustOpen(t testFailer, dir string, o Options) *Store {
 	t.Helper()
 	s, err := Open(dir, o)
 	if err != nil {
@@ -141,52 +141,52 @@
 	return s
 }
 
-// pending is what a killed call may or may not have done.
-type pending struct {
-	put  []Held
-	dest int
-	out  []uint64
+// interruptedCall is what a killed call may have done or not.
+type interruptedCall struct {
+	put    []StoredMessage
+	dest   int
+	remove []uint64
 }
 
-// settle takes over what a store has after a kill, if it is what may be.
-func settle(t fataler, s *Store, m model, p pending) {
+// adoptAfterKill checks that a store has a state that the killed call may leave, and sets the model to it.
+func adoptAfterKill(t testFailer, store *Store, model queueModel, interrupted interruptedCall) {
 	t.Helper()
-	for _, err := range s.Damage() {
-		var d *Damage
-		if !errors.As(err, &d) || !d.Tail || d.Doubt > 0 || d.Lost > len(p.put) {
-			if d == nil || d.Segment != tableName {
+	for _, err := range store.TakeDamageReports() {
+		var d *DamageError
+		if !errors.As(err, &d) || !d.AtTail || d.InDoubt > 0 || d.Lost > len(interrupted.put) {
+			if d == nil || d.Segment != tableFileName {
 				t.Fatalf("after a kill: %v (%+v)", err, d)
 			}
 		}
 	}
-	got := has(t, s)
-	for dest := range m {
-		got[dest] = append([]Held{}, got[dest]...)
+	stored := storedMessages(t, store)
+	for dest := range model {
+		stored[dest] = append([]StoredMessage{}, stored[dest]...)
 	}
-	for dest, q := range got {
-		want := m[dest]
-		for _, h := range p.put {
-			if h.Dest == dest {
-				want = append(slices.Clone(want), h)
+	for dest, queue := range stored {
+		want := model[dest]
+		for _, message := range interrupted.put {
+			if message.Dest == dest {
+				want = append(slices.Clone(want), message)
 			}
 		}
-		// What is there is a part of what may be; what is missing was on its way in or out.
+		// The stored messages must be a subsequence of the possible ones; a missing one was being stored or removed.
 		i := 0
-		for _, h := range want {
-			if i < len(q) && alike(q[i], h) {
+		for _, message := range want {
+			if i < len(queue) && sameMessage(queue[i], message) {
 				i++
 				continue
 			}
-			if h.Place == 0 && slices.ContainsFunc(p.put, func(x Held) bool { return x.ID == h.ID }) || dest == p.dest && slices.Contains(p.out, h.Place) {
+			if message.Sequence == 0 && slices.ContainsFunc(interrupted.put, func(x StoredMessage) bool { return x.ID == message.ID }) || dest == interrupted.dest && slices.Contains(interrupted.remove, message.Sequence) {
 				continue
 			}
-			t.Fatalf("after a kill destination %d has %s; %s is missing of %s", dest, ids(q), h.ID, ids(want))
+			t.Fatalf("after a kill destination %d has %s; %s of %s is missing", dest, describe(queue), message.ID, describe(want))
 		}
-		if i < len(q) {
-			t.Fatalf("after a kill destination %d has %s, of which %s was not to be", dest, ids(q), q[i].ID)
+		if i < len(queue) {
+			t.Fatalf("after a kill destination %d has %s, of which %s is unexpected", dest, describe(queue), queue[i].ID)
 		}
-		if m[dest] = q; len(q) == 0 {
-			delete(m, dest)
+		if model[dest] = queue; len(queue) == 0 {
+			delete(model, dest)
 		}
 	}
 }
--- a/internal/backlog/open.go
+++ b/internal/backlog/open.go
@@ -14,63 +14,64 @@
 	"larchrouter/internal/steady"
 )
 
-// Open takes up what lies in a folder; it makes the folder if there is none.
-func Open(dir string, o Options) (*Store, error) {
+// Open opens the backlog in a folder and creates the folder if it does not exist. A folder of another format is a
+// VersionError. Damage is repaired and can be read with TakeDamageReports.
+func Open(dir string, options Options) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, &Failure{"cannot be made", dir, err}
+		return nil, &FileError{"cannot be created", dir, err}
 	}
-	d, err := newFolder(dir, cmp.Or(o.Files, 16), o.fault)
+	folder, err := newFolder(dir, cmp.Or(options.MaxOpenFiles, 16), options.injectFault)
 	if err != nil {
 		return nil, err
 	}
-	e, err := newEntries(d)
+	indexes, err := newIndexReader(folder)
 	if err != nil {
 		return nil, err
 	}
-	now := o.now
+	now := options.now
 	if now == nil {
 		now = steady.Now
 	}
-	s := &Store{d: d, entries: e, runs: map[*state.Segment]run{}, now: now,
-		st: state.New(state.Limits{Disk: o.Disk, Least: cmp.Or(o.SegmentLeast, 256<<10), Most: cmp.Or(o.SegmentMost, 4<<20)})}
-	all, left, err := s.list()
+	store := &Store{folder: folder, indexes: indexes, dueLists: map[*state.Segment]dueList{}, now: now,
+		state: state.New(state.Limits{DiskBytes: options.DiskBytes, MinSegmentBytes: cmp.Or(options.MinSegmentBytes, 256<<10), MaxSegmentBytes: cmp.Or(options.MaxSegmentBytes, 4<<20)})}
+	segments, leftovers, err := store.listSegments()
 	if err == nil {
-		err = s.readVersion(all)
+		err = store.readVersion(segments)
 	}
 	if err == nil {
-		err = s.readAll(all)
+		err = store.loadAll(segments)
 	}
-	for i := 0; err == nil && i < len(left); i++ {
-		err = s.d.remove(left[i])
+	for i := 0; err == nil && i < len(leftovers); i++ {
+		err = store.folder.remove(leftovers[i])
 	}
 	if err != nil {
-		s.Close()
+		store.Close()
 		return nil, err
 	}
-	return s, nil
+	return store, nil
 }
 
-// files is what a folder has of one segment.
-type files struct {
-	index bool
-	gens  []uint32 // of data
+// segmentFiles lists the files that a folder has of one segment.
+type segmentFiles struct {
+	hasIndex bool
+	rewrites []uint32 // number of rewrites of each data file
 }
 
-// name reads a file's name; last is its generation, -1 for entries.
-func name(of string) (dest int, first uint64, gen int64, ok bool) {
-	stem, suffix, _ := strings.Cut(of, ".")
+// parseFileName parses the name of a segment's file. rewrite is the number of rewrites of a data file, -1 for an index file.
+func parseFileName(fileName string) (dest int, first uint64, rewrite int64, ok bool) {
+	stem, suffix, _ := strings.Cut(fileName, ".")
 	if n, err := fmt.Sscanf(stem, "%d-%x", &dest, &first); n != 2 || err != nil {
 		return 0, 0, 0, false
 	}
-	var g uint32
-	if gen = -1; suffix != "idx" {
-		if n, err := fmt.Sscanf(suffix, "%d.dat", &g); n != 1 || err != nil {
+	var number uint32
+	if rewrite = -1; suffix != "idx" {
+		if n, err := fmt.Sscanf(suffix, "%d.dat", &number); n != 1 || err != nil {
 			return 0, 0, 0, false
 		}
-		gen = int64(g)
+		rewrite = int64(number)
 	}
-	seg := &state.Segment{Dest: dest, First: first, Gen: g}
-	return dest, first, gen, of == dataName(seg) || gen < 0 && of == indexName(seg)
+	segment := &state.Segment{Dest: dest, First: first, Rewrites: number}
+	return dest, first, rewrite, fileName == dataFileName(segment) || rewrite < 0 && fileName == indexFileName(segment)
 }
 
 type segmentKey struct {
@@ -78,56 +79,56 @@
 	first uint64
 }
 
-// list is the segments that there are files of, and what a kill left half written.
-func (s *Store) list() (all map[segmentKey]*files, left []string, err error) {
-	list, err := os.ReadDir(s.d.dir)
+// listSegments returns the files of each segment, and the temporary index files that a killed process left.
+func (s *Store) listSegments() (segments map[segmentKey]*segmentFiles, leftovers []string, err error) {
+	dirEntries, err := os.ReadDir(s.folder.dir)
 	if err != nil {
-		return nil, nil, s.d.failed("cannot be read", "", err)
+		return nil, nil, s.folder.fileError("cannot be read", "", err)
 	}
-	all = map[segmentKey]*files{}
-	for _, f := range list {
+	segments = map[segmentKey]*segmentFiles{}
+	for _, f := range dirEntries {
 		if strings.HasSuffix(f.Name(), ".idx.tmp") {
-			left = append(left, f.Name())
+			leftovers = append(leftovers, f.Name())
 		}
-		dest, first, gen, ok := name(f.Name())
+		dest, first, rewrite, ok := parseFileName(f.Name())
 		if !ok {
 			continue
 		}
-		k := segmentKey{dest, first}
-		if all[k] == nil {
-			all[k] = &files{}
+		key := segmentKey{dest, first}
+		if segments[key] == nil {
+			segments[key] = &segmentFiles{}
 		}
-		if gen < 0 {
-			all[k].index = true
+		if rewrite < 0 {
+			segments[key].hasIndex = true
 		} else {
-			all[k].gens = append(all[k].gens, uint32(gen))
+			segments[key].rewrites = append(segments[key].rewrites, uint32(rewrite))
 		}
 	}
-	return all, left, nil
+	return segments, leftovers, nil
 }
 
-// readAll takes up the segments, then the table.
-func (s *Store) readAll(all map[segmentKey]*files) error {
-	sorted := slices.SortedFunc(maps.Keys(all), func(a, b segmentKey) int {
+// loadAll loads the segments, then the table.
+func (s *Store) loadAll(segments map[segmentKey]*segmentFiles) error {
+	sorted := slices.SortedFunc(maps.Keys(segments), func(a, b segmentKey) int {
 		return cmp.Or(cmp.Compare(a.dest, b.dest), cmp.Compare(a.first, b.first))
 	})
-	for i, k := range sorted {
-		tail := i+1 == len(sorted) || sorted[i+1].dest != k.dest
-		if err := s.take(&state.Segment{Dest: k.dest, First: k.first, Last: k.first, Due: later}, all[k], tail); err != nil {
+	for i, key := range sorted {
+		isTail := i+1 == len(sorted) || sorted[i+1].dest != key.dest
+		if err := s.loadSegment(&state.Segment{Dest: key.dest, First: key.first, Last: key.first, EarliestDue: noDueTime}, segments[key], isTail); err != nil {
 			return err
 		}
 	}
-	s.told = s.last
-	s.table = s.newTable(tableName)
+	s.committedSequence = s.lastSequence
+	s.table = s.newTable(tableFileName)
 	var size int64
-	if f, err := os.Stat(filepath.Join(s.d.dir, tableName)); err == nil {
+	if f, err := os.Stat(filepath.Join(s.folder.dir, tableFileName)); err == nil {
 		size = f.Size()
 	}
-	if s.st.Len() == 0 && size != pageSize {
-		return s.table.begin()
+	if s.state.Len() == 0 && size != pageSize {
+		return s.table.create()
 	}
-	if err := s.table.load(size); !errors.Is(err, errTable) {
+	if err := s.table.load(size); !errors.Is(err, errDamagedTable) {
 		return err
 	}
-	return s.mending(s.rebuild)
+	return s.withRepair(s.rebuildTable)
 }
--- a/internal/backlog/read.go
+++ b/internal/backlog/read.go
@@ -5,192 +5,193 @@
 	"iter"
 )
 
-// Next is the oldest that lie here for a destination, in order: at most n, and of so many bytes, but one if there is any.
-// They stay.
-func (s *Store) Next(dest, n, bytes int) (all []Held, err error) {
-	err = s.mending(func() error {
-		all, err = s.next(dest, n, bytes)
+// Next returns the oldest messages of a destination in order: at most maxMessages, and at most maxBytes of frames except
+// for the first message. They stay in the store.
+func (s *Store) Next(dest, maxMessages, maxBytes int) (all []StoredMessage, err error) {
+	err = s.withRepair(func() error {
+		all, err = s.next(dest, maxMessages, maxBytes)
 		return err
 	})
 	return all, err
 }
 
-func (s *Store) next(dest, n, bytes int) (all []Held, err error) {
-	var lost []uint64
-	defer func() { err = errors.Join(err, s.drop(dest, lost)) }()
-	for _, seg := range s.st.Segments(dest) {
-		for i := seg.Head; i < seg.Entries; i++ {
-			if len(all) >= n {
+func (s *Store) next(dest, maxMessages, bytesLeft int) (all []StoredMessage, err error) {
+	var unreadable []uint64
+	defer func() { err = errors.Join(err, s.removeUnreadable(dest, unreadable)) }()
+	for _, segment := range s.state.Segments(dest) {
+		for i := segment.Head; i < segment.Entries; i++ {
+			if len(all) >= maxMessages {
 				return all, nil
 			}
-			x, err := s.entries.at(seg, i)
+			entry, err := s.indexes.entry(segment, i)
 			if err != nil {
 				return nil, err
 			}
-			if x.gone() {
+			if entry.removed() {
 				continue
 			}
-			if bytes -= int(x.len); bytes < 0 && len(all) > 0 {
+			if bytesLeft -= int(entry.len); bytesLeft < 0 && len(all) > 0 {
 				return all, nil
 			}
-			h, err := s.message(seg, x)
-			if errors.Is(err, errDamaged) {
-				s.damaged(&Damage{Segment: dataName(seg), Lost: 1, Why: "a message cannot be read"})
-				lost = append(lost, x.place)
+			message, err := s.readMessage(segment, entry)
+			if errors.Is(err, errDamagedFrame) {
+				s.reportDamage(&DamageError{Segment: dataFileName(segment), Lost: 1, Reason: "a message cannot be read"})
+				unreadable = append(unreadable, entry.sequence)
 				continue
 			}
 			if err != nil {
 				return nil, err
 			}
-			all = append(all, h)
+			all = append(all, message)
 		}
 	}
 	return all, nil
 }
 
-// drop has messages be gone that cannot be read. Were it not written, they would be reported again.
-func (s *Store) drop(dest int, lost []uint64) error {
-	if len(lost) == 0 {
+// removeUnreadable removes messages that cannot be read; otherwise they would be reported again.
+func (s *Store) removeUnreadable(dest int, sequences []uint64) error {
+	if len(sequences) == 0 {
 		return nil
 	}
-	return s.out(dest, lost)
+	return s.remove(dest, sequences)
 }
 
-// Find is a destination's message by its id.
-func (s *Store) Find(dest int, id string) (h Held, ok bool, err error) {
-	err = s.mending(func() error {
-		h, ok, err = s.find(dest, id)
+// Find returns the message of a destination with an id; ok is false if there is none.
+func (s *Store) Find(dest int, id string) (message StoredMessage, ok bool, err error) {
+	err = s.withRepair(func() error {
+		message, ok, err = s.find(dest, id)
 		return err
 	})
-	return h, ok, err
+	return message, ok, err
 }
 
-func (s *Store) find(dest int, id string) (h Held, ok bool, err error) {
-	if s.st.LenOf(dest) == 0 {
-		return h, false, nil
+func (s *Store) find(dest int, id string) (message StoredMessage, ok bool, err error) {
+	if s.state.LenOf(dest) == 0 {
+		return message, false, nil
 	}
-	var lost []uint64
-	hash := hashOf(s.saltAll, 'i', dest, id)
-	var places []uint64
+	var unreadable []uint64
+	hash := saltedHash(s.folderSalt, 'i', dest, id)
+	var sequences []uint64
 	if err := s.table.find(hash, func(t slot, _ int64) bool {
 		if t.count == 0 && t.dest == dest {
-			places = append(places, t.place)
+			sequences = append(sequences, t.sequence)
 		}
 		return true
 	}); err != nil {
-		return h, false, err
+		return message, false, err
 	}
-	for _, place := range places {
-		seg := s.st.Of(dest, place)
-		if seg == nil {
+	for _, sequence := range sequences {
+		segment := s.state.SegmentOf(dest, sequence)
+		if segment == nil {
 			continue
 		}
-		i, x, have, err := s.entries.search(seg, place)
+		i, entry, found, err := s.indexes.find(segment, sequence)
 		if err != nil {
-			return h, false, err
+			return message, false, err
 		}
-		if !have || i < seg.Head || x.gone() || x.id != hash {
+		if !found || i < segment.Head || entry.removed() || entry.idHash != hash {
 			continue
 		}
-		h, err = s.message(seg, x)
-		if errors.Is(err, errDamaged) {
-			s.damaged(&Damage{Segment: dataName(seg), Lost: 1, Why: "a message cannot be read"})
-			lost = append(lost, place)
+		message, err = s.readMessage(segment, entry)
+		if errors.Is(err, errDamagedFrame) {
+			s.reportDamage(&DamageError{Segment: dataFileName(segment), Lost: 1, Reason: "a message cannot be read"})
+			unreadable = append(unreadable, sequence)
 			continue
 		}
-		if err != nil || h.ID == id {
-			return h, err == nil, err
+		if err != nil || message.ID == id {
+			return message, err == nil, err
 		}
 	}
-	return Held{}, false, s.drop(dest, lost)
+	return StoredMessage{}, false, s.removeUnreadable(dest, unreadable)
 }
 
-// Key tells which destination has messages of an ordered class's key here. After a kill or damage it may name one for too long, until
-// what lies there has gone up to where the key's newest would be.
-func (s *Store) Key(order string) (dest int, ok bool) {
-	hash := hashOf(s.saltAll, 'k', 0, order)
-	err := s.mending(func() error {
+// DestOfKey returns the destination that has stored messages with an ordering key. After a kill or damage it may name one
+// that has none left, until the messages up to the sequence of the key's newest one were removed.
+func (s *Store) DestOfKey(orderKey string) (dest int, ok bool) {
+	hash := saltedHash(s.folderSalt, 'k', 0, orderKey)
+	err := s.withRepair(func() error {
 		ok = false
 		return s.table.find(hash, func(t slot, _ int64) bool {
-			if t.count > 1 && s.st.Begun(t.dest, t.place) {
+			if t.count > 1 && s.state.HasSegmentUpTo(t.dest, t.sequence) {
 				dest, ok = t.dest, true
 			}
 			return !ok
 		})
 	})
 	if err != nil {
-		s.damaged(err)
+		s.reportDamage(err)
 	}
 	return dest, ok
 }
 
-// alive tells whether a slot of the table may still lead to something.
-func (s *Store) alive(t slot) bool {
-	if t.place > s.told {
-		return true // of what is just being put
+// slotNeeded reports whether a slot of the table may still refer to a stored message.
+func (s *Store) slotNeeded(t slot) bool {
+	if t.sequence > s.committedSequence {
+		return true // belongs to a Put in progress
 	}
 	if t.count > 0 {
-		return t.count > 1 && s.st.Begun(t.dest, t.place)
+		return t.count > 1 && s.state.HasSegmentUpTo(t.dest, t.sequence)
 	}
-	return s.st.Of(t.dest, t.place) != nil
+	return s.state.SegmentOf(t.dest, t.sequence) != nil
 }
 
-// mending runs what reads, and once more after what it found damaged has been mended.
-func (s *Store) mending(f func() error) error {
+// withRepair runs an operation, and again after each repair of the damage that it met; at most four times in all.
+func (s *Store) withRepair(operation func() error) error {
 	for range 4 {
-		err := f()
-		var b *brokenSegment
+		err := operation()
+		var damaged *damagedSegmentError
 		switch {
-		case errors.As(err, &b):
-			if err := s.mend(b.s); err != nil {
+		case errors.As(err, &damaged):
+			if err := s.repairSegment(damaged.segment); err != nil {
 				return err
 			}
-		case errors.Is(err, errTable):
-			if err := s.rebuild(); err != nil {
+		case errors.Is(err, errDamagedTable):
+			if err := s.rebuildTable(); err != nil {
 				return err
 			}
 		default:
 			return err
 		}
 	}
-	return s.d.failed("is damaged again and again", "", errDamaged)
+	return s.folder.fileError("is still damaged after repairs", "", errDamagedFrame)
 }
 
-// Len is how many lie here.
-func (s *Store) Len() int { return s.st.Len() }
+// Len returns the number of stored messages.
+func (s *Store) Len() int { return s.state.Len() }
 
-// LenOf is how many lie here for a destination.
-func (s *Store) LenOf(dest int) int { return s.st.LenOf(dest) }
+// LenOf returns the number of stored messages of a destination.
+func (s *Store) LenOf(dest int) int { return s.state.LenOf(dest) }
 
-// Dests are those that something lies here for.
-func (s *Store) Dests() iter.Seq[int] { return s.st.Dests() }
+// Dests iterates over the destinations that have stored messages.
+func (s *Store) Dests() iter.Seq[int] { return s.state.Dests() }
 
-// Bytes is what the files take of the budget.
-func (s *Store) Bytes() int64 { return s.st.Used() }
+// Bytes returns how much of the disk budget the files use.
+func (s *Store) Bytes() int64 { return s.state.UsedBytes() }
 
-// Damage is what was found unreadable since the last call.
-func (s *Store) Damage() []error {
-	all := s.damage
-	s.damage = nil
+// TakeDamageReports returns the errors found since its last call.
+func (s *Store) TakeDamageReports() []error {
+	all := s.damageReports
+	s.damageReports = nil
 	return all
 }
 
-// damageMost is how many errors wait to be asked for. Ones that tell of lost messages, one for each segment, do so beyond it.
-const damageMost = 100
+// maxDamageReports limits the errors that wait for TakeDamageReports. Reports of lost messages or messages in doubt, of
+// which there is one for each segment and reason, are added beyond it.
+const maxDamageReports = 100
 
-// damaged notes what was found; of the same kind in one segment as one.
-func (s *Store) damaged(err error) {
-	d, ok := err.(*Damage)
+// reportDamage records an error; a DamageError for the same segment and reason is merged with the earlier one.
+func (s *Store) reportDamage(err error) {
+	damage, ok := err.(*DamageError)
 	if ok {
-		for _, have := range s.damage {
-			if h, ok := have.(*Damage); ok && h.Segment == d.Segment && h.Why == d.Why && h.Tail == d.Tail {
-				h.Lost += d.Lost
-				h.Doubt += d.Doubt
+		for _, report := range s.damageReports {
+			if earlier, ok := report.(*DamageError); ok && earlier.Segment == damage.Segment && earlier.Reason == damage.Reason && earlier.AtTail == damage.AtTail {
+				earlier.Lost += damage.Lost
+				earlier.InDoubt += damage.InDoubt
 				return
 			}
 		}
 	}
-	if len(s.damage) < damageMost || ok && d.Lost+d.Doubt > 0 {
-		s.damage = append(s.damage, err)
+	if len(s.damageReports) < maxDamageReports || ok && damage.Lost+damage.InDoubt > 0 {
+		s.damageReports = append(s.damageReports, err)
 	}
 }
--- a/internal/backlog/state/loads.go
+++ b/internal/backlog/state/loads.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// Load is messages and their bytes.
-type Load struct{ N, Bytes int }
+// Load is a number of messages and their bytes.
+type Load struct{ Messages, Bytes int }
 
-// loads are those of destinations that have any.
-type loads map[int]Load
+// destLoads has the loads of destinations that have any messages.
+type destLoads map[int]Load
 
-// with are loads with so much more of a destination.
-func (l loads) with(dest, n, bytes int) loads {
+// plus returns the loads with a change of one destination added.
+func (l destLoads) plus(dest, messages, bytes int) destLoads {
 	if l == nil {
-		l = loads{}
+		l = destLoads{}
 	}
-	if l[dest] = (Load{l[dest].N + n, l[dest].Bytes + bytes}); l[dest].N == 0 {
+	if l[dest] = (Load{l[dest].Messages + messages, l[dest].Bytes + bytes}); l[dest].Messages == 0 {
 		delete(l, dest)
 	}
 	return l
 }
 
-// Window tells how many messages of a destination the decisions may hold: the dynamic threshold of switches
-// that share a buffer (Choudhury and Hahne, 1998), of what is free, and twice what was served in a second.
-// Held is at most Total, one for each destination, and two seconds of what is served.
+// Window limits how many messages of a destination may be in memory, where the decisions see them. The limit is a dynamic
+// threshold as in switches that share a buffer (Choudhury and Hahne, 1998), Alpha times the free capacity, or twice what was
+// served in a second if that is more. All together the pending messages are at most Capacity, one for each destination, and
+// what is served in two seconds.
 type Window struct {
-	Total        Load    // of all destinations
-	Alpha        float64 // of what is free, for each
-	used         Load
-	in, now, was loads // held; served in the present second and the last
-	second       time.Duration
+	Capacity                         Load    // of all destinations together
+	Alpha                            float64 // factor of the free capacity that one destination may use
+	pendingTotal                     Load
+	pending, servedNow, servedBefore destLoads // pending; served in the current second and in the previous one
+	secondStart                      time.Duration
 }
 
-// Enter tells that a message came in.
-func (w *Window) Enter(dest, bytes int) {
-	w.in, w.used = w.in.with(dest, 1, bytes), Load{w.used.N + 1, w.used.Bytes + bytes}
+// Add records that a message became pending.
+func (w *Window) Admit(dest, bytes int) {
+	w.pending, w.pendingTotal = w.pending.plus(dest, 1, bytes), Load{w.pendingTotal.Messages + 1, w.pendingTotal.Bytes + bytes}
 }
 
-// Leave tells that one went, and whether its destination took it.
-func (w *Window) Leave(dest, bytes int, served bool, now time.Duration) {
-	w.in, w.used = w.in.with(dest, -1, -bytes), Load{w.used.N - 1, w.used.Bytes - bytes}
-	if w.turn(now); served {
-		w.now = w.now.with(dest, 1, bytes)
+// Remove records that a pending message left, and whether its destination served it.
+func (w *Window) Remove(dest, bytes int, served bool, now time.Duration) {
+	w.pending, w.pendingTotal = w.pending.plus(dest, -1, -bytes), Load{w.pendingTotal.Messages - 1, w.pendingTotal.Bytes - bytes}
+	if w.advance(now); served {
+		w.servedNow = w.servedNow.plus(dest, 1, bytes)
 	}
 }
 
-// turn forgets what was served before the last second.
-func (w *Window) turn(now time.Duration) {
-	if s := now.Truncate(time.Second); s > w.second {
-		if w.was, w.now = w.now, nil; s > w.second+time.Second {
-			w.was = nil
+// advance starts a new second if one has begun, and drops what was served before the previous one.
+func (w *Window) advance(now time.Duration) {
+	if second := now.Truncate(time.Second); second > w.secondStart {
+		if w.servedBefore, w.servedNow = w.servedNow, nil; second > w.secondStart+time.Second {
+			w.servedBefore = nil
 		}
-		w.second = s
+		w.secondStart = second
 	}
 }
--- a/internal/backlog/state/state.go
+++ b/internal/backlog/state/state.go
@@ -1,5 +1,6 @@
-// Package state is what a backlog decides: which segment takes a message, when one is dropped or written anew, which has the
-// next time, what fits the budget, and how many messages of a destination its window holds. It knows neither files nor clock.
+// Package state makes the decisions of a backlog: which segment gets a message, when a segment is dropped or rewritten,
+// which one has the next due time, what fits the disk budget, and how many messages of a destination may be in memory. It
+// uses neither files nor a clock.
 package state
 
 import (
@@ -10,184 +11,188 @@
 	"slices"
 )
 
-// Sizes of what lies on disk, in bytes.
+// Sizes on disk, in bytes.
 const (
-	Block  = 512 // each file counts in whole ones
-	Header = 64  // of a file of entries
-	Entry  = 48
+	BlockSize  = 512 // each file counts in whole blocks
+	HeaderSize = 64  // header of an index file
+	EntrySize  = 48
 )
 
 // Limits bound a backlog.
 type Limits struct {
-	Disk        int64 // bytes for all files
-	Least, Most int64 // bytes of data at which a segment takes no more
+	DiskBytes                        int64 // limit for all files together
+	MinSegmentBytes, MaxSegmentBytes int64 // bounds of the data size at which a segment accepts no more messages
 }
 
-// Segment is one run of a destination's messages, in the order of taking on. Nothing is kept of each message.
+// Segment is a sequence of messages of one destination in the order in which they were accepted. It has no data about
+// single messages.
 type Segment struct {
-	Dest    int
-	First   uint64 // place that it is named by; none in it is before
-	Last    uint64 // place of its newest
-	Due     int64  // Unix ms; none that is live has to have ended before
-	Data    int64  // bytes of frames
-	Before  int64  // bytes of frames before the head
-	Gone    int64  // bytes of frames that are gone behind the head
-	Entries uint32
-	Head    uint32 // entries before it are gone
-	Live    uint32
-	Gen     uint32 // how often it was written anew
-	at      int    // in the heap of times
-}
-
-// What is to be done with a segment.
-type What int
-
-// Keep leaves it, Drop deletes it, Renew writes what is live of it anew.
+	Dest            int
+	First           uint64 // sequence number in its file names; no message has a lower one
+	Last            uint64 // sequence number of its newest message
+	EarliestDue     int64  // Unix milliseconds; no live message is due before
+	DataBytes       int64  // bytes of frames
+	BytesBeforeHead int64  // bytes of frames before the head
+	RemovedBytes    int64  // bytes of removed frames behind the head
+	Entries         uint32
+	Head            uint32 // number of entries at the front that are all removed
+	Live            uint32
+	Rewrites        uint32 // number of times it was rewritten
+	heapIndex       int    // index in State.byDue
+}
+
+// Action tells what to do with a segment.
+type Action int
+
+// Keep leaves the segment as it is, Drop deletes it, Rewrite writes its live messages to new files.
 const (
-	Keep What = iota
+	Keep Action = iota
 	Drop
-	Renew
+	Rewrite
 )
 
 type queue struct {
-	segments []*Segment // by First
-	n        int
-	data     int64 // bytes of frames
+	segments  []*Segment // sorted by First
+	messages  int
+	dataBytes int64 // bytes of frames
 }
 
-// State is all segments.
+// State has the segments of all destinations.
 type State struct {
-	limits Limits
-	queues map[int]*queue
-	times  times
-	fixed  int64 // bytes of files that are no segment's
-	used   int64
-	n      int
+	limits       Limits
+	queues       map[int]*queue
+	byDue        dueHeap
+	fixedBytes   int64 // bytes of files that belong to no segment
+	segmentBytes int64
+	messages     int
 }
 
-// New is a backlog with nothing in it.
+// New returns the state of an empty backlog.
 func New(l Limits) *State { return &State{limits: l, queues: map[int]*queue{}} }
 
-func blocks(n int64) int64 { return (n + Block - 1) / Block * Block }
+func roundUpToBlocks(n int64) int64 { return (n + BlockSize - 1) / BlockSize * BlockSize }
 
-// Size is what a segment's files take of the budget.
-func (s *Segment) Size() int64 { return size(s.Entries, s.Data) }
+// FileBytes returns how much of the budget the files of a segment use, in whole blocks.
+func (s *Segment) FileBytes() int64 { return fileBytes(s.Entries, s.DataBytes) }
 
-func size(entries uint32, data int64) int64 {
-	return blocks(Header+Entry*int64(entries)) + blocks(data)
+func fileBytes(entries uint32, dataBytes int64) int64 {
+	return roundUpToBlocks(HeaderSize+EntrySize*int64(entries)) + roundUpToBlocks(dataBytes)
 }
 
-// Growth is by how much a segment's files grow with so many more entries and bytes of data. For one that is not there yet, a zero Segment's files count whole.
-func Growth(s *Segment, fresh bool, entries uint32, data int64) int64 {
-	g := size(s.Entries+entries, s.Data+data)
-	if !fresh {
-		g -= s.Size()
+// Growth returns by how much the files of a segment grow in the budget with more entries and bytes of data. The files of a
+// new segment count from zero.
+func Growth(segment *Segment, isNew bool, entries uint32, dataBytes int64) int64 {
+	growth := fileBytes(segment.Entries+entries, segment.DataBytes+dataBytes)
+	if !isNew {
+		growth -= segment.FileBytes()
 	}
-	return g
+	return growth
 }
 
-// Tail is the segment that takes a destination's next message; nil if one is to be begun. To it will have come, of what is not
-// told yet, so many bytes.
-func (b *State) Tail(dest int, place uint64, planned int64) *Segment {
+// Tail returns the segment that accepts the next message of a destination, nil if a new segment must be started. planned
+// is the number of bytes that are about to be added to it and are not recorded yet.
+func (b *State) Tail(dest int, sequence uint64, planned int64) *Segment {
 	q := b.queues[dest]
 	if q == nil {
 		return nil
 	}
-	s := q.segments[len(q.segments)-1]
-	if !b.Takes(s, place, planned) {
+	segment := q.segments[len(q.segments)-1]
+	if !b.Accepts(segment, sequence, planned) {
 		return nil
 	}
-	return s
+	return segment
 }
 
-// Takes tells whether a segment that will have so many bytes more than told takes a message of that place. One grows up to a quarter of its destination's data.
-func (b *State) Takes(s *Segment, place uint64, planned int64) bool {
-	var data int64
-	if q := b.queues[s.Dest]; q != nil {
-		data = q.data
+// Accepts reports whether a segment with planned more bytes accepts a message with that sequence number. A segment grows
+// up to a quarter of its destination's data, within the limits.
+func (b *State) Accepts(segment *Segment, sequence uint64, planned int64) bool {
+	var destBytes int64
+	if q := b.queues[segment.Dest]; q != nil {
+		destBytes = q.dataBytes
 	}
-	most := min(max(b.limits.Least, (data+planned)/4), b.limits.Most)
-	return s.Data+planned < most && place-s.First <= math.MaxUint32
+	maxBytes := min(max(b.limits.MinSegmentBytes, (destBytes+planned)/4), b.limits.MaxSegmentBytes)
+	return segment.DataBytes+planned < maxBytes && sequence-segment.First <= math.MaxUint32
 }
 
-// Begin adds a segment, with what it holds.
-func (b *State) Begin(s *Segment) {
-	q := b.queues[s.Dest]
+// AddSegment adds a segment with the messages that it has.
+func (b *State) AddSegment(segment *Segment) {
+	q := b.queues[segment.Dest]
 	if q == nil {
 		q = &queue{}
-		b.queues[s.Dest] = q
+		b.queues[segment.Dest] = q
 	}
-	i, _ := slices.BinarySearchFunc(q.segments, s.First, byFirst)
-	q.segments = slices.Insert(q.segments, i, s)
-	q.n += int(s.Live)
-	q.data += s.Data
-	b.n += int(s.Live)
-	b.used += s.Size()
-	heap.Push(&b.times, s)
-}
-
-// Grow tells of one more message in a segment.
-func (b *State) Grow(s *Segment, place uint64, due, bytes int64) {
-	q := b.queues[s.Dest]
-	b.used -= s.Size()
-	s.Entries++
-	s.Live++
-	s.Data += bytes
-	s.Last = place
-	q.n++
-	q.data += bytes
-	b.n++
-	b.used += s.Size()
-	if due < s.Due {
-		b.SetDue(s, due)
+	i, _ := slices.BinarySearchFunc(q.segments, segment.First, compareFirst)
+	q.segments = slices.Insert(q.segments, i, segment)
+	q.messages += int(segment.Live)
+	q.dataBytes += segment.DataBytes
+	b.messages += int(segment.Live)
+	b.segmentBytes += segment.FileBytes()
+	heap.Push(&b.byDue, segment)
+}
+
+// AddMessage records that a message was added to a segment.
+func (b *State) AddMessage(segment *Segment, sequence uint64, due, bytes int64) {
+	q := b.queues[segment.Dest]
+	b.segmentBytes -= segment.FileBytes()
+	segment.Entries++
+	segment.Live++
+	segment.DataBytes += bytes
+	segment.Last = sequence
+	q.messages++
+	q.dataBytes += bytes
+	b.messages++
+	b.segmentBytes += segment.FileBytes()
+	if due < segment.EarliestDue {
+		b.SetEarliestDue(segment, due)
 	}
 }
 
-// Leave tells that live messages have left a segment: how many, where its head is now, how many bytes are before that, and how
-// many behind it are gone. It tells what is to be done: one whose data is half gone out of order is worth writing anew, which copies less than what went.
-func (b *State) Leave(s *Segment, n int, head uint32, before, gone int64) What {
-	q := b.queues[s.Dest]
-	s.Live -= uint32(n)
-	s.Head, s.Before, s.Gone = head, before, gone
-	q.n -= n
-	b.n -= n
+// RemoveMessages records that live messages of a segment were removed: their number, the new head, the bytes before the
+// head and the removed bytes behind it. It returns what to do with the segment. A segment is rewritten once more than half
+// of the data behind its head is removed, so a rewrite copies less than was removed.
+func (b *State) RemoveMessages(segment *Segment, removed int, head uint32, bytesBeforeHead, removedBytes int64) Action {
+	q := b.queues[segment.Dest]
+	segment.Live -= uint32(removed)
+	segment.Head, segment.BytesBeforeHead, segment.RemovedBytes = head, bytesBeforeHead, removedBytes
+	q.messages -= removed
+	b.messages -= removed
 	switch {
-	case s.Live == 0:
+	case segment.Live == 0:
 		return Drop
-	case 2*gone > s.Data-before && gone >= b.limits.Least/4:
-		return Renew
+	case 2*removedBytes > segment.DataBytes-bytesBeforeHead && removedBytes >= b.limits.MinSegmentBytes/4:
+		return Rewrite
 	}
 	return Keep
 }
 
-// Renewed tells that a segment has been written anew with what is live of it alone.
-func (b *State) Renewed(s *Segment, live uint32, data int64) {
-	q := b.queues[s.Dest]
-	b.used -= s.Size()
-	q.data += data - s.Data
-	q.n -= int(s.Live) - int(live)
-	b.n -= int(s.Live) - int(live)
-	s.Entries, s.Live, s.Data, s.Head, s.Before, s.Gone = live, live, data, 0, 0, 0
-	s.Gen++
-	b.used += s.Size()
+// SegmentRewritten records that a segment was rewritten and has only its live messages.
+func (b *State) SegmentRewritten(segment *Segment, live uint32, dataBytes int64) {
+	q := b.queues[segment.Dest]
+	b.segmentBytes -= segment.FileBytes()
+	q.dataBytes += dataBytes - segment.DataBytes
+	q.messages -= int(segment.Live) - int(live)
+	b.messages -= int(segment.Live) - int(live)
+	segment.Entries, segment.Live, segment.DataBytes, segment.Head, segment.BytesBeforeHead, segment.RemovedBytes = live, live, dataBytes, 0, 0, 0
+	segment.Rewrites++
+	b.segmentBytes += segment.FileBytes()
 }
 
-// Remove forgets a segment that has been dropped.
-func (b *State) Remove(s *Segment) {
-	q := b.queues[s.Dest]
-	i, _ := slices.BinarySearchFunc(q.segments, s.First, byFirst)
+// RemoveSegment removes a dropped segment.
+func (b *State) RemoveSegment(segment *Segment) {
+	q := b.queues[segment.Dest]
+	i, _ := slices.BinarySearchFunc(q.segments, segment.First, compareFirst)
 	q.segments = slices.Delete(q.segments, i, i+1)
-	q.n -= int(s.Live)
-	q.data -= s.Data
-	b.n -= int(s.Live)
-	b.used -= s.Size()
-	heap.Remove(&b.times, s.at)
+	q.messages -= int(segment.Live)
+	q.dataBytes -= segment.DataBytes
+	b.messages -= int(segment.Live)
+	b.segmentBytes -= segment.FileBytes()
+	heap.Remove(&b.byDue, segment.heapIndex)
 	if len(q.segments) == 0 {
-		delete(b.queues, s.Dest)
+		delete(b.queues, segment.Dest)
 	}
 }
 
-// Segments are a destination's, the oldest first.
+// Segments returns the segments of a destination, the oldest first.
 func (b *State) Segments(dest int) []*Segment {
 	if q := b.queues[dest]; q != nil {
 		return q.segments
@@ -195,53 +200,53 @@
 	return nil
 }
 
-// Of is the segment that a place would be in; nil if there is none.
-func (b *State) Of(dest int, place uint64) *Segment {
+// SegmentOf returns the segment whose range has a sequence number, nil if there is none.
+func (b *State) SegmentOf(dest int, sequence uint64) *Segment {
 	all := b.Segments(dest)
-	i, ok := slices.BinarySearchFunc(all, place, byFirst)
+	i, ok := slices.BinarySearchFunc(all, sequence, compareFirst)
 	if !ok {
 		i--
 	}
-	if i < 0 || place > all[i].Last {
+	if i < 0 || sequence > all[i].Last {
 		return nil
 	}
 	return all[i]
 }
 
-// Begun tells whether a destination has anything as old as a place.
-func (b *State) Begun(dest int, place uint64) bool {
+// HasSegmentUpTo reports whether a destination has a segment that starts at or before a sequence number.
+func (b *State) HasSegmentUpTo(dest int, sequence uint64) bool {
 	all := b.Segments(dest)
-	return len(all) > 0 && all[0].First <= place
+	return len(all) > 0 && all[0].First <= sequence
 }
 
-// Room is what is left of the budget; less than none if it was larger before.
-func (b *State) Room() int64 { return b.limits.Disk - b.Used() }
+// FreeBytes returns what is left of the budget. It is negative if the budget was lowered below what is used.
+func (b *State) FreeBytes() int64 { return b.limits.DiskBytes - b.UsedBytes() }
 
-// Used is what all files take.
-func (b *State) Used() int64 { return b.used + blocks(b.fixed) }
+// UsedBytes returns how much of the budget all files use.
+func (b *State) UsedBytes() int64 { return b.segmentBytes + roundUpToBlocks(b.fixedBytes) }
 
-// Fixed tells how many bytes files take that are no segment's.
-func (b *State) Fixed(n int64) { b.fixed = n }
+// SetFixedBytes sets the size of the files that belong to no segment.
+func (b *State) SetFixedBytes(n int64) { b.fixedBytes = n }
 
-// Len is how many messages there are.
-func (b *State) Len() int { return b.n }
+// Len returns the number of messages.
+func (b *State) Len() int { return b.messages }
 
-// LenOf is how many there are for a destination.
+// LenOf returns the number of messages of a destination.
 func (b *State) LenOf(dest int) int {
 	if q := b.queues[dest]; q != nil {
-		return q.n
+		return q.messages
 	}
 	return 0
 }
 
-// Dests are the destinations that have any.
+// Dests iterates over the destinations that have segments.
 func (b *State) Dests() iter.Seq[int] { return maps.Keys(b.queues) }
 
-func byFirst(s *Segment, place uint64) int {
+func compareFirst(s *Segment, sequence uint64) int {
 	switch {
-	case s.First < place:
+	case s.First < sequence:
 		return -1
-	case s.First > place:
+	case s.First > sequence:
 		return 1
 	}
 	return 0
--- a/internal/backlog/state/window.go
+++ b/internal/backlog/state/window.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// Room is how many more of a destination may come in. Bytes of those that are in count, the next one's don't.
-func (w *Window) Room(dest int, now time.Duration) int {
-	w.turn(now)
-	in, a, b := w.in[dest], w.was[dest], w.now[dest]
-	bytes := max(int(w.Alpha*float64(w.Total.Bytes-w.used.Bytes)), 2*a.Bytes, 2*b.Bytes)
-	if in.N > 0 && in.Bytes >= bytes {
+// Available returns how many more messages of a destination may become pending. The bytes of pending messages count, those
+// of the next message do not.
+func (w *Window) Available(dest int, now time.Duration) int {
+	w.advance(now)
+	pending, before, current := w.pending[dest], w.servedBefore[dest], w.servedNow[dest]
+	maxBytes := max(int(w.Alpha*float64(w.Capacity.Bytes-w.pendingTotal.Bytes)), 2*before.Bytes, 2*current.Bytes)
+	if pending.Messages > 0 && pending.Bytes >= maxBytes {
 		return 0
 	}
-	return max(0, max(1, int(w.Alpha*float64(w.Total.N-w.used.N)), 2*a.N, 2*b.N)-in.N)
+	return max(0, max(1, int(w.Alpha*float64(w.Capacity.Messages-w.pendingTotal.Messages)), 2*before.Messages, 2*current.Messages)-pending.Messages)
 }
--- a/internal/backlog/store.go
+++ b/internal/backlog/store.go
@@ -7,182 +7,183 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// Store is a backlog in a folder.
+// Store is the backlog in one folder.
 type Store struct {
-	d       *folder
-	st      *state.State
-	entries *entries
-	table   *table
-	runs    map[*state.Segment]run
-	salt    uint32 // of frames
-	saltAll []byte // of hashes
-	last    uint64 // highest place given
-	told    uint64 // highest place that the state knows of
-	hold    int    // calls of Out until a segment is written anew again, after one could not be
-	damage  []error
-	half    []*part // what calls that failed wrote and could not take back
-	scanned int     // how often a segment's entries were gone through for a run
-	now     func() time.Time
+	folder            *folder
+	state             *state.State
+	indexes           *indexReader
+	table             *table
+	dueLists          map[*state.Segment]dueList
+	frameSalt         uint32 // start value of the CRC of frames: the first four bytes of folderSalt
+	folderSalt        []byte // salt of the hashes of ids and ordering keys
+	lastSequence      uint64 // highest sequence number assigned
+	committedSequence uint64 // highest sequence number that is recorded in state
+	rewriteHoldOff    int    // calls of Remove until the next rewrite is tried, after one failed
+	damageReports     []error
+	partialWrites     []*segmentWrite // writes of failed calls of Put that could not be undone yet
+	dueScans          int             // number of scans of a segment's index for a due list
+	now               func() time.Time
 }
 
-// part is what a call of Put adds to one segment.
-type part struct {
-	seg     *state.Segment
-	fresh   bool
-	entries []entry
+// segmentWrite is what one call of Put adds to one segment.
+type segmentWrite struct {
+	segment *state.Segment
+	create  bool
+	entries []indexEntry
 	index   []byte
-	data    []byte
+	frames  []byte
 }
 
-// Put takes messages on, whole or not at all. They are written when it returns.
-func (s *Store) Put(ms ...Message) error {
-	for len(s.half) > 0 {
-		if err := s.undo(s.half[0]); err != nil {
+// Put stores messages, all of them or none. They are written when it returns. Its errors are FullError, TooLargeError and
+// FileError.
+func (s *Store) Put(messages ...Message) error {
+	for len(s.partialWrites) > 0 {
+		if err := s.undoWrite(s.partialWrites[0]); err != nil {
 			return err
 		}
-		s.half = s.half[1:]
+		s.partialWrites = s.partialWrites[1:]
 	}
-	return s.mending(func() error { return s.put(ms) })
+	return s.withRepair(func() error { return s.put(messages) })
 }
 
-func (s *Store) put(ms []Message) error {
-	parts, err := s.plan(ms)
+func (s *Store) put(messages []Message) error {
+	writes, err := s.planWrites(messages)
 	if err != nil {
 		return err
 	}
-	var need int64
-	for _, p := range parts {
-		need += state.Growth(p.seg, p.fresh, uint32(len(p.entries)), int64(len(p.data)))
+	var neededBytes int64
+	for _, write := range writes {
+		neededBytes += state.Growth(write.segment, write.create, uint32(len(write.entries)), int64(len(write.frames)))
 	}
-	if err := s.roomFor(need); err != nil {
+	if err := s.checkSpace(neededBytes); err != nil {
 		return err
 	}
-	if err := s.index(parts); err != nil {
+	if err := s.addToTable(writes); err != nil {
 		return err
 	}
-	for i, p := range parts {
-		if err := s.add(p); err != nil {
-			err = errors.Join(err, s.unkey(parts))
-			for _, p := range parts[:i+1] {
-				if s.undo(p) != nil {
-					s.half = append(s.half, p) // the next call has to, before anything else
+	for i, write := range writes {
+		if err := s.writeToSegment(write); err != nil {
+			err = errors.Join(err, s.releaseKeys(writes))
+			for _, write := range writes[:i+1] {
+				if s.undoWrite(write) != nil {
+					s.partialWrites = append(s.partialWrites, write) // the next call of Put undoes it first
 				}
 			}
 			return err
 		}
 	}
-	for _, p := range parts {
-		if p.fresh {
-			s.st.Begin(p.seg)
+	for _, write := range writes {
+		if write.create {
+			s.state.AddSegment(write.segment)
 		}
-		from := p.seg.Entries
-		for _, e := range p.entries {
-			s.st.Grow(p.seg, e.place, e.due, int64(e.len))
-			s.joins(p.seg, e.due)
+		from := write.segment.Entries
+		for _, entry := range write.entries {
+			s.state.AddMessage(write.segment, entry.sequence, entry.due, int64(entry.len))
+			s.messageAdded(write.segment, entry.due)
 		}
-		if !p.fresh {
-			s.entries.added(p.seg, from, p.index)
+		if !write.create {
+			s.indexes.updateCache(write.segment, from, write.index)
 		}
 	}
-	s.told = s.last
+	s.committedSequence = s.lastSequence
 	return nil
 }
 
-// plan shares messages out to segments.
-func (s *Store) plan(ms []Message) ([]*part, error) {
-	var parts []*part
-	of := map[int]*part{}
-	for i := range ms {
-		m := &ms[i]
-		if err := m.check(); err != nil {
+// planWrites assigns sequence numbers to messages and distributes them to segments.
+func (s *Store) planWrites(messages []Message) ([]*segmentWrite, error) {
+	var writes []*segmentWrite
+	lastWrite := map[int]*segmentWrite{}
+	for i := range messages {
+		message := &messages[i]
+		if err := message.checkSize(); err != nil {
 			return nil, err
 		}
-		s.last++
-		p := of[m.Dest]
-		if p == nil || !s.st.Takes(p.seg, s.last, int64(len(p.data))) {
-			seg := (*state.Segment)(nil)
-			if p == nil {
-				seg = s.st.Tail(m.Dest, s.last, 0)
+		s.lastSequence++
+		write := lastWrite[message.Dest]
+		if write == nil || !s.state.Accepts(write.segment, s.lastSequence, int64(len(write.frames))) {
+			segment := (*state.Segment)(nil)
+			if write == nil {
+				segment = s.state.Tail(message.Dest, s.lastSequence, 0)
 			}
-			p = &part{seg: seg, fresh: seg == nil}
-			if p.fresh {
-				p.seg = &state.Segment{Dest: m.Dest, First: s.last, Last: s.last, Due: later}
-				p.index = appendHeader(nil, p.seg, s.saltAll)
+			write = &segmentWrite{segment: segment, create: segment == nil}
+			if write.create {
+				write.segment = &state.Segment{Dest: message.Dest, First: s.lastSequence, Last: s.lastSequence, EarliestDue: noDueTime}
+				write.index = appendHeader(nil, write.segment, s.folderSalt)
 			}
-			of[m.Dest] = p
-			parts = append(parts, p)
+			lastWrite[message.Dest] = write
+			writes = append(writes, write)
 		}
-		e := entry{place: s.last, due: m.Due, id: hashOf(s.saltAll, 'i', m.Dest, m.ID), off: uint32(p.seg.Data) + uint32(len(p.data)),
-			len: uint32(m.frameLen()), mark: markLive}
-		if m.Order != "" {
-			e.key = hashOf(s.saltAll, 'k', 0, m.Order)
+		entry := indexEntry{sequence: s.lastSequence, due: message.Due, idHash: saltedHash(s.folderSalt, 'i', message.Dest, message.ID), offset: uint32(write.segment.DataBytes) + uint32(len(write.frames)),
+			len: uint32(message.frameSize()), mark: markLive}
+		if message.OrderKey != "" {
+			entry.keyHash = saltedHash(s.folderSalt, 'k', 0, message.OrderKey)
 		}
-		p.entries = append(p.entries, e)
-		p.index = appendEntry(p.index, &e)
-		p.data = appendFrame(p.data, m, s.last, s.salt)
+		write.entries = append(write.entries, entry)
+		write.index = appendEntry(write.index, &entry)
+		write.frames = appendFrame(write.frames, message, s.lastSequence, s.frameSalt)
 	}
-	return parts, nil
+	return writes, nil
 }
 
-// roomFor tells whether the files may grow by so much.
-func (s *Store) roomFor(bytes int64) error {
-	if room := s.st.Room(); bytes > room {
-		wait := time.Second
-		if seg := s.st.Earliest(); seg != nil {
-			wait = min(max(wait, time.UnixMilli(seg.Due).Sub(s.now())), time.Minute)
+// checkSpace returns a FullError if the files may not grow by that many bytes.
+func (s *Store) checkSpace(bytes int64) error {
+	if free := s.state.FreeBytes(); bytes > free {
+		retryAfter := time.Second
+		if segment := s.state.Earliest(); segment != nil {
+			retryAfter = min(max(retryAfter, time.UnixMilli(segment.EarliestDue).Sub(s.now())), time.Minute)
 		}
-		return &Full{bytes, max(0, room), wait}
+		return &FullError{bytes, max(0, free), retryAfter}
 	}
 	return nil
 }
 
-// index notes in the table where messages are about to be.
-func (s *Store) index(parts []*part) error {
-	for i, p := range parts {
-		for j := range p.entries {
-			if err := s.table.add(p.seg.Dest, &p.entries[j]); err != nil {
-				p.entries = p.entries[:j]
-				return errors.Join(err, s.unkey(parts[:i+1]))
+// addToTable adds the messages that are about to be written to the table.
+func (s *Store) addToTable(writes []*segmentWrite) error {
+	for i, write := range writes {
+		for j := range write.entries {
+			if err := s.table.addMessage(write.segment.Dest, &write.entries[j]); err != nil {
+				write.entries = write.entries[:j]
+				return errors.Join(err, s.releaseKeys(writes[:i+1]))
 			}
 		}
 	}
 	return nil
 }
 
-// unkey has messages that are not taken on count for their keys no more.
-func (s *Store) unkey(parts []*part) (err error) {
-	for _, p := range parts {
-		for _, e := range p.entries {
-			if e.key != 0 {
-				err = errors.Join(err, s.table.count(e.key, p.seg.Dest, e.place, false))
+// releaseKeys subtracts messages that were not stored from the counts of their ordering keys.
+func (s *Store) releaseKeys(writes []*segmentWrite) (err error) {
+	for _, write := range writes {
+		for _, entry := range write.entries {
+			if entry.keyHash != 0 {
+				err = errors.Join(err, s.table.adjustKeyCount(entry.keyHash, write.segment.Dest, entry.sequence, false))
 			}
 		}
 	}
 	return err
 }
 
-// add writes a part: entries first, so that a frame without one is never a kill's work.
-func (s *Store) add(p *part) error {
-	at := int64(0)
-	if !p.fresh {
-		at = entryAt(p.seg.Entries)
+// writeToSegment writes the index entries before the frames, so that a kill never leaves a frame without an entry.
+func (s *Store) writeToSegment(write *segmentWrite) error {
+	offset := int64(0)
+	if !write.create {
+		offset = entryOffset(write.segment.Entries)
 	}
-	if err := s.d.write(indexName(p.seg), p.index, at, p.fresh); err != nil {
+	if err := s.folder.write(indexFileName(write.segment), write.index, offset, write.create); err != nil {
 		return err
 	}
-	return s.d.write(dataName(p.seg), p.data, p.seg.Data, p.fresh)
+	return s.folder.write(dataFileName(write.segment), write.frames, write.segment.DataBytes, write.create)
 }
 
-// undo takes a part back that may have been written; data first, for the same reason.
-func (s *Store) undo(p *part) error {
-	if p.fresh {
-		return errors.Join(s.d.remove(dataName(p.seg)), s.d.remove(indexName(p.seg)))
+// undoWrite undoes a write that may have been done in part. The data goes first, for the same reason as in writeToSegment.
+func (s *Store) undoWrite(write *segmentWrite) error {
+	if write.create {
+		return errors.Join(s.folder.remove(dataFileName(write.segment)), s.folder.remove(indexFileName(write.segment)))
 	}
-	return errors.Join(s.d.truncate(dataName(p.seg), p.seg.Data), s.d.truncate(indexName(p.seg), entryAt(p.seg.Entries)))
+	return errors.Join(s.folder.truncate(dataFileName(write.segment), write.segment.DataBytes), s.folder.truncate(indexFileName(write.segment), entryOffset(write.segment.Entries)))
 }
 
-// Close gives the files up.
+// Close closes the open files.
 func (s *Store) Close() error {
-	s.d.open.Purge()
+	s.folder.openFiles.Purge()
 	return nil
 }
--- a/internal/backlog/table.go
+++ b/internal/backlog/table.go
@@ -6,196 +6,200 @@
 	"slices"
 )
 
-// table finds places by hashes of ids and keys: an extendible hash table (Fagin et al., 1979) in one file. Only its directory
-// is in memory.
+// table maps hashes of ids and ordering keys to sequence numbers. It is an extendible hash table (Fagin et al., 1979) in
+// one file; only its directory is in memory.
 type table struct {
-	d      *folder
-	name   string
-	dir    []uint32 // page of each prefix of depth bits
-	depth  uint32
-	pages  uint32 // in the file
-	free   []uint32
-	number uint64
-	broken bool // by a change that could be neither made nor undone
-	buf    [chunk * slotSize]byte
-	alive  func(slot) bool   // whether a slot is still needed
-	room   func(int64) error // whether the file may grow by so much
-	grown  func(bytes int64) // is told the file's size
+	folder           *folder
+	fileName         string
+	directory        []uint32 // page of each hash prefix of depth bits
+	depth            uint32
+	pageCount        uint32 // number of pages in the file
+	freePages        []uint32
+	lastPageSequence uint64
+	unusable         bool // a change could be neither completed nor undone
+	buffer           [slotsPerRead * slotSize]byte
+	needed           func(slot) bool   // reports whether a slot is still needed
+	checkSpace       func(int64) error // returns an error if the file may not grow by that many bytes
+	sizeChanged      func(bytes int64) // receives the new size of the file
 }
 
 const (
-	chunk     = 16 // slots read at once
-	probes    = 64 // a page where a search for a free slot takes longer is full; at random that is at some 80%
-	depthMost = 28
-	tableName = "ids"
+	slotsPerRead  = 16 // number of slots read at once
+	maxProbes     = 64 // a page where the search for a free slot takes more probes is full: at about 80% with random hashes
+	maxDepth      = 28
+	tableFileName = "ids"
 )
 
-// errTable is that the table has to be built again.
-var errTable = errors.New("the table of ids is damaged")
+// errDamagedTable tells that the table must be rebuilt.
+var errDamagedTable = errors.New("the table of ids is damaged")
 
-// begin makes the file anew, with nothing in it.
-func (t *table) begin() error {
-	p := page{number: 1}
-	if err := t.d.write(t.name, p.fill(nil), 0, true); err != nil {
+// create creates the file with one empty page.
+func (t *table) create() error {
+	p := page{sequence: 1}
+	if err := t.folder.write(t.fileName, p.encode(nil), 0, true); err != nil {
 		return err
 	}
-	t.dir, t.depth, t.pages, t.free, t.number = []uint32{0}, 0, 1, nil, 1
-	t.grown(pageSize)
+	t.directory, t.depth, t.pageCount, t.freePages, t.lastPageSequence = []uint32{0}, 0, 1, nil, 1
+	t.sizeChanged(pageSize)
 	return nil
 }
 
-// load reads the headers of all pages of a file of that size.
+// load reads the headers of all pages of a file with that size.
 func (t *table) load(size int64) error {
-	t.pages, t.free = uint32(size/pageSize), nil
-	var all []page
-	for at := range t.pages {
-		if _, err := t.d.read(t.name, t.buf[:slotSize], int64(at)*pageSize); err != nil {
+	t.pageCount, t.freePages = uint32(size/pageSize), nil
+	var pages []page
+	for index := range t.pageCount {
+		if _, err := t.folder.read(t.fileName, t.buffer[:slotSize], int64(index)*pageSize); err != nil {
 			return err
 		}
-		if p, ok := readPage(t.buf[:], at); ok {
-			all = append(all, p)
-			t.depth = max(t.depth, p.depth)
-			t.number = max(t.number, p.number)
+		if loaded, ok := decodePage(t.buffer[:], index); ok {
+			pages = append(pages, loaded)
+			t.depth = max(t.depth, loaded.depth)
+			t.lastPageSequence = max(t.lastPageSequence, loaded.sequence)
 		} else {
-			t.free = append(t.free, at)
+			t.freePages = append(t.freePages, index)
 		}
 	}
-	// A kill as a page was split leaves both it and what it was split into: it counts, the others may be half.
-	slices.SortFunc(all, func(a, b page) int { return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.number, b.number)) })
-	if t.depth > 0 && int64(len(all))<<8 < 1<<t.depth {
-		return errTable // deeper than a table with so few pages grows: not written by this program
+	// A kill during a split leaves both the old page and new ones. The old page is valid, the new ones may be incomplete.
+	slices.SortFunc(pages, func(a, b page) int { return cmp.Or(cmp.Compare(a.depth, b.depth), cmp.Compare(a.sequence, b.sequence)) })
+	if t.depth > 0 && int64(len(pages))<<8 < 1<<t.depth {
+		return errDamagedTable // this program never writes so deep a table with so few pages
 	}
 	const none = ^uint32(0)
-	t.dir = slices.Repeat([]uint32{none}, 1<<t.depth)
-	for _, p := range all {
-		of := t.span(p)
-		if slices.ContainsFunc(of, func(at uint32) bool { return at != none }) {
-			if err := t.giveUp(p.at); err != nil {
+	t.directory = slices.Repeat([]uint32{none}, 1<<t.depth)
+	for _, loaded := range pages {
+		entries := t.directoryRange(loaded)
+		if slices.ContainsFunc(entries, func(index uint32) bool { return index != none }) {
+			if err := t.freePage(loaded.index); err != nil {
 				return err
 			}
 			continue
 		}
-		for i := range of {
-			of[i] = p.at
+		for i := range entries {
+			entries[i] = loaded.index
 		}
 	}
-	if slices.Contains(t.dir, none) {
-		return errTable
+	if slices.Contains(t.directory, none) {
+		return errDamagedTable
 	}
-	t.grown(size)
+	t.sizeChanged(size)
 	return nil
 }
 
-// span is the part of the directory that leads to a page.
-func (t *table) span(p page) []uint32 {
-	from := t.index(p.prefix)
-	return t.dir[from : from+1<<(t.depth-p.depth)]
+// directoryRange returns the part of the directory that refers to a page.
+func (t *table) directoryRange(page page) []uint32 {
+	from := t.directoryIndex(page.prefix)
+	return t.directory[from : from+1<<(t.depth-page.depth)]
 }
 
-func (t *table) index(hash uint64) uint64 {
+func (t *table) directoryIndex(hash uint64) uint64 {
 	if t.depth == 0 {
 		return 0
 	}
 	return hash >> (64 - t.depth)
 }
 
-func (t *table) giveUp(at uint32) error {
-	if err := t.d.write(t.name, make([]byte, slotSize), int64(at)*pageSize, false); err != nil {
+func (t *table) freePage(index uint32) error {
+	if err := t.folder.write(t.fileName, make([]byte, slotSize), int64(index)*pageSize, false); err != nil {
 		return err
 	}
-	t.free = append(t.free, at)
+	t.freePages = append(t.freePages, index)
 	return nil
 }
 
-// walk yields the slots from a hash's first on, up to a free one or until it has enough; with each, where it is in the file.
-func (t *table) walk(hash uint64, most int, yield func(slot, int64) bool) error {
-	if t.broken {
-		return errTable
+// probe yields the slots from the first one of a hash on, with their offsets in the file, until a free slot was yielded,
+// maxSlots were, or yield returns false.
+func (t *table) probe(hash uint64, maxSlots int, yield func(slot, int64) bool) error {
+	if t.unusable {
+		return errDamagedTable
 	}
-	page := int64(t.dir[t.index(hash)]) * pageSize
-	for i, n := hash%slots, 0; n < most; {
-		k := min(chunk, slots-i)
-		b := t.buf[:k*slotSize]
-		got, err := t.d.read(t.name, b, page+int64(i+1)*slotSize)
+	page := int64(t.directory[t.directoryIndex(hash)]) * pageSize
+	for i, probed := hash%slotsPerPage, 0; probed < maxSlots; {
+		count := min(slotsPerRead, slotsPerPage-i)
+		b := t.buffer[:count*slotSize]
+		got, err := t.folder.read(t.fileName, b, page+int64(i+1)*slotSize)
 		if err != nil {
 			return err
 		}
 		if got < len(b) {
-			return errTable
+			return errDamagedTable
 		}
 		for ; len(b) > 0; b = b[slotSize:] {
-			s, ok := readSlot(b)
+			s, ok := decodeSlot(b)
 			if !ok {
-				return errTable
+				return errDamagedTable
 			}
 			if !yield(s, page+int64(i+1)*slotSize) || s.hash == 0 {
 				return nil
 			}
-			i, n = i+1, n+1
+			i, probed = i+1, probed+1
 		}
-		i %= slots
+		i %= slotsPerPage
 	}
 	return nil
 }
 
-// find gives the slots of a hash, until told to stop.
+// find yields the slots of a hash until yield returns false.
 func (t *table) find(hash uint64, yield func(slot, int64) bool) error {
-	return t.walk(hash, slots, func(s slot, at int64) bool { return s.hash != hash || yield(s, at) })
+	return t.probe(hash, slotsPerPage, func(s slot, at int64) bool { return s.hash != hash || yield(s, at) })
 }
 
-func (t *table) put(s slot, at int64) error { return t.d.write(t.name, s.bytes(), at, false) }
+func (t *table) writeSlot(s slot, offset int64) error {
+	return t.folder.write(t.fileName, s.encode(), offset, false)
+}
 
-// insert adds a slot.
+// insert adds a slot and makes space in its page if that is full.
 func (t *table) insert(s slot) error {
-	for again := false; ; again = true {
-		at := int64(-1)
-		if err := t.walk(s.hash, probes, func(have slot, where int64) bool {
-			if have.hash == 0 {
-				at = where
+	for retry := false; ; retry = true {
+		freeOffset := int64(-1)
+		if err := t.probe(s.hash, maxProbes, func(existing slot, position int64) bool {
+			if existing.hash == 0 {
+				freeOffset = position
 			}
 			return true
 		}); err != nil {
 			return err
 		}
-		if at >= 0 {
-			return t.put(s, at)
+		if freeOffset >= 0 {
+			return t.writeSlot(s, freeOffset)
 		}
-		if err := t.relieve(s.hash, again); err != nil {
+		if err := t.makeSpace(s.hash, retry); err != nil {
 			return err
 		}
 	}
 }
 
-// add notes where a message is.
-func (t *table) add(dest int, e *entry) error {
-	if err := t.insert(slot{hash: e.id, place: e.place, dest: dest}); err != nil || e.key == 0 {
+// addMessage adds the slot of a message's id and counts its ordering key.
+func (t *table) addMessage(dest int, entry *indexEntry) error {
+	if err := t.insert(slot{hash: entry.idHash, sequence: entry.sequence, dest: dest}); err != nil || entry.keyHash == 0 {
 		return err
 	}
-	return t.count(e.key, dest, e.place, true)
+	return t.adjustKeyCount(entry.keyHash, dest, entry.sequence, true)
 }
 
-// count notes one message more of a key in a destination, or one less. Of one more its place is the newest.
-func (t *table) count(hash uint64, dest int, place uint64, more bool) error {
-	var have slot
-	at := int64(-1)
-	if err := t.find(hash, func(s slot, where int64) bool {
+// adjustKeyCount adds one message to the count of an ordering key in a destination, or subtracts one. An added message
+// becomes the newest of its key.
+func (t *table) adjustKeyCount(hash uint64, dest int, sequence uint64, increment bool) error {
+	var existing slot
+	offset := int64(-1)
+	if err := t.find(hash, func(s slot, position int64) bool {
 		if s.count > 0 && s.dest == dest {
-			have, at = s, where
+			existing, offset = s, position
 		}
-		return at < 0
+		return offset < 0
 	}); err != nil {
 		return err
 	}
 	switch {
-	case more && at < 0:
-		return t.insert(slot{hash, place, dest, 2})
-	case more && !t.alive(have):
-		return t.put(slot{hash, place, dest, 2}, at)
-	case more:
-		return t.put(slot{hash, place, dest, have.count + 1}, at)
-	case at >= 0 && have.count > 1:
-		have.count--
-		return t.put(have, at)
+	case increment && offset < 0:
+		return t.insert(slot{hash, sequence, dest, 2})
+	case increment && !t.needed(existing):
+		return t.writeSlot(slot{hash, sequence, dest, 2}, offset)
+	case increment:
+		return t.writeSlot(slot{hash, sequence, dest, existing.count + 1}, offset)
+	case offset >= 0 && existing.count > 1:
+		existing.count--
+		return t.writeSlot(existing, offset)
 	}
 	return nil
 }
--- a/internal/backlog/version.go
+++ b/internal/backlog/version.go
@@ -13,69 +13,70 @@
 	"larchrouter/internal/backlog/state"
 )
 
-// VERSION says the format of the folder's files and the folder's salt, which each segment has too. Other formats have to
-// begin with another line.
+// The file VERSION has the format of the folder's files and the folder's salt, which is in each index file too. Other
+// formats must begin with another line.
 const (
-	versionName = "VERSION"
-	versionLine = "larchrouter backlog 1 "
-	saltLen     = 16
+	versionFileName = "VERSION"
+	versionPrefix   = "larchrouter backlog 1 "
+	saltSize        = 16
 )
 
 func versionText(salt []byte) []byte {
-	b := fmt.Appendf(nil, "%s%x ", versionLine, salt)
-	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b, castagnoli))
+	b := fmt.Appendf(nil, "%s%x ", versionPrefix, salt)
+	return fmt.Appendf(b, "%08x\n", crc32.Checksum(b, castagnoliTable))
 }
 
-// readVersion checks whose folder it is, and marks one that is new. Of one that is damaged the segments know the salt.
-func (s *Store) readVersion(segments map[segmentKey]*files) error {
-	b, err := s.d.whole(versionName)
+// readVersion checks the format of the folder and writes the file for a new folder. A damaged file is rewritten with the
+// salt from the index files.
+func (s *Store) readVersion(segments map[segmentKey]*segmentFiles) error {
+	content, err := s.folder.readFile(versionFileName)
 	missing := errors.Is(err, fs.ErrNotExist)
 	if err != nil && !missing {
 		return err
 	}
-	salt := make([]byte, saltLen)
-	if _, err := fmt.Sscanf(string(b), versionLine+"%x", &salt); err == nil && bytes.Equal(b, versionText(salt)) {
+	salt := make([]byte, saltSize)
+	if _, err := fmt.Sscanf(string(content), versionPrefix+"%x", &salt); err == nil && bytes.Equal(content, versionText(salt)) {
 		s.setSalt(salt)
 		return nil
 	}
 	if missing && len(segments) == 0 {
 		rand.Read(salt)
 		s.setSalt(salt)
-		return s.d.replace(versionName, versionText(salt))
+		return s.folder.replace(versionFileName, versionText(salt))
 	}
-	if salt = s.saltOf(segments); salt == nil || !damagedVersion(string(b)) {
-		return &Version{filepath.Join(s.d.dir, versionName), strings.TrimSpace(string(b[:min(len(b), 64)])), strings.TrimSpace(versionLine)}
+	if salt = s.segmentSalt(segments); salt == nil || !isDamagedVersion(string(content)) {
+		return &VersionError{filepath.Join(s.folder.dir, versionFileName), strings.TrimSpace(string(content[:min(len(content), 64)])), strings.TrimSpace(versionPrefix)}
 	}
-	s.damaged(&Damage{Segment: versionName, Why: "it was written anew"})
+	s.reportDamage(&DamageError{Segment: versionFileName, Reason: "it was rewritten"})
 	s.setSalt(salt)
-	return s.d.replace(versionName, versionText(salt))
+	return s.folder.replace(versionFileName, versionText(salt))
 }
 
 func (s *Store) setSalt(salt []byte) {
-	s.saltAll, s.salt = salt, le.Uint32(salt)
+	s.folderSalt, s.frameSalt = salt, littleEndian.Uint32(salt)
 }
 
-// damagedVersion tells a line of this format that is cut or flipped from another's.
-func damagedVersion(line string) bool {
-	own := string(versionText(make([]byte, saltLen)))
+// isDamagedVersion distinguishes a damaged line of this format from an intact line of another format.
+func isDamagedVersion(line string) bool {
+	sample := string(versionText(make([]byte, saltSize)))
 	salt, sum := line, ""
 	if i := strings.LastIndexByte(line, ' '); i > 0 {
 		salt, sum = line[:i+1], line[i+1:]
 	}
-	whole := sum == fmt.Sprintf("%08x\n", crc32.Checksum([]byte(salt), castagnoli))
-	return !whole && (len(line) == len(own) || strings.HasPrefix(versionLine, line) || strings.HasPrefix(line, versionLine))
+	intact := sum == fmt.Sprintf("%08x\n", crc32.Checksum([]byte(salt), castagnoliTable))
+	return !intact && (len(line) == len(sample) || strings.HasPrefix(versionPrefix, line) || strings.HasPrefix(line, versionPrefix))
 }
 
-// saltOf is the salt that the segments have; nil if none is readable.
-func (s *Store) saltOf(segments map[segmentKey]*files) []byte {
-	for k, has := range segments {
-		if !has.index {
+// segmentSalt returns the salt from the index files, nil if none is readable.
+func (s *Store) segmentSalt(segments map[segmentKey]*segmentFiles) []byte {
+	for key, files := range segments {
+		if !files.hasIndex {
 			continue
 		}
-		b := make([]byte, state.Header)
-		n, err := s.d.read(indexName(&state.Segment{Dest: k.dest, First: k.first}), b, 0)
-		if _, _, _, ok := readHeader(b[:n], k.dest, k.first); err == nil && ok && le.Uint32(b[saltAt+saltLen:]) == crc32.Checksum(b[saltAt:saltAt+saltLen], castagnoli) {
-			return b[saltAt : saltAt+saltLen]
+		b := make([]byte, state.HeaderSize)
+		n, err := s.folder.read(indexFileName(&state.Segment{Dest: key.dest, First: key.first}), b, 0)
+		if _, _, _, ok := decodeHeader(b[:n], key.dest, key.first); err == nil && ok && littleEndian.Uint32(b[saltOffset+saltSize:]) == crc32.Checksum(b[saltOffset:saltOffset+saltSize], castagnoliTable) {
+			return b[saltOffset : saltOffset+saltSize]
 		}
 	}
 	return nil
--- a/internal/hollow/keepers_test.go
+++ b/internal/hollow/keepers_test.go
@@ -55,14 +55,14 @@
 	k.wan = NewWAN(all, distances)
 	t.Cleanup(k.wan.Net.Close)
 	var mu sync.Mutex
-	by := map[string]*link.Shared{}
-	who := func(ip string) *link.Shared {
+	by := map[string]*link.SharedFront{}
+	who := func(ip string) *link.SharedFront {
 		mu.Lock()
 		defer mu.Unlock()
 		return by[ip]
 	}
-	share := func(i, port int) *link.Shared {
-		s, err := k.wan.Net.Share(name(i), k.ip(i), fmt.Sprintf("%s:%d", k.ip(i), port), who)
+	share := func(i, port int) *link.SharedFront {
+		s, err := k.wan.Net.ShareProcess(name(i), k.ip(i), fmt.Sprintf("%s:%d", k.ip(i), port), who)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -163,9 +163,9 @@
 		for i, a := range k.wan.Keepers {
 			var st api.Status
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			err := k.call.Ask(ctx, a.Front, http.MethodGet, api.StatusPath, nil, &st)
+			err := k.call.CallKeeper(ctx, a.Front, http.MethodGet, api.StatusPath, nil, &st)
 			cancel()
-			if err == nil && st.Leads {
+			if err == nil && st.IsLeader {
 				return i
 			}
 		}
--- a/internal/journal/compact.go
+++ b/internal/journal/compact.go
@@ -9,138 +9,140 @@
 	"larchrouter/internal/steady"
 )
 
-// Compact writes what is still owed to a new file and puts it in the old one's place.
+// Compact writes all that is still needed to a new file and replaces the old one with it.
 func (j *Journal) Compact() error {
 	var buf []byte
 	order := j.order[:0:0]
 	for e := range j.All() {
-		buf = frame(buf, Record{Op: OpTaken, Entry: e})
-		order = append(order, place{e.ID, e.seq})
+		buf = appendFrame(buf, Record{Op: OpAccepted, Entry: e})
+		order = append(order, orderEntry{e.ID, e.sequence})
 	}
-	for id, h := range j.unwell {
-		if steady.Since(h.At) > forgetUnwell { // its host may be gone from the list since
-			j.live -= slack
-			delete(j.unwell, id)
+	for id, record := range j.outages {
+		if steady.Since(record.At) > outageExpiry { // its host may have been removed from the discovery list since
+			j.compactedBytes -= historyBytes
+			delete(j.outages, id)
 			continue
 		}
-		buf = frame(buf, h)
+		buf = appendFrame(buf, record)
 	}
-	for id, h := range j.byHand {
-		if !h.Ran && steady.Since(h.At) > forgetUnwell { // warm long since
-			j.live -= slack
-			delete(j.byHand, id)
+	for id, record := range j.disabledHosts {
+		if !record.Flag && steady.Since(record.At) > outageExpiry { // the host was enabled long ago and is warm
+			j.compactedBytes -= historyBytes
+			delete(j.disabledHosts, id)
 			continue
 		}
-		buf = frame(buf, h)
+		buf = appendFrame(buf, record)
 	}
-	for id, h := range j.waits {
-		if steady.Since(h.At) > time.Duration(h.Wait)*time.Millisecond {
-			j.live -= slack
-			delete(j.waits, id)
+	for id, record := range j.retryAfters {
+		if steady.Since(record.At) > time.Duration(record.WaitMs)*time.Millisecond {
+			j.compactedBytes -= historyBytes
+			delete(j.retryAfters, id)
 			continue
 		}
-		buf = frame(buf, h)
+		buf = appendFrame(buf, record)
 	}
-	for _, m := range j.marks {
-		buf = frame(buf, Record{Op: OpMark, Mark: &m})
+	for _, state := range j.groups {
+		buf = appendFrame(buf, Record{Op: OpGroupState, GroupState: &state})
 	}
-	// A file of a larger budget may leave no room for its copy. It stays all the same until that is whole: what was taken on is
-	// still owed if the copy cannot be written, or a kill comes between.
-	f, err := os.OpenFile(j.path+".next", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
+	// A file written under a larger budget may leave no space for its copy within this one. It stays until the copy is
+	// complete: accepted messages are still due if the copy cannot be written or the process is killed in between.
+	file, err := os.OpenFile(j.path+".next", os.O_CREATE|os.O_TRUNC|os.O_RDWR, 0o600)
 	if err != nil {
-		return onDisk("it could not be written anew", err)
+		return diskFailure("it could not be written anew", err)
 	}
-	_, err = f.Write(buf)
+	_, err = file.Write(buf)
 	if err == nil {
 		err = os.Rename(j.path+".next", j.path)
 	}
 	if err != nil {
-		f.Close()
+		file.Close()
 		os.Remove(j.path + ".next")
-		return onDisk("it could not be written anew", err)
+		return diskFailure("it could not be written anew", err)
 	}
-	if j.f != nil {
-		j.f.Close()
+	if j.file != nil {
+		j.file.Close()
 	}
-	j.f, j.size, j.order, j.broken, j.uncut, j.away = f, int64(len(buf)), order, nil, false, false
+	j.file, j.fileBytes, j.order, j.writeError, j.partialRecord, j.stopped = file, int64(len(buf)), order, nil, false, false
 	return nil
 }
 
-// Break has nothing more be written: the file may be another process's by now. A compaction that goes well ends it.
-func (j *Journal) Break(err error) { j.broken, j.uncut, j.away = err, false, true }
+// StopWriting makes all further writes fail with err, as another process may own the file by now. A successful Compact
+// ends this state.
+func (j *Journal) StopWriting(err error) { j.writeError, j.partialRecord, j.stopped = err, false, true }
 
-// goOn opens the file as it stands, for the journal to be appended to it: its sound part is so long. What that cannot do now is
-// tried again by usable.
-func (j *Journal) goOn(sound int64) {
-	j.size = sound
-	f, err := os.OpenFile(j.path, os.O_CREATE|os.O_RDWR, 0o600)
+// openExisting opens the file as it is, to append after its intact part of that many bytes. checkWritable later retries
+// what fails here.
+func (j *Journal) openExisting(intactBytes int64) {
+	j.fileBytes = intactBytes
+	file, err := os.OpenFile(j.path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		j.broken = onDisk("it could not be opened", err)
+		j.writeError = diskFailure("it could not be opened", err)
 		return
 	}
-	j.f = f
-	if err := f.Truncate(sound); err != nil {
-		j.uncut, j.broken = true, onDisk("half a record of before could not be cut off", err)
+	j.file = file
+	if err := file.Truncate(intactBytes); err != nil {
+		j.partialRecord, j.writeError = true, diskFailure("half a record of before could not be cut off", err)
 	}
 }
 
-// usable tells why nothing can be written. What stood in the way is tried again first: a file that could not be opened, half a
-// record that could not be cut back.
-func (j *Journal) usable() error {
-	if j.away {
-		return j.broken
+// checkWritable returns the error that keeps records from being written. It first retries what failed before: to open the
+// file, or to truncate a partial record.
+func (j *Journal) checkWritable() error {
+	if j.stopped {
+		return j.writeError
 	}
-	if j.f == nil {
-		j.broken = nil
-		j.goOn(j.size)
-		return j.broken
+	if j.file == nil {
+		j.writeError = nil
+		j.openExisting(j.fileBytes)
+		return j.writeError
 	}
-	if !j.uncut || j.f.Truncate(j.size) != nil {
-		return j.broken
+	if !j.partialRecord || j.file.Truncate(j.fileBytes) != nil {
+		return j.writeError
 	}
-	j.broken, j.uncut = nil, false
+	j.writeError, j.partialRecord = nil, false
 	return nil
 }
 
-// Close gives the file up.
+// Close closes the file.
 func (j *Journal) Close() error {
-	if j.f == nil {
+	if j.file == nil {
 		return nil
 	}
-	return j.f.Close()
+	return j.file.Close()
 }
 
-// All are the messages that are owed their end or its notice, in the order in which they were taken on.
+// All iterates over the messages whose end or notice is due, in the order in which they were accepted.
 func (j *Journal) All() iter.Seq[*Entry] {
 	return func(yield func(*Entry) bool) {
-		for _, p := range j.order {
-			if e := j.entries[p.id]; e != nil && e.seq == p.n && !yield(e) {
+		for _, position := range j.order {
+			if entry := j.entries[position.id]; entry != nil && entry.sequence == position.sequence && !yield(entry) {
 				return
 			}
 		}
 	}
 }
 
-// Entry is what is held of a message; nil if it has ended.
+// Entry returns the entry of a pending message, nil if there is none or it has ended.
 func (j *Journal) Entry(id string) *Entry { return j.entries[id] }
 
-// Damaged tells whether records that had been written could not be read as it was opened.
+// Damaged reports whether records that had been written could not be read when the journal was opened.
 func (j *Journal) Damaged() bool { return j.damaged }
 
-// Len is how many messages are held.
+// Len returns the number of pending messages.
 func (j *Journal) Len() int { return len(j.entries) }
 
-// Crowded tells whether what is held takes three eighths of the budget: the file and its copy need half of what is left, too.
-func (j *Journal) Crowded() bool { return 8*j.live > 3*j.budget }
+// NearlyFull reports whether the pending messages use more than three eighths of the budget. The file and its copy need
+// half of the remainder, too.
+func (j *Journal) NearlyFull() bool { return 8*j.compactedBytes > 3*j.budgetBytes }
 
-// Size is the length of the file in bytes.
-func (j *Journal) Size() int64 { return j.size }
+// Size returns the length of the file in bytes.
+func (j *Journal) Size() int64 { return j.fileBytes }
 
-// Unwell are hosts in an outage, or cold after it.
-func (j *Journal) Unwell() iter.Seq2[string, Record] { return maps.All(j.unwell) }
+// Outages iterates over the hosts that are in an outage or cold after one.
+func (j *Journal) Outages() iter.Seq2[string, Record] { return maps.All(j.outages) }
 
-// ByHand are hosts that operators took out, or gave back not long ago.
-func (j *Journal) ByHand() iter.Seq2[string, Record] { return maps.All(j.byHand) }
+// DisabledHosts iterates over the hosts that operators disabled or recently enabled again.
+func (j *Journal) DisabledHosts() iter.Seq2[string, Record] { return maps.All(j.disabledHosts) }
 
-// Out tells whether operators have taken a host out.
-func (j *Journal) Out(host string) bool { return j.byHand[host].Ran }
+// Disabled reports whether operators have disabled a host.
+func (j *Journal) Disabled(host string) bool { return j.disabledHosts[host].Flag }
--- a/internal/journal/journal.go
+++ b/internal/journal/journal.go
@@ -1,5 +1,5 @@
-// Package journal is the durable record of the messages that a relay owes their end, and of what it has to
-// remember of endpoints across its processes: one append-only file that a start replays and compacts.
+// Package journal is the durable record of the messages whose end a relay is responsible for, and of what it must know of
+// endpoints across restarts: one append-only file that is replayed and compacted when it is opened.
 package journal
 
 import (
@@ -12,197 +12,200 @@
 	"larchrouter/internal/remedy"
 )
 
-// The file holds records: length, CRC32, JSON. What write(2) has taken outlasts
-// the process, so nothing is synced. Times in it are Unix milliseconds.
+// The file is a sequence of records: length, CRC32, JSON. What write(2) has accepted outlives the process, so nothing is
+// synced. Times are Unix milliseconds.
 
 const (
-	headerSize = 8
-	maxRecord  = 256 << 10
-	blockSize  = 512     // each file counts in whole blocks
-	slack      = 384     // room for an entry's history beyond what it was taken on with
-	ownReserve = 1 << 17 // of a relay's own journal, kept for records of messages already held
-	// forgetUnwell is when an outage last heard of is over for a relay that starts.
-	forgetUnwell = 5 * time.Minute
-	markMost     = 4 << 10 // room for an estate's mark
+	frameHeaderSize   = 8
+	maxRecordBytes    = 256 << 10
+	blockSize         = 512     // each file counts in whole blocks
+	historyBytes      = 384     // bytes for the history of an entry beyond the record that accepted it
+	relayReserveBytes = 1 << 17 // bytes of a relay's own journal that are reserved for records of pending messages
+	// outageExpiry is the age at which the last record of an outage, or of a host that was enabled again, no longer counts when
+	// the journal is compacted, which each start does.
+	outageExpiry    = 5 * time.Minute
+	groupStateBytes = 4 << 10 // bytes for the state of a replication group
 )
 
-// Journal is one relay's, open in one process. It is not safe for concurrent use.
+// Journal is the journal of one relay, or of one copy. Only one process may have it open. It is not safe for concurrent use.
 type Journal struct {
-	path    string
-	budget  int64 // for all files together
-	f       *os.File
-	size    int64
-	reserve int64            // of the budget, kept for records of messages already held
-	live    int64            // what a compacted journal takes at most
-	held    map[uint64]int64 // what messages take of a copy at the most, by estate
-	entries map[string]*Entry
-	unwell  map[string]Record // hosts in an outage, or cold after it
-	byHand  map[string]Record // hosts that operators took out, or gave back not long ago
-	waits   map[string]Record // told by hosts, and not over
-	marks   map[uint64]Mark   // of estates
-	order   []place           // as taken on; ended ones are dropped by compaction, and an id may come again before that
-	places  uint64
-	damaged bool  // what was read had other bytes than were written
-	broken  error // nothing can be written
-	away    bool  // the file may be another process's
-	uncut   bool  // for a failed write left half a record, which could not be cut back yet
+	path           string
+	budgetBytes    int64 // limit for all files together
+	file           *os.File
+	fileBytes      int64
+	reserveBytes   int64            // part of the budget reserved for records of pending messages
+	compactedBytes int64            // maximum size of a compacted journal
+	copyBytes      map[uint64]int64 // maximum number of bytes of the messages in a copy, by group
+	entries        map[string]*Entry
+	outages        map[string]Record     // hosts in an outage or cold after one
+	disabledHosts  map[string]Record     // hosts that operators disabled or recently enabled again
+	retryAfters    map[string]Record     // waits that hosts asked for
+	groups         map[uint64]GroupState // states of replication groups
+	order          []orderEntry          // order of acceptance; compaction drops ended messages, and an id may be accepted again before that
+	lastSequence   uint64
+	damaged        bool  // intact records followed bytes that could not be read
+	writeError     error // why nothing can be written
+	stopped        bool  // by StopWriting: another process may own the file
+	partialRecord  bool  // a failed write left part of a record that could not be truncated yet
 }
 
-// place is where a message stands in the order.
-type place struct {
-	id string
-	n  uint64
+// orderEntry is a message in the order of acceptance.
+type orderEntry struct {
+	id       string
+	sequence uint64
 }
 
-func empty(path string, budget, reserve int64) *Journal {
-	return &Journal{path: path, budget: budget, reserve: reserve, held: map[uint64]int64{}, entries: map[string]*Entry{}, unwell: map[string]Record{}, byHand: map[string]Record{},
-		waits: map[string]Record{}, marks: map[uint64]Mark{}}
+func newJournal(path string, budget, reserve int64) *Journal {
+	return &Journal{path: path, budgetBytes: budget, reserveBytes: reserve, copyBytes: map[uint64]int64{}, entries: map[string]*Entry{}, outages: map[string]Record{}, disabledHosts: map[string]Record{},
+		retryAfters: map[string]Record{}, groups: map[uint64]GroupState{}}
 }
 
-// Open replays what an earlier process left and starts a compacted file. While the folder cannot be written it goes on with
-// the old one.
-func Open(dir string, budget int64) (*Journal, error) { return openWith(dir, budget, ownReserve) }
+// Open replays the journal that an earlier process left and compacts it. While the folder cannot be written it continues
+// with the existing file.
+func Open(dir string, budget int64) (*Journal, error) {
+	return openWithReserve(dir, budget, relayReserveBytes)
+}
 
-// usableOf is what records may take of a budget: both files count in whole blocks.
-func usableOf(budget int64) int64 { return budget - 4*blockSize }
+// usableBytes returns how much of a budget records may use, as both files count in whole blocks.
+func usableBytes(budget int64) int64 { return budget - 4*blockSize }
 
-func openWith(dir string, budget, reserve int64) (*Journal, error) {
-	j := empty(filepath.Join(dir, fileName), usableOf(budget), reserve)
-	if err := unfenced(filepath.Join(dir, oldNext)); err != nil {
+func openWithReserve(dir string, budget, reserve int64) (*Journal, error) {
+	journal := newJournal(filepath.Join(dir, fileName), usableBytes(budget), reserve)
+	if err := removeLeftover(filepath.Join(dir, fenceName)); err != nil {
 		slog.Warn("journal", "err", err, "remedy", remedy.Of(err))
 	}
-	data, err := os.ReadFile(j.path)
+	data, err := os.ReadFile(journal.path)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, err
 	}
-	sound := 0 // bytes up to the end of the last sound record
-	for at := 0; at < len(data); {
-		r, n, err := unframe(data[at:])
+	intactBytes := 0 // bytes up to the end of the last intact record
+	for offset := 0; offset < len(data); {
+		record, size, err := decodeFrame(data[offset:])
 		if err != nil {
-			// The tail that was being written when the process died, or damage: what can be read
-			// behind it still tells of messages that are owed their end.
-			skip := nextFrame(data[at:])
-			if skip < 0 {
+			// This is the end of the file that was being written when the process was killed, or damage: intact records behind it
+			// still belong to messages whose end is due.
+			skipped := findNextFrame(data[offset:])
+			if skipped < 0 {
 				break
 			}
-			slog.Warn("journal is damaged", "at", at, "bytes", skip, "err", err)
-			j.doubt()
-			j.damaged = true
-			at += skip
+			slog.Warn("journal is damaged; skipping unreadable bytes", "at", offset, "bytes", skipped, "err", err)
+			journal.markInDoubt()
+			journal.damaged = true
+			offset += skipped
 			continue
 		}
-		j.apply(r, int64(n))
-		at += n
-		sound = at
+		journal.apply(record, int64(size))
+		offset += size
+		intactBytes = offset
 	}
-	// A leftover copy is of a compaction that a kill cut short: the old file still holds all.
-	j.size = int64(len(data))
-	if err := j.Compact(); err != nil {
-		slog.Error("the old journal goes on", "err", err, "remedy", remedy.Of(err))
-		j.goOn(int64(sound))
+	// A leftover copy is of a compaction that a kill interrupted: the old file is still complete.
+	journal.fileBytes = int64(len(data))
+	if err := journal.Compact(); err != nil {
+		slog.Error("journal could not be compacted; continuing with the existing file", "err", err, "remedy", remedy.Of(err))
+		journal.openExisting(int64(intactBytes))
 	}
-	return j, nil
+	return journal, nil
 }
 
-// doubt takes it that each message known so far was sent, long ago, in records that are lost:
-// it may not go again where a repeat does harm, and is given back where it does none.
-func (j *Journal) doubt() {
+// markInDoubt assumes that each message known so far was sent, long ago, in records that are lost: it may not be sent again
+// where a repeat does harm, and is rejected to its sender where a repeat does none.
+func (j *Journal) markInDoubt() {
 	for _, e := range j.entries {
-		if e.Status == "" {
-			e.Ran, e.RanAt = true, 0
+		if e.NoticeStatus == "" {
+			e.MayHaveRun, e.MayHaveRunAt = true, 0
 		}
 	}
 }
 
-// apply brings the entries up to date with one record.
-func (j *Journal) apply(r Record, n int64) {
-	e := j.entries[r.ID]
+// apply updates the state with one record of recordBytes bytes.
+func (j *Journal) apply(record Record, recordBytes int64) {
+	entry := j.entries[record.ID]
 	switch {
-	case r.Op == OpHealth && r.Ran:
-		if _, ok := j.unwell[r.ID]; !ok {
-			j.live += slack
+	case record.Op == OpHealth && record.Flag:
+		if _, ok := j.outages[record.ID]; !ok {
+			j.compactedBytes += historyBytes
 		}
-		j.unwell[r.ID] = r
-	case r.Op == OpHealth:
-		if _, ok := j.unwell[r.ID]; ok {
-			j.live -= slack
+		j.outages[record.ID] = record
+	case record.Op == OpHealth:
+		if _, ok := j.outages[record.ID]; ok {
+			j.compactedBytes -= historyBytes
 		}
-		delete(j.unwell, r.ID)
-	case r.Op == OpByHand:
-		if _, ok := j.byHand[r.ID]; !ok {
-			j.live += slack
+		delete(j.outages, record.ID)
+	case record.Op == OpDisabled:
+		if _, ok := j.disabledHosts[record.ID]; !ok {
+			j.compactedBytes += historyBytes
 		}
-		j.byHand[r.ID] = r
-	case r.Op == OpWait:
-		if _, ok := j.waits[r.ID]; !ok {
-			j.live += slack
+		j.disabledHosts[record.ID] = record
+	case record.Op == OpRetryAfter:
+		if _, ok := j.retryAfters[record.ID]; !ok {
+			j.compactedBytes += historyBytes
 		}
-		j.waits[r.ID] = r
-	case r.Op == OpMark && r.Mark != nil:
-		j.mark(*r.Mark)
-	case r.Op == OpCount:
-		if m, ok := j.marks[r.Estate]; ok {
-			m.Next = max(m.Next, r.Next)
-			j.marks[r.Estate] = m
+		j.retryAfters[record.ID] = record
+	case record.Op == OpGroupState && record.GroupState != nil:
+		j.setGroupState(*record.GroupState)
+	case record.Op == OpGroupNext:
+		if state, ok := j.groups[record.Group]; ok {
+			state.Next = max(state.Next, record.NextRecord)
+			j.groups[record.Group] = state
 		}
-	case r.Op == OpTaken && r.Entry != nil && j.entries[r.Entry.ID] == nil:
-		e = r.Entry
-		e.size = n + slack
-		j.live += e.size
-		j.held[e.Estate] += e.size + slack
-		j.entries[e.ID] = e
-		j.places++
-		e.seq = j.places
-		j.order = append(j.order, place{e.ID, e.seq})
-	case e == nil:
-	case r.Op == OpTry:
-		e.Tries++
-		e.Out, e.OutAt, e.OutTo, e.Wait = true, r.At, r.Zone, r.Wait
-	case r.Op == OpOutcome && e.Out:
-		e.Out = false
-		if r.Ran && !e.Ran {
-			e.Ran, e.RanAt, e.Zone = true, e.OutAt, e.OutTo
+	case record.Op == OpAccepted && record.Entry != nil && j.entries[record.Entry.ID] == nil:
+		entry = record.Entry
+		entry.compactedBytes = recordBytes + historyBytes
+		j.compactedBytes += entry.compactedBytes
+		j.copyBytes[entry.Group] += entry.compactedBytes + historyBytes
+		j.entries[entry.ID] = entry
+		j.lastSequence++
+		entry.sequence = j.lastSequence
+		j.order = append(j.order, orderEntry{entry.ID, entry.sequence})
+	case entry == nil:
+	case record.Op == OpTry:
+		entry.Tries++
+		entry.InFlight, entry.LastTryAt, entry.LastTryZone, entry.TimeoutMs = true, record.At, record.Zone, record.WaitMs
+	case record.Op == OpOutcome && entry.InFlight:
+		entry.InFlight = false
+		if record.Flag && !entry.MayHaveRun {
+			entry.MayHaveRun, entry.MayHaveRunAt, entry.Zone = true, entry.LastTryAt, entry.LastTryZone
 		}
-	case r.Op == OpNotice:
-		e.Status, e.Again, e.Body, e.Out = r.Status, r.Again, nil, false
-	case r.Op == OpEnd:
-		j.live -= e.size
-		j.letGo(e)
-		delete(j.entries, r.ID)
+	case record.Op == OpNotice:
+		entry.NoticeStatus, entry.RetryAfterMs, entry.Body, entry.InFlight = record.Status, record.RetryAfterMs, nil, false
+	case record.Op == OpEnd:
+		j.compactedBytes -= entry.compactedBytes
+		j.releaseCopyBytes(entry)
+		delete(j.entries, record.ID)
 	}
 }
 
-// Append writes records and applies them. When it fails nothing was recorded.
-func (j *Journal) Append(recs ...Record) error {
-	if err := j.usable(); err != nil {
+// Append writes records and applies them. If it fails, none was recorded. Without space it returns ErrFull.
+func (j *Journal) Append(records ...Record) error {
+	if err := j.checkWritable(); err != nil {
 		return err
 	}
 	var buf []byte
-	var grows, spare int64
-	ends := make([]int64, len(recs))
-	for i, r := range recs {
-		before := len(buf)
-		buf = frame(buf, r)
-		ends[i] = int64(len(buf) - before)
-		switch r.Op {
-		case OpTaken:
-			grows += ends[i] + slack
-			spare = j.reserve
-		case OpHealth, OpByHand, OpWait:
-			grows += slack
-		case OpMark:
-			grows += markMost
+	var growth, reserve int64
+	recordBytes := make([]int64, len(records))
+	for i, record := range records {
+		start := len(buf)
+		buf = appendFrame(buf, record)
+		recordBytes[i] = int64(len(buf) - start)
+		switch record.Op {
+		case OpAccepted:
+			growth += recordBytes[i] + historyBytes
+			reserve = j.reserveBytes
+		case OpHealth, OpDisabled, OpRetryAfter:
+			growth += historyBytes
+		case OpGroupState:
+			growth += groupStateBytes
 		}
 	}
-	n := int64(len(buf))
-	// The file and its compacted copy must fit together at any time. What is taken on must leave that so once everything
-	// held has all of its history: a record of its end could not be written otherwise.
+	written := int64(len(buf))
+	// The file and its compacted copy must fit the budget together at any time. Accepting a message must preserve that even
+	// after all pending messages have their full history: their ends could not be recorded otherwise.
 	fits := func() bool {
-		file, live := j.size+n, j.live+grows
-		if spare > 0 {
+		file, live := j.fileBytes+written, j.compactedBytes+growth
+		if reserve > 0 {
 			file = max(file, live)
 		}
-		return file+live+spare <= j.budget
+		return file+live+reserve <= j.budgetBytes
 	}
 	if !fits() {
 		if err := j.Compact(); err != nil {
@@ -212,17 +215,17 @@
 			return ErrFull
 		}
 	}
-	if _, err := j.f.WriteAt(buf, j.size); err != nil {
-		// Half a record would hide all that follows it from a replay.
-		if terr := j.f.Truncate(j.size); terr != nil {
-			j.uncut = true
-			j.broken = onDisk("half a record was written, and could not be cut back", errors.Join(err, terr))
+	if _, err := j.file.WriteAt(buf, j.fileBytes); err != nil {
+		// A partial record would hide all records behind it from a replay.
+		if truncateErr := j.file.Truncate(j.fileBytes); truncateErr != nil {
+			j.partialRecord = true
+			j.writeError = diskFailure("half a record was written, and could not be cut back", errors.Join(err, truncateErr))
 		}
-		return onDisk("a record could not be written", err)
+		return diskFailure("a record could not be written", err)
 	}
-	j.size += n
-	for i, r := range recs {
-		j.apply(r, ends[i])
+	j.fileBytes += written
+	for i, record := range records {
+		j.apply(record, recordBytes[i])
 	}
 	return nil
 }
--- a/internal/journal/scale_test.go
+++ b/internal/journal/scale_test.go
@@ -16,97 +16,97 @@
 //
 //	go test -run '^$' -bench Scale -benchtime 0.3s -count 3 ./internal/journal
 
-// sizes are those of a benchmark; the last ones are left out with -short.
-func sizes(long int, all ...int) []int {
+// benchmarkSizes returns the sizes of a benchmark, without the last ones with -short.
+func benchmarkSizes(long int, all ...int) []int {
 	if testing.Short() {
 		return all[:len(all)-long]
 	}
 	return all
 }
 
-// entry is a message of 200 bytes with the terms that a relay records.
-func entry(id string) Record {
-	return Record{Op: OpTaken, Entry: &Entry{ID: id, Class: "job-order", Dest: 7, Tenant: "acme", Key: "5c0f6e1a2b3d4c59a8b7c6d5" + id,
+// entryWithTerms returns the record of an accepted message of 200 bytes, with terms as a relay records them.
+func entryWithTerms(id string) Record {
+	return Record{Op: OpAccepted, Entry: &Entry{ID: id, Class: "job-order", Dest: 7, Tenant: "acme", Key: "5c0f6e1a2b3d4c59a8b7c6d5" + id,
 		Due: time.Now().Add(time.Hour).UnixMilli(), Body: bytes.Repeat([]byte("x"), 200),
 		Terms: &choice.Terms{Class: choice.Class{Name: "job-order", Aim: 2 * time.Second, Deadline: 16 * time.Second, Worth: 1,
 			LateShare: 0.3, Effect: choice.Keyed, SameZone: true, Window: 15 * time.Second}, Attempts: 6}}}
 }
 
-// filled is a journal with room for so many bytes that holds so many messages.
-func filled(tb testing.TB, dir string, budget int64, messages int) *Journal {
+// openFilled returns a journal with that budget in bytes and that many pending messages.
+func openFilled(tb testing.TB, dir string, budget int64, messages int) *Journal {
 	tb.Helper()
-	j, err := Open(dir, budget)
+	journal, err := Open(dir, budget)
 	if err != nil {
 		tb.Fatal(err)
 	}
 	for i := 0; i < messages; {
-		var recs []Record
-		for ; i < messages && len(recs) < 1000; i++ {
-			recs = append(recs, entry(fmt.Sprintf("held%08d", i)))
+		var records []Record
+		for ; i < messages && len(records) < 1000; i++ {
+			records = append(records, entryWithTerms(fmt.Sprintf("held%08d", i)))
 		}
-		if err := j.Append(recs...); err != nil {
+		if err := journal.Append(records...); err != nil {
 			tb.Fatal(i, err)
 		}
 	}
-	return j
+	return journal
 }
 
-// pass has one message be taken on, tried and ended, and returns the bytes written for it, and those written again by
-// compactions on the way.
-func pass(tb testing.TB, j *Journal, n int) (written, again int64) {
+// passMessage accepts, tries and ends one message. It returns the bytes written for it, and the bytes that compactions on
+// the way wrote again.
+func passMessage(tb testing.TB, j *Journal, n int) (written, rewritten int64) {
 	id := fmt.Sprintf("pass%08d", n)
-	for _, r := range []Record{entry(id), {Op: OpTry, ID: id, At: 1, Wait: 2000}, {Op: OpEnd, ID: id}} {
-		size := int64(len(frame(nil, r)))
-		before := j.size
+	for _, r := range []Record{entryWithTerms(id), {Op: OpTry, ID: id, At: 1, WaitMs: 2000}, {Op: OpEnd, ID: id}} {
+		size := int64(len(appendFrame(nil, r)))
+		before := j.fileBytes
 		if err := j.Append(r); err != nil {
 			tb.Fatal(err)
 		}
-		if written += size; j.size != before+size {
-			again += j.size - size
+		if written += size; j.fileBytes != before+size {
+			rewritten += j.fileBytes - size
 		}
 	}
-	return written, again
+	return written, rewritten
 }
 
-// BenchmarkScaleBytesByHeld is what a message writes that passes while so many others are held, in a journal with room for
-// 16 MB: its own records, and what compactions write again.
+// BenchmarkScaleBytesByHeld measures the bytes written for a message while others are pending, in a journal with a budget
+// of 16 MB: its own records, and its share of what compactions write again.
 func BenchmarkScaleBytesByHeld(b *testing.B) {
 	const budget = 16e6
 	for _, n := range []int{60, 600, 3_000, 6_000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			j := filled(b, b.TempDir(), budget, n)
+			j := openFilled(b, b.TempDir(), budget, n)
 			defer j.Close()
-			var written, again int64
+			var written, rewritten int64
 			i := 0
-			one := func() {
-				w, a := pass(b, j, i)
-				written, again = written+w, again+a
+			passOne := func() {
+				w, a := passMessage(b, j, i)
+				written, rewritten = written+w, rewritten+a
 				i++
 			}
-			for again == 0 { // to the first compaction
-				one()
+			for rewritten == 0 { // up to the first compaction
+				passOne()
 			}
-			written, again, i = 0, 0, 0
-			for again == 0 { // and to the next: what lies between is what each of them is for
-				one()
+			written, rewritten, i = 0, 0, 0
+			for rewritten == 0 { // up to the next one, whose cost the messages in between share
+				passOne()
 			}
-			own, rewritten := float64(written)/float64(i), float64(again)/float64(i)
+			ownPerMessage, rewrittenPerMessage := float64(written)/float64(i), float64(rewritten)/float64(i)
 			for b.Loop() {
-				one()
+				passOne()
 			}
-			b.ReportMetric(own, "B/msg")
-			b.ReportMetric(rewritten, "again-B/msg")
+			b.ReportMetric(ownPerMessage, "B/msg")
+			b.ReportMetric(rewrittenPerMessage, "again-B/msg")
 		})
 	}
 }
 
-// BenchmarkScaleStartByHeld is what a start takes with so many messages held: time, what is allocated on the way, and what
-// stays. The file is in the machine's cache.
+// BenchmarkScaleStartByHeld measures a start by the number of pending messages: its time, the bytes it allocates, and those
+// that stay allocated. The file is in the page cache.
 func BenchmarkScaleStartByHeld(b *testing.B) {
-	for _, n := range sizes(1, 1_000, 10_000, 50_000, 200_000) {
-		b.Run(fmt.Sprint(n), func(b *testing.B) {
+	for _, messages := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
+		b.Run(fmt.Sprint(messages), func(b *testing.B) {
 			dir := b.TempDir()
-			filled(b, dir, 4e9, n).Close()
+			openFilled(b, dir, 4e9, messages).Close()
 			info, err := os.Stat(filepath.Join(dir, "journal"))
 			if err != nil {
 				b.Fatal(err)
@@ -114,36 +114,36 @@
 			var before, after runtime.MemStats
 			runtime.GC()
 			runtime.ReadMemStats(&before)
-			j, err := Open(dir, 4e9)
-			if err != nil || j.Len() != n {
-				b.Fatal(j.Len(), err)
+			journal, err := Open(dir, 4e9)
+			if err != nil || journal.Len() != messages {
+				b.Fatal(journal.Len(), err)
 			}
 			runtime.ReadMemStats(&after)
 			allocated := after.TotalAlloc - before.TotalAlloc
 			runtime.GC()
 			runtime.ReadMemStats(&after)
-			held := float64(after.HeapAlloc) - float64(before.HeapAlloc)
-			j.Close()
+			retained := float64(after.HeapAlloc) - float64(before.HeapAlloc)
+			journal.Close()
 			for b.Loop() {
-				j, err := Open(dir, 4e9)
-				if err != nil || j.Len() != n {
-					b.Fatal(j.Len(), err)
+				journal, err := Open(dir, 4e9)
+				if err != nil || journal.Len() != messages {
+					b.Fatal(journal.Len(), err)
 				}
-				j.Close()
+				journal.Close()
 			}
-			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(n), "ns/held")
-			b.ReportMetric(float64(info.Size())/float64(n), "file-B/held")
-			b.ReportMetric(held/float64(n), "B/held")
-			b.ReportMetric(float64(allocated)/float64(n), "alloc-B/held")
+			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(messages), "ns/held")
+			b.ReportMetric(float64(info.Size())/float64(messages), "file-B/held")
+			b.ReportMetric(retained/float64(messages), "B/held")
+			b.ReportMetric(float64(allocated)/float64(messages), "alloc-B/held")
 		})
 	}
 }
 
-// BenchmarkScaleCompactByHeld is how long the loop stands still while a journal of so many messages is written anew.
+// BenchmarkScaleCompactByHeld measures how long a compaction blocks the loop, by the number of pending messages.
 func BenchmarkScaleCompactByHeld(b *testing.B) {
-	for _, n := range sizes(1, 1_000, 10_000, 50_000, 200_000) {
+	for _, n := range benchmarkSizes(1, 1_000, 10_000, 50_000, 200_000) {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			j := filled(b, b.TempDir(), 4e9, n)
+			j := openFilled(b, b.TempDir(), 4e9, n)
 			defer j.Close()
 			for b.Loop() {
 				if err := j.Compact(); err != nil {
@@ -155,26 +155,27 @@
 	}
 }
 
-// Guards the benchmarks above: what passes leaves what is held, compactions come and are counted, and a start finds all.
-func TestScaleSetUps(t *testing.T) {
+// Guards the setup of the benchmarks above: passing messages leave the pending ones, compactions happen and are counted, and
+// a start finds all messages.
+func TestScaleBenchmarkSetup(t *testing.T) {
 	dir := t.TempDir()
-	j := filled(t, dir, 1e6, 100)
-	var written, again int64
-	n := 0
-	for again == 0 {
-		w, a := pass(t, j, n)
-		written, again = written+w, again+a
-		n++
+	journal := openFilled(t, dir, 1e6, 100)
+	var written, rewritten int64
+	passed := 0
+	for rewritten == 0 {
+		w, a := passMessage(t, journal, passed)
+		written, rewritten = written+w, rewritten+a
+		passed++
 	}
-	if j.Len() != 100 || n < 500 || written < 700*int64(n) || again < 100*500 || again > 100*1000 {
-		t.Errorf("%d messages held, want 100; %d passed with %d bytes, and %d were written again", j.Len(), n, written, again)
+	if journal.Len() != 100 || passed < 500 || written < 700*int64(passed) || rewritten < 100*500 || rewritten > 100*1000 {
+		t.Errorf("%d messages pending, want 100; %d passed with %d bytes, and %d bytes were written again", journal.Len(), passed, written, rewritten)
 	}
-	if err := j.Compact(); err != nil || j.Len() != 100 {
-		t.Errorf("%d messages held after it was written anew, %v", j.Len(), err)
+	if err := journal.Compact(); err != nil || journal.Len() != 100 {
+		t.Errorf("%d messages pending after compaction, %v", journal.Len(), err)
 	}
-	j.Close()
-	if j = filled(t, dir, 1e6, 0); j.Len() != 100 {
-		t.Errorf("%d messages after a start, want 100", j.Len())
+	journal.Close()
+	if journal = openFilled(t, dir, 1e6, 0); journal.Len() != 100 {
+		t.Errorf("%d messages after a start, want 100", journal.Len())
 	}
-	j.Close()
+	journal.Close()
 }
