--- a/internal/listen/listen.go
+++ b/internal/listen/listen.go
@@ -1,6 +1,6 @@
-// Package listen keeps a listener in service while its system calls fail. accept(2) may return errors of the network, of the
-// connection that it was about to return, or for want of memory or descriptors; all of them pass, and none says that the
-// listener is lost.
+// Package listen keeps a listener in service while its system calls fail. accept(2) may return errors of the network or of the
+// connection that it was about to return, or errors for lack of memory or descriptors. All of them are transient, and none means
+// that the listener is lost.
 package listen
 
 import (
@@ -13,73 +13,76 @@
 	"time"
 )
 
-// The pauses after tries that failed: they double, and begin anew once one succeeds.
+// The bounds of the pauses after failed calls. A pause doubles with each failure in a row.
 const (
-	firstPause = 5 * time.Millisecond
-	longPause  = 200 * time.Millisecond
+	minPause = 5 * time.Millisecond
+	maxPause = 200 * time.Millisecond
 )
 
-// startFor is how long TCP tries while the machine lacks what a socket takes.
-const startFor = 3 * time.Second
+// retryTimeout is how long TCP retries while the machine has no descriptor or memory for a socket.
+const retryTimeout = 3 * time.Second
 
-// TCP listens at an address. Where the machine has no descriptor or memory for a socket, it tries again for a moment.
+// TCP listens on a TCP address. It retries for a few seconds while the machine has no descriptor or memory for a socket.
 func TCP(addr string) (net.Listener, error) {
 	var backoff Backoff
-	for begin := time.Now(); ; {
+	for startedAt := time.Now(); ; {
 		l, err := net.Listen("tcp", addr)
-		if err == nil || !lacking(err) || time.Since(begin) > startFor {
+		if err == nil || !isResourceShortage(err) || time.Since(startedAt) > retryTimeout {
 			return l, err
 		}
 		backoff.Wait(nil, err)
 	}
 }
 
-// lacking tells whether the machine had no descriptor or memory for a socket.
-func lacking(err error) bool {
-	for _, e := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
-		if errors.Is(err, e) {
+// isResourceShortage reports whether a call failed because the machine had no descriptor or memory for a socket, or because it was
+// interrupted.
+func isResourceShortage(err error) bool {
+	for _, shortage := range []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EINTR} {
+		if errors.Is(err, shortage) {
 			return true
 		}
 	}
 	return false
 }
 
-// Passes tells whether an error of Accept passes: all but the end of the listener and of a deadline that was set on it.
-func Passes(err error) bool {
+// IsTransient reports whether Accept may succeed after err. That holds for all errors except the closing of the listener and the
+// end of a deadline that was set on it.
+func IsTransient(err error) bool {
 	return err != nil && !errors.Is(err, net.ErrClosed) && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// Backoff spaces tries to accept that fail. The zero value is ready; it is not safe for use by several goroutines.
-type Backoff struct{ next time.Duration }
+// Backoff determines the pauses between failed calls of a listener. The zero value is ready for use. It is not safe for concurrent
+// use.
+type Backoff struct{ pause time.Duration }
 
-// Wait pauses after a try that failed. The first one in a row is logged.
+// Wait pauses after a failed call. It logs the first failure in a row.
 func (b *Backoff) Wait(addr net.Addr, err error) {
-	if b.next == 0 {
-		b.next = firstPause
-		slog.Warn("a listener's call failed; trying again", "addr", addr, "err", err)
+	if b.pause == 0 {
+		b.pause = minPause
+		slog.Warn("listener call failed; retrying", "addr", addr, "err", err)
 	}
-	time.Sleep(b.next)
-	b.next = min(2*b.next, longPause)
+	time.Sleep(b.pause)
+	b.pause = min(2*b.pause, maxPause)
 }
 
-// Done takes in a try that succeeded.
-func (b *Backoff) Done() { b.next = 0 }
+// Reset records a call that succeeded.
+func (b *Backoff) Reset() { b.pause = 0 }
 
-// Lasting returns a listener whose Accept tries again after errors that pass.
-func Lasting(l net.Listener) net.Listener { return &lasting{Listener: l} }
+// Retrying returns a listener whose Accept retries after transient errors.
+func Retrying(l net.Listener) net.Listener { return &retryingListener{Listener: l} }
 
-type lasting struct {
+type retryingListener struct {
 	net.Listener
 	mu      sync.Mutex // Accept may be called by several goroutines
 	backoff Backoff
 }
 
-func (l *lasting) Accept() (net.Conn, error) {
+func (l *retryingListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
-		if !Passes(err) {
+		if !IsTransient(err) {
 			l.mu.Lock()
-			l.backoff.Done()
+			l.backoff.Reset()
 			l.mu.Unlock()
 			return conn, err
 		}
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -13,35 +13,36 @@
 	"larchrouter/internal/steady"
 )
 
-// The second address is for the operators and their tools. It has a server of its own, apart from
-// the clients', and nothing here waits for a caller while it holds what the loop needs.
+// The admin address serves operators and their tools. It has its own server, separate from the clients' one, and no
+// handler here waits for a caller while holding anything that the loop needs.
 
 const (
-	adminIn   = 2 * time.Second // for a call to come in whole: callers wait 1 s
-	adminMost = 24              // connections; the one longest without a call makes room for the next
+	adminTimeout  = 2 * time.Second // for a whole request and its response; callers wait 1 s
+	maxAdminConns = 24              // beyond that, the one that has gone longest without a request is closed
 )
 
-// listenAdmin serves the second address from now on: a process that cannot serve yet says so.
+// listenAdmin starts to serve the admin address, so that a process that is not ready yet can report that.
 func (r *Relay) listenAdmin(addr string) error {
-	l, err := listen.TCP(addr)
+	tcpListener, err := listen.TCP(addr)
 	if err != nil {
-		return fmt.Errorf("second address: %w", err)
+		return fmt.Errorf("admin address: %w", err)
 	}
-	p := newPeers(l, adminMost)
-	r.adminPeers = p
+	limited := newLimitListener(tcpListener, maxAdminConns)
+	r.adminListener = limited
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", r.serveReady)
 	mux.HandleFunc("GET /metrics", r.serveMetrics)
-	mux.HandleFunc("PUT /endpoints/disable/{id}", r.serveByHand(true))
-	mux.HandleFunc("PUT /endpoints/enable/{id}", r.serveByHand(false))
-	r.admin = newServer(framed(mux), p)
-	r.admin.ReadTimeout, r.admin.WriteTimeout = adminIn, adminIn
-	r.admin.SetKeepAlivesEnabled(false)
-	r.adminAt = l.Addr()
-	go r.admin.Serve(p)
+	mux.HandleFunc("PUT /endpoints/disable/{id}", r.serveSetDisabled(true))
+	mux.HandleFunc("PUT /endpoints/enable/{id}", r.serveSetDisabled(false))
+	r.adminServer = newHTTPServer(requireContentLength(mux), limited)
+	r.adminServer.ReadTimeout, r.adminServer.WriteTimeout = adminTimeout, adminTimeout
+	r.adminServer.SetKeepAlivesEnabled(false)
+	r.adminAddr = tcpListener.Addr()
+	go r.adminServer.Serve(limited)
 	return nil
 }
 
+// serveReady responds 200 while clients may connect, and 503 otherwise.
 func (r *Relay) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.ready.Load() || r.draining.Load() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -50,61 +51,63 @@
 	fmt.Fprintln(w, "ready")
 }
 
+// serveMetrics responds with the metrics as text.
 func (r *Relay) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-	w.Write(r.figures.text())
+	w.Write(r.metrics.text())
 }
 
-// serveByHand takes an endpoint out, or gives it back. The answer comes once it holds.
-func (r *Relay) serveByHand(out bool) http.HandlerFunc {
+// serveSetDisabled returns the handler that disables or enables an endpoint for operators. It responds once the
+// change is in effect.
+func (r *Relay) serveSetDisabled(disable bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, req *http.Request) {
 		reply := make(chan error, 1)
-		r.post(func() { reply <- r.byHand(req.PathValue("id"), out) })
+		r.post(func() { reply <- r.setManuallyDisabled(req.PathValue("id"), disable) })
 		select {
 		case err := <-reply:
 			switch {
-			case errors.Is(err, errNoHost):
+			case errors.Is(err, errUnknownEndpoint):
 				http.Error(w, err.Error(), http.StatusNotFound)
 			case err != nil:
 				http.Error(w, err.Error(), http.StatusServiceUnavailable)
 			default:
 				fmt.Fprintln(w, "done")
 			}
-		case <-r.halted:
+		case <-r.loopEnded:
 			http.Error(w, "stopping", http.StatusServiceUnavailable)
 		}
 	}
 }
 
-// errNoHost says that operators named an endpoint that nobody has.
-var errNoHost = errors.New("no such endpoint")
+// errUnknownEndpoint means that operators named an endpoint that is neither on the list nor disabled.
+var errUnknownEndpoint = errors.New("no such endpoint")
 
-// errHandedOver says that the next process is the one to ask.
+// errHandedOver means that the request has to go to the next process.
 var errHandedOver = errors.New("handed over to the next process")
 
-// isOut tells whether operators took an endpoint out.
-func (r *Relay) isOut(id string) bool { return r.journal.Out(id) }
+// isManuallyDisabled reports whether operators disabled an endpoint.
+func (r *Relay) isManuallyDisabled(id string) bool { return r.journal.Disabled(id) }
 
-// byHand does what operators ask for an endpoint. Asking twice is as good as once. It is recorded
-// first: what they were told outlasts the process.
-func (r *Relay) byHand(id string, out bool) error {
-	if r.heir != nil {
+// setManuallyDisabled disables or enables an endpoint on behalf of operators. It is idempotent. The change is
+// recorded before it takes effect, because what operators were told has to survive the process. It runs in the loop.
+func (r *Relay) setManuallyDisabled(id string, disable bool) error {
+	if r.nextProcess != nil {
 		return errHandedOver
 	}
 	h := r.hosts[id]
 	switch {
-	case r.isOut(id) == out && (h != nil || out):
+	case r.isManuallyDisabled(id) == disable && (h != nil || disable):
 		return nil
-	case h == nil && !r.isOut(id):
-		return errNoHost
+	case h == nil && !r.isManuallyDisabled(id):
+		return errUnknownEndpoint
 	}
-	if err := r.bind([]journal.Record{{Op: journal.OpByHand, ID: id, Ran: out, At: steady.UnixMilli()}}, 0, nil); err != nil {
-		slog.Error("not taken out or given back", "endpoint", id, "err", err)
+	if err := r.bind([]journal.Record{{Op: journal.OpDisabled, ID: id, Flag: disable, At: steady.UnixMilli()}}, 0, nil); err != nil {
+		slog.Error("endpoint not disabled or enabled", "endpoint", id, "err", err)
 		return err
 	}
 	if h != nil {
-		h.closed.Store(out || h.listed != choice.Ready)
+		h.closed.Store(disable || h.state != choice.Ready)
 	}
-	r.events = append(r.events, choice.ByHand{Host: id, Out: out})
+	r.events = append(r.events, choice.ManualChange{Host: id, Disabled: disable})
 	return nil
 }
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -18,211 +18,217 @@
 )
 
 const (
-	backlogName = "backlog" // in the folder that lasts
-	// moveMost and moveBytes bound what one turn brings in, lookMost the destinations that it looks at for that.
-	moveMost, moveBytes, lookMost = 128, 512 << 10, 512
-	noKeyMemory                   = 192 // MB, where limits has no memory_mb
+	backlogFolder = "backlog" // a directory in the state directory
+	// maxMovedMessages and maxMovedBytes bound what one turn of the loop loads from disk, maxCheckedDests the
+	// destinations that it checks for that.
+	maxMovedMessages, maxMovedBytes, maxCheckedDests = 128, 512 << 10, 512
+	// defaultMemoryMB is the memory limit where the configuration has no memory_mb.
+	defaultMemoryMB = 192
 )
 
-// openStore is how the folder is opened. Tests set it.
+// openStore opens the backlog's directory. Tests replace it.
 var openStore = func(dir string, o backlog.Options) (store, error) { return backlog.Open(dir, o) }
 
-// Owing is a folder whose backlog holds messages, and a configuration that wants none.
-type Owing struct {
+// PendingBacklogError is the error for a directory whose backlog has messages while the configuration has no backlog.
+type PendingBacklogError struct {
 	Path     string
 	Messages int
 }
 
-func (o *Owing) Error() string {
-	return fmt.Sprintf("%s holds %d messages that are owed their end, and the configuration has no backlog", o.Path, o.Messages)
+func (e *PendingBacklogError) Error() string {
+	return fmt.Sprintf("%s holds %d messages that have not ended, but the configuration has no backlog", e.Path, e.Messages)
 }
 
 // Remedy says what an operator can do.
-func (o *Owing) Remedy() string {
+func (e *PendingBacklogError) Remedy() string {
 	return `put "backlog" back into the configuration until svc.backlog.messages is 0, then take it out`
 }
 
-// openBacklog takes up what lies on disk; the journal is open. Without the key there must be nothing.
+// openBacklog opens the backlog on disk; the journal must be open. If the configuration has no backlog, it removes an
+// empty one, and returns a PendingBacklogError for one with messages.
 func (r *Relay) openBacklog() error {
-	dir := filepath.Join(r.conf.State, backlogName)
-	if r.conf.Backlog == nil {
+	dir := filepath.Join(r.config.StateDir, backlogFolder)
+	if r.config.Backlog == nil {
 		if _, err := os.Stat(dir); errors.Is(err, fs.ErrNotExist) {
 			return nil
 		}
-		s, err := openStore(dir, backlog.Options{})
+		store, err := openStore(dir, backlog.Options{})
 		if err != nil {
 			return err
 		}
-		n := s.Len()
-		if s.Close(); n > 0 {
-			return &Owing{dir, n}
+		count := store.Len()
+		if store.Close(); count > 0 {
+			return &PendingBacklogError{dir, count}
 		}
-		return errors.Join(os.RemoveAll(dir), journal.Unfence(r.conf.State))
+		return errors.Join(os.RemoveAll(dir), journal.RemoveFence(r.config.StateDir))
 	}
-	memory := r.conf.MemoryMB
-	if memory <= 0 {
-		memory = noKeyMemory
+	memoryMB := r.config.MemoryMB
+	if memoryMB <= 0 {
+		memoryMB = defaultMemoryMB
 	}
-	bytes := min(int(memory*1e6/6), int(r.conf.journalBytes()/4))
-	r.overflow = newOverflow(dir, int64(r.conf.Backlog.DiskMB*1e6), state.Load{N: windowMost, Bytes: bytes})
-	return r.openFolder()
+	windowBytes := min(int(memoryMB*1e6/6), int(r.config.journalBytes()/4))
+	r.overflow = newOverflow(dir, int64(r.config.Backlog.DiskMB*1e6), state.Load{Messages: maxWindowMessages, Bytes: windowBytes})
+	return r.openBacklogFolder()
 }
 
-// openFolder opens the backlog's folder. What the journal has as well is off it from then on.
-func (r *Relay) openFolder() error {
+// openBacklogFolder opens the backlog's directory and removes the messages from it that the journal has as well.
+func (r *Relay) openBacklogFolder() error {
 	o := r.overflow
-	s, err := openStore(o.dir, backlog.Options{Disk: o.disk})
+	opened, err := openStore(o.dir, backlog.Options{DiskBytes: o.diskBytes})
 	if err != nil {
 		return err
 	}
-	o.store = s
-	r.toldOfDamage()
-	for e := range r.journal.All() {
-		if s.LenOf(e.Dest) == 0 {
+	o.store = opened
+	r.logBacklogDamage()
+	for recorded := range r.journal.All() {
+		if opened.LenOf(recorded.Dest) == 0 {
 			continue
 		}
-		h, there, err := s.Find(e.Dest, e.ID)
-		if err == nil && there {
-			err = s.Out(e.Dest, h.Place)
+		stored, found, err := opened.Find(recorded.Dest, recorded.ID)
+		if err == nil && found {
+			err = opened.Remove(recorded.Dest, stored.Sequence)
 		}
 		if err != nil {
-			o.shut()
+			o.closeStore()
 			return err
 		}
 	}
-	for _, m := range o.moved {
+	for _, m := range o.moving {
 		m.place = 0
 	}
-	slog.Info("backlog opened", "held", s.Len(), "bytes", s.Bytes())
+	slog.Info("backlog opened", "held", opened.Len(), "bytes", opened.Bytes())
 	return nil
 }
 
-func (r *Relay) toldOfDamage() {
-	for _, err := range r.overflow.store.Damage() {
+func (r *Relay) logBacklogDamage() {
+	for _, err := range r.overflow.store.TakeDamageReports() {
 		slog.Error("backlog is damaged", "err", err, "remedy", remedy.Of(err))
 	}
 }
 
-// liesOnDisk answers a client whose message waits on disk, or is about to: it sent it again after its connection broke.
-func (r *Relay) liesOnDisk(in *intake) bool {
+// answerStoredDuplicate answers a client that sent a message again after its connection broke, if the message is on
+// disk or is about to be. It reports whether it did.
+func (r *Relay) answerStoredDuplicate(in *apiRequest) bool {
 	o := r.overflow
 	if o == nil || o.store == nil {
 		return false
 	}
-	e := in.entry
-	if i := slices.IndexFunc(o.fresh, func(m *message) bool { return m.ID == e.ID }); i >= 0 {
-		o.again.add(e.ID)
-		o.fresh[i].fresh = append(o.fresh[i].fresh, in)
+	journalEntry := in.entry
+	if i := slices.IndexFunc(o.queued, func(m *message) bool { return m.ID == journalEntry.ID }); i >= 0 {
+		o.resentIDs.add(journalEntry.ID)
+		o.queued[i].unanswered = append(o.queued[i].unanswered, in)
 		return true
 	}
-	if o.store.LenOf(e.Dest) == 0 {
+	if o.store.LenOf(journalEntry.Dest) == 0 {
 		return false
 	}
-	switch _, there, err := o.store.Find(e.Dest, e.ID); {
+	switch _, found, err := o.store.Find(journalEntry.Dest, journalEntry.ID); {
 	case err != nil:
-		slog.Error("backlog not searched", "err", err, "remedy", remedy.Of(err))
-		in.reply <- answer{status: http.StatusServiceUnavailable, after: comeBack, text: "no room"}
-	case there:
-		o.again.add(e.ID)
-		in.reply <- answer{status: http.StatusAccepted}
+		slog.Error("cannot search the backlog", "err", err, "remedy", remedy.Of(err))
+		in.reply <- apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "no room"}
+	case found:
+		o.resentIDs.add(journalEntry.ID)
+		in.reply <- apiResponse{status: http.StatusAccepted}
 	default:
 		return false
 	}
 	return true
 }
 
-// toDisk has a message wait on disk, if it must, until the next step has put it there.
-func (r *Relay) toDisk(in *intake) bool {
-	o, e := r.overflow, in.entry
+// queueForDisk queues a message to be stored by the next step, if it has to wait on disk, or refuses it if its key
+// waits for another destination. It reports whether it did either.
+func (r *Relay) queueForDisk(in *apiRequest) bool {
+	o, journalEntry := r.overflow, in.entry
 	switch {
 	case o == nil:
 		return false
-	case o.keyElsewhere(e.Order, e.Dest):
-		r.figures.ended(e.Class, refusedEnd)
-		in.reply <- answer{status: http.StatusServiceUnavailable, after: comeBack, text: "its key waits for another destination"}
-	case o.waits(e.Dest, r.now(), r.journal.Crowded()):
-		o.fresh = append(o.fresh, &message{Entry: e, due: in.due, fresh: []*intake{in}})
+	case o.keyPendingElsewhere(journalEntry.OrderKey, journalEntry.Dest):
+		r.metrics.countOutcome(journalEntry.Class, outcomeRefused)
+		in.reply <- apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "its key waits for another destination"}
+	case o.mustWait(journalEntry.Dest, r.now(), r.journal.NearlyFull()):
+		o.queued = append(o.queued, &message{Entry: journalEntry, due: in.due, unanswered: []*apiRequest{in}})
 	default:
 		return false
 	}
 	return true
 }
 
-// putFresh puts on disk what came since the last step, and answers.
-func (r *Relay) putFresh() {
+// storeQueued stores the messages that were queued since the last step, and answers their clients.
+func (r *Relay) storeQueued() {
 	o := r.overflow
-	if o == nil || len(o.fresh) == 0 {
+	if o == nil || len(o.queued) == 0 {
 		return
 	}
-	fresh := o.fresh
-	o.fresh = nil
-	err := r.put(fresh)
-	if len(fresh) > 1 && errors.Is(err, backlog.ErrFull) { // some may fit
-		for _, m := range fresh {
-			r.answerPut(m, r.put([]*message{m}))
+	queued := o.queued
+	o.queued = nil
+	err := r.storeMessages(queued)
+	if len(queued) > 1 && errors.Is(err, backlog.ErrFull) { // some of them may fit
+		for _, m := range queued {
+			r.answerStoreResult(m, r.storeMessages([]*message{m}))
 		}
 		return
 	}
-	for _, m := range fresh {
-		r.answerPut(m, err)
+	for _, m := range queued {
+		r.answerStoreResult(m, err)
 	}
 }
 
-func (r *Relay) put(ms []*message) error {
+func (r *Relay) storeMessages(messages []*message) error {
 	o := r.overflow
 	if r.stopped || o.store == nil {
-		return &backlog.Failure{Did: "is given up", Path: o.dir, Err: errStopping}
+		return &backlog.FileError{Problem: "is closed", Path: o.dir, Err: errStopping}
 	}
 	if !o.fenced {
-		if err := journal.Fence(r.conf.State, "The folder backlog holds messages that are owed their end. Start a version of larchrouter that knows it."); err != nil {
+		if err := journal.FenceOlderVersions(r.config.StateDir, "The folder backlog holds messages that are owed their end. Start a version of larchrouter that knows it."); err != nil {
 			return err
 		}
 		o.fenced = true
 	}
-	all := make([]backlog.Message, len(ms))
-	for i, m := range ms {
-		all[i] = entry.Pack(m.Entry)
+	packed := make([]backlog.Message, len(messages))
+	for i, m := range messages {
+		packed[i] = entry.Pack(m.Entry)
 	}
-	return o.store.Put(all...)
+	return o.store.Put(packed...)
 }
 
-func (r *Relay) answerPut(m *message, err error) {
+func (r *Relay) answerStoreResult(m *message, err error) {
 	if err == nil {
-		m.answer(answer{status: http.StatusAccepted})
+		m.answer(apiResponse{status: http.StatusAccepted})
 		return
 	}
-	after := comeBack
-	if full := (*backlog.Full)(nil); errors.As(err, &full) && full.Wait > 0 {
-		after = min(full.Wait, r.set.Load().MaxRetryAfter)
+	retryAfter := defaultRetryAfter
+	if full := (*backlog.FullError)(nil); errors.As(err, &full) && full.RetryAfter > 0 {
+		retryAfter = min(full.RetryAfter, r.settings.Load().MaxRetryAfter)
 	}
-	if r.overflow.refused++; !r.stopped && r.overflow.refused%batchMost == 1 {
-		slog.Error("message not put on disk", "err", err, "remedy", remedy.Of(err), "refused", r.overflow.refused)
+	if r.overflow.refused++; !r.stopped && r.overflow.refused%maxBatch == 1 {
+		slog.Error("cannot store a message in the backlog", "err", err, "remedy", remedy.Of(err), "refused", r.overflow.refused)
 	}
-	r.refuse(m, after)
+	r.refuse(m, retryAfter)
 }
 
-// withdrawStored ends a message on disk whose client left unanswered. One that came twice goes on.
-func (r *Relay) withdrawStored(e *journal.Entry) bool {
+// withdrawStored ends a message on disk whose client disconnected before it was answered, and reports whether it did.
+// A message that was sent twice continues.
+func (r *Relay) withdrawStored(journalEntry *journal.Entry) bool {
 	o := r.overflow
-	if o == nil || o.store == nil || r.heir != nil || o.again.has(e.ID) || r.journal.Entry(e.ID) != nil || o.store.LenOf(e.Dest) == 0 {
+	if o == nil || o.store == nil || r.nextProcess != nil || o.resentIDs.has(journalEntry.ID) || r.journal.Entry(journalEntry.ID) != nil || o.store.LenOf(journalEntry.Dest) == 0 {
 		return false
 	}
-	h, there, err := o.store.Find(e.Dest, e.ID)
-	if err == nil && there {
-		err = o.store.Out(e.Dest, h.Place)
+	stored, found, err := o.store.Find(journalEntry.Dest, journalEntry.ID)
+	if err == nil && found {
+		err = o.store.Remove(journalEntry.Dest, stored.Sequence)
 	}
 	if err != nil {
-		slog.Error("message not withdrawn", "err", err, "remedy", remedy.Of(err))
+		slog.Error("cannot withdraw a message from the backlog", "err", err, "remedy", remedy.Of(err))
 	}
-	return err == nil && there
+	return err == nil && found
 }
 
-// openAgain goes on with the folder after a hand-over that failed. If that cannot be, it is tried again with the next turns, and
-// nothing is taken on meanwhile.
-func (r *Relay) openAgain() {
+// reopenBacklog opens the directory again after a failed handover. If that fails, later turns of the loop retry it,
+// and nothing is accepted meanwhile.
+func (r *Relay) reopenBacklog() {
 	if o := r.overflow; o.broken() {
-		if err := r.openFolder(); err != nil {
-			r.cannotRead("backlog not opened", err, comeBack)
+		if err := r.openBacklogFolder(); err != nil {
+			r.pauseLoading("cannot open the backlog", err, defaultRetryAfter)
 		}
 	}
 }
--- a/internal/relay/backlog_test.go
+++ b/internal/relay/backlog_test.go
@@ -12,81 +12,81 @@
 	"larchrouter/internal/discovery"
 )
 
-// Guards against one destination that is down for long and fills the room of others, and against what waited for it being
-// lost, doubled or mixed up as it is back.
-func TestOneDownWhileOthersAreServed(t *testing.T) {
-	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
-	r, _ := startKeeping(t, p, keeping{})
-	ids := promised(t, r, many(300, 7, "down", given{})...)
-	held, disk := counts(t, r)
-	if held > 8 || held+disk != 300 {
-		t.Fatalf("the decisions have %d, the disk %d, of 300 and a window of 8", held, disk)
+// Guards against one destination that is unavailable for long and takes the capacity of others, and against loss,
+// duplication or corruption of its waiting messages once it is back.
+func TestUnavailableDestinationDoesNotBlockOthers(t *testing.T) {
+	endpoint := newRecordingEndpoint(t)
+	p := newFakePlatform(t, endpoint.server(7, false), endpoint.server(8, true))
+	r, _ := startBacklogRelay(t, p, backlogOptions{})
+	ids := submitAccepted(t, r, numberedMessages(300, 7, "down", testMessage{})...)
+	pending, stored := pendingAndStored(t, r)
+	if pending > 8 || pending+stored != 300 {
+		t.Fatalf("%d pending and %d on disk, of 300 with a window of 8", pending, stored)
 	}
-	shows(t, r, "svc.in_flight=300", fmt.Sprintf("svc.backlog.messages=%d", disk))
+	awaitMetrics(t, r, "svc.in_flight=300", fmt.Sprintf("svc.backlog.messages=%d", stored))
 	for n := range 5 {
-		ids := promised(t, r, many(40, 8, fmt.Sprint("up", n), given{})...)
-		ps.await(t, (n+1)*len(ids))
+		ids := submitAccepted(t, r, numberedMessages(40, 8, fmt.Sprint("up", n), testMessage{})...)
+		endpoint.awaitMessages(t, (n+1)*len(ids))
 	}
-	if _, now := counts(t, r); now < disk {
-		t.Errorf("%d came in for a destination that takes nothing", disk-now)
+	if _, now := pendingAndStored(t, r); now < stored {
+		t.Errorf("%d were loaded for an unavailable destination", stored-now)
 	}
-	ps.mu.Lock()
-	ps.got = nil
-	ps.mu.Unlock()
-	p.publish(2, true, ps.cell(7, true), ps.cell(8, true))
-	ps.once(t, ids...)
-	shows(t, r, "svc.in_flight=0", "svc.backlog.messages=0")
+	endpoint.mu.Lock()
+	endpoint.received = nil
+	endpoint.mu.Unlock()
+	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
+	endpoint.expectOnce(t, ids...)
+	awaitMetrics(t, r, "svc.in_flight=0", "svc.backlog.messages=0")
 }
 
-// Guards against thousands of destinations that are down, each with a little, and that together keep out one that is well; and
-// against a return of all at once in which something is lost or doubled.
-func TestThousandsDownAtOnceAndBack(t *testing.T) {
+// Guards against many unavailable destinations with a few messages each that together block an available one, and
+// against loss or duplication when all of them return at once.
+func TestThousandUnavailableDestinationsRecover(t *testing.T) {
 	const dests = 1000
-	ps := newPartners(t)
-	all := []discovery.Server{ps.cell(9000, true)}
+	endpoint := newRecordingEndpoint(t)
+	servers := []discovery.Server{endpoint.server(9000, true)}
 	for d := range dests {
-		all = append(all, ps.cell(d, false))
+		servers = append(servers, endpoint.server(d, false))
 	}
-	p := newPlatform(t, all...)
-	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 64, Bytes: 1 << 20}})
-	var gs []given
+	p := newFakePlatform(t, servers...)
+	r, _ := startBacklogRelay(t, p, backlogOptions{window: state.Load{Messages: 64, Bytes: 1 << 20}})
+	var messages []testMessage
 	for n := range 3 {
 		for d := range dests {
-			gs = append(gs, given{id: fmt.Sprintf("d%d.%d", d, n), dest: d})
+			messages = append(messages, testMessage{id: fmt.Sprintf("d%d.%d", d, n), dest: d})
 		}
 	}
-	ids := promised(t, r, gs...)
-	held, disk := counts(t, r)
-	if held > dests+64 || held+disk != len(ids) {
-		t.Fatalf("the decisions have %d, the disk %d, of %d", held, disk, len(ids))
+	ids := submitAccepted(t, r, messages...)
+	pending, stored := pendingAndStored(t, r)
+	if pending > dests+64 || pending+stored != len(ids) {
+		t.Fatalf("%d pending and %d on disk, of %d", pending, stored, len(ids))
 	}
-	up := promised(t, r, many(200, 9000, "up", given{})...)
-	ps.once(t, up...)
-	ps.mu.Lock()
-	ps.got = nil
-	ps.mu.Unlock()
-	for i := range all {
-		all[i].State = "active"
+	up := submitAccepted(t, r, numberedMessages(200, 9000, "up", testMessage{})...)
+	endpoint.expectOnce(t, up...)
+	endpoint.mu.Lock()
+	endpoint.received = nil
+	endpoint.mu.Unlock()
+	for i := range servers {
+		servers[i].State = "active"
 	}
-	p.publish(2, true, all...)
-	ps.once(t, ids...)
+	p.publish(2, true, servers...)
+	endpoint.expectOnce(t, ids...)
 }
 
-// Guards against messages on disk whose time runs out unanswered, or is answered twice; and against thousands that do so at
-// once and stop what can still be served.
-func TestManyOutOfTimeAtOnce(t *testing.T) {
-	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false), ps.cell(8, true))
+// Guards against messages on disk that expire without a notice or with two, and against thousands that expire
+// together and block what can still be delivered.
+func TestManyMessagesExpireTogether(t *testing.T) {
+	endpoint := newRecordingEndpoint(t)
+	p := newFakePlatform(t, endpoint.server(7, false), endpoint.server(8, true))
 	p.notices = make(chan notice, 10000)
-	r, _ := startKeeping(t, p, keeping{})
-	stay := promised(t, r, many(10, 7, "stay", given{})...) // so that nothing comes in for want of room
-	ids := promised(t, r, many(4000, 7, "late", given{left: 3 * time.Second})...)
-	up := promised(t, r, many(50, 8, "up", given{})...)
-	ends := p.ends(t, 1)
-	up = append(up, promised(t, r, many(50, 8, "more", given{})...)...)
-	ps.once(t, up...)
-	for id, status := range p.ends(t, len(ids)-1) {
+	r, _ := startBacklogRelay(t, p, backlogOptions{})
+	staying := submitAccepted(t, r, numberedMessages(10, 7, "stay", testMessage{})...) // so that nothing is loaded because capacity is free
+	ids := submitAccepted(t, r, numberedMessages(4000, 7, "late", testMessage{timeLeft: 3 * time.Second})...)
+	served := submitAccepted(t, r, numberedMessages(50, 8, "up", testMessage{})...)
+	ends := p.collectNotices(t, 1)
+	served = append(served, submitAccepted(t, r, numberedMessages(50, 8, "more", testMessage{})...)...)
+	endpoint.expectOnce(t, served...)
+	for id, status := range p.collectNotices(t, len(ids)-1) {
 		ends[id] = status
 	}
 	for _, id := range ids {
@@ -94,90 +94,90 @@
 			t.Fatalf("%s ended as %q", id, ends[id])
 		}
 	}
-	shows(t, r, fmt.Sprintf("svc.in_flight=%d", len(stay)))
+	awaitMetrics(t, r, fmt.Sprintf("svc.in_flight=%d", len(staying)))
 	want(t, "further notices", len(p.notices), 0)
 }
 
-// Guards against a message that is put a second time, or lost, as its client comes again; and against one whose client left
-// unanswered that stays.
-func TestRepeatsAndWithdrawalsOnDisk(t *testing.T) {
-	r, f, ps, p, ids := startFaulty(t, "status-update")
+// Guards against a message that is stored a second time or lost when its client sends it again, and against one that
+// stays although its client disconnected unanswered.
+func TestDuplicatesAndWithdrawalsOnDisk(t *testing.T) {
+	r, faulty, endpoint, p, ids := startFaultyRelay(t, "status-update")
 	last := ids[len(ids)-1]
-	promised(t, r, given{id: last, dest: 7}, given{id: last, dest: 7})
-	promised(t, r, given{id: "twice", dest: 7}, given{id: "twice", dest: 7}) // of one turn, as likely as not
+	submitAccepted(t, r, testMessage{id: last, dest: 7}, testMessage{id: last, dest: 7})
+	submitAccepted(t, r, testMessage{id: "twice", dest: 7}, testMessage{id: "twice", dest: 7}) // most likely in one turn of the loop
 	ids = append(ids, "twice")
-	shows(t, r, "svc.in_flight=31")
-	leave := func(id string) int {
+	awaitMetrics(t, r, "svc.in_flight=31")
+	submitAndLeave := func(id string) int {
 		req := httptest.NewRequest("POST", "/api", strings.NewReader("body of "+id))
 		for k, v := range map[string]string{"X-Request-Id": id, "X-Class": "status-update", "X-Deadline-Ms": "60000", "X-Addressing": "dest=7"} {
 			req.Header.Set(k, v)
 		}
-		gone := &leaver{Context: t.Context()}
-		gone.there.Store(1)
+		clientContext := &leavingContext{Context: t.Context()}
+		clientContext.checksLeft.Store(1)
 		w, done := httptest.NewRecorder(), make(chan bool)
-		go func() { r.serveAPI(w, req.WithContext(gone)); close(done) }()
-		wait(t, done, "answer")
+		go func() { r.serveAPI(w, req.WithContext(clientContext)); close(done) }()
+		receive(t, done, "answer")
 		return w.Code
 	}
-	want(t, "a client that leaves", leave("left"), 503)
-	shows(t, r, "svc.in_flight=31")
-	leave(last) // it came twice before: it goes on
-	shows(t, r, "svc.in_flight=31")
-	inLoop(t, r, func() { f.out = errDisk })
-	want(t, "a client that leaves what cannot be taken out", leave("stays"), 202)
-	inLoop(t, r, func() { f.out, f.find = nil, errDisk })
-	want(t, "while nothing can be found", give(t, r, given{id: last, dest: 7})[0].status, 503)
-	inLoop(t, r, func() { f.find = nil })
-	p.publish(2, true, ps.cell(7, true), ps.cell(8, true))
-	ps.once(t, append(ids, "stays")...)
-	promised(t, r, given{id: last, dest: 7}) // over by now
-	shows(t, r, "svc.in_flight=0")
-	want(t, "messages that came", len(ps.await(t, 32)), 32)
+	want(t, "a client that leaves", submitAndLeave("left"), 503)
+	awaitMetrics(t, r, "svc.in_flight=31")
+	submitAndLeave(last) // sent twice before, so it is not withdrawn
+	awaitMetrics(t, r, "svc.in_flight=31")
+	runInLoop(t, r, func() { faulty.outErr = errDisk })
+	want(t, "a client that leaves a message that cannot be removed", submitAndLeave("stays"), 202)
+	runInLoop(t, r, func() { faulty.outErr, faulty.findErr = nil, errDisk })
+	want(t, "status while the store cannot be searched", submit(t, r, testMessage{id: last, dest: 7})[0].status, 503)
+	runInLoop(t, r, func() { faulty.findErr = nil })
+	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
+	endpoint.expectOnce(t, append(ids, "stays")...)
+	submitAccepted(t, r, testMessage{id: last, dest: 7}) // has ended by now
+	awaitMetrics(t, r, "svc.in_flight=0")
+	want(t, "messages that arrived", len(endpoint.awaitMessages(t, 32)), 32)
 }
 
-// Guards against a message in doubt that is sent as if it were new where a second time does harm; and against one that cannot
-// be read and has no end.
-func TestDoubtAndDamage(t *testing.T) {
+// Guards against a message that may have run already but is sent as if it were new where a second run does harm, and
+// against one that cannot be decoded and never ends.
+func TestDoubtfulAndUnreadableStoredMessages(t *testing.T) {
 	for class, status := range map[string]string{"payment": undeliverable, "job-order": undeliverable, "status-update": ""} {
-		r, f, ps, p, ids := startFaulty(t, class)
-		held, _ := counts(t, r)
-		inLoop(t, r, func() { f.doubt = true })
+		r, faulty, endpoint, p, ids := startFaultyRelay(t, class)
+		pending, _ := pendingAndStored(t, r)
+		runInLoop(t, r, func() { faulty.markDoubtful = true })
 		if status == "" {
-			inLoop(t, r, func() {
-				f.store.Put(backlog.Message{ID: "strange", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(), Data: []byte{99}})
+			runInLoop(t, r, func() {
+				faulty.store.Put(backlog.Message{ID: "strange", Dest: 7, Due: time.Now().Add(time.Minute).UnixMilli(), Data: []byte{99}})
 			})
 		}
-		p.publish(2, true, ps.cell(7, true), ps.cell(8, true))
+		p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
 		if status == "" {
-			ps.once(t, ids...)
-			want(t, "end of one that cannot be read", p.ends(t, 1)["strange"], undeliverable)
+			endpoint.expectOnce(t, ids...)
+			want(t, "end of a message that cannot be decoded", p.collectNotices(t, 1)["strange"], undeliverable)
 		} else {
-			ps.once(t, ids[:held]...)
-			for id, got := range p.ends(t, len(ids)-held) {
+			endpoint.expectOnce(t, ids[:pending]...)
+			for id, got := range p.collectNotices(t, len(ids)-pending) {
 				want(t, class+" "+id+" ends", got, status)
 			}
 		}
-		shows(t, r, "svc.in_flight=0")
+		awaitMetrics(t, r, "svc.in_flight=0")
 	}
 }
 
-// Guards against a message that never goes for its size: it is larger than all of the window.
-func TestAMessageLargerThanTheWindow(t *testing.T) {
-	ps := newPartners(t)
-	p := newPlatform(t, ps.cell(7, false))
-	r, _ := startKeeping(t, p, keeping{window: state.Load{N: 4, Bytes: 8 << 10}})
-	var all []given
+// Guards against a message that is never sent because it is larger than the whole window.
+func TestMessageLargerThanWindow(t *testing.T) {
+	endpoint := newRecordingEndpoint(t)
+	p := newFakePlatform(t, endpoint.server(7, false))
+	r, _ := startBacklogRelay(t, p, backlogOptions{window: state.Load{Messages: 4, Bytes: 8 << 10}})
+	var messages []testMessage
 	for i := range 6 {
 		id := fmt.Sprint("m.", i)
-		all = append(all, given{id: id, dest: 7, body: strings.Repeat("x", 60<<10)})
+		messages = append(messages, testMessage{id: id, dest: 7, body: strings.Repeat("x", 60<<10)})
 	}
-	promised(t, r, all...)
-	held, _ := counts(t, r)
-	want(t, "held by the decisions", held, 1)
-	p.publish(2, true, ps.cell(7, true))
-	ps.await(t, 6)
-	shows(t, r, "svc.in_flight=0")
-	for id, body := range ps.body {
+	submitAccepted(t, r, messages...)
+	pending, _ := pendingAndStored(t, r)
+	want(t, "pending messages", pending, 1)
+	p.publish(2, true, endpoint.server(7, true))
+	endpoint.awaitMessages(t, 6)
+	awaitMetrics(t, r, "svc.in_flight=0")
+	for id, body := range endpoint.bodies {
 		want(t, "length of "+id, len(body), 60<<10)
 	}
 }
--- a/internal/relay/calls_test.go
+++ b/internal/relay/calls_test.go
@@ -19,396 +19,397 @@
 	"larchrouter/internal/settings"
 )
 
-func caller() *Relay {
-	r := &Relay{began: time.Now()}
-	set := settings.Settings{DialTimeout: time.Second, IdleConn: time.Minute}
+func newCallingRelay() *Relay {
+	relay := &Relay{startedAt: time.Now()}
+	set := settings.Settings{DialTimeout: time.Second, ConnIdleTimeout: time.Minute}
 	set.Workers = 7
-	r.hostSide.Store(newTransport(&set, 64, dialer(nil, set.DialTimeout).DialContext))
-	r.set.Store(&standing{})
-	r.notices = newNoticeSender(nil, nil, nil, nil)
-	return r
+	relay.hostTransport.Store(newHostTransport(&set, 64, newDialer(nil, set.DialTimeout).DialContext))
+	relay.settings.Store(&activeSettings{})
+	relay.notices = newNoticeSender(nil, nil, nil, nil)
+	return relay
 }
 
-func oneCall(addr, body string) *call {
-	return &call{host: &host{addr: addr, waiting: &waiting{}}, body: []byte(body), key: "k", timeout: 20 * time.Second}
+func newSingleCall(addr, body string) *call {
+	return &call{host: &host{addr: addr, wait: &hostWait{}}, body: []byte(body), key: "k", timeout: 20 * time.Second}
 }
 
-func outcome(r *Relay, ctx context.Context, c *call) choice.Outcome {
-	o, _ := outcomeAndStale(r, ctx, c)
+func callOutcome(r *Relay, ctx context.Context, c *call) choice.Outcome {
+	o, _ := callOutcomeAndStale(r, ctx, c)
 	return o
 }
 
-func outcomeAndStale(r *Relay, ctx context.Context, c *call) (choice.Outcome, bool) {
-	ends, told := r.exchange(ctx, c, []string{"m1"})
-	return ends[0].outcome, told.stale
+func callOutcomeAndStale(r *Relay, ctx context.Context, c *call) (choice.Outcome, bool) {
+	ends, feedback := r.exchange(ctx, c, []string{"m1"})
+	return ends[0].outcome, feedback.staleConn
 }
 
-// Guards against net/http sending a request again by itself: one with an Idempotency-Key goes out
-// twice if its connection was kept from before and breaks. An empty body needs the guard too.
+// Guards against net/http resending a request by itself: one with an Idempotency-Key is sent twice if its reused
+// connection breaks. An empty body is affected, too.
 func TestNoResendAfterReset(t *testing.T) {
-	defer func(d time.Duration) { staleIn = d }(staleIn)
-	staleIn = time.Hour
+	defer func(d time.Duration) { staleConnWindow = d }(staleConnWindow)
+	staleConnWindow = time.Hour
 	for _, body := range []string{"hello", ""} {
 		var got atomic.Int32
-		addr := bareHost(t, func(conn net.Conn) {
-			for in := bufio.NewReader(conn); ; {
-				req, err := http.ReadRequest(in)
+		addr := newRawHost(t, func(conn net.Conn) {
+			for reader := bufio.NewReader(conn); ; {
+				req, err := http.ReadRequest(reader)
 				if err != nil {
 					return
 				}
 				io.Copy(io.Discard, req.Body)
 				if got.Add(1) == 2 {
-					return // read whole, never answered
+					return // the request was read completely and is never answered
 				}
 				fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 		})
-		r := caller()
-		want(t, "first outcome", outcome(r, context.Background(), oneCall(addr, body)), choice.Served)
-		o, stale := outcomeAndStale(r, context.Background(), oneCall(addr, body))
-		want(t, "outcome of a call that breaks", o, choice.Reset)
-		want(t, "it says that a kept connection was stale", stale, true)
-		staleIn = 0
-		outcome(r, context.Background(), oneCall(addr, body))
+		relay := newCallingRelay()
+		want(t, "first outcome", callOutcome(relay, context.Background(), newSingleCall(addr, body)), choice.Served)
+		outcome, stale := callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
+		want(t, "outcome of a call that breaks", outcome, choice.Reset)
+		want(t, "reused connection is reported stale", stale, true)
+		staleConnWindow = 0
+		callOutcome(relay, context.Background(), newSingleCall(addr, body))
 		got.Store(1)
-		_, stale = outcomeAndStale(r, context.Background(), oneCall(addr, body))
-		want(t, "the same of one that broke late", stale, false)
-		staleIn = time.Hour
+		_, stale = callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
+		want(t, "reused connection that broke late is reported stale", stale, false)
+		staleConnWindow = time.Hour
 		got.Store(1)
-		_, stale = outcomeAndStale(r, context.Background(), oneCall(addr, body))
-		want(t, "the same of a new connection", stale, false)
+		_, stale = callOutcomeAndStale(relay, context.Background(), newSingleCall(addr, body))
+		want(t, "new connection is reported stale", stale, false)
 		got.Store(2)
 		want(t, "requests on the wire", got.Load(), 2)
 	}
 }
 
-// Guards against calling it a reset where nothing can have run.
+// Guards against reporting a reset where the request cannot have run.
 func TestRefusedConnectionNeverRan(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := l.Addr().String()
-	l.Close()
-	want(t, "outcome", outcome(caller(), context.Background(), oneCall(addr, "x")), choice.NoConnection)
+	addr := listener.Addr().String()
+	listener.Close()
+	want(t, "outcome", callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), choice.NoConnection)
 }
 
-// Guards against sending over a connection that came up only after its host began to drain or told another
-// call to wait, or once a repeat would be taken for a new message.
-func TestDrainWhileConnecting(t *testing.T) {
+// Guards against sending a call whose connection was established only after sending it was forbidden: its host began to
+// drain or advised another call to wait, the list or the message's window expired, or the relay was handed over.
+func TestCallIsWithheldAfterConnecting(t *testing.T) {
 	for name, test := range map[string]struct {
 		while  func(*Relay, *call)
-		reason withheld
+		reason withholdReason
 	}{
-		"drains":               {func(_ *Relay, c *call) { c.host.closed.Store(true) }, endpointShut},
-		"may drain, unheard":   {func(r *Relay, _ *call) { r.sendUntil.Store(1) }, listTooOld},
-		"tells to wait":        {func(r *Relay, c *call) { c.host.waiting.heed(r.now() + time.Hour) }, toldToWait},
-		"no longer a repeat":   {func(_ *Relay, c *call) { c.before = time.Now().Add(-time.Nanosecond) }, outOfTime},
-		"handed over long ago": {func(r *Relay, _ *call) { r.passedAt.Store(time.Now().Add(-lateCall).UnixNano()) }, handedOver},
+		"drains":                             {func(_ *Relay, c *call) { c.host.closed.Store(true) }, endpointUnavailable},
+		"may drain by a change not received": {func(r *Relay, _ *call) { r.sendUntil.Store(1) }, listLeaseExpired},
+		"advises a wait":                     {func(r *Relay, c *call) { c.host.wait.extend(r.now() + time.Hour) }, retryAfterPending},
+		"repeat window has ended":            {func(_ *Relay, c *call) { c.writeBy = time.Now().Add(-time.Nanosecond) }, timeExpired},
+		"handed over long ago":               {func(r *Relay, _ *call) { r.handedOverAt.Store(time.Now().Add(-lateDialLimit).UnixNano()) }, handedOver},
 	} {
-		t.Run(name, func(t *testing.T) { drainWhileConnecting(t, test.while, test.reason) })
+		t.Run(name, func(t *testing.T) { testWithheldAfterConnecting(t, test.while, test.reason) })
 	}
 }
 
-func drainWhileConnecting(t *testing.T, while func(*Relay, *call), reason withheld) {
-	var got atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { got.Add(1) }))
-	defer s.Close()
-	r := caller()
-	c := oneCall(s.Listener.Addr().String(), "x")
-	dial := r.hostSide.Load().DialContext
-	r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		while(r, c)
+func testWithheldAfterConnecting(t *testing.T, duringDial func(*Relay, *call), reason withholdReason) {
+	var requests atomic.Int32
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
+	defer server.Close()
+	relay := newCallingRelay()
+	hostCall := newSingleCall(server.Listener.Addr().String(), "x")
+	dial := relay.hostTransport.Load().DialContext
+	relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		duringDial(relay, hostCall)
 		return dial(ctx, network, addr)
 	}
-	want(t, "outcome", outcome(r, context.Background(), c), choice.NotSent)
-	want(t, "requests", got.Load(), 0)
-	want(t, "withheld by "+reason.String(), r.figures.unwritten[reason], 1)
+	want(t, "outcome", callOutcome(relay, context.Background(), hostCall), choice.NotSent)
+	want(t, "requests", requests.Load(), 0)
+	want(t, "withheld by "+reason.String(), relay.metrics.withheldMessages[reason], 1)
 }
 
-// Guards against a call that gets its connection only when one of its messages has ended, for its own time was up:
-// it would be sent after its end.
-func TestNothingIsSentAfterItsEnd(t *testing.T) {
-	var got atomic.Int32
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { got.Add(1) }))
-	defer s.Close()
-	r := caller()
-	r.began, r.inbox, r.calls = time.Now(), make(chan func(), 10), context.Background()
-	over := make(chan struct{})
-	dial := r.hostSide.Load().DialContext
-	r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
-		<-over
+// Guards against a shared call whose connection is established only after one of its messages has timed out: that
+// message would be sent after its end.
+func TestSharedCallIsNotSentAfterMemberTimeout(t *testing.T) {
+	var requests atomic.Int32
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { requests.Add(1) }))
+	defer server.Close()
+	relay := newCallingRelay()
+	relay.startedAt, relay.inbox, relay.callContext = time.Now(), make(chan func(), 10), context.Background()
+	connect := make(chan struct{})
+	dial := relay.hostTransport.Load().DialContext
+	relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		<-connect
 		return dial(ctx, network, addr)
 	}
-	c := &call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}}
+	hostCall := &call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}}
 	for id, due := range map[string]time.Duration{"short": 10 * time.Millisecond, "long": time.Hour} {
-		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id}, due: due})
-		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
+		hostCall.members = append(hostCall.members, &message{Entry: &journal.Entry{ID: id}, due: due})
+		hostCall.sends = append(hostCall.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
-	r.start(c)
+	relay.startCall(hostCall)
 	ends := map[string]choice.Outcome{}
-	take := func() {
-		wait(t, r.inbox, "end")()
-		for _, e := range r.events {
+	runNext := func() {
+		receive(t, relay.inbox, "end")()
+		for _, e := range relay.events {
 			ends[e.(choice.Result).ID] = e.(choice.Result).Outcome
 		}
-		r.events = nil
+		relay.events = nil
 	}
-	take()
-	want(t, "end of the one whose time is up", ends["short"], choice.Timeout)
+	runNext()
+	want(t, "result of the timed-out message", ends["short"], choice.Timeout)
 	want(t, "ends", len(ends), 1)
-	close(over)
-	take()
-	want(t, "end of the other", ends["long"], choice.NotSent)
-	want(t, "calls that went out", got.Load(), 0)
+	close(connect)
+	runNext()
+	want(t, "result of the other message", ends["long"], choice.NotSent)
+	want(t, "requests sent", requests.Load(), 0)
 }
 
-// deadlines remembers the last one set for writing.
-type deadlines struct {
+// deadlineRecorder records the last write deadline of a connection.
+type deadlineRecorder struct {
 	net.Conn
 	last atomic.Pointer[time.Time]
 }
 
-func (d *deadlines) SetWriteDeadline(t time.Time) error {
+func (d *deadlineRecorder) SetWriteDeadline(t time.Time) error {
 	d.last.Store(&t)
 	return d.Conn.SetWriteDeadline(t)
 }
 
-// Guards against a repeat whose last byte is written after its window, to a host that reads slowly; and
-// against the next call on that connection failing by that deadline.
+// Guards against a repeat whose last byte is written after its window, to a host that reads slowly, and against the
+// next call on that connection failing because of that deadline.
 func TestRepeatIsNotWrittenAfterItsWindow(t *testing.T) {
-	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-	defer s.Close()
-	r, addr := caller(), s.Listener.Addr().String()
-	dial := r.hostSide.Load().DialContext
-	var conns []*deadlines
-	r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+	defer server.Close()
+	relay, addr := newCallingRelay(), server.Listener.Addr().String()
+	dial := relay.hostTransport.Load().DialContext
+	var conns []*deadlineRecorder
+	relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		own := conn.(*hostConn)
-		conns = append(conns, &deadlines{Conn: own.Conn})
-		own.Conn = conns[len(conns)-1]
-		return own, nil
+		recorded := conn.(*hostConn)
+		conns = append(conns, &deadlineRecorder{Conn: recorded.Conn})
+		recorded.Conn = conns[len(conns)-1]
+		return recorded, nil
 	}
-	c := oneCall(addr, "x")
-	c.before = time.Now().Add(time.Hour)
-	want(t, "outcome within the window", outcome(r, context.Background(), c), choice.Served)
-	want(t, "deadline of a repeat", *conns[0].last.Load(), c.before)
-	want(t, "outcome of the next call", outcome(r, context.Background(), oneCall(addr, "x")), choice.Served)
+	call := newSingleCall(addr, "x")
+	call.writeBy = time.Now().Add(time.Hour)
+	want(t, "outcome within the window", callOutcome(relay, context.Background(), call), choice.Served)
+	want(t, "deadline of a repeat", *conns[0].last.Load(), call.writeBy)
+	want(t, "outcome of the next call", callOutcome(relay, context.Background(), newSingleCall(addr, "x")), choice.Served)
 	want(t, "connections", len(conns), 1)
 	want(t, "deadline of the next call", *conns[0].last.Load(), time.Time{})
 }
 
-// Guards against mixing up the ends of a call that nobody answers.
+// Guards against confusing the outcomes of a call that is not answered.
 func TestUnansweredCalls(t *testing.T) {
-	came := make(chan bool, 10)
-	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
+	received := make(chan bool, 10)
+	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
-		came <- true
+		received <- true
 		<-req.Context().Done()
 	}))
-	defer s.Close()
-	r := caller()
-	c := oneCall(s.Listener.Addr().String(), "x")
-	c.timeout = 50 * time.Millisecond
-	if o := outcome(r, context.Background(), c); o != choice.Timeout {
-		// A machine so busy that the request was not even written in time proves it never ran.
-		want(t, "outcome", o, choice.NoConnection)
+	defer server.Close()
+	relay := newCallingRelay()
+	call := newSingleCall(server.Listener.Addr().String(), "x")
+	call.timeout = 50 * time.Millisecond
+	if outcome := callOutcome(relay, context.Background(), call); outcome != choice.Timeout {
+		// On a machine so busy that the request was not written in time, the call certainly never ran.
+		want(t, "outcome", outcome, choice.NoConnection)
 	} else {
-		wait(t, came, "call")
+		receive(t, received, "call")
 	}
 	ctx, cancel := context.WithCancelCause(context.Background())
-	c.timeout = time.Minute
-	go func() { <-came; cancel(errCalled) }()
-	want(t, "outcome", outcome(r, ctx, c), choice.Cancelled)
+	call.timeout = time.Minute
+	go func() { <-received; cancel(errCancelled) }()
+	want(t, "outcome", callOutcome(relay, ctx, call), choice.Cancelled)
 }
 
-func TestStatuses(t *testing.T) {
-	for status, o := range map[int]end{200: {choice.Served, false}, 500: {choice.Error, false}, 429: {choice.Refused, false},
+func TestSingleResultByStatus(t *testing.T) {
+	for status, o := range map[int]memberResult{200: {choice.Served, false}, 500: {choice.Error, false}, 429: {choice.Refused, false},
 		503: {choice.Refused, false}, 504: {choice.NotSent, false}, 410: {choice.NotSent, true}, 418: {choice.Error, false}} {
-		want(t, fmt.Sprint("end after ", status), single(&http.Response{StatusCode: status}, false), o)
+		want(t, fmt.Sprint("result of status ", status), singleResult(&http.Response{StatusCode: status}, false), o)
 	}
-	over := &http.Response{StatusCode: 503, Header: http.Header{"X-Over-Slots": {"1"}}}
-	want(t, "end without a slot", single(over, false), end{choice.NotSent, false})
-	want(t, "end of a call too large", single(&http.Response{StatusCode: 413}, true), end{choice.NotSent, false})
+	noSlot := &http.Response{StatusCode: 503, Header: http.Header{"X-Over-Slots": {"1"}}}
+	want(t, "result without a slot", singleResult(noSlot, false), memberResult{choice.NotSent, false})
+	want(t, "result of a call that is too large", singleResult(&http.Response{StatusCode: 413}, true), memberResult{choice.NotSent, false})
 }
 
-// Guards against hosts whose answers fill the memory: a head without end is no answer, but for what its first line says of
-// a single message.
-func TestVastAnswerIsBounded(t *testing.T) {
-	for status, o := range map[int]choice.Outcome{200: choice.Served, 500: choice.Reset, 503: choice.Reset} {
-		var wrote atomic.Int64
-		addr := bareHost(t, func(conn net.Conn) {
+// Guards against hosts whose answers exhaust the memory: an answer with an endless header is no answer, except that its
+// status line counts for a single message.
+func TestResponseHeadSizeIsBounded(t *testing.T) {
+	for status, outcome := range map[int]choice.Outcome{200: choice.Served, 500: choice.Reset, 503: choice.Reset} {
+		var written atomic.Int64
+		addr := newRawHost(t, func(conn net.Conn) {
 			http.ReadRequest(bufio.NewReader(conn))
 			fmt.Fprintf(conn, "HTTP/1.1 %d what\r\n", status)
 			for {
 				n, err := io.WriteString(conn, "X-Pad: "+strings.Repeat("p", 1000)+"\r\n")
-				wrote.Add(int64(n))
+				written.Add(int64(n))
 				if err != nil {
 					return
 				}
 			}
 		})
-		want(t, fmt.Sprint("outcome of ", status), outcome(caller(), context.Background(), oneCall(addr, "x")), o)
-		if n := wrote.Load(); n > 32<<20 {
-			t.Errorf("%d bytes were taken of a head", n)
+		want(t, fmt.Sprint("outcome of ", status), callOutcome(newCallingRelay(), context.Background(), newSingleCall(addr, "x")), outcome)
+		if n := written.Load(); n > 32<<20 {
+			t.Errorf("%d bytes of a header were accepted", n)
 		}
 	}
 }
 
-// Guards against a connection for each message.
-func TestConnectionsAreKept(t *testing.T) {
+// Guards against a new connection for each message.
+func TestConnectionsAreReused(t *testing.T) {
 	var conns atomic.Int32
-	s := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	server := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		io.WriteString(w, strings.Repeat("x", 10000))
 	}))
-	s.Config.ConnState = func(_ net.Conn, st http.ConnState) {
+	server.Config.ConnState = func(_ net.Conn, st http.ConnState) {
 		if st == http.StateNew {
 			conns.Add(1)
 		}
 	}
-	s.Start()
-	defer s.Close()
-	r := caller()
+	server.Start()
+	defer server.Close()
+	relay := newCallingRelay()
 	for range 5 {
-		want(t, "outcome", outcome(r, context.Background(), oneCall(s.Listener.Addr().String(), "x")), choice.Served)
+		want(t, "outcome", callOutcome(relay, context.Background(), newSingleCall(server.Listener.Addr().String(), "x")), choice.Served)
 	}
 	want(t, "connections", conns.Load(), 1)
 }
 
-func TestBatch(t *testing.T) {
+func TestBatchCall(t *testing.T) {
 	bodies := make(chan string, 1)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		b, _ := io.ReadAll(req.Body)
 		bodies <- req.URL.Path + "\n" + string(b)
 		w.Header().Set("Retry-After", "0.5")
 		io.WriteString(w, "a ok\r\nb error\r\nc later\r\nd gone\r\ne exhausted\r\n")
 	}))
-	defer s.Close()
-	r := caller()
-	r.began, r.inbox = time.Now(), make(chan func(), 1)
-	r.calls = context.Background()
-	c := &call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}}
+	defer server.Close()
+	relay := newCallingRelay()
+	relay.startedAt, relay.inbox = time.Now(), make(chan func(), 1)
+	relay.callContext = context.Background()
+	hostCall := &call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}}
 	ids := []string{"a", "b", "c", "d", "e", "f"}
 	for _, id := range ids {
-		c.members = append(c.members, &message{Entry: &journal.Entry{ID: id, Key: strings.Repeat("k", len(c.members)), Body: []byte("\r\n" + id)},
-			due: time.Hour, over: true})
-		c.sends = append(c.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
+		hostCall.members = append(hostCall.members, &message{Entry: &journal.Entry{ID: id, Key: strings.Repeat("k", len(hostCall.members)), Body: []byte("\r\n" + id)},
+			due: time.Hour, ended: true})
+		hostCall.sends = append(hostCall.sends, choice.Send{ID: id, Timeout: 20 * time.Second})
 	}
-	r.start(c)
-	want(t, "start of the request", strings.HasPrefix(wait(t, bodies, "call"), "/receive-many\na - 3\r\n\r\na\r\nb k 3\r\n"), true)
-	wait(t, r.inbox, "result")()
+	relay.startCall(hostCall)
+	want(t, "start of the request", strings.HasPrefix(receive(t, bodies, "call"), "/receive-many\na - 3\r\n\r\na\r\nb k 3\r\n"), true)
+	receive(t, relay.inbox, "result")()
 	var got []choice.Outcome
-	for _, e := range r.events {
+	for _, e := range relay.events {
 		got = append(got, e.(choice.Result).Outcome)
-		want(t, "wait", e.(choice.Result).Wait, 500*time.Millisecond)
+		want(t, "wait", e.(choice.Result).RetryAfter, 500*time.Millisecond)
 	}
 	if !slices.Equal(got, []choice.Outcome{choice.Served, choice.Error, choice.Refused, choice.NotSent, choice.NotSent, choice.Error}) {
 		t.Fatalf("outcomes %v", got)
 	}
-	want(t, "end of the fourth", r.events[3].(choice.Result).Done, true)
-	want(t, "end of the fifth", r.events[4].(choice.Result).Done, false)
+	want(t, "done of the fourth", relay.events[3].(choice.Result).Done, true)
+	want(t, "done of the fifth", relay.events[4].(choice.Result).Done, false)
 }
 
-// Guards against a wait that is forgotten because the rest of the answer that told it was cut off, and one
-// told to messages that are over by then: nothing may go there all the same.
-func TestWaitOfACutAnswerIsKept(t *testing.T) {
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+// Guards against losing a retry-after time because the rest of its answer was cut off, or because the messages of its
+// call have ended by then: nothing may be sent to the destination all the same.
+func TestRetryAfterOfTruncatedAnswerIsHonoured(t *testing.T) {
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Retry-After", "1000")
 		w.Header().Set("Content-Length", "100")
-		io.WriteString(w, "a ok\r\n") // and no more: the library breaks the connection
+		io.WriteString(w, "a ok\r\n") // and no more: net/http closes the connection
 	}))
-	defer s.Close()
-	r, c := caller(), oneCall(s.Listener.Addr().String(), "x")
-	ends, told := r.exchange(context.Background(), c, []string{"a", "b"})
+	defer server.Close()
+	relay, call := newCallingRelay(), newSingleCall(server.Listener.Addr().String(), "x")
+	ends, feedback := relay.exchange(context.Background(), call, []string{"a", "b"})
 	want(t, "outcome", ends[0].outcome, choice.Reset)
-	want(t, "wait", told.wait, 1000*time.Second)
-	ends, told = r.exchange(context.Background(), c, []string{"c"})
+	want(t, "wait", feedback.retryAfter, 1000*time.Second)
+	ends, feedback = relay.exchange(context.Background(), call, []string{"c"})
 	want(t, "outcome of the next call", ends[0].outcome, choice.NotSent)
-	if told.wait <= 0 || told.wait > 1000*time.Second {
-		t.Errorf("the decisions hear of %v to wait, want what is left of 1000s", told.wait)
+	if feedback.retryAfter <= 0 || feedback.retryAfter > 1000*time.Second {
+		t.Errorf("the call reports a wait of %v, want the rest of 1000s", feedback.retryAfter)
 	}
 }
 
-// Guards against decisions that never hear the limits that hosts tell in their answers.
-func TestLoadReportReachesTheDecisions(t *testing.T) {
+// Guards against load reports in hosts' answers that do not reach the Chooser.
+func TestLoadReportReachesChooser(t *testing.T) {
 	for text, want := range map[string][]float64{`{"x0":0.4,"x1":25}`: {25, 0.4}, `{"x1":3,"other":1}`: {3, 0},
 		"": nil, "{": nil, `{"x1":"many"}`: nil, "[1]": nil} {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("X-Load", text)
 		}))
-		r := caller()
-		r.set.Store(&standing{Settings: settings.Settings{ReportFields: []string{"x1", "x0"}}})
-		r.calls, r.inbox = context.Background(), make(chan func(), 1)
-		m := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Hour, over: true}
-		r.start(&call{host: &host{addr: s.Listener.Addr().String(), waiting: &waiting{}}, members: []*message{m},
+		relay := newCallingRelay()
+		relay.settings.Store(&activeSettings{Settings: settings.Settings{ReportFields: []string{"x1", "x0"}}})
+		relay.callContext, relay.inbox = context.Background(), make(chan func(), 1)
+		msg := &message{Entry: &journal.Entry{ID: "m1"}, due: time.Hour, ended: true}
+		relay.startCall(&call{host: &host{addr: server.Listener.Addr().String(), wait: &hostWait{}}, members: []*message{msg},
 			sends: []choice.Send{{ID: "m1", Timeout: 20 * time.Second}}})
-		(<-r.inbox)()
-		s.Close()
-		if got := r.events[0].(choice.Result).Report; !slices.Equal(got, want) {
+		(<-relay.inbox)()
+		server.Close()
+		if got := relay.events[0].(choice.Result).Report; !slices.Equal(got, want) {
 			t.Errorf("report %q is %v, want %v", text, got, want)
 		}
 	}
 }
 
-// Guards against a body over 64 KiB, which a host need not take: sends that do not fit one call go in another.
+// Guards against a body over 64 KiB, which a host need not accept: sends that do not fit into one call go into another
+// one.
 func TestLargeMessagesDoNotShareACall(t *testing.T) {
-	r := caller()
-	r.began, r.inbox, r.calls = time.Now(), make(chan func(), 10), context.Background()
-	r.journal = openJournal(t)
-	h := &host{id: "s-1", addr: "127.0.0.1:1", dest: 7, perCall: 5, waiting: &waiting{}}
-	r.hosts, r.held = map[string]*host{"s-1": h}, map[string]*message{}
+	relay := newCallingRelay()
+	relay.startedAt, relay.inbox, relay.callContext = time.Now(), make(chan func(), 10), context.Background()
+	relay.journal = openJournal(t)
+	endpoint := &host{id: "s-1", addr: "127.0.0.1:1", dest: 7, maxPerCall: 5, wait: &hostWait{}}
+	relay.hosts, relay.pending = map[string]*host{"s-1": endpoint}, map[string]*message{}
 	var sends []choice.Send
-	for i, size := range []int{maxBody, maxBody / 2, 10} {
+	for i, size := range []int{maxBodyBytes, maxBodyBytes / 2, 10} {
 		id := fmt.Sprint("m", i)
-		if err := r.journal.Append(journal.Record{Op: journal.OpTaken, Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: make([]byte, size)}}); err != nil {
+		if err := relay.journal.Append(journal.Record{Op: journal.OpAccepted, Entry: &journal.Entry{ID: id, Class: "payment", Dest: 7, Due: 99, Body: make([]byte, size)}}); err != nil {
 			t.Fatal(err)
 		}
-		r.held[id] = &message{Entry: r.journal.Entry(id), due: time.Hour}
+		relay.pending[id] = &message{Entry: relay.journal.Entry(id), due: time.Hour}
 		sends = append(sends, choice.Send{ID: id, Host: "s-1", Timeout: time.Minute})
 	}
-	r.dispatch(sends)
-	want(t, "calls", r.out, 2)
-	want(t, "messages in the second", len(r.held["m1"].call.members), 2)
+	relay.dispatch(sends)
+	want(t, "calls", relay.callsInFlight, 2)
+	want(t, "messages in the second call", len(relay.pending["m1"].call.members), 2)
 }
 
-// Guards against taking a message for safe to repeat that a garbled answer says nothing sure of.
-func FuzzBatchEnds(f *testing.F) {
+// Guards against treating a message as safe to repeat if a garbled answer does not clearly say so.
+func FuzzParseBatchResults(f *testing.F) {
 	f.Add("a ok\r\nb later\r\n")
 	f.Add("a  gone\nb")
 	f.Add("\x00 ok\r\na exhausted")
 	f.Fuzz(func(t *testing.T, body string) {
 		ids := []string{"a", "b"}
-		ends := batchEnds([]byte(body), ids)
+		ends := parseBatchResults([]byte(body), ids)
 		if len(ends) != len(ids) {
-			t.Fatalf("%d ends for %d messages", len(ends), len(ids))
+			t.Fatalf("%d results for %d messages", len(ends), len(ids))
 		}
 		for i, e := range ends {
 			if e.outcome != choice.Error && !strings.Contains(body, ids[i]) {
-				t.Fatalf("%q is %v without being named", ids[i], e)
+				t.Fatalf("%q has result %v without being named", ids[i], e)
 			}
 		}
 	})
 }
 
-// Guards against a relay that its partners cannot know by its address on a machine that has several.
-func TestConnectionsGoOutFromTheSource(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+// Guards against a relay that its partners cannot identify by its address on a machine with several addresses.
+func TestConnectionsUseSourceAddress(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	const source = "127.0.7.7"
-	for range 2 { // a source serves more than one connection
-		d := dialer(net.ParseIP(source), time.Second)
-		c, err := d.DialContext(t.Context(), "tcp4", l.Addr().String())
+	for range 2 { // a source address serves more than one connection
+		d := newDialer(net.ParseIP(source), time.Second)
+		conn, err := d.DialContext(t.Context(), "tcp4", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		from, err := l.Accept()
+		defer conn.Close()
+		from, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/relay/lowered_test.go
+++ b/internal/relay/descriptor_limit_test.go
@@ -11,7 +11,7 @@
 	"larchrouter/internal/discovery"
 )
 
-// limitDescriptors lowers how many descriptors a process may have (prlimit(2)).
+// limitDescriptors lowers the number of descriptors that a process may have (prlimit(2)).
 func limitDescriptors(t *testing.T, pid int, n uint64) {
 	t.Helper()
 	limit := syscall.Rlimit{Cur: n, Max: n}
@@ -20,16 +20,16 @@
 	}
 }
 
-// Guards against idle clients who hold all descriptors, fewer of them by now than the settings say, while discovery is down:
-// what comes is taken on and delivered, and the list is heard of once discovery is back.
-func TestIdleClientsAndALoweredLimit(t *testing.T) {
-	calls := make(chan *seen, 100)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	cmd, addr := process(t, p, t.TempDir())
-	up(t, addr)
+// Guards against idle clients that occupy all descriptors, of which there are fewer now than configured, while
+// discovery is down: messages still have to be accepted and delivered, and the list updated once discovery is back.
+func TestIdleClientsWithLoweredDescriptorLimit(t *testing.T) {
+	calls := make(chan *receivedCall, 100)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	cmd, addr := startProcess(t, p, t.TempDir())
+	checkUp(t, addr)
 	limitDescriptors(t, cmd.Process.Pid, 48)
 	p.mu.Lock()
-	p.refuse = true
+	p.refuseLists = true
 	p.mu.Unlock()
 	p.CloseClientConnections()
 	for range 200 {
@@ -42,9 +42,9 @@
 	for i := range 20 {
 		id := string(rune('a' + i))
 		status := 0
-		for end := time.Now().Add(30 * time.Second); status == 0; { // an end without an answer is tried anew, as clients do
+		for end := time.Now().Add(30 * time.Second); status == 0; { // a connection that closes without an answer is retried, as clients do
 			if time.Now().After(end) {
-				t.Fatalf("%s gets no answer", id)
+				t.Fatalf("%s gets no response", id)
 			}
 			conn, err := net.Dial("tcp", addr)
 			if err != nil {
@@ -53,20 +53,20 @@
 			conn.SetDeadline(time.Now().Add(10 * time.Second))
 			conn.Write([]byte("POST /api HTTP/1.1\r\nHost: x\r\nX-Request-Id: " + id + "\r\nX-Class: status-update\r\nX-Deadline-Ms: 15000\r\n" +
 				"X-Addressing: dest=7\r\nContent-Length: 2\r\n\r\nhi"))
-			status, _, _ = answered(bufio.NewReader(conn))
+			status, _, _ = readResponse(bufio.NewReader(conn))
 			conn.Close()
 		}
 		want(t, "status", status, 202)
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		want(t, "message", c.id, id)
 		c.answer <- 200
 	}
 	p.mu.Lock()
-	p.refuse = false
-	p.now = discovery.List{Version: 2, Full: true, Servers: p.now.Servers}
+	p.refuseLists = false
+	p.list = discovery.List{Version: 2, Full: true, Servers: p.list.Servers}
 	p.mu.Unlock()
-	for len(p.asked) > 0 {
-		<-p.asked
+	for len(p.queries) > 0 {
+		<-p.queries
 	}
-	wait(t, p.asked, "query after discovery is back")
+	receive(t, p.queries, "query after the return of discovery")
 }
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -8,148 +8,151 @@
 	"time"
 )
 
-// How the connections of clients end with the process: the listener closes once its queue is empty, connections that rest
-// end, and what was read is answered.
+// How client connections end when the process stops: the listener closes once its accept queue is empty, idle
+// connections are closed, and requests that were read are answered.
 
 const (
-	// queueTick bounds a try to accept while the queue is emptied.
-	queueTick = 20 * time.Millisecond
-	// queueTicks is how many tries in a row have to run out: one may have done so before it asked the system, in a process
-	// that got no core.
-	queueTicks = 3
-	// queueWait is how long a try takes at least for a connection that was not in the queue before it, and queueWaits how
-	// many tries in a row have to take so long: with no core, one may do so over a queue that is not empty.
-	queueWait  = 5 * time.Millisecond
-	queueWaits = 10
-	// freshPeer is how long a connection that has just come may be without a request: clients wait 400 ms for their answer.
-	freshPeer = 400 * time.Millisecond
-	// emptyIn is how long connections may take to end once nothing more is decided.
-	emptyIn = 250 * time.Millisecond
+	// queueAcceptTimeout limits one Accept while the queue is being emptied.
+	queueAcceptTimeout = 20 * time.Millisecond
+	// queueEmptyTimeouts is how many consecutive Accepts have to time out before the queue counts as empty. One may
+	// time out before it asked the system, in a process that was not scheduled.
+	queueEmptyTimeouts = 3
+	// slowAcceptMin is the minimum duration of an Accept that had to wait for a connection, because there was none in
+	// the queue, and maxSlowAccepts is how many consecutive Accepts have to take that long. In a process that is not
+	// scheduled, a single one may do so although the queue is not empty.
+	slowAcceptMin  = 5 * time.Millisecond
+	maxSlowAccepts = 10
+	// newConnGrace is how long a new connection may remain without a request: clients wait 400 ms for their answer.
+	newConnGrace = 400 * time.Millisecond
+	// closeAllTimeout is how long connections may take to end once no more decisions are made.
+	closeAllTimeout = 250 * time.Millisecond
 )
 
-// stopAccepting has the listener close once nobody waits in its queue, and tells whether it has. What is closed over a queue
-// resets the connections there, with the requests that they may hold.
-func (p *peers) stopAccepting() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.stopping || p.accepted {
-		return p.accepted
+// stopAccepting makes the listener close once its queue is empty, and reports whether it is closed. Closing it
+// earlier would reset the connections in the queue, together with the requests that they may hold.
+func (l *limitListener) stopAccepting() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.draining || l.listenerClosed {
+		return l.listenerClosed
 	}
-	p.stopping = true
-	l, ok := p.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || l.SetDeadline(time.Now().Add(queueTick)) != nil { // in memory; or the next process has it
-		p.closeListener()
+	l.draining = true
+	deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
+	if !ok || deadliner.SetDeadline(time.Now().Add(queueAcceptTimeout)) != nil { // in memory, or the next process has it
+		l.closeListener()
 	}
-	return p.accepted
+	return l.listenerClosed
 }
 
-// closeListener closes the listener. The mutex is held.
-func (p *peers) closeListener() {
-	p.accepted = true
-	p.Listener.Close()
+// closeListener closes the listener. The caller holds the mutex.
+func (l *limitListener) closeListener() {
+	l.listenerClosed = true
+	l.Listener.Close()
 }
 
-// willAccept bounds the next try to accept while the queue is emptied.
-func (p *peers) willAccept() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.tried = time.Now()
-	if l, ok := p.Listener.(interface{ SetDeadline(time.Time) error }); ok && p.stopping {
-		l.SetDeadline(p.tried.Add(queueTick))
+// beforeAccept limits the next Accept while the queue is being emptied.
+func (l *limitListener) beforeAccept() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.acceptStarted = time.Now()
+	if deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok && l.draining {
+		deadliner.SetDeadline(l.acceptStarted.Add(queueAcceptTimeout))
 	}
 }
 
-// foundNothing tells whether a try to accept ran out. After some in a row the listener is closed; those count, too, that had
-// to wait for their connection, so that new ones do not go on for ever.
-func (p *peers) foundNothing(err error) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	ranOut := p.stopping && errors.Is(err, os.ErrDeadlineExceeded)
+// afterAccept reports whether an Accept timed out. It closes the listener after several timeouts in a row, and also
+// after several Accepts in a row that had to wait for their connection, so that new connections cannot keep it open
+// forever.
+func (l *limitListener) afterAccept(err error) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	timedOut := l.draining && errors.Is(err, os.ErrDeadlineExceeded)
 	switch {
 	case errors.Is(err, net.ErrClosed):
-		p.accepted = true
-	case !p.stopping || p.accepted:
-	case ranOut:
-		p.ranOut++
+		l.listenerClosed = true
+	case !l.draining || l.listenerClosed:
+	case timedOut:
+		l.acceptTimeouts++
 	default:
-		p.ranOut = 0
-		if p.waited++; time.Since(p.tried) < queueWait {
-			p.waited = 0
+		l.acceptTimeouts = 0
+		if l.slowAccepts++; time.Since(l.acceptStarted) < slowAcceptMin {
+			l.slowAccepts = 0
 		}
 	}
-	if !p.accepted && (p.ranOut >= queueTicks || p.waited >= queueWaits) {
-		p.closeListener()
+	if !l.listenerClosed && (l.acceptTimeouts >= queueEmptyTimeouts || l.slowAccepts >= maxSlowAccepts) {
+		l.closeListener()
 	}
-	return ranOut
+	return timedOut
 }
 
-// retire ends connections between requests: those that rest, and with all those that have not sent a whole head yet. It
-// tells how many connections are left, whatever their state.
-func (p *peers) retire(all bool) int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for c := range p.open {
-		fresh := !c.served && time.Since(c.since) < freshPeer
+// closeIdle closes connections between requests: idle ones, except new ones within newConnGrace. With includePartial
+// it also closes these, and connections that have not sent a complete request head yet. It returns how many
+// connections remain, in any state.
+func (l *limitListener) closeIdle(includePartial bool) int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.open {
+		isNew := !c.served && time.Since(c.stateSince) < newConnGrace
 		switch {
-		case c.left || c.active:
-		case c.begun.IsZero() && (all || !fresh):
-			c.part()
-		case all:
-			c.end()
+		case c.locallyClosed || c.active:
+		case c.requestStart.IsZero() && (includePartial || !isNew):
+			c.requestClose()
+		case includePartial:
+			c.beginClose()
 		}
 	}
-	p.await(p.noneWoken)
-	return len(p.open)
+	l.waitFor(l.noReadInterrupted)
+	return len(l.open)
 }
 
-// answerUntil sets until when answers under way may go out as the process ends.
-func (p *peers) answerUntil(t time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.answerBy = t
+// setResponseDeadline sets until when responses in progress may be written while the process stops.
+func (l *limitListener) setResponseDeadline(deadline time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.responseDeadline = deadline
 }
 
-// empty ends all connections, each after its answer.
-func (p *peers) empty(s *http.Server) {
-	begin := time.Now()
+// closeAll closes all connections, each after its response.
+func (l *limitListener) closeAll(server *http.Server) {
+	start := time.Now()
 	for {
-		accepted := p.stopAccepting()
-		p.retire(true)
-		if !p.awaited(begin, accepted) {
+		listenerClosed := l.stopAccepting()
+		l.closeIdle(true)
+		if !l.mustWait(start, listenerClosed) {
 			break
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
-	p.Listener.Close()
-	s.Close()
+	l.Listener.Close()
+	server.Close()
 }
 
-// awaited tells whether the process stays for a connection, or for the listener's queue: answers go out as long as the stop
-// lasts; what waits for its other side has emptyIn.
-func (p *peers) awaited(begin time.Time, accepted bool) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if time.Since(begin) >= emptyIn && time.Now().After(p.answerBy) {
+// mustWait reports whether the process has to stay for a connection or for the listener's queue. Responses may be
+// written until the response deadline; connections that wait for the remote side to close have closeAllTimeout.
+func (l *limitListener) mustWait(start time.Time, listenerClosed bool) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if time.Since(start) >= closeAllTimeout && time.Now().After(l.responseDeadline) {
 		return false
 	}
-	if !accepted {
+	if !listenerClosed {
 		return true
 	}
-	for c := range p.open {
-		if !c.left || c.refusing() || time.Since(c.since) < emptyIn {
+	for c := range l.open {
+		if !c.locallyClosed || c.refusalInProgress() || time.Since(c.stateSince) < closeAllTimeout {
 			return true
 		}
 	}
 	return false
 }
 
-// refusing tells whether a refusal is on its way. The mutex is held.
-func (c *peer) refusing() bool {
-	if c.refused == nil || c.begun.IsZero() {
+// refusalInProgress reports whether a refusal is being written. The caller holds the mutex.
+func (c *inboundConn) refusalInProgress() bool {
+	if c.refusalDone == nil || c.requestStart.IsZero() {
 		return false
 	}
 	select {
-	case <-c.refused:
+	case <-c.refusalDone:
 		return false
 	default:
 		return true
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -15,134 +15,137 @@
 	"larchrouter/internal/discovery"
 )
 
-// scripted is an endpoint that answers its first call by a script and all others with 200, and notes what it got.
-type scripted struct {
+// scriptedHost is an endpoint that answers its first call by a function and all others with 200, and counts its calls.
+type scriptedHost struct {
 	addr  string
 	mu    sync.Mutex
 	calls int
 }
 
-func newScripted(t *testing.T, first func(w http.ResponseWriter)) *scripted {
-	e := &scripted{}
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+func newScriptedHost(t *testing.T, first func(w http.ResponseWriter)) *scriptedHost {
+	host := &scriptedHost{}
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		io.Copy(io.Discard, req.Body)
-		e.mu.Lock()
-		e.calls++
-		n := e.calls
-		e.mu.Unlock()
+		host.mu.Lock()
+		host.calls++
+		n := host.calls
+		host.mu.Unlock()
 		if n == 1 {
 			first(w)
 		}
 	}))
-	s.Config.ErrorLog = nil
-	t.Cleanup(s.CloseClientConnections)
-	e.addr = s.Listener.Addr().String()
-	return e
+	server.Config.ErrorLog = nil
+	t.Cleanup(server.CloseClientConnections)
+	host.addr = server.Listener.Addr().String()
+	return host
 }
 
-func (e *scripted) count() int {
+func (e *scriptedHost) count() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.calls
 }
 
-func says(status int) func(http.ResponseWriter) {
+func answerStatus(status int) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) { w.WriteHeader(status) }
 }
 
-// Guards the end of a message whose outcome comes as the loop ends, and is dropped: whatever it was, the next start takes the
-// attempt for one that may have run, sends again only what may be repeated, and ends each message exactly once.
-func TestAnOutcomeThatTheLoopDropped(t *testing.T) {
-	dead := func() string {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+// Guards against wrong ends of messages whose outcome arrives as the loop ends, and is dropped. Whatever the outcome
+// was, the next start treats the attempt as one that may have run, sends only repeatable messages again, and ends each
+// message exactly once.
+func TestDroppedOutcomeOfSingleCall(t *testing.T) {
+	closedAddr := func() string {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer l.Close()
-		return l.Addr().String()
+		defer listener.Close()
+		return listener.Addr().String()
 	}
 	for kind, first := range map[string]func(http.ResponseWriter){
-		"served": says(200), "refused": says(503), "gone": says(410), "error": says(500), "no slot": says(504),
+		"served": answerStatus(200), "refused": answerStatus(503), "gone": answerStatus(410), "error": answerStatus(500), "no slot": answerStatus(504),
 		"cut off":       func(http.ResponseWriter) { panic(http.ErrAbortHandler) },
 		"no connection": nil,
 	} {
-		for class, repeats := range map[string]bool{"status-update": true, "job-order": true, "payment": false} {
+		for class, repeatable := range map[string]bool{"status-update": true, "job-order": true, "payment": false} {
 			t.Run(kind+", "+class, func(t *testing.T) {
-				host := newScripted(t, first)
-				server := at("s-1", host.addr, "taller")
+				host := newScriptedHost(t, first)
+				server := testEndpoint("s-1", host.addr, "taller")
 				want := 1
 				if kind == "no connection" {
-					server.Addr, want = dead(), 0
+					server.Addr, want = closedAddr(), 0
 				}
-				if repeats {
+				if repeatable {
 					want++
 				}
 				state := t.TempDir()
-				dropOutcomes(t, newPlatform(t, server), state, class, "m1")
+				sendAndDropOutcomes(t, newFakePlatform(t, server), state, class, "m1")
 				if kind == "no connection" {
-					host.calls, server.Addr = 1, host.addr // its first answer is over
+					host.calls, server.Addr = 1, host.addr // skips the first answer
 					want++
 				}
-				endsOnce(t, server, state, class, repeats, "m1")
+				wantEndedOnce(t, server, state, class, repeatable, "m1")
 				if n := host.count(); n != want {
-					t.Errorf("%d calls came, want %d", n, want)
+					t.Errorf("%d calls, want %d", n, want)
 				}
 			})
 		}
 	}
 }
 
-// Guards the same for the members of a shared call.
-func TestAnOutcomeOfASharedCallThatTheLoopDropped(t *testing.T) {
-	for class, repeats := range map[string]bool{"status-update": true, "payment": false} {
-		host := newScripted(t, func(w http.ResponseWriter) { io.WriteString(w, "m1 ok\r\nm2 later\r\nm3 gone\r\n") })
-		server := at("s-1", host.addr, "taller")
+// Guards against the same for the members of a shared call.
+func TestDroppedOutcomeOfSharedCall(t *testing.T) {
+	for class, repeatable := range map[string]bool{"status-update": true, "payment": false} {
+		host := newScriptedHost(t, func(w http.ResponseWriter) { io.WriteString(w, "m1 ok\r\nm2 later\r\nm3 gone\r\n") })
+		server := testEndpoint("s-1", host.addr, "taller")
 		server.Kind = "marketplace"
 		state := t.TempDir()
-		dropOutcomes(t, newPlatform(t, server), state, class, "m1", "m2", "m3")
+		sendAndDropOutcomes(t, newFakePlatform(t, server), state, class, "m1", "m2", "m3")
 		want(t, "calls", host.count(), 1)
-		server.Kind = "customer-system" // one message a call, which 200 delivers
-		endsOnce(t, server, state, class, repeats, "m1", "m2", "m3")
+		server.Kind = "customer-system" // one message per call, which 200 delivers
+		wantEndedOnce(t, server, state, class, repeatable, "m1", "m2", "m3")
 	}
 }
 
-// dropOutcomes takes messages on, has them go out, and kills the relay with their outcomes ready and not taken in.
-func dropOutcomes(t *testing.T, p *platform, state, class string, ids ...string) {
+// sendAndDropOutcomes accepts messages, has them sent, and stops the relay while their outcomes are queued but not
+// processed.
+func sendAndDropOutcomes(t *testing.T, platform *fakePlatform, state, class string, ids ...string) {
 	t.Helper()
-	r := unserved(t, p, state)
+	relay := newSteppedRelay(t, platform, state)
 	for _, id := range ids {
-		in := request(t, r, context.Background(), id, class, time.Minute)
-		r.take(in)
-		defer func() { want(t, "status", status(in), http.StatusAccepted) }()
+		in := newIntake(t, relay, context.Background(), id, class, time.Minute)
+		relay.submit(in)
+		defer func() { want(t, "status", replyStatus(in), http.StatusAccepted) }()
 	}
-	r.step()
-	for len(r.events) > 0 {
-		r.step()
+	relay.step()
+	for len(relay.events) > 0 {
+		relay.step()
 	}
-	want(t, "calls out", r.out, 1)
-	wait(t, r.inbox, "outcome") // and not run
-	r.stop()
-	r.journal.Close()
+	want(t, "calls in flight", relay.callsInFlight, 1)
+	receive(t, relay.inbox, "outcome") // received, but not run
+	relay.stop()
+	relay.journal.Close()
 }
 
-// endsOnce starts the next process, and wants each message delivered if it may be repeated, else ended by one notice.
-func endsOnce(t *testing.T, server discovery.Server, state, class string, repeats bool, ids ...string) {
+// wantEndedOnce starts the next process, and checks that each message is delivered if it may be repeated, and is ended
+// by one notice otherwise.
+func wantEndedOnce(t *testing.T, server discovery.Server, state, class string, repeatable bool, ids ...string) {
 	t.Helper()
-	p := newPlatform(t, server)
-	r := startRelay(t, p, func(conf *Config) { conf.State = state })
-	for held := -1; held != 0; {
+	platform := newFakePlatform(t, server)
+	relay := startRelay(t, platform, func(config *Config) { config.StateDir = state })
+	for pending := -1; pending != 0; {
 		counts := make(chan int, 1)
-		r.post(func() { counts <- len(r.held) + r.owed + r.journal.Len() })
-		held = wait(t, counts, "count")
+		relay.post(func() { counts <- len(relay.pending) + relay.pendingNotices + relay.journal.Len() })
+		pending = receive(t, counts, "count")
 	}
 	var ended []string
-	for len(p.notices) > 0 {
-		n := <-p.notices
+	for len(platform.notices) > 0 {
+		n := <-platform.notices
 		want(t, fmt.Sprint("status of ", class), n.Status, undeliverable)
 		ended = append(ended, n.ID)
 	}
 	slices.Sort(ended)
-	if repeats {
+	if repeatable {
 		ids = nil
 	}
 	if !slices.Equal(ended, ids) {
--- a/internal/relay/due_notices.go
+++ b/internal/relay/due_notices.go
@@ -5,51 +5,52 @@
 	"slices"
 )
 
-// A notice waits until its record counts: an heir that does not know of it could deliver the message, after its client was told
-// to hand it in again. Once the message's time is up no heir begins a call with it any more, and none is out, so the notice waits
-// no longer: it would only come too late.
+// A notice is sent once its record is committed: a successor that does not know of the record could deliver the message
+// after its client was told to send it again. From the message's deadline on no successor starts a call with it any
+// more, and none is in flight, so the notice is sent without waiting any longer: it would only be late.
 
-// uncountedNotices are notices of one write whose records do not count yet.
-type uncountedNotices struct{ waiting []notice }
+// uncommittedNotices are the notices of one write whose records are not committed yet.
+type uncommittedNotices struct{ notices []notice }
 
-// noticesCounted is what is to be done with notices once their records count, or are another relay's.
-func (r *Relay) noticesCounted(notices []notice) func(counts bool) {
-	c := r.copies
-	if c == nil {
-		return func(counts bool) { r.sendNotices(notices, counts) }
+// whenNoticesCommitted returns the function to call once the records of notices are committed, or belong to another
+// relay.
+func (r *Relay) whenNoticesCommitted(notices []notice) func(committed bool) {
+	copies := r.replication
+	if copies == nil {
+		return func(committed bool) { r.sendNotices(notices, committed) }
 	}
-	u := &uncountedNotices{slices.Clone(notices)}
-	c.uncounted = append(c.uncounted, u)
-	return func(counts bool) {
-		c.uncounted = slices.DeleteFunc(c.uncounted, func(other *uncountedNotices) bool { return other == u })
-		r.sendNotices(u.waiting, counts)
+	uncommitted := &uncommittedNotices{slices.Clone(notices)}
+	copies.uncommitted = append(copies.uncommitted, uncommitted)
+	return func(committed bool) {
+		copies.uncommitted = slices.DeleteFunc(copies.uncommitted, func(other *uncommittedNotices) bool { return other == uncommitted })
+		r.sendNotices(uncommitted.notices, committed)
 	}
 }
 
-// dropUncounted forgets the notices of the write before, which failed: they wait to be recorded again.
-func (r *Relay) dropUncounted() {
-	if c := r.copies; c != nil {
-		c.uncounted = c.uncounted[:len(c.uncounted)-1]
+// dropUncommittedNotices removes the notices of the last write, which failed: they stay queued to be recorded again.
+func (r *Relay) dropUncommittedNotices() {
+	if copies := r.replication; copies != nil {
+		copies.uncommitted = copies.uncommitted[:len(copies.uncommitted)-1]
 	}
 }
 
-// tellDue has notices go out whose messages' time is up, though their records do not count yet.
-func (r *Relay) tellDue() {
-	if r.heir != nil {
-		return // they are the next process's
+// sendDueNotices sends the notices of messages whose deadline has passed, although their records are not committed yet.
+func (r *Relay) sendDueNotices() {
+	if r.nextProcess != nil {
+		return // the next process sends them
 	}
 	now := r.now()
-	for _, u := range r.copies.uncounted {
+	for _, uncommitted := range r.replication.uncommitted {
 		var due []notice
-		u.waiting = slices.DeleteFunc(u.waiting, func(n notice) bool {
-			if n.due > now {
+		uncommitted.notices = slices.DeleteFunc(uncommitted.notices, func(queued notice) bool {
+			if queued.due > now {
 				return false
 			}
-			due = append(due, n)
+			due = append(due, queued)
 			return true
 		})
 		if len(due) > 0 {
-			slog.Warn("ends are told that holders do not have yet", "messages", len(due))
+			slog.Warn("notices of due messages sent before replicas have their records", "messages", len(due))
 			r.notices.add(due)
 		}
 	}
--- a/internal/relay/flush.go
+++ b/internal/relay/flush.go
@@ -8,87 +8,90 @@
 	"larchrouter/internal/remedy"
 )
 
-// From the loop's state to the journal, and from there to the sender of notices.
+// This file moves records from the loop's state to the journal, and notices from there to the sender.
 
-// recordsAtOnce bounds the records of one write: the journal keeps room for about so many beyond what it holds, and makes
-// room by what they end.
-const recordsAtOnce = 64
+// maxRecordsPerWrite limits the records of one write. The journal reserves space for about this many records beyond
+// what it holds, and regains space by the entries that they end.
+const maxRecordsPerWrite = 64
 
-// bindInOrder records what something new depends on, unless earlier records could not be written yet: written after it,
-// the end of an earlier message would end a new one of the same id, and an outcome would be taken for that of a new attempt.
-func (r *Relay) bindInOrder(recs []journal.Record, most time.Duration, then func(counts bool)) error {
-	if len(r.records) > 0 {
-		return errUnwritten
+// bindInOrder records what a new message or call depends on. It fails if earlier records are not written yet: if they
+// were written after the new ones, the end of an earlier message would end a new one with the same id, and an outcome
+// would be taken for that of a new attempt.
+func (r *Relay) bindInOrder(records []journal.Record, maxWait time.Duration, onCommit func(committed bool)) error {
+	if len(r.pendingRecords) > 0 {
+		return errRecordsPending
 	}
-	return r.bind(recs, most, then)
+	return r.bind(records, maxWait, onCommit)
 }
 
-// flush records what has ended. What cannot be written now is kept, and no notice
-// goes out before it is: a client told to come again, and a restart that takes the
-// message up again, would deliver it twice.
+// flush records what has ended. Records that cannot be written now are retained, and no notice is sent before its
+// record is written: otherwise a client that is told to send the message again, and a restart that resumes it, would
+// deliver it twice.
 func (r *Relay) flush() {
-	if r.heir != nil {
-		return // the journal is the next process's
+	if r.nextProcess != nil {
+		return // the journal belongs to the next process
 	}
-	all := r.records
-	for len(r.records) > 0 {
-		part := r.records[:min(len(r.records), recordsAtOnce)]
-		notices := r.noticesOf(part)
-		var then func(counts bool)
+	allRecords := r.pendingRecords
+	for len(r.pendingRecords) > 0 {
+		batch := r.pendingRecords[:min(len(r.pendingRecords), maxRecordsPerWrite)]
+		notices := r.noticesFor(batch)
+		var onCommit func(committed bool)
 		if len(notices) > 0 {
-			then = r.noticesCounted(notices)
+			onCommit = r.whenNoticesCommitted(notices)
 		}
-		if err := r.bind(part, 0, then); err != nil {
-			if then != nil {
-				r.dropUncounted()
+		if err := r.bind(batch, 0, onCommit); err != nil {
+			if onCommit != nil {
+				r.dropUncommittedNotices()
 			}
-			slog.Error("not recorded", "records", len(r.records), "err", err, "remedy", remedy.Of(err))
-			r.flushAgain()
+			slog.Error("records could not be written to the journal", "records", len(r.pendingRecords), "err", err, "remedy", remedy.Of(err))
+			r.scheduleFlush()
 			return
 		}
-		r.records = r.records[len(part):]
-		r.untold = r.untold[len(notices):]
+		r.pendingRecords = r.pendingRecords[len(batch):]
+		r.unrecordedNotices = r.unrecordedNotices[len(notices):]
 	}
-	r.records = all[:0]
-	if len(r.untold) > 0 { // an earlier process recorded them
-		r.sendNotices(r.untold, true)
+	r.pendingRecords = allRecords[:0]
+	if len(r.unrecordedNotices) > 0 { // an earlier process recorded them
+		r.sendNotices(r.unrecordedNotices, true)
 	}
-	r.untold = nil
+	r.unrecordedNotices = nil
 }
 
-// noticesOf are the first of the notices that wait, up to the last one that some records are of. Notices wait in the order
-// of their records.
-func (r *Relay) noticesOf(records []journal.Record) []notice {
+// noticesFor returns the first of the waiting notices, up to the last one that one of the records belongs to. Notices
+// wait in the order of their records.
+func (r *Relay) noticesFor(records []journal.Record) []notice {
 	count := 0
 	for _, record := range records {
 		if record.Op != journal.OpNotice {
 			continue
 		}
-		for count < len(r.untold) && r.untold[count].ID != record.ID {
+		for count < len(r.unrecordedNotices) && r.unrecordedNotices[count].ID != record.ID {
 			count++ // an earlier process recorded it
 		}
 		count++
 	}
-	return r.untold[:min(count, len(r.untold))]
+	return r.unrecordedNotices[:min(count, len(r.unrecordedNotices))]
 }
 
-// sendNotices has notices go out once their records count.
-func (r *Relay) sendNotices(notices []notice, counts bool) {
-	if !counts { // another relay ends them
-		r.owed -= len(notices)
+// sendNotices queues notices whose records are committed.
+func (r *Relay) sendNotices(notices []notice, committed bool) {
+	if !committed { // another relay ends the messages
+		r.pendingNotices -= len(notices)
 		return
 	}
 	r.notices.add(notices)
 }
 
-// rewriteIn is the time from a record that could not be written to the next attempt. What it ends waits for it.
-const rewriteIn = 50 * time.Millisecond
+// flushRetryDelay is the time from a failed write of records to the next attempt. The notices of these records wait for
+// it.
+const flushRetryDelay = 50 * time.Millisecond
 
-// flushAgain has the loop take a turn, and so flush, in a while; one such turn at a time, however many attempts have failed.
-func (r *Relay) flushAgain() {
-	if r.flushes {
+// scheduleFlush has the loop run again, and thereby flush, after a delay. Only one such run is scheduled at a time,
+// however many attempts have failed.
+func (r *Relay) scheduleFlush() {
+	if r.flushScheduled {
 		return
 	}
-	r.flushes = true
-	time.AfterFunc(rewriteIn, func() { r.post(func() { r.flushes = false }) })
+	r.flushScheduled = true
+	time.AfterFunc(flushRetryDelay, func() { r.post(func() { r.flushScheduled = false }) })
 }
--- a/internal/relay/full_journal_test.go
+++ b/internal/relay/full_journal_test.go
@@ -12,39 +12,39 @@
 	"larchrouter/internal/journal"
 )
 
-// Guards against ends that are never told because the journal has no room for the records of all of them at once: as many
-// messages as the disk takes, tried or not, end in one turn of the loop.
-func TestManyEndsFromAFullJournal(t *testing.T) {
+// Guards against notices that are never sent because the journal has no space for the records of all of them at once:
+// as many messages as the disk holds, tried or not, end in one turn of the loop.
+func TestAllMessagesOfFullJournalEnd(t *testing.T) {
 	for name, bodySize := range map[string]int{"small messages": 1, "large messages": 4000} {
 		t.Run(name, func(t *testing.T) {
-			leaving := at("s-1", "127.0.0.1:1", "taller")
-			leaving.State = "leaving" // so that messages wait
-			p := newPlatform(t, leaving)
+			leavingServer := testEndpoint("s-1", "127.0.0.1:1", "taller")
+			leavingServer.State = "leaving" // so that messages wait
+			p := newFakePlatform(t, leavingServer)
 			p.notices = make(chan notice, 10000)
-			r := startRelay(t, p, func(c *Config) { c.DiskMB, c.Settings.MaxHeld = 3, 0 })
+			r := startRelay(t, p, func(c *Config) { c.DiskMB, c.Settings.MaxPending = 3, 0 })
 			due := r.now() + 4*time.Second
-			taken := 0
-			for full := false; !full; {
-				in := &intake{ctx: context.Background(), reply: make(chan answer, 1), due: due}
-				in.entry = &journal.Entry{ID: fmt.Sprintf("%016x", taken), Class: "payment", Dest: 7, Body: []byte(strings.Repeat("x", bodySize)),
+			accepted := 0
+			for rejected := false; !rejected; {
+				in := &apiRequest{ctx: context.Background(), reply: make(chan apiResponse, 1), due: due}
+				in.entry = &journal.Entry{ID: fmt.Sprintf("%016x", accepted), Class: "payment", Dest: 7, Body: []byte(strings.Repeat("x", bodySize)),
 					Due: time.Now().Add(due - r.now()).UnixMilli()}
-				in.entry.Terms = &choice.Terms{Class: r.set.Load().Classes[2], Attempts: 6}
-				r.post(func() { r.take(in) })
-				if full = wait(t, in.reply, "answer").status != http.StatusAccepted; !full {
-					taken++
+				in.entry.Terms = &choice.Terms{Class: r.settings.Load().Classes[2], Attempts: 6}
+				r.post(func() { r.submit(in) })
+				if rejected = receive(t, in.reply, "answer").status != http.StatusAccepted; !rejected {
+					accepted++
 				}
 			}
 			if r.now() > due-time.Second {
-				t.Fatalf("taking on %d messages took too long", taken)
+				t.Fatalf("accepting %d messages took too long", accepted)
 			}
-			for n := range taken {
+			for n := range accepted {
 				select {
 				case <-p.notices:
-				case <-time.After(time.Until(r.began.Add(due + 5*time.Second))):
-					t.Fatalf("%d of %d ends were told", n, taken)
+				case <-time.After(time.Until(r.startedAt.Add(due + 5*time.Second))):
+					t.Fatalf("only %d of %d notices were sent", n, accepted)
 				}
 			}
-			t.Logf("%d ends, the last one told %v after its time", taken, r.now()-due)
+			t.Logf("%d notices, the last one %v after its message's deadline", accepted, r.now()-due)
 		})
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -14,45 +14,45 @@
 	"larchrouter/internal/journal"
 )
 
-// upgrade starts the next process of a relay beside it.
-func upgrade(t *testing.T, p *platform, old *Relay) *Relay {
+// upgrade starts the next process of a relay beside the running one and waits until it is ready.
+func upgrade(t *testing.T, p *fakePlatform, old *Relay) *Relay {
 	t.Helper()
 	next := startRelay(t, p, func(conf *Config) {
-		withAdmin(conf)
-		conf.Listen, conf.State = old.Addr(), old.conf.State
+		withAdminAddr(conf)
+		conf.Listen, conf.StateDir = old.Addr(), old.config.StateDir
 	})
 	for begin := time.Now(); ; time.Sleep(time.Millisecond) {
-		if status, _ := operate(t, next, "GET", "/ready"); status == 200 {
+		if status, _ := operatorCall(t, next, "GET", "/ready"); status == 200 {
 			return next
 		}
 		if time.Since(begin) > 30*time.Second {
-			t.Fatal("the next process does not say that it is ready")
+			t.Fatal("the next process does not become ready")
 		}
 	}
 }
 
-// Guards against all that a new version under load may not do: turn clients back, on new and on old
-// connections; send what is out a second time; forget a wait, or what operators took out; count
-// what the process before it did, or miss what ends after it took over.
-func TestHandOver(t *testing.T) {
-	calls := make(chan *seen, 10)
-	other := at("s-3", fakeHost(t, "c", calls), "taller")
-	other.Cell = 8
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"), at("s-2", fakeHost(t, "b", calls), "taller"), other)
+// Guards against an upgrade under load that refuses clients on new or old connections, sends a message a second time,
+// forgets a host's wait or an endpoint that operators disabled, counts what the previous process did, or misses what
+// ends after the handover.
+func TestHandoverKeepsMessagesCallsAndWaits(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	otherServer := testEndpoint("s-3", newFakeHost(t, "c", calls), "taller")
+	otherServer.Cell = 8
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"), testEndpoint("s-2", newFakeHost(t, "b", calls), "taller"), otherServer)
 	state := t.TempDir()
-	old := startRelay(t, p, func(conf *Config) { withAdmin(conf); conf.State = state })
-	up(t, old.Addr())
-	if status, _ := operate(t, old, "PUT", "/endpoints/disable/s-2"); status != 200 {
+	old := startRelay(t, p, func(conf *Config) { withAdminAddr(conf); conf.StateDir = state })
+	checkUp(t, old.Addr())
+	if status, _ := operatorCall(t, old, "PUT", "/endpoints/disable/s-2"); status != 200 {
 		t.Fatal(status)
 	}
-	kept := &http.Client{Transport: &http.Transport{}} // its connection stays with the old process
+	oldConnClient := &http.Client{Transport: &http.Transport{}} // its connection stays with the old process
 	post := func(id string) *http.Response {
 		t.Helper()
 		req, _ := http.NewRequest("POST", "http://"+old.Addr()+"/api", strings.NewReader("body of "+id))
 		for k, v := range map[string]string{"X-Request-Id": id, "X-Class": "payment", "X-Deadline-Ms": "15000", "X-Addressing": "dest=7"} {
 			req.Header.Set(k, v)
 		}
-		resp, err := kept.Do(req)
+		resp, err := oldConnClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -61,78 +61,78 @@
 		return resp
 	}
 	want(t, "m1", post("m1").StatusCode, 202)
-	out := wait(t, calls, "call")
-	hand(t, old.Addr(), "m2", "payment", "X-Addressing", "dest=8")
-	told := wait(t, calls, "call")
-	toldAt := time.Now()
-	told.answer <- 429 // and to wait 0.3 s
-	shows(t, old, "svc.attempts=2", "svc.in_flight=2")
+	inFlight := receive(t, calls, "call")
+	postMessage(t, old.Addr(), "m2", "payment", "X-Addressing", "dest=8")
+	waitCall := receive(t, calls, "call")
+	waitToldAt := time.Now()
+	waitCall.answer <- 429 // with a wait of 0.3 s
+	awaitMetrics(t, old, "svc.attempts=2", "svc.in_flight=2")
 
 	next := upgrade(t, p, old)
-	next.listener.mu.Lock()
-	most := next.listener.most
-	next.listener.mu.Unlock()
-	if n := old.listener.count(); n == 0 || most+n > next.conf.Sockets/2 {
-		t.Errorf("clients hold %d sockets here and may hold %d there, of %d", n, most, next.conf.Sockets)
+	next.clientListener.mu.Lock()
+	maxConns := next.clientListener.limit
+	next.clientListener.mu.Unlock()
+	if n := old.clientListener.connCount(); n == 0 || maxConns+n > next.config.Sockets/2 {
+		t.Errorf("clients have %d sockets at the old process and may have %d at the next one, of %d", n, maxConns, next.config.Sockets)
 	}
-	shows(t, next, "svc.attempts=0", "svc.in_flight=2", "svc.endpoints_known=3", "svc.endpoints_excluded=1",
+	awaitMetrics(t, next, "svc.attempts=0", "svc.in_flight=2", "svc.endpoints_known=3", "svc.endpoints_excluded=1",
 		"svc.requests.payment.served=0")
-	passed := post("m3")
-	want(t, "m3, on the old connection", passed.StatusCode, 202)
-	want(t, "the old connection ends with it", passed.Close, true)
+	forwardedResponse := post("m3")
+	want(t, "m3, on the old connection", forwardedResponse.StatusCode, 202)
+	want(t, "the old connection ends with it", forwardedResponse.Close, true)
 	want(t, "m1 again", post("m1").StatusCode, 202)
-	want(t, "no class", func() int { s, _ := hand(t, old.Addr(), "m5", "none"); return s }(), 400)
+	want(t, "no class", func() int { s, _ := postMessage(t, old.Addr(), "m5", "none"); return s }(), 400)
 	for n := range 2 { // m2 after its wait, and m3
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		if c.id != "m2" && c.id != "m3" || c.host == "b" {
 			t.Fatalf("call %d has %s, at %s", n, c.id, c.host)
 		}
-		if c.id == "m2" && c.at.Sub(toldAt) < 300*time.Millisecond {
-			t.Errorf("m2 went %v after a wait of 0.3 s was told", c.at.Sub(toldAt))
+		if c.id == "m2" && c.receivedAt.Sub(waitToldAt) < 300*time.Millisecond {
+			t.Errorf("m2 was sent %v after a wait of 0.3 s was advised", c.receivedAt.Sub(waitToldAt))
 		}
 		c.answer <- 200
 	}
-	out.answer <- 200
-	shows(t, next, "svc.requests.payment.served=3", "svc.attempts=2", "svc.in_flight=0")
-	after := upgrade(t, p, next)
-	status, _ := hand(t, after.Addr(), "m3", "payment")
-	want(t, "m3 once more, two processes on", status, 202)
-	shows(t, after, "svc.requests.payment.served=0", "svc.in_flight=0")
+	inFlight.answer <- 200
+	awaitMetrics(t, next, "svc.requests.payment.served=3", "svc.attempts=2", "svc.in_flight=0")
+	afterNext := upgrade(t, p, next)
+	status, _ := postMessage(t, afterNext.Addr(), "m3", "payment")
+	want(t, "m3 sent again, two processes later", status, 202)
+	awaitMetrics(t, afterNext, "svc.requests.payment.served=0", "svc.in_flight=0")
 	next.stop()
-	next = after
-	shows(t, old, "svc.requests.payment.served=0", "svc.attempts=2", "svc.in_flight=0")
-	if status, _ := operate(t, old, "PUT", "/endpoints/enable/s-2"); status != 503 {
+	next = afterNext
+	awaitMetrics(t, old, "svc.requests.payment.served=0", "svc.attempts=2", "svc.in_flight=0")
+	if status, _ := operatorCall(t, old, "PUT", "/endpoints/enable/s-2"); status != 503 {
 		t.Errorf("the process that handed over answers operators %d, want 503", status)
 	}
 	want(t, "further calls", len(calls), 0)
 
-	// What is out when the old process ends may have run: a payment is not sent again.
+	// What is in flight when the old process ends may have run, so a payment is not sent again.
 	third := upgrade(t, p, next)
-	hand(t, third.Addr(), "m6", "payment")
-	wait(t, calls, "call")
+	postMessage(t, third.Addr(), "m6", "payment")
+	receive(t, calls, "call")
 	fourth := upgrade(t, p, third)
 	third.stop()
-	want(t, "notice", wait(t, p.notices, "notice"), notice{ID: "m6", Status: undeliverable})
-	shows(t, fourth, "svc.requests.payment.failed=1", "svc.in_flight=0")
+	want(t, "notice", receive(t, p.notices, "notice"), notice{ID: "m6", Status: undeliverable})
+	awaitMetrics(t, fourth, "svc.requests.payment.failed=1", "svc.in_flight=0")
 	want(t, "further calls", len(calls), 0)
 }
 
-// Guards against a relay that is lost to a next process which dies, lies or hangs as it takes over.
-func TestHandOverThatFails(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	old := startRelay(t, p, withAdmin)
-	up(t, old.Addr())
-	for i, says := range []string{"", "hello", handoverHello, handoverHello + "tak", handoverHello + "mine!\n"} {
-		conn, err := net.Dial("unix", filepath.Join(old.conf.State, handoverName))
+// Guards against a relay that fails because the next process dies, sends garbage or hangs during the handover.
+func TestRelayContinuesAfterFailedHandover(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	old := startRelay(t, p, withAdminAddr)
+	checkUp(t, old.Addr())
+	for i, sent := range []string{"", "hello", handoverHello, handoverHello + "tak", handoverHello + "mine!\n"} {
+		conn, err := net.Dial("unix", filepath.Join(old.config.StateDir, handoverSocket))
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, err := io.WriteString(conn, says); err != nil {
+		if _, err := io.WriteString(conn, sent); err != nil {
 			t.Fatal(err)
 		}
-		if says == handoverHello { // it replaces the journal, as it would, and dies
-			j, err := journal.Open(old.conf.State, 3e6)
+		if sent == handoverHello { // opens the journal, as a next process does, and dies
+			j, err := journal.Open(old.config.StateDir, 3e6)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -140,128 +140,129 @@
 		}
 		conn.Close()
 		id := fmt.Sprint("m", i)
-		status, _ := hand(t, old.Addr(), id, "payment")
+		status, _ := postMessage(t, old.Addr(), id, "payment")
 		want(t, "status", status, 202)
-		c := wait(t, calls, "call")
+		c := receive(t, calls, "call")
 		want(t, "id", c.id, id)
 		c.answer <- 200
 	}
-	hand(t, old.Addr(), "m9", "payment")
-	out := wait(t, calls, "call")
+	postMessage(t, old.Addr(), "m9", "payment")
+	inFlight := receive(t, calls, "call")
 	next := upgrade(t, p, old)
-	shows(t, next, "svc.in_flight=1")
-	out.answer <- 200
-	shows(t, next, "svc.requests.payment.served=1", "svc.in_flight=0")
+	awaitMetrics(t, next, "svc.in_flight=1")
+	inFlight.answer <- 200
+	awaitMetrics(t, next, "svc.requests.payment.served=1", "svc.in_flight=0")
 }
 
-// Guards against a process that ends between the one before it, which has calls out, and the next
-// one, which waits for their ends: both would take those calls for broken.
-func TestStopWaitsForCallsOfAllProcesses(t *testing.T) {
-	for _, c := range []struct {
-		name                      string
-		out, adopted, asked, held int
-		passed, stopped, idle     bool
+// Guards against a process that exits while the previous one still has calls in flight and the next one waits for
+// their results: both would count those calls as broken.
+func TestStopWaitsForCallsOfEveryProcess(t *testing.T) {
+	for _, test := range []struct {
+		name                                  string
+		inFlight, adopted, forwarded, pending int
+		handedOver, stopped, idle             bool
 	}{
 		{name: "nothing", idle: true},
-		{name: "a call", out: 1, held: 1, stopped: true},
-		{name: "a message", held: 1},
-		{name: "a message, past sending", held: 1, stopped: true, idle: true},
-		{name: "a call of the process before", adopted: 1, held: 1, stopped: true},
-		{name: "the same, handed over", adopted: 1, held: 1, passed: true, stopped: true},
-		{name: "an answer to pass back", asked: 1, held: 1, passed: true, stopped: true},
-		{name: "messages of the next process", held: 1, passed: true, idle: true},
+		{name: "a call", inFlight: 1, pending: 1, stopped: true},
+		{name: "a message", pending: 1},
+		{name: "a message, after the last send", pending: 1, stopped: true, idle: true},
+		{name: "a call of the previous process", adopted: 1, pending: 1, stopped: true},
+		{name: "the same, handed over", adopted: 1, pending: 1, handedOver: true, stopped: true},
+		{name: "an answer to forward", forwarded: 1, pending: 1, handedOver: true, stopped: true},
+		{name: "messages of the next process", pending: 1, handedOver: true, idle: true},
 	} {
-		r := &Relay{out: c.out, stopped: c.stopped, books: books{held: map[string]*message{}},
-			succession: succession{heritage: &heritage{calls: map[string]*call{}}, asked: map[int64]*intake{}}}
-		if c.passed {
-			r.heir = &link{}
+		r := &Relay{callsInFlight: test.inFlight, stopped: test.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
+			handoverState: handoverState{previousProcess: &previousProcess{calls: map[string]*call{}}, forwardedIntakes: map[int64]*apiRequest{}}}
+		if test.handedOver {
+			r.nextProcess = &processLink{}
 		}
-		for i := range c.adopted {
-			r.heritage.calls[fmt.Sprint("m", i)] = &call{}
+		for i := range test.adopted {
+			r.previousProcess.calls[fmt.Sprint("m", i)] = &call{}
 		}
-		for i := range c.asked {
-			r.asked[int64(i)] = &intake{}
+		for i := range test.forwarded {
+			r.forwardedIntakes[int64(i)] = &apiRequest{}
 		}
-		for i := range c.held {
-			r.held[fmt.Sprint("m", i)] = &message{}
+		for i := range test.pending {
+			r.pending[fmt.Sprint("m", i)] = &message{}
 		}
-		want(t, c.name, r.idle(), c.idle)
+		want(t, test.name, r.isIdle(), test.idle)
 	}
 }
 
-// Guards against hosts that are taken for broken because a process of this relay ended.
-func TestCallsOfAProcessThatEndedAreCalledOff(t *testing.T) {
-	c := &call{host: &host{id: "s-1"}, began: time.Now().Add(-time.Minute)}
+// Guards against hosts that are counted as failed because a process of this relay ended.
+func TestCallsOfEndedProcessAreCancelled(t *testing.T) {
+	c := &call{host: &host{id: "s-1"}, startedAt: time.Now().Add(-time.Minute)}
 	m := &message{Entry: &journal.Entry{ID: "m1"}, call: c}
-	h := &heritage{calls: map[string]*call{"m1": c}}
-	r := &Relay{succession: succession{heritage: h}, books: books{held: map[string]*message{"m1": m}}}
-	r.orphaned(h)
+	previous := &previousProcess{calls: map[string]*call{"m1": c}}
+	r := &Relay{handoverState: handoverState{previousProcess: previous}, messageRecords: messageRecords{pending: map[string]*message{"m1": m}}}
+	r.endOrphanedCalls(previous)
 	want(t, "events", len(r.events), 1)
 	e := r.events[0].(choice.Result)
 	want(t, "outcome", e.Outcome, choice.Cancelled)
 	want(t, "took", e.Took >= time.Minute, true)
-	want(t, "it may have run", r.records[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Ran: true})
-	want(t, "calls left", len(h.calls), 0)
+	want(t, "it may have run", r.pendingRecords[0], journal.Record{Op: journal.OpOutcome, ID: "m1", Flag: true})
+	want(t, "calls left", len(previous.calls), 0)
 }
 
-// unixPair are the two ends of a connection between two processes.
-func unixPair(t *testing.T) (here, there *net.UnixConn) {
+// unixPair returns the two ends of a connection between two processes.
+func unixPair(t *testing.T) (local, remote *net.UnixConn) {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "s"), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if there, err = net.DialUnix("unix", nil, l.Addr().(*net.UnixAddr)); err != nil {
+	if remote, err = net.DialUnix("unix", nil, l.Addr().(*net.UnixAddr)); err != nil {
 		t.Fatal(err)
 	}
-	if here, err = l.AcceptUnix(); err != nil {
+	if local, err = l.AcceptUnix(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { here.Close(); there.Close() })
-	return here, there
+	t.Cleanup(func() { local.Close(); remote.Close() })
+	return local, remote
 }
 
-// Guards against two processes that both go on as one relay: the word of the next one comes as this one stops waiting.
-func TestTheWordThatComesAsWaitingEnds(t *testing.T) {
-	here, there := unixPair(t)
-	if err := (&heritage{conn: there}).accept(); err != nil {
+// Guards against two processes that both continue as one relay because the confirmation arrives as the wait for it
+// times out.
+func TestConfirmationAtTimeoutCounts(t *testing.T) {
+	local, remote := unixPair(t)
+	if err := (&previousProcess{conn: remote}).confirm(); err != nil {
 		t.Fatal(err)
 	}
-	here.SetDeadline(time.Now().Add(-time.Second))
-	if err := awaitTaken(here); err != nil {
-		t.Errorf("the next process has taken over, and this one finds %v", err)
+	local.SetDeadline(time.Now().Add(-time.Second))
+	if err := awaitAccepted(local); err != nil {
+		t.Errorf("the next process has taken over, but this one reports %v", err)
 	}
-	here, there = unixPair(t)
-	here.SetDeadline(time.Now().Add(-time.Second))
-	if err := awaitTaken(here); err == nil {
-		t.Error("no word came, and this process finds that it has handed over")
+	local, remote = unixPair(t)
+	local.SetDeadline(time.Now().Add(-time.Second))
+	if err := awaitAccepted(local); err == nil {
+		t.Error("no confirmation arrived, but this process reports a completed handover")
 	}
-	if err := (&heritage{conn: there}).accept(); err == nil {
-		t.Error("this process goes on, and the next one finds that it has taken over")
+	if err := (&previousProcess{conn: remote}).confirm(); err == nil {
+		t.Error("this process continues, but the next one reports that it has taken over")
 	}
 }
 
-// Guards against an upgrade that is refused because the process before it asked, and died, in the same turn of the loop: it
-// found the address taken, and did not start.
-func TestHandOverAfterOneThatDied(t *testing.T) {
-	calls := make(chan *seen, 10)
-	p := newPlatform(t, at("s-1", fakeHost(t, "a", calls), "taller"))
-	old := startRelay(t, p, withAdmin)
-	up(t, old.Addr())
-	goOn := make(chan struct{})
-	old.post(func() { <-goOn }) // a turn that lasts until both have asked
-	dead, err := net.Dial("unix", filepath.Join(old.conf.State, handoverName))
+// Guards against an upgrade that fails because an earlier next process had asked for a handover and died within the
+// same turn of the loop: the new process found the address in use and did not start.
+func TestHandoverAfterRequesterDied(t *testing.T) {
+	calls := make(chan *receivedCall, 10)
+	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
+	old := startRelay(t, p, withAdminAddr)
+	checkUp(t, old.Addr())
+	release := make(chan struct{})
+	old.post(func() { <-release }) // a turn that lasts until both have asked
+	deadConn, err := net.Dial("unix", filepath.Join(old.config.StateDir, handoverSocket))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.WriteString(dead, handoverHello); err != nil {
+	if _, err := io.WriteString(deadConn, handoverHello); err != nil {
 		t.Fatal(err)
 	}
-	dead.Close()
-	time.AfterFunc(100*time.Millisecond, func() { close(goOn) }) // both wait in the loop's inbox by then
+	deadConn.Close()
+	time.AfterFunc(100*time.Millisecond, func() { close(release) }) // both requests are in the loop's inbox by then
 	next := upgrade(t, p, old)
-	hand(t, next.Addr(), "m1", "payment")
-	wait(t, calls, "call").answer <- 200
-	shows(t, next, "svc.requests.payment.served=1", "svc.in_flight=0")
+	postMessage(t, next.Addr(), "m1", "payment")
+	receive(t, calls, "call").answer <- 200
+	awaitMetrics(t, next, "svc.requests.payment.served=1", "svc.in_flight=0")
 }
--- a/internal/relay/hostconn.go
+++ b/internal/relay/hostconn.go
@@ -6,24 +6,24 @@
 	"sync/atomic"
 )
 
-// hostConn is a connection to a host. It tells when the last byte of a request goes out, which httptrace does only
-// before the last flush, and RoundTrip only with the answer; and what the first line of an answer said whose rest does
-// not come.
+// hostConn is a connection to a host. It reports when the last byte of a request is written, which httptrace reports
+// only before the last flush and RoundTrip only with the answer. It also reads the status line of an answer, which
+// counts even if the rest of the answer does not arrive.
 type hostConn struct {
 	net.Conn
-	sending atomic.Pointer[hostRequest] // that is being written
-	asked   atomic.Pointer[hostRequest] // that has begun to go out, and whose answer has not come whole
+	writing    atomic.Pointer[hostRequest] // the request that is being written
+	unanswered atomic.Pointer[hostRequest] // the request whose writing has started, and whose answer is not complete
 }
 
-// errUnasked says that a host sent something when nothing was asked.
-var errUnasked = errors.New("an answer to no request")
+// errUnsolicited reports that a host sent data although no request was pending.
+var errUnsolicited = errors.New("host sent data without a pending request")
 
 func (c *hostConn) Write(p []byte) (int, error) {
-	request := c.sending.Load()
+	request := c.writing.Load()
 	if request == nil {
 		return c.Conn.Write(p)
 	}
-	if c.asked.Load() != request {
+	if c.unanswered.Load() != request {
 		if request.admit != nil {
 			leave, err := request.admit()
 			if err != nil {
@@ -31,34 +31,34 @@
 			}
 			defer leave()
 		}
-		c.asked.Store(request)
+		c.unanswered.Store(request)
 	}
-	// All that was read of the body before a write is in that write or an earlier one. From here on it may have gone: its answer
-	// can come before the write returns.
-	last := request.body.Len() == 0
+	// All of the body that was read before this write is in this write or an earlier one. From here on the request may
+	// have been sent completely: its answer can arrive before Write returns.
+	last := request.unread.Len() == 0
 	if last {
-		request.written.Store(true)
+		request.fullyWritten.Store(true)
 	}
 	n, err := c.Conn.Write(p)
 	switch {
 	case last && err != nil:
-		request.written.Store(false)
-	case last && c.sending.CompareAndSwap(request, nil):
-		request.whole()
+		request.fullyWritten.Store(false)
+	case last && c.writing.CompareAndSwap(request, nil):
+		request.onWritten()
 	}
 	return n, err
 }
 
-// Read ends the connection over what comes unasked. A second answer to the call before, read as the next request is about
-// to be written, would be taken for the answer to that.
+// Read closes the connection by an error if data arrives that no request asked for. A second answer to the previous
+// call that is read just before the next request is written would otherwise be taken for the answer to that request.
 func (c *hostConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		request := c.asked.Load()
+		request := c.unanswered.Load()
 		if request == nil {
-			return 0, errUnasked
+			return 0, errUnsolicited
 		}
-		request.heard(p[:n])
+		request.answerReceived(p[:n])
 	}
 	return n, err
 }
--- a/internal/relay/hostconn_test.go
+++ b/internal/relay/hostconn_test.go
@@ -18,16 +18,16 @@
 	"larchrouter/choice"
 )
 
-// bareHost has each connection served by a function, until the test ends.
-func bareHost(tb testing.TB, serve func(net.Conn)) (addr string) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// newRawHost listens, serves each connection with a function until the test ends, and returns its address.
+func newRawHost(tb testing.TB, serve func(net.Conn)) (addr string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		tb.Fatal(err)
 	}
-	tb.Cleanup(func() { l.Close() })
+	tb.Cleanup(func() { listener.Close() })
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -37,28 +37,29 @@
 			}()
 		}
 	}()
-	return l.Addr().String()
+	return listener.Addr().String()
 }
 
-// sayingHost answers each connection's first request with a text, and then ends it or says nothing more.
-func sayingHost(t *testing.T, text string, ends bool) string {
-	return bareHost(t, func(conn net.Conn) {
+// newScriptedAnswerHost starts a host that answers each connection's first request with a text, and then closes the
+// connection or stays silent.
+func newScriptedAnswerHost(t *testing.T, text string, closes bool) string {
+	return newRawHost(t, func(conn net.Conn) {
 		req, err := http.ReadRequest(bufio.NewReader(conn))
 		if err != nil {
 			return
 		}
 		io.Copy(io.Discard, req.Body)
 		io.WriteString(conn, text)
-		if !ends {
+		if !closes {
 			io.Copy(io.Discard, conn)
 		}
 	})
 }
 
-// Guards against answers that stop short: what their first line says of a single message holds, a call of several
-// wants the whole of it, and none is waited for longer than the call's time.
-func TestAnswersThatStopShort(t *testing.T) {
-	for _, c := range []struct {
+// Guards against mishandling truncated answers: the status line counts for a single message, a call with several needs
+// the whole answer, and no call waits for an answer longer than its time-out.
+func TestTruncatedAnswers(t *testing.T) {
+	for _, test := range []struct {
 		text string
 		ends bool
 		ids  int
@@ -82,65 +83,66 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\na ok\r\nb ok\r\n", false, 2, choice.Served},
 		{"HTTP/1.1 503 Busy\r\nContent-Length: 12\r\n\r\nhalf", false, 2, choice.Refused},
 	} {
-		t.Run(fmt.Sprintf("%.60q ends %v, of %d", c.text, c.ends, c.ids), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%.60q closes %v, messages %d", test.text, test.ends, test.ids), func(t *testing.T) {
 			t.Parallel()
-			call := oneCall(sayingHost(t, c.text, c.ends), "x")
-			if c.want == choice.Timeout {
+			call := newSingleCall(newScriptedAnswerHost(t, test.text, test.ends), "x")
+			if test.want == choice.Timeout {
 				call.timeout = 2 * time.Second
 			}
-			if c.want != choice.Timeout { // an outcome that waits for more than has to come never does
+			if test.want != choice.Timeout { // with this time-out, an outcome that waits for more data than needed would never arrive
 				call.timeout = time.Hour
 			}
-			got := make(chan []end, 1)
+			got := make(chan []memberResult, 1)
 			go func() {
-				ends, _ := caller().exchange(context.Background(), call, []string{"a", "b"}[:c.ids])
+				ends, _ := newCallingRelay().exchange(context.Background(), call, []string{"a", "b"}[:test.ids])
 				got <- ends
 			}()
-			ends := wait(t, got, "outcome")
-			want(t, "ends", len(ends), c.ids)
-			want(t, "outcome", ends[0].outcome, c.want)
+			ends := receive(t, got, "outcome")
+			want(t, "ends", len(ends), test.ids)
+			want(t, "outcome", ends[0].outcome, test.want)
 		})
 	}
 }
 
-// Guards against a second answer to one call that is taken for the answer to the next.
-func TestAnAnswerToNoRequestEndsTheConnection(t *testing.T) {
-	near, far := net.Pipe()
-	defer far.Close()
-	c := &hostConn{Conn: near}
-	b := newHostRequest([]byte("x"), func() {})
-	b.body.Read(make([]byte, 2))
-	c.sending.Store(b)
+// Guards against taking a second answer to one call for the answer to the next.
+func TestUnsolicitedAnswerClosesConnection(t *testing.T) {
+	relaySide, hostSide := net.Pipe()
+	defer hostSide.Close()
+	conn := &hostConn{Conn: relaySide}
+	request := newHostRequest([]byte("x"), func() {})
+	request.unread.Read(make([]byte, 2))
+	conn.writing.Store(request)
 	go func() {
-		far.Read(make([]byte, 9))
-		io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
-		io.WriteString(far, "HTTP/1.1 200 OK\r\n\r\n")
+		hostSide.Read(make([]byte, 9))
+		io.WriteString(hostSide, "HTTP/1.1 200 OK\r\n\r\n")
+		io.WriteString(hostSide, "HTTP/1.1 200 OK\r\n\r\n")
 	}()
-	if _, err := c.Write([]byte("x")); err != nil {
+	if _, err := conn.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	if n, err := c.Read(make([]byte, 19)); n != 19 || err != nil {
+	if n, err := conn.Read(make([]byte, 19)); n != 19 || err != nil {
 		t.Fatal(n, err)
 	}
-	want(t, "delivered", b.delivered.Load(), true)
-	c.asked.CompareAndSwap(b, nil)
-	if n, err := c.Read(make([]byte, 19)); n != 0 || !errors.Is(err, errUnasked) {
+	want(t, "delivered", request.delivered.Load(), true)
+	conn.unanswered.CompareAndSwap(request, nil)
+	if n, err := conn.Read(make([]byte, 19)); n != 0 || !errors.Is(err, errUnsolicited) {
 		t.Errorf("read %d bytes of a second answer, error %v", n, err)
 	}
 }
 
-// Guards against a lack of descriptors that is held against an endpoint: clients who rest make room for its connection.
+// Guards against blaming an endpoint for a lack of descriptors: idle client connections are closed to free descriptors
+// for its connection.
 func TestDialWithoutDescriptors(t *testing.T) {
-	in := newIntakes(t, 64)
+	in := newTestServer(t, 64)
 	for i := range 16 {
 		conn := in.dial(t)
-		ask(t, conn, bufio.NewReader(conn), fmt.Sprint(i))
+		mustSubmit(t, conn, bufio.NewReader(conn), fmt.Sprint(i))
 	}
-	in.idles(t, 16)
-	r := &Relay{listener: in.peers}
-	lacks := 2
-	dial := r.roomy(func(ctx context.Context, network, addr string) (net.Conn, error) {
-		if lacks--; lacks >= 0 {
+	in.awaitIdle(t, 16)
+	relay := &Relay{clientListener: in.limitListener}
+	failures := 2
+	dial := relay.retryDescriptorShortage(func(ctx context.Context, network, addr string) (net.Conn, error) {
+		if failures--; failures >= 0 {
 			return nil, &net.OpError{Op: "dial", Err: syscall.EMFILE}
 		}
 		return &net.TCPConn{}, nil
@@ -148,12 +150,12 @@
 	if _, err := dial(context.Background(), "tcp", "x"); err != nil {
 		t.Fatal(err)
 	}
-	in.idles(t, 16-descriptorsBack-1)
+	in.awaitIdle(t, 16-shortageReduction-1)
 }
 
-// Guards against an endpoint that is taken for down because this machine could not make a connection for a moment (connect(2)),
-// against one that is held to be up because it cannot be reached, and against a try without end.
-func TestErrorsOfThisMachineSayNothingOfAnEndpoint(t *testing.T) {
+// Guards against taking an endpoint for down because this machine could not make a connection for a moment
+// (connect(2)), against taking an unreachable one for up, and against endless attempts.
+func TestLocalDialErrorsAreRetried(t *testing.T) {
 	for _, test := range []struct {
 		err   error
 		lasts time.Duration
@@ -169,69 +171,70 @@
 		{syscall.ETIMEDOUT, 300 * time.Millisecond, choice.NoConnection},
 	} {
 		t.Run(fmt.Sprint(test.err, " for ", test.lasts), func(t *testing.T) {
-			s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-			defer s.Close()
-			r := caller()
-			begin, sound := time.Now(), r.hostSide.Load().DialContext
-			r.hostSide.Load().DialContext = patient(func(ctx context.Context, network, addr string) (net.Conn, error) {
-				if time.Since(begin) < test.lasts {
+			server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+			defer server.Close()
+			relay := newCallingRelay()
+			startedAt, dial := time.Now(), relay.hostTransport.Load().DialContext
+			relay.hostTransport.Load().DialContext = retryLocalErrors(func(ctx context.Context, network, addr string) (net.Conn, error) {
+				if time.Since(startedAt) < test.lasts {
 					return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", test.err)}
 				}
-				return sound(ctx, network, addr)
+				return dial(ctx, network, addr)
 			}, time.Second)
-			want(t, "outcome", outcome(r, context.Background(), oneCall(s.Listener.Addr().String(), "x")), test.want)
+			want(t, "outcome", callOutcome(relay, context.Background(), newSingleCall(server.Listener.Addr().String(), "x")), test.want)
 		})
 	}
 }
 
-// broken is a connection whose reads fail.
-type broken struct {
+// brokenConn is a connection whose reads fail.
+type brokenConn struct {
 	net.Conn
 	err error
 }
 
-func (b *broken) Read([]byte) (int, error) {
-	time.Sleep(20 * time.Millisecond) // the request is written by then
+func (b *brokenConn) Read([]byte) (int, error) {
+	time.Sleep(20 * time.Millisecond) // the request has been written by then
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", b.err)}
 }
 
-// Guards against a call that counts as never made because its connection broke (tcp(7)): its last byte was written, so it may
-// have run.
-func TestAConnectionThatBreaksUnderACall(t *testing.T) {
+// Guards against a call that counts as never sent because its connection broke (tcp(7)): its last byte was written, so
+// it may have run.
+func TestConnectionBreakDuringCallIsReset(t *testing.T) {
 	for _, err := range []error{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET, syscall.EPIPE} {
-		s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
-		r := caller()
-		dial := r.hostSide.Load().DialContext
-		r.hostSide.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
+		server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {}))
+		relay := newCallingRelay()
+		dial := relay.hostTransport.Load().DialContext
+		relay.hostTransport.Load().DialContext = func(ctx context.Context, network, addr string) (net.Conn, error) {
 			conn, dialErr := dial(ctx, network, addr)
 			if dialErr != nil {
 				return nil, dialErr
 			}
 			host := conn.(*hostConn)
-			host.Conn = &broken{host.Conn, err}
+			host.Conn = &brokenConn{host.Conn, err}
 			return host, nil
 		}
-		want(t, err.Error(), outcome(r, context.Background(), oneCall(s.Listener.Addr().String(), "x")), choice.Reset)
-		s.Close()
+		want(t, err.Error(), callOutcome(relay, context.Background(), newSingleCall(server.Listener.Addr().String(), "x")), choice.Reset)
+		server.Close()
 	}
 }
 
-// Guards against parts that add up to more than there is, or leave clients or endpoints nothing.
-func TestPartsOfTheDescriptors(t *testing.T) {
+// Guards against shares of the descriptors that add up to more than there are, or that leave none for clients or
+// endpoints.
+func TestDescriptorShares(t *testing.T) {
 	for _, sockets := range []int{16, 64, 128, 256, 512, 1024, 4096} {
 		for _, workers := range []int{4, 27, 60} {
 			for _, admin := range []string{"", "x"} {
-				c := Config{Sockets: sockets, Admin: admin}
-				clients, kept := c.parts(workers)
-				if clients < 2 || kept < 1 {
-					t.Errorf("%d sockets: %d clients, %d kept", sockets, clients, kept)
+				config := Config{Sockets: sockets, AdminAddr: admin}
+				clients, idleHostConns := config.connectionLimits(workers)
+				if clients < 2 || idleHostConns < 1 {
+					t.Errorf("%d sockets: %d clients, %d idle host connections", sockets, clients, idleHostConns)
 				}
-				all := clients + max(2, clients/8) + kept + workers + ownDescriptors
+				total := clients + max(2, clients/8) + idleHostConns + workers + reservedDescriptors
 				if admin != "" {
-					all += adminMost + adminMost/8
+					total += maxAdminConns + maxAdminConns/8
 				}
-				if all > sockets && sockets >= 256 {
-					t.Errorf("%d sockets, %d workers, second address %q: parts add up to %d", sockets, workers, admin, all)
+				if total > sockets && sockets >= 256 {
+					t.Errorf("%d sockets, %d workers, admin address %q: shares add up to %d", sockets, workers, admin, total)
 				}
 			}
 		}
--- a/internal/relay/leasestart_test.go
+++ b/internal/relay/leasestart_test.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// Seen: under load a message that may be repeated ended undeliverable 70 ms after its process had restarted, with no second call.
-// Cause: the lease had run out, and the decisions heard of it with the follower's first word; until then each of their calls was
-// withheld, and used up an attempt. Here that first word does not come.
-func TestAnExpiredListUsesUpNoAttemptAtAStart(t *testing.T) {
-	p := newPlatform(t, at("s-1", newScripted(t, says(500)).addr, "taller"))
+// Guards against attempts that are used up at a start under an expired lease. A repeatable message ended undeliverable
+// 70 ms after its process had restarted under load, without a second call: the Chooser learned of the expired lease
+// only with the first update of the list's follower, and each call before that was withheld and used up an attempt.
+// Here that first update never comes.
+func TestExpiredListAtStartUsesNoAttempt(t *testing.T) {
+	platform := newFakePlatform(t, testEndpoint("s-1", newScriptedHost(t, answerStatus(500)).addr, "taller"))
 	dir := t.TempDir()
-	dropOutcomes(t, p, dir, "job-order", "m1") // leaves a journal, and no lease
-	conf, err := readTestConfig(t, testConfig(t, p), dir)
+	sendAndDropOutcomes(t, platform, dir, "job-order", "m1") // leaves a journal, and no lease
+	config, err := readTestConfig(t, testConfig(t, platform), dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	withAdmin(&conf)
-	r, err := New(conf)
+	withAdminAddr(&config)
+	relay, err := New(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r.list = noNews{}
+	relay.listSource = silentSource{}
 	done := make(chan struct{})
-	go func() { r.Serve(); close(done) }()
-	t.Cleanup(func() { r.stop(); <-done })
+	go func() { relay.Serve(); close(done) }()
+	t.Cleanup(func() { relay.stop(); <-done })
 	select {
-	case n := <-p.notices:
-		t.Fatalf("%s is told to be %s", n.ID, n.Status)
+	case n := <-platform.notices:
+		t.Fatalf("notice that %s is %s, want none", n.ID, n.Status)
 	case <-time.After(500 * time.Millisecond):
 	}
-	shows(t, r, "svc.in_flight=1", "svc.list.expired=1", "svc.withheld.list_too_old=0")
+	awaitMetrics(t, relay, "svc.in_flight=1", "svc.list.expired=1", "svc.withheld.list_too_old=0")
 }
--- a/internal/relay/notice_delivery.go
+++ b/internal/relay/notice_delivery.go
@@ -12,107 +12,108 @@
 	"time"
 )
 
-// The platform answers a POST of notices at once. One that has no answer after a short while most likely went out on a
-// connection that is dead but was not closed, so the same POST goes out again on a new one (a hedged request): accepting a
-// notice twice does no harm, and accepting it late breaks the limit of 300 ms.
+// The platform answers a POST of notices at once. A POST that has no answer after a short time was most likely sent on
+// a connection that is dead but was not closed. The same POST is then sent on a new connection (a hedged request):
+// accepting a notice twice does no harm, and accepting it late breaks the limit of 300 ms.
 const (
-	// noticeRetry is the longest time from one attempt at a batch to the next.
-	noticeRetry = 80 * time.Millisecond
-	// noticeBackoff is the pause after the first attempt that failed. It doubles with each failure, up to noticeRetry.
+	// noticeRetryInterval is the longest time from one attempt at a batch to the next.
+	noticeRetryInterval = 80 * time.Millisecond
+	// noticeBackoff is the pause after the first failed attempt. It doubles with each failure, up to
+	// noticeRetryInterval.
 	noticeBackoff = 10 * time.Millisecond
-	// noticeIn bounds one attempt.
-	noticeIn = time.Second
+	// noticeTimeout is the time limit of one attempt.
+	noticeTimeout = time.Second
 )
 
-// errUnanswered says that an attempt made room for a later one.
-var errUnanswered = errors.New("no answer yet")
+// errUnanswered reports that an unanswered attempt was cancelled for a later one.
+var errUnanswered = errors.New("no answer from the platform yet")
 
-// attempt is one POST of a batch.
-type attempt struct {
+// noticeAttempt is one POST of a batch.
+type noticeAttempt struct {
 	cancel context.CancelFunc
-	err    error // once it has ended
+	err    error // set once it has ended
 }
 
-// delivery sends one batch until the platform has accepted it.
-type delivery struct {
-	sender   *noticeSender
-	batch    noticeBatch
-	addr     string
-	running  []*attempt // oldest first; a second one only with a hedge
-	hedged   bool       // holds one of the sender's hedges
-	ended    chan *attempt
-	next     *time.Timer // starts the next attempt
-	nextAt   time.Time
-	failures uint
+// noticeDelivery sends one batch until the platform has accepted it.
+type noticeDelivery struct {
+	sender    *noticeSender
+	batch     noticeBatch
+	addr      string
+	running   []*noticeAttempt // oldest first; at most two, the second one only with a hedge
+	ownsHedge bool             // it holds one of the sender's hedges
+	ended     chan *noticeAttempt
+	nextTimer *time.Timer // fires when the next attempt is due
+	nextAt    time.Time
+	failures  uint
 }
 
-// deliver returns an error only if the context ends first.
+// deliver sends a batch until the platform has accepted it. It returns an error only if the context ends first.
 func (s *noticeSender) deliver(ctx context.Context, batch noticeBatch) error {
 	ctx, cancel := context.WithCancel(ctx)
-	defer cancel() // attempts still running are given up
+	defer cancel() // cancels attempts that are still running
 	addr, valid := s.platform.Get()
-	d := &delivery{sender: s, batch: batch, addr: addr, ended: make(chan *attempt), next: time.NewTimer(noticeRetry)}
-	defer d.next.Stop()
-	defer d.endHedge()
-	d.start(ctx)
+	delivery := &noticeDelivery{sender: s, batch: batch, addr: addr, ended: make(chan *noticeAttempt), nextTimer: time.NewTimer(noticeRetryInterval)}
+	defer delivery.nextTimer.Stop()
+	defer delivery.releaseHedge()
+	delivery.start(ctx)
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-valid.Done(): // the platform has moved
-			d.giveUpAll()
-			d.addr, valid = s.platform.Get()
-			d.restart(ctx)
-		case <-d.next.C:
-			if d.makeRoom() {
-				d.restart(ctx)
+		case <-valid.Done(): // the platform's address has changed
+			delivery.cancelAll()
+			delivery.addr, valid = s.platform.Get()
+			delivery.restart(ctx)
+		case <-delivery.nextTimer.C:
+			if delivery.prepareAttempt() {
+				delivery.restart(ctx)
 			} else {
-				d.scheduleNext(noticeRetry)
+				delivery.scheduleNext(noticeRetryInterval)
 			}
-		case a := <-d.ended:
+		case a := <-delivery.ended:
 			if a.err == nil {
 				return nil
 			}
-			d.failed(a)
+			delivery.attemptFailed(a)
 		}
 	}
 }
 
 // restart starts another attempt, on a connection that has not been idle.
-func (d *delivery) restart(ctx context.Context) {
-	d.sender.conns.CloseIdleConnections()
+func (d *noticeDelivery) restart(ctx context.Context) {
+	d.sender.transport.CloseIdleConnections()
 	d.start(ctx)
 }
 
 // start starts an attempt, and sets the time of the next one.
-func (d *delivery) start(ctx context.Context) {
-	attemptCtx, cancel := context.WithTimeout(ctx, noticeIn)
-	a, addr := &attempt{cancel: cancel}, d.addr
-	d.running = append(d.running, a)
+func (d *noticeDelivery) start(ctx context.Context) {
+	attemptCtx, cancel := context.WithTimeout(ctx, noticeTimeout)
+	attempt, addr := &noticeAttempt{cancel: cancel}, d.addr
+	d.running = append(d.running, attempt)
 	go func() {
 		defer cancel()
-		a.err = d.sender.post(attemptCtx, addr, d.batch.body)
+		attempt.err = d.sender.post(attemptCtx, addr, d.batch.body)
 		select {
-		case d.ended <- a:
+		case d.ended <- attempt:
 		case <-ctx.Done():
 		}
 	}()
-	d.scheduleNext(noticeRetry)
+	d.scheduleNext(noticeRetryInterval)
 }
 
-func (d *delivery) scheduleNext(after time.Duration) {
+func (d *noticeDelivery) scheduleNext(after time.Duration) {
 	d.nextAt = time.Now().Add(after)
-	d.next.Reset(after)
+	d.nextTimer.Reset(after)
 }
 
-// makeRoom tells whether one more attempt may start, and gives up the second one for it. The oldest is kept until its own
-// limit, for the platform may only be slow.
-func (d *delivery) makeRoom() bool {
+// prepareAttempt reports whether one more attempt may start, and cancels the second running one to that end. The oldest
+// attempt is left running until its own time limit, since the platform may just be slow.
+func (d *noticeDelivery) prepareAttempt() bool {
 	switch len(d.running) {
 	case 0:
 		return true
 	case 1:
-		return d.hedge()
+		return d.acquireHedge()
 	}
 	second := d.running[1]
 	d.running = d.running[:1]
@@ -121,68 +122,68 @@
 	return true
 }
 
-// hedge tells whether this batch may have a second attempt beside the first.
-func (d *delivery) hedge() bool {
+// acquireHedge reports whether this batch may have a second attempt beside the first.
+func (d *noticeDelivery) acquireHedge() bool {
 	select {
 	case d.sender.hedges <- struct{}{}:
-		d.hedged = true
+		d.ownsHedge = true
 	default:
 	}
-	return d.hedged
+	return d.ownsHedge
 }
 
-// endHedge gives the hedge back, if this batch has one.
-func (d *delivery) endHedge() {
-	if d.hedged {
+// releaseHedge returns the hedge, if this batch has one.
+func (d *noticeDelivery) releaseHedge() {
+	if d.ownsHedge {
 		<-d.sender.hedges
-		d.hedged = false
+		d.ownsHedge = false
 	}
 }
 
-func (d *delivery) giveUpAll() {
-	d.endHedge()
+func (d *noticeDelivery) cancelAll() {
+	d.releaseHedge()
 	for _, a := range d.running {
 		a.cancel()
 	}
 	d.running = nil
 }
 
-// failed brings the next attempt forward after one that failed.
-func (d *delivery) failed(a *attempt) {
-	i := slices.Index(d.running, a)
-	if i < 0 { // it was given up
+// attemptFailed schedules the next attempt earlier after a failed one.
+func (d *noticeDelivery) attemptFailed(attempt *noticeAttempt) {
+	i := slices.Index(d.running, attempt)
+	if i < 0 { // it was cancelled
 		return
 	}
 	d.running = slices.Delete(d.running, i, i+1)
-	d.endHedge()
-	pause := min(noticeBackoff<<min(d.failures, 8), noticeRetry)
+	d.releaseHedge()
+	pause := min(noticeBackoff<<min(d.failures, 8), noticeRetryInterval)
 	if time.Now().Add(pause).Before(d.nextAt) {
 		d.scheduleNext(pause)
 	}
-	d.warn(a.err)
+	d.warn(attempt.err)
 }
 
-// warn counts a failure, and logs it if the count is a power of two: failures may last for long.
-func (d *delivery) warn(err error) {
+// warn counts a failure, and logs it if the count is a power of two, since failures may continue for a long time.
+func (d *noticeDelivery) warn(err error) {
 	d.failures++
 	if bits.OnesCount(d.failures) == 1 {
-		slog.Warn("notices not accepted", "notices", len(d.batch.notices), "attempts", d.failures, "err", err)
+		slog.Warn("platform did not accept notices", "notices", len(d.batch.notices), "attempts", d.failures, "err", err)
 	}
 }
 
-// attemptKey is the key of a context's value: the context itself.
+// attemptKey is the key of a context value that holds the context itself.
 type attemptKey struct{}
 
-// attemptOf is the context of the attempt that a connection is opened for. The one that net/http passes to a dialer outlives
-// its request, so that connections to a machine which says nothing would pile up.
-func attemptOf(dialing context.Context) context.Context {
-	if ctx, ok := dialing.Value(attemptKey{}).(context.Context); ok {
+// attemptContext returns the context of the attempt for which a connection is dialed. The context that net/http passes
+// to a dialer outlives its request, so that connections to a machine which does not respond would pile up.
+func attemptContext(dialContext context.Context) context.Context {
+	if ctx, ok := dialContext.Value(attemptKey{}).(context.Context); ok {
 		return ctx
 	}
-	return dialing
+	return dialContext
 }
 
-// post makes one POST.
+// post sends one POST.
 func (s *noticeSender) post(ctx context.Context, addr string, body []byte) error {
 	ctx = context.WithValue(ctx, attemptKey{}, ctx)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/status", bytes.NewReader(body))
@@ -190,13 +191,13 @@
 		return err
 	}
 	req.Header.Set("Content-Type", "application/json")
-	resp, err := s.conns.RoundTrip(req)
+	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
 		return err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode/100 != 2 {
-		return fmt.Errorf("status %d", resp.StatusCode)
+		return fmt.Errorf("platform answered with status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/relay/notices_relay_test.go
+++ b/internal/relay/notices_relay_test.go
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// noticeRig is a relay of which only the loop and the sender of notices run, in a bubble, with stand-ins by address.
+// noticeRig is a relay of which only the loop and the sender of notices run, in a synctest bubble, with simulated
+// platforms by address.
 type noticeRig struct {
 	*Relay
 	t         *testing.T
@@ -23,40 +24,40 @@
 )
 
 // inNoticeRig runs a test with the first platform in place.
-func inNoticeRig(t *testing.T, p *memoryPlatform, test func(*noticeRig)) {
+func inNoticeRig(t *testing.T, platform *memoryPlatform, test func(*noticeRig)) {
 	t.Helper()
-	conf, err := readTestConfig(t, testConfig(t, newPlatform(t, at("s-1", "127.0.0.1:1", "taller"))), t.TempDir())
+	config, err := readTestConfig(t, testConfig(t, newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))), t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Discovery = firstAddr
+	config.Discovery = firstAddr
 	synctest.Test(t, func(t *testing.T) {
-		r, err := New(conf)
+		relay, err := New(config)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g := &noticeRig{Relay: r, t: t, platforms: map[string]*memoryPlatform{}}
-		g.add(firstAddr, p)
+		rig := &noticeRig{Relay: relay, t: t, platforms: map[string]*memoryPlatform{}}
+		rig.add(firstAddr, platform)
 		ctx, cancel := context.WithCancel(context.Background())
 		var running sync.WaitGroup
-		running.Go(r.loop)
-		r.notices = newNoticeSender(r.platformAt, g.dial, r.noticesSending, r.noticesAccepted)
-		running.Go(func() { r.notices.run(ctx) })
+		running.Go(relay.loop)
+		relay.notices = newNoticeSender(relay.platformAddr, rig.dial, relay.noticesSending, relay.noticesAccepted)
+		running.Go(func() { relay.notices.run(ctx) })
 		defer func() {
-			r.stop()
+			relay.stop()
 			cancel()
 			running.Wait()
-			time.Sleep(time.Minute) // what a stand-in is about to answer has ended, too
-			r.tcp.Close()
-			r.journal.Close()
+			time.Sleep(time.Minute) // pending answers of a platform have ended by then, too
+			relay.tcpListener.Close()
+			relay.journal.Close()
 		}()
-		test(g)
+		test(rig)
 	})
 }
 
 // add puts a platform at an address.
 func (g *noticeRig) add(addr string, p *memoryPlatform) {
-	p.begun, p.taken, p.read = time.Now(), map[string][]time.Duration{}, map[string]time.Duration{}
+	p.startedAt, p.acceptedTimes, p.readTimes = time.Now(), map[string][]time.Duration{}, map[string]time.Duration{}
 	g.platforms[addr] = p
 }
 
@@ -64,56 +65,57 @@
 	return g.platforms[addr].dial(ctx)
 }
 
-// end has messages end undelivered, in one turn of the loop, and waits for that turn.
+// end ends messages undelivered, in one turn of the loop, and waits for that turn.
 func (g *noticeRig) end(ids ...string) {
 	g.t.Helper()
 	done := make(chan struct{})
 	g.post(func() {
 		for _, id := range ids {
-			g.owe(notice{ID: id, Status: undeliverable})
+			g.queueNotice(notice{ID: id, Status: undeliverable})
 		}
 		close(done)
 	})
 	<-done
 }
 
-// left is how many notices are still owed. The loop has to answer at once.
-func (g *noticeRig) left() int {
+// pending returns the number of pending notices. The loop must answer at once.
+func (g *noticeRig) undeliveredNotices() int {
 	g.t.Helper()
-	count, begun := make(chan int, 1), time.Now()
-	g.post(func() { count <- g.owed })
+	count, startedAt := make(chan int, 1), time.Now()
+	g.post(func() { count <- g.pendingNotices })
 	select {
 	case n := <-count:
-		if waited := time.Since(begun); waited > 0 {
-			g.t.Errorf("the loop stood still for %v", waited)
+		if waited := time.Since(startedAt); waited > 0 {
+			g.t.Errorf("the loop was blocked for %v", waited)
 		}
 		return n
 	case <-time.After(time.Hour):
-		g.t.Error("the loop stands still")
+		g.t.Error("the loop is blocked")
 		return -1
 	}
 }
 
-// takenBy checks that each id was taken by a time, and that nothing is owed soon after.
-func (g *noticeRig) takenBy(p *memoryPlatform, by time.Duration, ids ...string) {
+// wantAcceptedBy checks that the notice of each id was accepted by a time since the platform's start, and that no
+// notice is pending then.
+func (g *noticeRig) wantAcceptedBy(platform *memoryPlatform, limit time.Duration, ids ...string) {
 	g.t.Helper()
-	time.Sleep(by - time.Since(p.begun))
+	time.Sleep(limit - time.Since(platform.startedAt))
 	synctest.Wait()
-	p.mu.Lock()
+	platform.mu.Lock()
 	for _, id := range ids {
-		if times := p.taken[id]; len(times) == 0 {
-			g.t.Errorf("notice of %.20s not taken after %v", id, by)
+		if times := platform.acceptedTimes[id]; len(times) == 0 {
+			g.t.Errorf("notice of %.20s not accepted after %v", id, limit)
 			break
 		}
 	}
-	p.mu.Unlock()
-	if n := g.left(); n != 0 {
-		g.t.Errorf("%d notices owed, want 0", n)
+	platform.mu.Unlock()
+	if n := g.undeliveredNotices(); n != 0 {
+		g.t.Errorf("%d pending notices, want 0", n)
 	}
 }
 
-// idsOf makes so many ids as they are in service.
-func idsOf(n int) []string {
+// makeIDs returns n ids of the length that is used in production.
+func makeIDs(n int) []string {
 	ids := make([]string, n)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("%016x", i)
--- a/internal/relay/notices_rig_test.go
+++ b/internal/relay/notices_rig_test.go
@@ -13,81 +13,82 @@
 	"time"
 )
 
-// noticeLimit is how late a notice may be taken in these tests: less than the 350 ms of the rules, which the relay's
-// decisions and the machine have their part of, too.
-const noticeLimit = 200 * time.Millisecond
+// noticeDelayLimit is how late a notice may be accepted in these tests. It is less than the 350 ms that the platform
+// allows, since the relay's decisions and the machine take a part of that.
+const noticeDelayLimit = 200 * time.Millisecond
 
-// reaction is what a stand-in for the platform does with one POST of notices.
+// reaction is how a simulated platform handles one POST of notices.
 type reaction struct {
-	after  time.Duration
-	status int  // 0 for 204
-	silent bool // it never answers
-	reset  bool // it ends the connection instead of answering
+	delay  time.Duration
+	status int  // 0 stands for 204
+	silent bool // never answer
+	reset  bool // close the connection instead of answering
 }
 
-// memoryPlatform takes notices over connections in memory, so that time is exact in a test that runs in a bubble.
+// memoryPlatform accepts notices over in-memory connections, so that times are exact in a synctest bubble.
 type memoryPlatform struct {
-	begun time.Time
-	// react decides on a POST by the number of its connection and by its number on that, both from 1, and its time.
+	startedAt time.Time
+	// react decides on a POST by the number of its connection, by its number on that connection, both from 1, and by
+	// its time.
 	react func(conn, post int, now time.Duration) reaction
-	// dialable tells whether a connection comes up at a time; nil for always.
+	// dialable reports whether a connection can be established at a time; nil for always.
 	dialable func(now time.Duration) bool
 
-	mu       sync.Mutex
-	conns    int // so far
-	open     int
-	mostOpen int
-	posts    int
-	longest  int                        // body
-	taken    map[string][]time.Duration // when the POSTs with an id were answered 2xx
-	read     map[string]time.Duration   // when the first POST with an id was read
+	mu            sync.Mutex
+	conns         int // connections so far
+	openConns     int
+	maxOpenConns  int
+	posts         int
+	longestBody   int                        // in bytes
+	acceptedTimes map[string][]time.Duration // when POSTs with an id were answered 2xx
+	readTimes     map[string]time.Duration   // when the first POST with an id was read
 }
 
-// dial opens a connection; what cannot be reached says nothing.
+// dial opens a connection. If the platform cannot be reached, dial blocks until the context ends.
 func (p *memoryPlatform) dial(ctx context.Context) (net.Conn, error) {
 	p.mu.Lock()
 	p.conns++
-	p.open++
-	p.mostOpen = max(p.mostOpen, p.open)
+	p.openConns++
+	p.maxOpenConns = max(p.maxOpenConns, p.openConns)
 	number := p.conns
 	p.mu.Unlock()
-	if p.dialable != nil && !p.dialable(time.Since(p.begun)) {
+	if p.dialable != nil && !p.dialable(time.Since(p.startedAt)) {
 		<-ctx.Done()
-		p.closed()
+		p.connClosed()
 		return nil, ctx.Err()
 	}
-	near, far := net.Pipe()
-	go p.serve(far, number)
-	return near, nil
+	relaySide, platformSide := net.Pipe()
+	go p.serve(platformSide, number)
+	return relaySide, nil
 }
 
-// openNow is how many connections are open or on their way.
-func (p *memoryPlatform) openNow() int {
+// openCount returns how many connections are open or being established.
+func (p *memoryPlatform) openCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open
+	return p.openConns
 }
 
-// posted is how many POSTs came.
-func (p *memoryPlatform) posted() int {
+// postCount returns how many POSTs were received.
+func (p *memoryPlatform) postCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.posts
 }
 
-func (p *memoryPlatform) closed() {
+func (p *memoryPlatform) connClosed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.open--
+	p.openConns--
 }
 
-// serve answers what comes on a connection.
+// serve answers the POSTs on a connection.
 func (p *memoryPlatform) serve(conn net.Conn, number int) {
-	defer p.closed()
+	defer p.connClosed()
 	defer conn.Close()
-	in := bufio.NewReader(conn)
+	reader := bufio.NewReader(conn)
 	for post := 1; ; post++ {
-		req, err := http.ReadRequest(in)
+		req, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -97,59 +98,59 @@
 		}
 		p.mu.Lock()
 		p.posts++
-		p.longest = max(p.longest, len(body))
-		for _, id := range idsIn(body) {
-			if _, ok := p.read[id]; !ok {
-				p.read[id] = time.Since(p.begun)
+		p.longestBody = max(p.longestBody, len(body))
+		for _, id := range noticeIDs(body) {
+			if _, ok := p.readTimes[id]; !ok {
+				p.readTimes[id] = time.Since(p.startedAt)
 			}
 		}
 		p.mu.Unlock()
-		act := reaction{}
+		reaction := reaction{}
 		if p.react != nil {
-			act = p.react(number, post, time.Since(p.begun))
+			reaction = p.react(number, post, time.Since(p.startedAt))
 		}
-		time.Sleep(act.after)
+		time.Sleep(reaction.delay)
 		switch {
-		case act.silent:
+		case reaction.silent:
 			io.Copy(io.Discard, conn)
 			return
-		case act.reset:
+		case reaction.reset:
 			return
-		case act.status == 0:
-			act.status = http.StatusNoContent
+		case reaction.status == 0:
+			reaction.status = http.StatusNoContent
 		}
-		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", act.status); err != nil {
+		if _, err := fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nContent-Length: 0\r\n\r\n", reaction.status); err != nil {
 			return
 		}
-		if act.status/100 == 2 {
-			p.take(body)
+		if reaction.status/100 == 2 {
+			p.recordAccepted(body)
 		}
 	}
 }
 
-// take notes the ids of a body.
-func (p *memoryPlatform) take(body []byte) {
+// recordAccepted records the ids of an accepted body.
+func (p *memoryPlatform) recordAccepted(body []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, id := range idsIn(body) {
-		p.taken[id] = append(p.taken[id], time.Since(p.begun))
+	for _, id := range noticeIDs(body) {
+		p.acceptedTimes[id] = append(p.acceptedTimes[id], time.Since(p.startedAt))
 	}
 }
 
-// timesTaken is how often notices of a message were answered 2xx.
-func (p *memoryPlatform) timesTaken(id string) int {
+// timesAccepted returns how often notices of a message were answered 2xx.
+func (p *memoryPlatform) timesAccepted(id string) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.taken[id])
+	return len(p.acceptedTimes[id])
 }
 
-// idsIn are the ids of the notices in a body.
-func idsIn(body []byte) (ids []string) {
+// noticeIDs returns the ids of the notices in a body.
+func noticeIDs(body []byte) (ids []string) {
 	for lines := json.NewDecoder(bytes.NewReader(body)); ; {
-		var n notice
-		if lines.Decode(&n) != nil {
+		var queued notice
+		if lines.Decode(&queued) != nil {
 			return ids
 		}
-		ids = append(ids, n.ID)
+		ids = append(ids, queued.ID)
 	}
 }
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -11,85 +11,85 @@
 	"larchrouter/internal/fleet"
 )
 
-// Guards against a notice, and all behind it, that wait for one connection or one answer.
+// Guards against a notice, and all notices behind it, waiting for one connection or one answer.
 func TestNoticesDoNotWaitForOneAnswer(t *testing.T) {
-	const from = 100 * time.Millisecond // the second POST; the first left a kept connection
+	const from = 100 * time.Millisecond // time of the second POST; the first one left an idle connection
 	for name, act := range map[string]reaction{
-		"kept connection is silent":       {silent: true},
-		"kept connection is reset":        {reset: true},
-		"one answer comes late":           {after: 900 * time.Millisecond},
+		"reused connection is silent":     {silent: true},
+		"reused connection is reset":      {reset: true},
+		"one answer is late":              {delay: 900 * time.Millisecond},
 		"one answer is an error":          {status: http.StatusInternalServerError},
-		"one answer is an error and late": {after: 120 * time.Millisecond, status: http.StatusInternalServerError},
+		"one answer is an error and late": {delay: 120 * time.Millisecond, status: http.StatusInternalServerError},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := &memoryPlatform{react: func(conn, post int, _ time.Duration) reaction {
+			platform := &memoryPlatform{react: func(conn, post int, _ time.Duration) reaction {
 				if conn == 1 && post > 1 {
 					return act
 				}
 				return reaction{}
 			}}
-			inNoticeRig(t, p, func(g *noticeRig) {
-				g.end("first")
+			inNoticeRig(t, platform, func(rig *noticeRig) {
+				rig.end("first")
 				time.Sleep(from)
-				g.end("second")
+				rig.end("second")
 				time.Sleep(time.Millisecond)
-				g.end("behind")
-				g.takenBy(p, from+noticeLimit, "first", "second", "behind")
+				rig.end("behind")
+				rig.wantAcceptedBy(platform, from+noticeDelayLimit, "first", "second", "behind")
 			})
 		})
 	}
 }
 
-// endApart has messages end undelivered one after the other, so long apart, and returns their ids.
-func (g *noticeRig) endApart(count int, apart time.Duration) []string {
+// endSpaced ends messages undelivered one after the other, at an interval, and returns their ids.
+func (g *noticeRig) endSpaced(count int, interval time.Duration) []string {
 	g.t.Helper()
-	ids := idsOf(count)
+	ids := makeIDs(count)
 	for _, id := range ids {
 		g.end(id)
-		time.Sleep(apart)
+		time.Sleep(interval)
 	}
 	return ids
 }
 
-// Guards against batches that wait for each other where each answer takes a while.
-func TestNoticesOverASlowPlatform(t *testing.T) {
-	p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{after: 180 * time.Millisecond} }}
-	inNoticeRig(t, p, func(g *noticeRig) {
+// Guards against batches that wait for each other if each answer takes a while.
+func TestNoticesWithSlowPlatform(t *testing.T) {
+	platform := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: 180 * time.Millisecond} }}
+	inNoticeRig(t, platform, func(rig *noticeRig) {
 		const notices, apart, limit = 100, 7 * time.Millisecond, 300 * time.Millisecond
-		ids := g.endApart(notices, apart)
-		g.takenBy(p, notices*apart+limit, ids...)
+		ids := rig.endSpaced(notices, apart)
+		rig.wantAcceptedBy(platform, notices*apart+limit, ids...)
 		for i, id := range ids {
-			if times := p.taken[id]; len(times) > 0 && times[0]-time.Duration(i)*apart > limit {
-				t.Errorf("notice %d taken after %v", i, times[0]-time.Duration(i)*apart)
+			if times := platform.acceptedTimes[id]; len(times) > 0 && times[0]-time.Duration(i)*apart > limit {
+				t.Errorf("notice %d accepted after %v", i, times[0]-time.Duration(i)*apart)
 			}
 		}
 	})
 }
 
-// Guards against notices that wait for the answers to those before them where each answer takes most of a second: the platform
-// has taken what it has read.
+// Guards against notices that wait for the answers to earlier ones if each answer takes most of a second: the platform
+// has accepted a notice once it has read it.
 func TestNoticesDoNotWaitForSlowAnswers(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 700 * time.Millisecond, 950 * time.Millisecond} {
-		p := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{after: slow} }}
-		inNoticeRig(t, p, func(g *noticeRig) {
+		platform := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return reaction{delay: slow} }}
+		inNoticeRig(t, platform, func(rig *noticeRig) {
 			const notices, apart, limit = 300, 13 * time.Millisecond, 350 * time.Millisecond
-			ids := g.endApart(notices, apart)
-			g.takenBy(p, notices*apart+limit+2*slow, ids...)
+			ids := rig.endSpaced(notices, apart)
+			rig.wantAcceptedBy(platform, notices*apart+limit+2*slow, ids...)
 			for i, id := range ids {
 				ended := time.Duration(i) * apart
-				if read, ok := p.read[id]; !ok || read-ended > limit {
-					t.Errorf("answers after %v: notice %d read %v after it was queued", slow, i, read-ended)
+				if read, ok := platform.readTimes[id]; !ok || read-ended > limit {
+					t.Errorf("answers after %v: notice %d was read %v after it was queued", slow, i, read-ended)
 				}
 			}
 		})
 	}
 }
 
-// Guards against a notice that goes long after the platform can take it again; and against sockets, goroutines and memory
-// without bound, and a loop that stands still, while it cannot.
-func TestNoticesGoOnceThePlatformIsBack(t *testing.T) {
+// Guards against notices that are sent long after the platform has recovered, and against an unlimited number of
+// sockets and goroutines, unlimited memory, or a blocked loop while it is down.
+func TestNoticesAreSentOncePlatformRecovers(t *testing.T) {
 	const back = 30 * time.Second
-	for name, p := range map[string]*memoryPlatform{
+	for name, platform := range map[string]*memoryPlatform{
 		"errors": {react: func(_, _ int, now time.Duration) reaction {
 			if now < back {
 				return reaction{status: http.StatusInternalServerError}
@@ -100,99 +100,99 @@
 		"no connection": {dialable: func(now time.Duration) bool { return now >= back }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inNoticeRig(t, p, func(g *noticeRig) {
-				ids := idsOf(2*maxOwed + 1000)
+			inNoticeRig(t, platform, func(rig *noticeRig) {
+				ids := makeIDs(2*maxPendingNotices + 1000)
 				before := runtime.NumGoroutine()
-				g.end(ids...)
+				rig.end(ids...)
 				for range 99 {
 					time.Sleep(back / 100)
 					synctest.Wait()
 					if n := runtime.NumGoroutine() - before; n > 100 {
-						t.Fatalf("%d more goroutines", n)
+						t.Fatalf("%d more goroutines, want 100 at most", n)
 					}
-					if n := p.openNow(); n > 9 {
+					if n := platform.openCount(); n > 9 {
 						t.Fatalf("%d connections, want 9 at most", n)
 					}
 				}
-				want(t, "notices owed meanwhile", g.left(), len(ids))
-				g.takenBy(p, back+noticeLimit, ids...)
-				if p.mostOpen > 12 { // of each batch one may be on its way out
-					t.Errorf("%d connections at once, want 12 at most", p.mostOpen)
+				want(t, "pending notices meanwhile", rig.undeliveredNotices(), len(ids))
+				rig.wantAcceptedBy(platform, back+noticeDelayLimit, ids...)
+				if platform.maxOpenConns > 12 { // a connection of each batch may be closing
+					t.Errorf("%d connections at once, want 12 at most", platform.maxOpenConns)
 				}
-				t.Logf("%d connections, %d POSTs, %d connections at once", p.conns, p.posts, p.mostOpen)
+				t.Logf("%d connections in all, %d POSTs, %d connections at once", platform.conns, platform.posts, platform.maxOpenConns)
 			})
 		})
 	}
 }
 
-// Guards against a notice that waits for an address at which the platform is no more.
-func TestNoticesFollowTheMove(t *testing.T) {
+// Guards against notices that wait for an address which the platform has left.
+func TestNoticesFollowPlatformAddress(t *testing.T) {
 	const moved = 500 * time.Millisecond
 	for name, act := range map[string]reaction{"silent": {silent: true}, "errors": {status: http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
-			p, next := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return act }}, &memoryPlatform{}
-			inNoticeRig(t, p, func(g *noticeRig) {
-				g.add(secondAddr, next)
-				g.end("under way")
+			platform, next := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return act }}, &memoryPlatform{}
+			inNoticeRig(t, platform, func(rig *noticeRig) {
+				rig.add(secondAddr, next)
+				rig.end("in flight")
 				time.Sleep(moved)
-				g.end("behind")
-				g.post(func() { g.retune(fleet.File{Set: g.conf.Settings}, secondAddr) })
-				g.takenBy(next, moved, "under way", "behind")
-				posts := p.posted()
+				rig.end("behind")
+				rig.post(func() { rig.applyConfig(fleet.File{Settings: rig.config.Settings}, secondAddr) })
+				rig.wantAcceptedBy(next, moved, "in flight", "behind")
+				posts := platform.postCount()
 				time.Sleep(2 * time.Minute)
-				want(t, "POSTs to the old address", p.posted()-posts, 0)
-				want(t, "connections open to the old address", p.openNow(), 0)
+				want(t, "POSTs to the old address", platform.postCount()-posts, 0)
+				want(t, "connections open to the old address", platform.openCount(), 0)
 			})
 		})
 	}
 }
 
-// Guards against bodies over the 64 KiB that one may have, and against more than one connection and one POST of a notice
-// where the platform answers at once.
-func TestManyNoticesAtOnce(t *testing.T) {
-	for name, pad := range map[string]string{"in service": "", "long": "-", "long, and longer in JSON": "<"} {
+// Guards against bodies over the limit of 64 KiB, and against more than one connection, or more than one POST of a
+// notice, if the platform answers at once.
+func TestManyNoticesInOneTurn(t *testing.T) {
+	for name, pad := range map[string]string{"as in production": "", "long": "-", "long, and longer in JSON": "<"} {
 		t.Run(name, func(t *testing.T) {
-			p := &memoryPlatform{}
-			inNoticeRig(t, p, func(g *noticeRig) {
-				ids := idsOf(1000)
+			platform := &memoryPlatform{}
+			inNoticeRig(t, platform, func(rig *noticeRig) {
+				ids := makeIDs(1000)
 				for i, id := range ids {
-					ids[i] = id + strings.Repeat(pad, maxName-len(id))
+					ids[i] = id + strings.Repeat(pad, maxNameBytes-len(id))
 				}
-				g.end(ids...)
-				g.takenBy(p, time.Millisecond, ids...)
+				rig.end(ids...)
+				rig.wantAcceptedBy(platform, time.Millisecond, ids...)
 				for _, id := range ids {
-					want(t, "POSTs of a notice", len(p.taken[id]), 1)
+					want(t, "POSTs of a notice", len(platform.acceptedTimes[id]), 1)
 				}
-				if p.longest > maxBody {
-					t.Errorf("a body has %d bytes, want %d at most", p.longest, maxBody)
+				if platform.longestBody > maxBodyBytes {
+					t.Errorf("a body has %d bytes, want %d at most", platform.longestBody, maxBodyBytes)
 				}
-				want(t, "connections", p.conns, 1)
+				want(t, "connections", platform.conns, 1)
 			})
 		})
 	}
 }
 
-// Guards against a loop that waits for the sender of notices while that waits for the loop.
+// Guards against a deadlock in which the loop waits for the sender of notices while the sender waits for the loop.
 func TestLoopAndSenderNeverWaitForEachOther(t *testing.T) {
-	p := &memoryPlatform{}
-	inNoticeRig(t, p, func(g *noticeRig) {
-		ids := idsOf(4 * maxOwed)
-		g.post(func() {
-			for range 4 * cap(g.inbox) { // what comes in keeps the inbox full
-				go g.post(func() {})
+	platform := &memoryPlatform{}
+	inNoticeRig(t, platform, func(rig *noticeRig) {
+		ids := makeIDs(4 * maxPendingNotices)
+		rig.post(func() {
+			for range 4 * cap(rig.inbox) { // new functions keep the inbox full
+				go rig.post(func() {})
 			}
-			for len(g.inbox) < cap(g.inbox) {
+			for len(rig.inbox) < cap(rig.inbox) {
 				runtime.Gosched()
 			}
 			for _, id := range ids {
-				g.owe(notice{ID: id, Status: undeliverable})
+				rig.queueNotice(notice{ID: id, Status: undeliverable})
 			}
 		})
 		time.Sleep(time.Second)
-		if len(g.inbox) > 0 {
-			t.Error("the loop stands still")
+		if len(rig.inbox) > 0 {
+			t.Error("the loop is blocked")
 			return
 		}
-		g.takenBy(p, time.Second, ids...)
+		rig.wantAcceptedBy(platform, time.Second, ids...)
 	})
 }
--- a/internal/relay/overflow.go
+++ b/internal/relay/overflow.go
@@ -10,93 +10,98 @@
 	"larchrouter/internal/journal"
 )
 
-// What the decisions have no room for lies on disk. docs/backlog.md has the design; backlog.go carries it out.
+// The messages beyond the Chooser's window, which wait on disk. docs/backlog.md describes the design; backlog.go and
+// backlog_load.go use what is declared here.
 
 const (
-	windowMost = 4096 // messages; with what one turn moves it stays below what can be owed
-	ownCost    = 1024 // bytes that a message takes beside its body, in memory and in the journal
-	// sweepEach is how often all destinations are looked at: room grows for each as others end.
-	sweepEach = 250 * time.Millisecond
-	// lively is for how long a destination counts as served that took a message.
-	lively = 10 * time.Second
+	// maxWindowMessages, with the messages that one turn moves, stays below the limit on pending notices.
+	maxWindowMessages = 4096
+	// messageOverhead is how many bytes a message takes beside its body, in memory and in the journal.
+	messageOverhead = 1024
+	// checkAllInterval is how often all destinations are checked: capacity grows for each one as messages of others
+	// end.
+	checkAllInterval = 250 * time.Millisecond
+	// recentlyServedPeriod is how long a destination counts as served after a delivery.
+	recentlyServedPeriod = 10 * time.Second
 )
 
-// store is what lies on disk; package backlog has it.
+// store is the backlog on disk, which package backlog implements.
 type store interface {
 	Put(ms ...backlog.Message) error
-	Next(dest, n, bytes int) ([]backlog.Held, error)
-	Due(before int64, n int) ([]backlog.Held, error)
+	Next(dest, n, bytes int) ([]backlog.StoredMessage, error)
+	Due(before int64, n int) ([]backlog.StoredMessage, error)
 	NextDue() (int64, bool)
-	Out(dest int, places ...uint64) error
-	Find(dest int, id string) (backlog.Held, bool, error)
-	Key(order string) (dest int, ok bool)
+	Remove(dest int, places ...uint64) error
+	Find(dest int, id string) (backlog.StoredMessage, bool, error)
+	DestOfKey(order string) (dest int, ok bool)
 	Len() int
 	LenOf(dest int) int
 	Dests() iter.Seq[int]
 	Bytes() int64
-	Damage() []error
+	TakeDamageReports() []error
 	Close() error
 }
 
-// overflow is what waits outside of the window of the decisions. It belongs to the loop; nil in a relay without a backlog.
+// overflow is what waits outside of the Chooser's window. It belongs to the loop, and is nil in a relay without a
+// backlog.
 type overflow struct {
-	store   store  // nil while the folder cannot be opened: then nothing is taken on
-	dir     string // that lasts
-	disk    int64  // bytes
-	window  state.Window
-	fresh   []*message // to be put with the next step
-	moved   []*moved   // in the journal, and on disk still
-	again   recent     // ids that came on a second connection
-	look    []int      // destinations that may have room
-	looks   map[int]bool
-	served  map[int]time.Duration // when a destination last took a message
-	swept   time.Duration
-	rest    time.Duration // until then nothing is read: it failed
-	retry   time.Duration // until then nothing is taken off: it failed
-	timer   *time.Timer
-	more    bool // there is more to do than one turn did
-	fenced  bool // older versions do not start on the folder
-	refused int  // for want of room, or as the folder failed
+	store         store  // nil while the directory cannot be opened; nothing is accepted then
+	dir           string // of the store, in the state directory
+	diskBytes     int64  // limit for the store
+	window        state.Window
+	queued        []*message       // to be stored by the next step
+	moving        []*movingMessage // in the journal, but still on disk
+	resentIDs     recentIDs        // messages sent on a second connection
+	checkQueue    []int            // destinations that may have capacity
+	checkQueued   map[int]bool
+	lastServed    map[int]time.Duration // when a message to a destination was last delivered
+	lastCheckAll  time.Duration
+	readRetryAt   time.Duration // after a failed read, the time of the next one
+	removeRetryAt time.Duration // after a failed removal, the time of the next one
+	timer         *time.Timer
+	moreWork      bool // there is more to do than one turn did
+	fenced        bool // older versions refuse to start on the state directory
+	refused       int  // messages refused because the store was full or failed
 }
 
-// moved is a message between disk and decisions.
-type moved struct {
-	entry *journal.Entry
-	place uint64 // on disk; 0 if it is off
-	known bool   // it has been handed in
+// movingMessage is a message on its way from disk to the Chooser.
+type movingMessage struct {
+	entry     *journal.Entry
+	place     uint64 // on disk; 0 once it is removed
+	submitted bool   // to the Chooser
 }
 
-func newOverflow(dir string, disk int64, total state.Load) *overflow {
-	return &overflow{dir: dir, disk: disk, window: state.Window{Total: total, Alpha: 1}, looks: map[int]bool{}, served: map[int]time.Duration{},
+func newOverflow(dir string, diskBytes int64, windowTotal state.Load) *overflow {
+	return &overflow{dir: dir, diskBytes: diskBytes, window: state.Window{Capacity: windowTotal, Alpha: 1}, checkQueued: map[int]bool{}, lastServed: map[int]time.Duration{},
 		timer: time.NewTimer(0)}
 }
 
-// len is how many messages are on disk alone, or about to be.
+// len returns how many messages are only on disk, or are about to be stored.
 func (o *overflow) len() int {
 	if o == nil || o.store == nil {
 		return 0
 	}
-	n := o.store.Len() + len(o.fresh)
-	for _, m := range o.moved {
-		if m.known && m.place > 0 {
+	n := o.store.Len() + len(o.queued)
+	for _, m := range o.moving {
+		if m.submitted && m.place > 0 {
 			n--
 		}
 	}
 	return n
 }
 
-// broken tells whether it is not known what lies on disk.
+// broken reports whether the store could not be opened, so that its content is unknown.
 func (o *overflow) broken() bool { return o != nil && o.store == nil }
 
-// shut gives the folder up.
-func (o *overflow) shut() {
+// closeStore closes the store.
+func (o *overflow) closeStore() {
 	if o != nil && o.store != nil {
 		o.store.Close()
-		o.store, o.more = nil, false
+		o.store, o.moreWork = nil, false
 	}
 }
 
-// tick has the loop look again.
+// tick returns the channel of the timer for the next check; nil without a backlog.
 func (o *overflow) tick() <-chan time.Time {
 	if o == nil {
 		return nil
@@ -104,80 +109,81 @@
 	return o.timer.C
 }
 
-// unfinished tells whether there is more to do at once.
-func (o *overflow) unfinished() bool { return o != nil && o.more }
+// hasMoreWork reports whether another turn should load more at once.
+func (o *overflow) hasMoreWork() bool { return o != nil && o.moreWork }
 
-// enter counts what the decisions get.
+// enter counts a message into the window.
 func (o *overflow) enter(m *message) {
 	if o != nil && m.cost == 0 {
-		m.cost, m.twice = ownCost+len(m.Body)*4/3, m.twice || o.again.has(m.ID)
-		o.window.Enter(m.Dest, m.cost)
+		m.cost, m.resent = messageOverhead+len(m.Body)*4/3, m.resent || o.resentIDs.has(m.ID)
+		o.window.Admit(m.Dest, m.cost)
 	}
 }
 
-// leave counts what has ended.
+// leave counts a message that has ended out of the window, and queues a check of its destination.
 func (o *overflow) leave(m *message, now time.Duration) {
 	if o == nil || m.cost == 0 {
 		return
 	}
-	o.window.Leave(m.Dest, m.cost, m.served, now)
+	o.window.Remove(m.Dest, m.cost, m.served, now)
 	if m.cost = 0; m.served {
-		o.served[m.Dest] = now
+		o.lastServed[m.Dest] = now
 	}
-	o.lookAt(m.Dest)
+	o.queueCheck(m.Dest)
 }
 
-// room is how many messages of a destination may come in. Once the journal is crowded those that nobody takes stay out.
-func (o *overflow) room(dest int, now time.Duration, crowded bool) int {
-	if at, ok := o.served[dest]; crowded && !(ok && now-at < lively) {
+// capacity returns how many messages of a destination may be loaded. While the journal is crowded, destinations that
+// were not recently served load none.
+func (o *overflow) capacity(dest int, now time.Duration, crowded bool) int {
+	if at, ok := o.lastServed[dest]; crowded && !(ok && now-at < recentlyServedPeriod) {
 		return 0
 	}
-	return o.window.Room(dest, now)
+	return o.window.Available(dest, now)
 }
 
-// lookAt has a destination be looked at that may have room.
-func (o *overflow) lookAt(dest int) {
-	if !o.looks[dest] && o.store != nil && o.store.LenOf(dest) > 0 {
-		o.looks[dest] = true
-		o.look = append(o.look, dest)
+// queueCheck queues a destination that has messages on disk to be checked for capacity.
+func (o *overflow) queueCheck(dest int) {
+	if !o.checkQueued[dest] && o.store != nil && o.store.LenOf(dest) > 0 {
+		o.checkQueued[dest] = true
+		o.checkQueue = append(o.checkQueue, dest)
 	}
 }
 
-// next is a destination to be looked at.
-func (o *overflow) next() int {
-	dest := o.look[0]
-	o.look = o.look[1:]
-	delete(o.looks, dest)
+// nextCheck removes the first destination from the check queue and returns it.
+func (o *overflow) nextCheck() int {
+	dest := o.checkQueue[0]
+	o.checkQueue = o.checkQueue[1:]
+	delete(o.checkQueued, dest)
 	return dest
 }
 
-// sweep looks at all destinations now and then.
-func (o *overflow) sweep(now time.Duration) {
-	if now-o.swept < sweepEach {
+// checkAll queues checks of all destinations, every checkAllInterval.
+func (o *overflow) checkAll(now time.Duration) {
+	if now-o.lastCheckAll < checkAllInterval {
 		return
 	}
-	o.swept = now
+	o.lastCheckAll = now
 	for dest := range o.store.Dests() {
-		o.lookAt(dest)
+		o.queueCheck(dest)
 	}
-	for dest, at := range o.served {
-		if now-at >= lively {
-			delete(o.served, dest)
+	for dest, at := range o.lastServed {
+		if now-at >= recentlyServedPeriod {
+			delete(o.lastServed, dest)
 		}
 	}
 }
 
-// waits tells whether a message has to wait on disk: others of its destination do, or there is no room.
-func (o *overflow) waits(dest int, now time.Duration, crowded bool) bool {
-	return o.store.LenOf(dest) > 0 || o.room(dest, now, crowded) == 0 ||
-		slices.ContainsFunc(o.fresh, func(m *message) bool { return m.Dest == dest })
+// mustWait reports whether a message has to wait on disk: others of its destination do, or it has no capacity.
+func (o *overflow) mustWait(dest int, now time.Duration, crowded bool) bool {
+	return o.store.LenOf(dest) > 0 || o.capacity(dest, now, crowded) == 0 ||
+		slices.ContainsFunc(o.queued, func(m *message) bool { return m.Dest == dest })
 }
 
-// keyElsewhere tells whether messages of a key wait here for another destination than this one.
-func (o *overflow) keyElsewhere(order string, dest int) bool {
+// keyPendingElsewhere reports whether messages of an order key wait here for a destination other than dest.
+func (o *overflow) keyPendingElsewhere(order string, dest int) bool {
 	if order == "" {
 		return false
 	}
-	at, ok := o.store.Key(order)
-	return ok && at != dest || slices.ContainsFunc(o.fresh, func(m *message) bool { return m.Order == order && m.Dest != dest })
+	at, ok := o.store.DestOfKey(order)
+	return ok && at != dest || slices.ContainsFunc(o.queued, func(m *message) bool { return m.OrderKey == order && m.Dest != dest })
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,10 +1,9 @@
-// Package relay is the real relay round package choice: it keeps the time, the
-// sockets and the durable record, and decides nothing about hosts, time-outs
-// or further tries.
+// Package relay runs the decision logic of package choice: it owns the clock, the sockets and the durable records, and
+// makes no decision about hosts, time-outs or retries itself.
 //
-// One goroutine, the loop, owns the Chooser and all state. Everything else
-// posts functions to it; it runs those that have come in as one batch, lets
-// the Chooser decide once, writes the journal, and carries the actions out.
+// One goroutine, the loop, owns the Chooser and all state. All other goroutines post functions to it. The loop runs the
+// functions that are queued as one batch, calls the Chooser once, writes the journal, and carries out the Chooser's
+// actions.
 package relay
 
 import (
@@ -26,182 +25,184 @@
 )
 
 const (
-	batchMost = 256
-	maxOwed   = 8192
+	// maxBatch limits the functions that the loop runs before a step, and the notices in one POST.
+	maxBatch = 256
+	// maxPendingNotices is the number of pending notices from which on no more messages are accepted.
+	maxPendingNotices = 8192
 )
 
-// Relay is one relay. The parts that it embeds, and the fields below the channels, belong to the loop unless they say
-// otherwise.
+// Relay is one relay. Its embedded parts, and the fields below the channels, belong to the loop unless their comments
+// say otherwise.
 type Relay struct {
-	conf     Config
-	set      atomic.Pointer[standing]
-	began    time.Time
-	server   *http.Server
-	listener *peers
-	tcp      *net.TCPListener // under listener
-	platform *http.Client     // for discovery
-	// platformAt is where discovery and the taker of notices are.
-	platformAt *discovery.At
-	list       discovery.Source // of the endpoints
-	calls      context.Context
-	endCalls   context.CancelCauseFunc
-	inbox      chan func()
-	quit       chan struct{} // the loop is to end
-	halted     chan struct{} // and has
-	once       sync.Once
-	admin      *http.Server // of the second address; nil where there is none
-	adminPeers *peers
-	adminAt    net.Addr
-	ready      atomic.Bool // clients may come
-	draining   atomic.Bool // and may not any more
-	closing    atomic.Bool // their connections end with the next answer
-	figures    figures
+	config         Config
+	settings       atomic.Pointer[activeSettings]
+	startedAt      time.Time // zero of the relay's clock
+	clientServer   *http.Server
+	clientListener *limitListener
+	tcpListener    *net.TCPListener // the listening socket that listener wraps
+	platformClient *http.Client     // for calls to discovery
+	// platformAddr is the current address of discovery and of the receiver of notices.
+	platformAddr       *discovery.Address
+	listSource         discovery.Source // the source of the endpoint list
+	callContext        context.Context  // parent of the contexts of all calls to endpoints
+	cancelCalls        context.CancelCauseFunc
+	inbox              chan func()   // functions for the loop to run
+	quit               chan struct{} // closed when the loop must end
+	loopEnded          chan struct{} // closed when the loop has ended
+	stopOnce           sync.Once
+	adminServer        *http.Server // serves the admin address; nil if none is configured
+	adminListener      *limitListener
+	adminAddr          net.Addr
+	ready              atomic.Bool // clients may connect
+	draining           atomic.Bool // the relay is shutting down, and clients should no longer connect
+	closeAfterResponse atomic.Bool // client connections are closed after the next answer
+	metrics            relayMetrics
 
-	books
-	endpoints
+	messageRecords
+	endpointList
 	listLease
-	sending sendGate
+	writeGate sendGate // used by any goroutine
 	agreement
-	succession
-	chooser     *choice.Chooser
-	events      []choice.Event
-	fresh       []*message
-	wake        *time.Timer
-	wakeAt      time.Duration
-	delays      delayMeter
-	woken       bool
-	out         int  // calls
-	stopped     bool // no more decisions; outcomes are still recorded
-	endPlatform context.CancelFunc
+	handoverState
+	chooser        *choice.Chooser
+	events         []choice.Event // for the next step
+	newMessages    []*message     // arrived since the last step, and not accepted yet
+	wakeTimer      *time.Timer
+	wakeAt         time.Duration // when wakeTimer fires, by the relay's clock
+	timerDelays    delayMeter
+	wakeDue        bool               // wakeTimer has fired since the last step
+	callsInFlight  int                // number of calls to endpoints in flight
+	stopped        bool               // no more decisions are made; outcomes are still recorded
+	cancelPlatform context.CancelFunc // ends the goroutines that serve discovery, notices and the keepers' session
 }
 
-// New replays the journal and listens; Serve does the rest.
-func New(conf Config) (r *Relay, err error) {
-	set := conf.Settings
-	r = &Relay{conf: conf, platformAt: discovery.NewAt(conf.Discovery), began: time.Now(), inbox: make(chan func(), 1024),
-		books:     books{held: map[string]*message{}},
-		endpoints: endpoints{zones: set.Zones, hosts: map[string]*host{}, dests: map[int]*waiting{}},
-		quit:      make(chan struct{}), halted: make(chan struct{}), wake: time.NewTimer(time.Hour)}
-	clients, kept := conf.parts(set.Workers)
-	r.hostSide.Store(newTransport(&set, kept, r.dial(set.DialTimeout)))
-	r.platform = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleIn, DialContext: r.dial(0)}}
-	r.notices = newNoticeSender(r.platformAt, r.dial(noticeIn), r.noticesSending, r.noticesAccepted)
-	list := &discovery.Platform{Client: r.platform, At: r.platformAt, Seed: conf.Seed, Known: conf.Known.Full, Version: conf.Known.Version,
-		Renewed: r.leaseRenewed,
+// New opens the relay's stored state, replays the journal, and starts listening. Call Serve to run the relay.
+func New(config Config) (relay *Relay, err error) {
+	settings := config.Settings
+	relay = &Relay{config: config, platformAddr: discovery.NewAddress(config.Discovery), startedAt: time.Now(), inbox: make(chan func(), 1024),
+		messageRecords: messageRecords{pending: map[string]*message{}},
+		endpointList:   endpointList{zoneNames: settings.ZoneNames, hosts: map[string]*host{}, destWaits: map[int]*hostWait{}},
+		quit:           make(chan struct{}), loopEnded: make(chan struct{}), wakeTimer: time.NewTimer(time.Hour)}
+	maxClients, maxIdleHostConns := config.connectionLimits(settings.Workers)
+	relay.hostTransport.Store(newHostTransport(&settings, maxIdleHostConns, relay.newDialFunc(settings.DialTimeout)))
+	relay.platformClient = &http.Client{Transport: &http.Transport{DisableCompression: true, IdleConnTimeout: idleConnTimeout, DialContext: relay.newDialFunc(0)}}
+	relay.notices = newNoticeSender(relay.platformAddr, relay.newDialFunc(noticeTimeout), relay.noticesSending, relay.noticesAccepted)
+	listSource := &discovery.Platform{Client: relay.platformClient, Address: relay.platformAddr, Seed: config.Seed, HasList: config.InitialList.Full, Version: config.InitialList.Version,
+		LeaseChanged: relay.leaseRenewed,
 		Fleet: func() discovery.Fleet {
-			set := r.set.Load()
-			return discovery.Fleet{Size: set.Fleet, AskWithin: set.AskWithin}
+			settings := relay.settings.Load()
+			return discovery.Fleet{Size: settings.Fleet, MaxPollInterval: settings.MaxPollInterval}
 		}}
-	r.list = list
-	r.calls, r.endCalls = context.WithCancelCause(context.Background())
-	r.set.Store((&standing{}).succeed(set, 0))
-	for _, k := range set.Classes {
-		r.figures.declare(k.Name)
+	relay.listSource = listSource
+	relay.callContext, relay.cancelCalls = context.WithCancelCause(context.Background())
+	relay.settings.Store((&activeSettings{}).replacedBy(settings, 0))
+	for _, class := range settings.Classes {
+		relay.metrics.declareClass(class.Name)
 	}
-	if conf.Admin != "" {
-		if err := r.listenAdmin(conf.Admin); err != nil {
+	if config.AdminAddr != "" {
+		if err := relay.listenAdmin(config.AdminAddr); err != nil {
 			return nil, err
 		}
-		admin := r.admin
+		admin := relay.adminServer
 		defer func() {
 			if err != nil {
 				admin.Close()
 			}
 		}()
 	}
-	if err := r.listen(); err != nil {
+	if err := relay.listen(); err != nil {
 		return nil, err
 	}
-	tcp, heritage := r.tcp, r.heritage
+	tcp, handover := relay.tcpListener, relay.previousProcess
 	defer func() {
 		if err != nil {
 			tcp.Close()
-			if heritage != nil {
-				heritage.close()
+			if handover != nil {
+				handover.close()
 			}
 		}
 	}()
-	if r.chooser, err = choice.New(set.Settings, conf.Seed); err != nil {
+	if relay.chooser, err = choice.New(settings.Settings, config.Seed); err != nil {
 		return nil, err
 	}
-	if err := steady.Anchor(conf.State); err != nil {
-		slog.Warn("no steady time across restarts", "err", err, "remedy", remedy.Of(err))
+	if err := steady.Anchor(config.StateDir); err != nil {
+		slog.Warn("steady clock is not available across restarts", "err", err, "remedy", remedy.Of(err))
 	}
-	version := conf.Known.Version
-	if r.heritage != nil {
-		version = r.heritage.Version
+	version := config.InitialList.Version
+	if relay.previousProcess != nil {
+		version = relay.previousProcess.Version
 	}
-	if list.Before = leaseBefore(conf.State, version); list.Before != nil {
-		r.bindLease(*list.Before)
+	if listSource.PreviousLease = loadLease(config.StateDir, version); listSource.PreviousLease != nil {
+		relay.setSendUntil(*listSource.PreviousLease)
 	}
-	if r.journal, err = journal.Open(conf.State, conf.journalBytes()); err != nil {
+	if relay.journal, err = journal.Open(config.StateDir, config.journalBytes()); err != nil {
 		return nil, err
 	}
-	if err = r.openBacklog(); err != nil {
+	if err = relay.openBacklog(); err != nil {
 		return nil, err
 	}
-	waiting := r.overflow
+	overflow := relay.overflow
 	defer func() {
 		if err != nil {
-			waiting.shut()
+			overflow.closeStore()
 		}
 	}()
-	if conf.Fleet != nil {
-		r.kept = fleet.Open(conf.State, newInstance(), fleet.File{Raw: conf.settings, Set: set})
-		r.look()
-		if r.copies = newCopying(conf.Fleet); r.copies != nil {
-			if r.heritage != nil {
-				r.copies.adopted = r.heritage.Writer
+	if config.Fleet != nil {
+		relay.fleetConfig = fleet.Open(config.StateDir, newInstanceID(), fleet.File{Raw: config.rawSettings, Settings: settings})
+		relay.refreshAgreed()
+		if relay.replication = newReplication(config.Fleet); relay.replication != nil {
+			if relay.previousProcess != nil {
+				relay.replication.adoptedWriter = relay.previousProcess.Writer
 			}
-			r.newOwner()
+			relay.newGroupOwner()
 		}
 	}
-	r.listener = newPeers(r.tcp, clients)
-	r.listener.lack = func() { r.hostSide.Load().CloseIdleConnections() }
-	r.listener.snapshot = func() any { return r.snapshot() }
-	r.server = newServer(r.handler(), r.listener)
-	if h := r.heritage; h != nil {
-		// Until the other process has ended the limit on sockets is for both.
-		r.listener.allow(max(clients/4, clients-h.Peers))
-		r.listed(discovery.List{Version: h.Version, Full: true, Servers: append(h.Servers, h.Gone...)})
-		r.adopt(h)
-		if r.copies != nil {
-			r.adoptEstates(h.Writer)
+	relay.clientListener = newLimitListener(relay.tcpListener, maxClients)
+	relay.clientListener.freeDescriptors = func() { relay.hostTransport.Load().CloseIdleConnections() }
+	relay.clientListener.settingsSnapshot = func() any { return relay.currentSettings() }
+	relay.clientServer = newHTTPServer(relay.handler(), relay.clientListener)
+	if handover := relay.previousProcess; handover != nil {
+		// Until the previous process has ended, both processes share the limit on sockets.
+		relay.clientListener.setLimit(max(maxClients/4, maxClients-handover.ClientConns))
+		relay.applyList(discovery.List{Version: handover.Version, Full: true, Servers: append(handover.Servers, handover.Departed...)})
+		relay.adoptCalls(handover)
+		if relay.replication != nil {
+			relay.adoptGroups(handover.Writer)
 		}
-		r.startLease(list.Before)
-		r.restore()
-		for i := range h.Gone {
-			h.Gone[i].State = "left"
+		relay.resumeLease(listSource.PreviousLease)
+		relay.restore()
+		for i := range handover.Departed {
+			handover.Departed[i].State = "left"
 		}
-		r.listed(discovery.List{Version: h.Version, Servers: h.Gone})
-		return r, h.accept()
+		relay.applyList(discovery.List{Version: handover.Version, Servers: handover.Departed})
+		return relay, handover.confirm()
 	}
-	if conf.Known.Full || len(conf.Known.Servers) > 0 {
-		r.listed(conf.Known)
+	if config.InitialList.Full || len(config.InitialList.Servers) > 0 {
+		relay.applyList(config.InitialList)
 	}
-	r.startLease(list.Before)
-	r.restore()
-	return r, nil
+	relay.resumeLease(listSource.PreviousLease)
+	relay.restore()
+	return relay, nil
 }
 
-// listen takes the clients' address from the process that runs as this relay, if there is one.
-// Before that the journal is not this process's to open.
+// listen takes over the clients' address from the running process of this relay, if there is one, and opens it
+// otherwise. The journal may be opened only after that: until then it belongs to the other process.
 func (r *Relay) listen() (err error) {
-	if r.heritage, err = inherit(r.conf.State); err != nil {
-		// It may have died; if it has not, the address is taken.
-		slog.Warn("nothing taken over", "err", err)
+	if r.previousProcess, err = requestHandover(r.config.StateDir); err != nil {
+		// The other process may have died. If it still runs, listening on the address below fails.
+		slog.Warn("no state taken over from a running process", "err", err)
 	}
-	if r.heritage != nil {
-		r.tcp = r.heritage.tcp
+	if r.previousProcess != nil {
+		r.tcpListener = r.previousProcess.listener
 		return nil
 	}
-	l, err := listen.TCP(r.conf.Listen)
+	listener, err := listen.TCP(r.config.Listen)
 	if err != nil {
 		return err
 	}
-	r.tcp = l.(*net.TCPListener)
+	r.tcpListener = listener.(*net.TCPListener)
 	return nil
 }
 
-// Addr is where clients connect.
-func (r *Relay) Addr() string { return r.listener.Addr().String() }
+// Addr returns the address on which clients connect.
+func (r *Relay) Addr() string { return r.clientListener.Addr().String() }
