--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -8,80 +8,80 @@
 	"larchrouter/internal/discovery"
 )
 
-// Serve runs the relay until Drain has ended it.
+// Serve runs the relay until Drain has stopped it.
 func (r *Relay) Serve() {
 	ctx, cancel := context.WithCancel(context.Background())
-	r.endPlatform = cancel
-	if r.heritage != nil {
-		r.attend(r.heritage)
+	r.cancelPlatform = cancel
+	if r.previousProcess != nil {
+		r.followPrevious(r.previousProcess)
 	}
-	r.awaitHeir()
-	go r.list.Follow(ctx, func(l discovery.List) { r.post(func() { r.listed(l) }) })
+	r.listenForNextProcess()
+	go r.listSource.Follow(ctx, func(l discovery.List) { r.post(func() { r.applyList(l) }) })
 	go r.notices.run(ctx)
-	if r.kept != nil {
-		go r.carry(ctx, r.session())
+	if r.fleetConfig != nil {
+		go r.runReplication(ctx, r.newKeeperSession())
 	}
-	go r.server.Serve(r.listener)
-	r.whenReady()
+	go r.clientServer.Serve(r.clientListener)
+	r.reportReady()
 	r.loop()
-	close(r.halted)
+	close(r.loopEnded)
 	cancel()
-	if r.heir != nil {
-		r.heir.finish()
+	if r.nextProcess != nil {
+		r.nextProcess.finish()
 	}
-	if r.heirs != nil {
-		r.heirs.Close()
+	if r.handoverListener != nil {
+		r.handoverListener.Close()
 	}
-	r.endCalls(errStopping)
-	r.closing.Store(true)
-	r.endConnections()
+	r.cancelCalls(errStopping)
+	r.closeAfterResponse.Store(true)
+	r.closeConnections()
 }
 
-// endConnections ends all that came in, on both addresses at once: the time for it is short.
-func (r *Relay) endConnections() {
-	var all sync.WaitGroup
-	all.Go(func() { r.listener.empty(r.server) })
-	if r.admin != nil {
-		all.Go(func() { r.adminPeers.empty(r.admin) })
+// closeConnections closes the connections at both addresses concurrently, since time is short.
+func (r *Relay) closeConnections() {
+	var closing sync.WaitGroup
+	closing.Go(func() { r.clientListener.closeAll(r.clientServer) })
+	if r.adminServer != nil {
+		closing.Go(func() { r.adminListener.closeAll(r.adminServer) })
 	}
-	all.Wait()
+	closing.Wait()
 }
 
-// The times of an orderly stop, from SIGTERM. New connections come for 0.4 s
-// more, SIGKILL after 3.7 s.
+// Times of an orderly stop, counted from SIGTERM. New connections arrive for another 0.4 s; SIGKILL follows after
+// 3.7 s.
 const (
-	stopKeeping = 500 * time.Millisecond  // then connections end between requests
-	stopTaking  = 800 * time.Millisecond  // then those that wait are accepted, and no more
-	stopPassing = 2300 * time.Millisecond // after a hand-over: then connections without a request end
-	stopSending = 2600 * time.Millisecond // then no more calls go out
-	stopAll     = 3300 * time.Millisecond // then calls still out are left to the journal
+	closeIdleAfter       = 500 * time.Millisecond  // then idle connections are closed
+	stopAcceptAfter      = 800 * time.Millisecond  // then the connections in the queue are accepted, and no more
+	handedOverCloseAfter = 2300 * time.Millisecond // after a handover: then connections without a request are closed
+	stopCallsAfter       = 2600 * time.Millisecond // then no more calls are started
+	stopAfter            = 3300 * time.Millisecond // then calls still in flight are left to the journal
 )
 
-// Drain stops the relay in order: it takes on and delivers while clients still
-// come, lets calls out finish, and leaves the rest to the journal.
+// Drain stops the relay in order: it accepts and delivers while clients still connect, lets calls in flight finish,
+// and leaves the rest to the journal.
 func (r *Relay) Drain() {
 	r.draining.Store(true)
-	begin, from, taking := time.Now(), stopKeeping, stopTaking
-	if r.passedAt.Load() > 0 {
-		// The clients' connections end with their next answer, none of them under a request.
-		from, taking = stopPassing, stopPassing
+	start, closeAfter, acceptUntil := time.Now(), closeIdleAfter, stopAcceptAfter
+	if r.handedOverAt.Load() > 0 {
+		// Clients' connections end with their next response, so none is closed during a request.
+		closeAfter, acceptUntil = handedOverCloseAfter, handedOverCloseAfter
 	}
-	r.listener.answerUntil(begin.Add(stopAll + emptyIn))
-	time.Sleep(from - time.Since(begin))
-	r.closing.Store(true)
-	for took := time.Since(begin); took < stopAll; took = time.Since(begin) {
-		accepted := took >= taking && r.listener.stopAccepting()
-		peers := r.listener.retire(took >= stopSending)
+	r.clientListener.setResponseDeadline(start.Add(stopAfter + closeAllTimeout))
+	time.Sleep(closeAfter - time.Since(start))
+	r.closeAfterResponse.Store(true)
+	for elapsed := time.Since(start); elapsed < stopAfter; elapsed = time.Since(start) {
+		listenerClosed := elapsed >= acceptUntil && r.clientListener.stopAccepting()
+		openConns := r.clientListener.closeIdle(elapsed >= stopCallsAfter)
 		idle := make(chan bool, 1)
 		r.post(func() {
-			r.stopped = r.stopped || took >= stopSending
-			idle <- r.idle()
+			r.stopped = r.stopped || elapsed >= stopCallsAfter
+			idle <- r.isIdle()
 		})
 		select {
 		case <-r.quit:
 			return
-		case is := <-idle:
-			if is && accepted && peers == 0 {
+		case isIdle := <-idle:
+			if isIdle && listenerClosed && openConns == 0 {
 				r.stop()
 				return
 			}
@@ -92,27 +92,28 @@
 	r.stop()
 }
 
-// idle tells whether nothing is left that a relay which stops should wait for.
-func (r *Relay) idle() bool {
-	out := r.out
-	if r.heritage != nil { // the process before this one may have calls out, whose ends come here
-		out += len(r.heritage.calls)
+// isIdle reports whether a stopping relay has nothing left to wait for.
+func (r *Relay) isIdle() bool {
+	inFlight := r.callsInFlight
+	if r.previousProcess != nil { // the process before this one may have calls in flight, whose outcomes arrive here
+		inFlight += len(r.previousProcess.calls)
 	}
-	if r.heir != nil {
-		return out == 0 && len(r.asked) == 0
+	if r.nextProcess != nil {
+		return inFlight == 0 && len(r.forwardedIntakes) == 0
 	}
-	if r.copies.waiting() { // clients among them: they are answered, or their messages taken out of the record
+	if r.replication.hasUncommitted() { // clients wait for some: they get an answer, or their messages are removed from the record
 		return false
 	}
-	return out == 0 && (r.stopped || len(r.held)+r.owed == 0)
+	return inFlight == 0 && (r.stopped || len(r.pending)+r.pendingNotices == 0)
 }
 
-// stop ends the relay as it is; the journal has the rest.
-func (r *Relay) stop() { r.once.Do(func() { close(r.quit) }) }
+// stop ends the loop at once; everything else is in the journal.
+func (r *Relay) stop() { r.stopOnce.Do(func() { close(r.quit) }) }
 
-func (r *Relay) now() time.Duration { return time.Since(r.began) }
+// now returns the time since the relay was created, its clock for all decisions.
+func (r *Relay) now() time.Duration { return time.Since(r.startedAt) }
 
-// post hands the loop something to do.
+// post queues a function for the loop.
 func (r *Relay) post(f func()) {
 	select {
 	case r.inbox <- f:
@@ -120,45 +121,47 @@
 	}
 }
 
-// atOnce is always ready.
-var atOnce = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
+// alwaysReady is a closed channel.
+var alwaysReady = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
 
+// loop runs the functions in the inbox, in batches of up to batchMost, and takes a step after each batch, until the
+// relay stops.
 func (r *Relay) loop() {
 	for {
-		if r.kept != nil { // a process that was stopped acts by nothing that has run out meanwhile
-			r.look()
+		if r.fleetConfig != nil { // a process that was suspended must not act on agreements that expired meanwhile
+			r.refreshAgreed()
 		}
 		r.step()
-		if r.heir == nil {
-			r.figures.hold(len(r.held)+r.overflow.len(), len(r.hosts), r.chooser.Excluded())
+		if r.nextProcess == nil {
+			r.metrics.setTotals(len(r.pending)+r.overflow.len(), len(r.hosts), r.chooser.Excluded())
 			if r.overflow != nil {
-				r.figures.waiting(r.overflow)
+				r.metrics.setBacklog(r.overflow)
 			}
 		}
-		var again <-chan struct{}
-		if len(r.events) > 0 { // the step left some; nothing else may come in for long
-			again = atOnce
-		} else if len(r.askers) > 0 && !r.copies.waiting() {
+		var runAgain <-chan struct{}
+		if len(r.events) > 0 { // the step left events, which must not wait long for other input
+			runAgain = alwaysReady
+		} else if len(r.handoverRequests) > 0 && !r.replication.hasUncommitted() {
 			r.handOverToFirst()
-			again = atOnce // there may be a second one
-		} else if r.overflow.unfinished() {
-			again = atOnce
+			runAgain = alwaysReady // there may be another one
+		} else if r.overflow.hasMoreWork() {
+			runAgain = alwaysReady
 		}
 		select {
 		case f := <-r.inbox:
 			f()
-		case <-r.wake.C:
-			r.woken = true
-			r.observeWake()
+		case <-r.wakeTimer.C:
+			r.wakeDue = true
+			r.observeWakeDelay()
 		case <-r.overflow.tick():
-		case <-again:
+		case <-runAgain:
 		case <-r.quit:
-			r.lastWord()
+			r.answerAtExit()
 			r.flush()
-			r.overflow.shut()
+			r.overflow.closeStore()
 			return
 		}
-		for n := 1; n < batchMost; n++ {
+		for n := 1; n < maxBatch; n++ {
 			select {
 			case f := <-r.inbox:
 				f()
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -12,24 +12,24 @@
 	"larchrouter/internal/steady"
 )
 
-// step lets the Chooser decide on what has come in, and carries its actions out.
+// step passes the events received since the last step to the Chooser, and carries out the actions that it returns.
 func (r *Relay) step() {
-	if r.heir != nil {
+	if r.nextProcess != nil {
 		r.events = nil
 		return
 	}
-	r.putFresh()
+	r.storeQueued()
 	if r.stopped {
 		r.events = nil
-		for _, m := range r.fresh {
-			r.refuse(m, comeBack)
+		for _, m := range r.newMessages {
+			r.refuse(m, defaultRetryAfter)
 		}
-		r.fresh = nil
+		r.newMessages = nil
 		r.flush()
 		return
 	}
-	r.bring()
-	if r.woken {
+	r.loadFromBacklog()
+	if r.wakeDue {
 		r.events = append(r.events, choice.Woken{})
 	}
 	if len(r.events) == 0 {
@@ -38,213 +38,216 @@
 	}
 	events, now := r.events, r.now()
 	r.events = nil
-	r.timeFrom(now, events)
-	if r.woken {
-		r.woken, r.wakeAt = false, 0
+	r.updateTimeLeft(now, events)
+	if r.wakeDue {
+		r.wakeDue, r.wakeAt = false, 0
 	}
 	var sends []choice.Send
-	for _, a := range r.chooser.Step(now, events) {
-		switch a := a.(type) {
+	for _, action := range r.chooser.Step(now, events) {
+		switch action := action.(type) {
 		case choice.Send:
-			sends = append(sends, a)
+			sends = append(sends, action)
 		case choice.Refuse:
-			r.final(a.ID, deferred, min(a.After, r.set.Load().MaxRetryAfter))
+			r.endUndelivered(action.ID, deferred, min(action.After, r.settings.Load().MaxRetryAfter))
 		case choice.Fail:
-			r.final(a.ID, undeliverable, 0)
+			r.endUndelivered(action.ID, undeliverable, 0)
 		case choice.Cancel:
-			if m := r.held[a.ID]; m != nil && m.call != nil {
-				m.call.cancel(errCalled)
+			if m := r.pending[action.ID]; m != nil && m.call != nil {
+				m.call.cancel(errCancelled)
 			}
 		case choice.Wake:
-			r.arm(now, a.After)
+			r.armWake(now, action.After)
 		case choice.Health:
-			r.record(journal.Record{Op: journal.OpHealth, ID: a.Host, Ran: a.Unwell, Base: a.Base, At: steady.UnixMilli()})
+			r.record(journal.Record{Op: journal.OpHealth, ID: action.Host, Flag: action.Unwell, Base: action.Base, At: steady.UnixMilli()})
 		case choice.Log:
-			slog.Info(a.Text)
+			slog.Info(action.Text)
 		}
 	}
 	r.flush()
-	r.takeOn()
+	r.acceptNew()
 	r.dispatch(sends)
 }
 
-// takeOn records what came since the last step, and answers its clients. Only what is in the journal is taken on.
-func (r *Relay) takeOn() {
-	for _, m := range r.fresh {
-		if m.over {
+// acceptNew records the messages that arrived since the last step, and answers their clients. A message is accepted
+// only once it is in the journal.
+func (r *Relay) acceptNew() {
+	for _, msg := range r.newMessages {
+		if msg.ended {
 			continue
 		}
-		err := r.bindInOrder([]journal.Record{{Op: journal.OpTaken, Entry: m.Entry}}, countIn, func(counts bool) {
+		err := r.bindInOrder([]journal.Record{{Op: journal.OpAccepted, Entry: msg.Entry}}, commitTimeout, func(committed bool) {
 			switch {
-			case m.over:
-			case counts:
-				m.answer(answer{status: http.StatusAccepted})
+			case msg.ended:
+			case committed:
+				msg.answer(apiResponse{status: http.StatusAccepted})
 			default:
-				r.uncounted(m)
+				r.endUncommitted(msg)
 			}
 		})
 		if err != nil {
-			slog.Error("message not taken on", "err", err, "remedy", remedy.Of(err))
-			r.events = append(r.events, choice.Withdrawn{ID: m.ID})
-			r.refuse(m, comeBack)
+			slog.Error("message not accepted: could not be recorded", "err", err, "remedy", remedy.Of(err))
+			r.events = append(r.events, choice.Withdrawn{ID: msg.ID})
+			r.refuse(msg, defaultRetryAfter)
 		}
 	}
-	r.fresh = r.fresh[:0]
-	if r.copies != nil {
-		r.copies.fresh = 0
+	r.newMessages = r.newMessages[:0]
+	if r.replication != nil {
+		r.replication.unrecordedBytes = 0
 	}
 }
 
-// arm sets the timer for the earliest wake-up asked for. One that fell due, but whose tick
-// the loop has not read yet, no longer counts: the Chooser has asked anew, will not ask
-// again before that, and without the guard sleeps until something else comes in.
-func (r *Relay) arm(now, after time.Duration) {
+// armWake sets the timer for the earliest wake-up that was asked for. A wake-up that is due, but whose tick the loop
+// has not read yet, no longer counts: the Chooser has asked for its next wake-up since, and does not ask again before
+// that. Without this check the loop would sleep until another event arrives.
+func (r *Relay) armWake(now, after time.Duration) {
 	if at := now + after; r.wakeAt <= now || at < r.wakeAt {
 		r.wakeAt = at
-		r.wake.Reset(after) // drops an unread tick
+		r.wakeTimer.Reset(after) // Reset drops an unread tick
 	}
 }
 
-// refuse ends a message that was never taken on.
-func (r *Relay) refuse(m *message, after time.Duration) {
-	if r.copies != nil && r.journal.Entry(m.ID) != nil { // on disk, but it does not count yet
-		r.uncounted(m)
+// refuse ends a message that was never accepted, and tells its client to retry after the given time.
+func (r *Relay) refuse(msg *message, retryAfter time.Duration) {
+	if r.replication != nil && r.journal.Entry(msg.ID) != nil { // on disk, but not committed yet
+		r.endUncommitted(msg)
 		return
 	}
-	r.figures.ended(m.Class, refusedEnd)
-	r.release(m)
-	m.answer(answer{status: http.StatusServiceUnavailable, after: after, text: "refused"})
+	r.metrics.countOutcome(msg.Class, outcomeRefused)
+	r.release(msg)
+	msg.answer(apiResponse{status: http.StatusServiceUnavailable, retryAfter: retryAfter, text: "refused"})
 }
 
-// final ends a message that the Chooser has given up, at once.
-func (r *Relay) final(id, status string, after time.Duration) {
-	switch m := r.held[id]; {
-	case m == nil:
-	case m.fresh != nil:
-		r.refuse(m, after)
-	case m.served:
-		r.finish(m, servedEnd)
+// endUndelivered ends a message that the Chooser has given up. After retryAfter the client may send a deferred message
+// again.
+func (r *Relay) endUndelivered(id, status string, retryAfter time.Duration) {
+	switch msg := r.pending[id]; {
+	case msg == nil:
+	case msg.unanswered != nil:
+		r.refuse(msg, retryAfter)
+	case msg.served:
+		r.finish(msg, outcomeServed)
 	default:
-		r.give(m, notice{ID: id, Status: status, Again: after.Milliseconds()})
+		r.endWithNotice(msg, notice{ID: id, Status: status, RetryAfterMS: retryAfter.Milliseconds()})
 	}
 }
 
-// dispatch groups the sends of one Step into calls, records them, and starts them.
+// dispatch groups the sends of one step into calls, records them, and starts them.
 func (r *Relay) dispatch(sends []choice.Send) {
-	open := map[string]*call{}
+	openCalls := map[string]*call{}
 	var calls []*call
-	wall := steady.UnixMilli()
-	for _, s := range sends {
-		m, h := r.held[s.ID], r.hosts[s.Host]
-		if m == nil || h == nil || h.dest != m.Dest || h.closed.Load() {
-			if h != nil && h.closed.Load() {
-				r.figures.withheld(endpointShut, 1)
+	wallTime := steady.UnixMilli()
+	for _, send := range sends {
+		msg, host := r.pending[send.ID], r.hosts[send.Host]
+		if msg == nil || host == nil || host.dest != msg.Dest || host.closed.Load() {
+			if host != nil && host.closed.Load() {
+				r.metrics.countWithheld(endpointUnavailable, 1)
 			}
-			r.events = append(r.events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.NotSent})
+			r.events = append(r.events, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.NotSent})
 			continue
 		}
-		c, size := open[s.Host], frameSize(m)
-		if c == nil || len(c.members) >= h.perCall || c.size+size > maxBody { // no body may be longer
-			c = &call{host: h}
-			open[s.Host] = c
-			calls = append(calls, c)
+		hostCall, size := openCalls[send.Host], frameSize(msg)
+		if hostCall == nil || len(hostCall.members) >= host.maxPerCall || hostCall.size+size > maxBodyBytes { // a request body may have maxBody bytes at most
+			hostCall = &call{host: host}
+			openCalls[send.Host] = hostCall
+			calls = append(calls, hostCall)
 		}
-		c.size += size
-		c.members, c.sends = append(c.members, m), append(c.sends, s)
+		hostCall.size += size
+		hostCall.members, hostCall.sends = append(hostCall.members, msg), append(hostCall.sends, send)
 	}
-	for _, c := range calls {
-		var recs []journal.Record
-		for i, m := range c.members {
-			recs = append(recs, journal.Record{Op: journal.OpTry, ID: m.ID, At: wall, Wait: c.sends[i].Timeout.Milliseconds(), Zone: c.host.zone})
+	for _, hostCall := range calls {
+		var records []journal.Record
+		for i, msg := range hostCall.members {
+			records = append(records, journal.Record{Op: journal.OpTry, ID: msg.ID, At: wallTime, WaitMs: hostCall.sends[i].Timeout.Milliseconds(), Zone: hostCall.host.zone})
 		}
-		// An attempt that a restart would not know of must not go out.
-		written := time.Now()
-		err := r.bindInOrder(recs, freshIn, func(counts bool) { r.startCounted(c, written, counts) })
+		// An attempt must not be sent unless it is recorded: after a restart, nothing would be known of it.
+		recordedAt := time.Now()
+		err := r.bindInOrder(records, callStartTimeout, func(committed bool) { r.startRecorded(hostCall, recordedAt, committed) })
 		if err != nil {
-			slog.Error("attempts not sent", "err", err, "remedy", remedy.Of(err))
-			r.unsent(c)
+			slog.Error("attempts not sent: could not be recorded", "err", err, "remedy", remedy.Of(err))
+			r.reportNotSent(hostCall)
 		}
 	}
 }
 
-// unsent tells the decisions that a call does not go.
-func (r *Relay) unsent(c *call) {
-	for _, s := range c.sends {
-		r.events = append(r.events, choice.Result{ID: s.ID, Host: s.Host, Outcome: choice.NotSent})
+// reportNotSent reports to the Chooser that no message of a call was sent.
+func (r *Relay) reportNotSent(c *call) {
+	for _, send := range c.sends {
+		r.events = append(r.events, choice.Result{ID: send.ID, Host: send.Host, Outcome: choice.NotSent})
 	}
 }
 
-// startCounted starts a call whose record counts, unless something came between: then all of it stays.
-func (r *Relay) startCounted(c *call, written time.Time, counts bool) {
-	if r.copies == nil {
-		r.start(c)
+// startRecorded starts a call whose record is committed. None of its messages is sent if the record was not committed,
+// took too long, or if the call has been forbidden since.
+func (r *Relay) startRecorded(hostCall *call, recordedAt time.Time, committed bool) {
+	if r.replication == nil {
+		r.startCall(hostCall)
 		return
 	}
-	waited := time.Since(written)
-	late := !counts || waited >= freshIn || r.stopped || r.heir != nil || c.host.closed.Load() ||
-		slices.ContainsFunc(c.members, func(m *message) bool { return m.over })
-	for i := range c.sends { // a call that lasts to the end of its message's time must end then
-		c.sends[i].Timeout -= waited
-		late = late || c.sends[i].Timeout <= 0
+	waited := time.Since(recordedAt)
+	forbidden := !committed || waited >= callStartTimeout || r.stopped || r.nextProcess != nil || hostCall.host.closed.Load() ||
+		slices.ContainsFunc(hostCall.members, func(m *message) bool { return m.ended })
+	for i := range hostCall.sends { // a call that lasts until its message's deadline must still end at the deadline
+		hostCall.sends[i].Timeout -= waited
+		forbidden = forbidden || hostCall.sends[i].Timeout <= 0
 	}
-	if !late {
-		c.fresh = written.Add(freshIn)
-		r.start(c)
+	if !forbidden {
+		hostCall.startBy = recordedAt.Add(callStartTimeout)
+		r.startCall(hostCall)
 		return
 	}
-	for _, m := range c.members {
-		if !m.over {
+	for _, m := range hostCall.members {
+		if !m.ended {
 			r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID})
 		}
 	}
-	r.unsent(c)
+	r.reportNotSent(hostCall)
 }
 
-// ended takes in what became of one message's attempt.
-func (r *Relay) ended(c *call, m *message, e end, t told) {
-	if m.call != c { // its own time was up before the call's
-		if e.outcome == choice.Served {
-			r.servedLate(m)
+// attemptEnded handles the result of one message's attempt.
+func (r *Relay) attemptEnded(hostCall *call, msg *message, result memberResult, feedback hostFeedback) {
+	if msg.call != hostCall { // the message reached its own time-out before the call ended
+		if result.outcome == choice.Served {
+			r.servedLate(msg)
 		}
 		return
 	}
-	m.call = nil
-	if r.heir != nil {
-		r.hostSide.Load().CloseIdleConnections() // descriptors count for both processes together
-		r.heir.send(passed{End: &endPassed{m.ID, e.outcome, e.done, t.took, t.wait, t.report, t.stale}})
+	msg.call = nil
+	if r.nextProcess != nil {
+		r.hostTransport.Load().CloseIdleConnections() // both processes share the limit on descriptors
+		r.nextProcess.send(handoverUpdate{Result: &forwardedResult{msg.ID, result.outcome, result.done, feedback.elapsed, feedback.retryAfter, feedback.loadReport, feedback.staleConn}})
 		return
 	}
-	if t.wait > 0 && r.copies != nil { // an heir is to know of it
-		r.record(journal.Record{Op: journal.OpWait, ID: c.host.id, At: steady.UnixMilli(), Wait: t.wait.Milliseconds()})
+	if feedback.retryAfter > 0 && r.replication != nil { // a successor must know of the wait
+		r.record(journal.Record{Op: journal.OpRetryAfter, ID: hostCall.host.id, At: steady.UnixMilli(), WaitMs: feedback.retryAfter.Milliseconds()})
 	}
-	r.events = append(r.events, choice.Result{ID: m.ID, Host: c.host.id, Outcome: e.outcome, Took: t.took, Wait: t.wait,
-		Stale: t.stale, Report: r.reportOf(t), Done: e.done || e.outcome == choice.Served})
-	if m.over {
+	r.events = append(r.events, choice.Result{ID: msg.ID, Host: hostCall.host.id, Outcome: result.outcome, Took: feedback.elapsed, RetryAfter: feedback.retryAfter,
+		StaleConn: feedback.staleConn, Report: r.loadReportOf(feedback), Done: result.done || result.outcome == choice.Served})
+	if msg.ended {
 		switch {
-		case e.outcome != choice.Served:
-		case m.gone: // delivered from here all the same; the other finds out by its own call
-			r.figures.ended(m.Class, servedEnd)
+		case result.outcome != choice.Served:
+		case msg.transferred: // delivered by this relay all the same; the relay that took the message over learns of it by its own call
+			r.metrics.countOutcome(msg.Class, outcomeServed)
 		default:
-			r.servedLate(m)
+			r.servedLate(msg)
 		}
 		return
 	}
-	if e.done || e.outcome == choice.Served {
-		how := servedEnd
-		if e.outcome != choice.Served { // over at the host: out of time
-			how = failedEnd
+	if result.done || result.outcome == choice.Served {
+		finalEnding := outcomeServed
+		if result.outcome != choice.Served { // the endpoint reports that the message's time has expired
+			finalEnding = outcomeFailed
 		}
-		r.finish(m, how)
+		r.finish(msg, finalEnding)
 		return
 	}
-	never := e.outcome == choice.Refused || e.outcome == choice.NoConnection || e.outcome == choice.NotSent
-	r.record(journal.Record{Op: journal.OpOutcome, ID: m.ID, Ran: !never})
+	neverRan := result.outcome == choice.Refused || result.outcome == choice.NoConnection || result.outcome == choice.NotSent
+	r.record(journal.Record{Op: journal.OpOutcome, ID: msg.ID, Flag: !neverRan})
 }
 
 // finish ends a message that needs no notice.
-func (r *Relay) finish(m *message, how ending) {
-	r.figures.ended(m.Class, how)
-	r.record(journal.Record{Op: journal.OpEnd, ID: m.ID})
-	m.served = how == servedEnd
-	r.drop(m)
+func (r *Relay) finish(msg *message, finalEnding messageOutcome) {
+	r.metrics.countOutcome(msg.Class, finalEnding)
+	r.record(journal.Record{Op: journal.OpEnd, ID: msg.ID})
+	msg.served = finalEnding == outcomeServed
+	r.forget(msg)
 }
--- a/internal/relay/unread_log_test.go
+++ b/internal/relay/unread_log_test.go
@@ -14,10 +14,10 @@
 	"net"
 )
 
-// Guards against a relay that stops with the reader of its log: it starts, takes messages on and tells their ends while
-// nobody reads the pipe that it logs to.
-func TestServesThoughNobodyReadsItsLog(t *testing.T) {
-	path, err := program()
+// Guards against a relay that blocks when nobody reads its log: it has to start, accept messages and report their
+// ends while the pipe that it logs to is full.
+func TestServesWhileLogPipeIsFull(t *testing.T) {
+	path, err := buildProgram()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,8 +27,8 @@
 	}
 	defer reader.Close()
 	defer writer.Close()
-	fill(t, writer)
-	p := newPlatform(t, at("s-1", "127.0.0.1:1", "taller"))
+	fillPipe(t, writer)
+	p := newFakePlatform(t, testEndpoint("s-1", "127.0.0.1:1", "taller"))
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -47,9 +47,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { cmd.Process.Kill(); cmd.Wait() })
-	patient := http.Client{Timeout: time.Second}
+	client := http.Client{Timeout: time.Second}
 	for end := time.Now().Add(10 * time.Second); ; time.Sleep(10 * time.Millisecond) {
-		resp, err := patient.Get("http://" + addr + "/up")
+		resp, err := client.Get("http://" + addr + "/up")
 		if err == nil {
 			resp.Body.Close()
 			break
@@ -58,13 +58,13 @@
 			t.Fatal("not ready: ", err)
 		}
 	}
-	status, _ := hand(t, addr, "m1", "payment", "X-Deadline-Ms", "500")
+	status, _ := postMessage(t, addr, "m1", "payment", "X-Deadline-Ms", "500")
 	want(t, "status", status, http.StatusAccepted)
-	want(t, "notice", wait(t, p.notices, "notice").ID, "m1")
+	want(t, "notice", receive(t, p.notices, "notice").ID, "m1")
 }
 
-// fill writes to a pipe until it takes no more.
-func fill(t *testing.T, writer *os.File) {
+// fillPipe writes to a pipe until it is full.
+func fillPipe(t *testing.T, writer *os.File) {
 	t.Helper()
 	raw, err := writer.SyscallConn()
 	if err != nil {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object that an instance is given, on the
-// simulator's wire and in a real relay's configuration alike.
+// Package settings parses and checks the settings object of a relay, which the simulator's protocol and a real relay's
+// configuration have in common.
 package settings
 
 import (
@@ -13,22 +13,23 @@
 	"larchrouter/choice"
 )
 
-// Settings are the figures for the decisions, and what only a real relay uses.
+// Settings are the parsed settings: those of package choice, and those that only a real relay uses.
 type Settings struct {
 	choice.Settings
-	Zones         []string      // names, in the order of Host.Zone
-	KindNames     []string      // in the order of Host.Kind
-	IdleConn      time.Duration // hosts close a connection that stood idle for so long
-	DialTimeout   time.Duration // a connection that is not up by then has failed
-	MaxRetryAfter time.Duration // clients heed no longer advice
-	AskWithin     time.Duration // a relay that has not asked for the list for so long counts as told
-	TenantNames   []string      // in the order of Arrival.Tenant
-	ReportFields  []string      // of the load report in each answer; none where there is none
+	ZoneNames       []string      // indexed by Host.Zone
+	KindNames       []string      // indexed by Host.Kind
+	ConnIdleTimeout time.Duration // endpoints close a connection that has been idle for this long
+	DialTimeout     time.Duration // a connection that is not established by then has failed
+	MaxRetryAfter   time.Duration // the longest Retry-After that clients heed
+	MaxPollInterval time.Duration // a relay that has not called for the list for this long counts as notified of its changes
+	TenantNames     []string      // indexed by Arrival.Tenant
+	ReportFields    []string      // columns of the load report in each answer; empty if answers have none
 }
 
+// seconds converts a number of seconds to a duration, rounded to microseconds.
 func seconds(f float64) time.Duration { return time.Duration(math.Round(f*1e6)) * time.Microsecond }
 
-// config is the part of the settings object that is read.
+// config is the part of the settings object that is used. Times are in seconds.
 type config struct {
 	Bounds struct {
 		Cancel        bool    `json:"cancel"`
@@ -84,43 +85,44 @@
 	Zones     []string `json:"zones"`
 }
 
-// Complete tells what a configuration lacks that the running one has: whoever replaced it left it
-// unfinished. Of the objects in a list each must have what all have in the running one.
-func Complete(running, next json.RawMessage) error {
-	var a, b any
-	if err := json.Unmarshal(running, &a); err != nil {
+// CheckComplete returns an error if a configuration lacks a key that the running one has, as a file does that was replaced in part
+// only. Each object in a list must have the keys that all objects of that list have in the running configuration.
+func CheckComplete(running, next json.RawMessage) error {
+	var runningValue, nextValue any
+	if err := json.Unmarshal(running, &runningValue); err != nil {
 		return err
 	}
-	if err := json.Unmarshal(next, &b); err != nil {
+	if err := json.Unmarshal(next, &nextValue); err != nil {
 		return err
 	}
-	return lacks(a, b, "")
+	return checkKeys(runningValue, nextValue, "")
 }
 
-func lacks(running, next any, path string) error {
-	switch a := running.(type) {
+// checkKeys returns an error for the first key found that next lacks; path is where both are in the configuration.
+func checkKeys(running, next any, path string) error {
+	switch runningValue := running.(type) {
 	case map[string]any:
-		b, ok := next.(map[string]any)
+		nextValue, ok := next.(map[string]any)
 		if !ok {
 			return fmt.Errorf("%s is no object", path)
 		}
-		for name, v := range a {
-			w, ok := b[name]
+		for name, v := range runningValue {
+			w, ok := nextValue[name]
 			if !ok {
 				return fmt.Errorf("%s/%s is missing", path, name)
 			}
-			if err := lacks(v, w, path+"/"+name); err != nil {
+			if err := checkKeys(v, w, path+"/"+name); err != nil {
 				return err
 			}
 		}
 	case []any:
-		b, ok := next.([]any)
+		nextValue, ok := next.([]any)
 		if !ok {
 			return fmt.Errorf("%s is no list", path)
 		}
-		for i, v := range b {
-			for _, name := range common(a) {
-				if o, ok := v.(map[string]any); !ok || o[name] == nil {
+		for i, v := range nextValue {
+			for _, name := range commonKeys(runningValue) {
+				if object, ok := v.(map[string]any); !ok || object[name] == nil {
 					return fmt.Errorf("%s[%d]/%s is missing", path, i, name)
 				}
 			}
@@ -129,19 +131,19 @@
 	return nil
 }
 
-// common has the names that all objects of a list have; none if it holds anything else.
-func common(list []any) (names []string) {
-	for i, v := range list {
-		o, _ := v.(map[string]any)
+// commonKeys returns the keys that all objects of a list have; none if the list has an element that is not an object.
+func commonKeys(list []any) (names []string) {
+	for i, value := range list {
+		object, _ := value.(map[string]any)
 		if i == 0 {
-			names = slices.Collect(maps.Keys(o))
+			names = slices.Collect(maps.Keys(object))
 		}
-		names = slices.DeleteFunc(names, func(name string) bool { return o[name] == nil })
+		names = slices.DeleteFunc(names, func(name string) bool { return object[name] == nil })
 	}
 	return names
 }
 
-// Parse reads the settings object.
+// Parse parses and checks the settings object. The error for an invalid value is a *KeyError.
 func Parse(data []byte) (Settings, error) {
 	var c config
 	if err := json.Unmarshal(data, &c); err != nil {
@@ -150,25 +152,25 @@
 	if err := c.check(); err != nil {
 		return Settings{}, err
 	}
-	s := Settings{Zones: c.Zones, KindNames: c.Skus, IdleConn: seconds(c.Bounds.ConnIdle),
+	s := Settings{ZoneNames: c.Zones, KindNames: c.Skus, ConnIdleTimeout: seconds(c.Bounds.ConnIdle),
 		DialTimeout: seconds(c.Bounds.DialTimeout), MaxRetryAfter: seconds(c.Bounds.MaxRetryAfter),
-		AskWithin: seconds(c.Rules.AskWithin)}
+		MaxPollInterval: seconds(c.Rules.AskWithin)}
 	s.Settings = choice.Settings{
-		Index: c.Index, Fleet: c.FleetSize, Workers: c.Family.Workers, MaxHeld: c.Bounds.MostHeld,
+		Index: c.Index, Fleet: c.FleetSize, Workers: c.Family.Workers, MaxPending: c.Bounds.MostHeld,
 		MaxAttempts: c.Bounds.MaxAttempts, Tick: seconds(c.Tick), ZoneFee: c.Family.ZoneFee,
-		Halving: c.Family.Late == "halving", Listed: c.Weights == "nominal" || c.Weights == "rough",
-		Cancels: c.Bounds.Cancel, Subscribe: c.RegistryMode == "subscribe",
-		ReportLimit: -1, ReportLeft: -1,
+		WorthHalves: c.Family.Late == "halving", RatesListed: c.Weights == "nominal" || c.Weights == "rough",
+		CanCancel: c.Bounds.Cancel, MustSubscribe: c.RegistryMode == "subscribe",
+		ReportLimitIndex: -1, ReportLeftIndex: -1,
 		Rules: choice.Rules{
 			AnswerGrace: seconds(c.Rules.GraceToAnswer), DrainGrace: seconds(c.Rules.DrainGrace),
-			OverloadFactor: c.Rules.OverloadFactor, Fall: seconds(c.Rules.Fall),
-			ColdFrom: c.Rules.ColdFrom, Cold: seconds(c.Rules.Cold), OrderSettle: seconds(c.Rules.OrderSettle),
+			OverloadFactor: c.Rules.OverloadFactor, OverloadWindow: seconds(c.Rules.Fall),
+			ColdShare: c.Rules.ColdFrom, WarmUp: seconds(c.Rules.Cold), OrderSettle: seconds(c.Rules.OrderSettle),
 		},
 	}
 	if c.LoadReport.How == "inline" {
 		s.ReportFields = c.LoadReport.Columns
-		s.ReportLimit = slices.Index(c.LoadReport.Columns, "x1")
-		s.ReportLeft = slices.Index(c.LoadReport.Columns, "x0")
+		s.ReportLimitIndex = slices.Index(c.LoadReport.Columns, "x1")
+		s.ReportLeftIndex = slices.Index(c.LoadReport.Columns, "x0")
 	}
 	for _, k := range c.Classes {
 		effect := map[string]choice.Effect{
@@ -179,7 +181,7 @@
 			Window: seconds(k.Window), Ordered: k.KeepOrder,
 		})
 	}
-	s.OverShare = c.OverShare
+	s.OverShareFactor = c.OverShare
 	for _, t := range c.Tenants {
 		s.TenantNames = append(s.TenantNames, t.Name)
 		s.Tenants = append(s.Tenants, choice.Tenant{Name: t.Name, Quota: t.Quota})
@@ -187,7 +189,7 @@
 	for i := range c.Skus {
 		k := choice.Kind{PerCall: 1}
 		if i < len(c.Family.OwnLimits) {
-			k.Apart = c.Family.OwnLimits[i]
+			k.SeparateRoutes = c.Family.OwnLimits[i]
 		}
 		if i < len(c.Family.PerCall) {
 			k.PerCall = max(1, c.Family.PerCall[i])
