--- a/internal/lab/report/page.go
+++ b/internal/lab/report/page.go
@@ -27,7 +27,7 @@
 </style></head><body>
 <h1>{{.R.Scenario.Name}}</h1>
 <p>Seed {{.R.Scenario.Seed}}, {{.R.Scenario.Fleet.Relays}} relays, {{.R.Scenario.Platform.Destinations}} destinations, {{.R.Scenario.Load.Rate}} messages a second for {{.R.Scenario.Duration}}.</p>
-{{if .R.Void}}<p class="bad">Void: {{.R.Void}}.</p>
+{{if .R.VoidReason}}<p class="bad">Void: {{.R.VoidReason}}.</p>
 {{else if .R.Failures}}<p class="bad">Not held:</p><ul>{{range .R.Failures}}<li>{{.Expectation}}: {{.Text}}</li>{{end}}</ul>
 {{else}}<p class="good">Every expectation held.</p>{{end}}
 <table>
