--- a/internal/journal/groups_test.go
+++ b/internal/journal/groups_test.go
@@ -10,7 +10,7 @@
 
 	"pgregory.net/rapid"
 
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 func acceptedInGroup(id string, group uint64, body int) Record {
@@ -18,7 +18,7 @@
 }
 
 func groupStateRecord(group, next uint64) Record {
-	return Record{Op: OpGroupState, GroupState: &GroupState{Group: group, Name: "r", Copy: estates.Copy{Epoch: 3, Writer: "w", ContentWriter: "w", ContentEpoch: 3, Next: next}}}
+	return Record{Op: OpGroupState, GroupState: &GroupState{Group: group, Name: "r", Copy: replicationstate.Copy{Epoch: 3, Writer: "w", ContentWriter: "w", ContentEpoch: 3, Next: next}}}
 }
 
 func reopen(t testing.TB, dir string, j *Journal) *Journal {
--- a/internal/journal/records.go
+++ b/internal/journal/records.go
@@ -7,7 +7,7 @@
 	"hash/crc32"
 
 	"larchrouter/choice"
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 // Entry has all that is needed to send a message again, or to end it. Times are Unix milliseconds.
@@ -71,13 +71,13 @@
 
 // GroupState is what the owner or a replica records of a replication group besides its messages.
 type GroupState struct {
-	estates.Copy
-	Group   uint64               `json:"estate"`
-	Name    string               `json:"name,omitempty"`
-	Main    bool                 `json:"main,omitempty"`
-	Copies  int                  `json:"copies,omitempty"`
-	Sets    []estates.ReplicaSet `json:"sets,omitempty"` // replica sets that may have the committed records
-	Removed bool                 `json:"over,omitempty"` // the group is removed from the journal
+	replicationstate.Copy
+	Group   uint64                        `json:"estate"`
+	Name    string                        `json:"name,omitempty"`
+	Main    bool                          `json:"main,omitempty"`
+	Copies  int                           `json:"copies,omitempty"`
+	Sets    []replicationstate.ReplicaSet `json:"sets,omitempty"` // replica sets that may have the committed records
+	Removed bool                          `json:"over,omitempty"` // the group is removed from the journal
 }
 
 func appendFrame(buf []byte, r Record) []byte {
--- a/internal/keeper/api/api.go
+++ b/internal/keeper/api/api.go
@@ -6,7 +6,7 @@
 	"encoding/json"
 	"net/url"
 
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 // The paths. All calls except GET go to the leader; any other keeper answers 421 with the leader's address, or 503 if it
@@ -56,7 +56,7 @@
 	// ConfirmedRevision is the revision that the member has confirmed, as recorded by the keepers; 0 for none in this session.
 	ConfirmedRevision uint64 `json:"confirmed,omitempty"`
 	// OwnedGroups are the replication groups that the member owns, if its call had a GroupsMark.
-	OwnedGroups []*estates.Group `json:"owned,omitempty"`
+	OwnedGroups []*replicationstate.Group `json:"owned,omitempty"`
 }
 
 // Generation is one numbered version of the configuration document.
--- a/internal/keeper/groups.go
+++ b/internal/keeper/groups.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"larchrouter/internal/keeper/state"
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 // This file has the relays' calls about replication groups, and detects owners that are lost.
@@ -21,8 +21,8 @@
 const massLossLeases = 3
 
 // ownedGroups returns copies of the replication groups that a relay owns. The caller holds the lock of the state machine.
-func ownedGroups(s *state.State, name string) []*estates.Group {
-	groups := []*estates.Group{}
+func ownedGroups(s *state.State, name string) []*replicationstate.Group {
+	groups := []*replicationstate.Group{}
 	for _, group := range s.Groups.OwnedBy(name) {
 		copied := *group
 		groups = append(groups, &copied)
@@ -31,13 +31,13 @@
 }
 
 // groups returns all replication groups, or those that one relay owns. A keeper that is not the leader may be behind.
-func (k *Keeper) groups(name string) (groups []*estates.Group, err error) {
+func (k *Keeper) groups(name string) (groups []*replicationstate.Group, err error) {
 	k.stateMachine.read(func(s *state.State) {
 		if name != "" {
 			groups = ownedGroups(s, name)
 			return
 		}
-		groups = []*estates.Group{}
+		groups = []*replicationstate.Group{}
 		for _, group := range s.Groups.Groups {
 			copied := *group
 			groups = append(groups, &copied)
@@ -55,8 +55,8 @@
 	ids := []uint64{}
 	k.stateMachine.read(func(s *state.State) {
 		for _, group := range s.Groups.Groups {
-			if slices.ContainsFunc(group.ReplicaSets(), func(set estates.ReplicaSet) bool {
-				return slices.ContainsFunc(set.Replicas, func(replica estates.Replica) bool { return replica.Name == relay })
+			if slices.ContainsFunc(group.ReplicaSets(), func(set replicationstate.ReplicaSet) bool {
+				return slices.ContainsFunc(set.Replicas, func(replica replicationstate.Replica) bool { return replica.Name == relay })
 			}) {
 				ids = append(ids, group.ID)
 			}
@@ -67,7 +67,7 @@
 
 // applyGroupEvent commits a relay's change to its replication groups, and answers with those that it owns then.
 func (k *Keeper) applyGroupEvent(body []byte) (any, error) {
-	var event estates.Event
+	var event replicationstate.Event
 	if err := decode(body, &event); err != nil {
 		return nil, err
 	}
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	if owner == "" {
-		return []*estates.Group{}, nil
+		return []*replicationstate.Group{}, nil
 	}
 	return k.groups(owner)
 }
@@ -146,11 +146,11 @@
 		clear(absent.since)
 		return
 	}
-	owners, handovers := map[string]bool{}, map[string][]estates.TakeOver{}
+	owners, handovers := map[string]bool{}, map[string][]replicationstate.TakeOver{}
 	k.stateMachine.read(func(s *state.State) {
 		for _, group := range s.Groups.Groups {
 			owners[group.Owner] = false
-			handovers[group.Owner] = append(handovers[group.Owner], estates.TakeOver{ID: group.ID, Epoch: group.Epoch})
+			handovers[group.Owner] = append(handovers[group.Owner], replicationstate.TakeOver{ID: group.ID, Epoch: group.Epoch})
 		}
 		for _, m := range s.Members {
 			if _, ok := owners[m.Name]; ok {
@@ -160,7 +160,7 @@
 	})
 	for _, name := range absent.lostOwners(owners, time.Duration(k.config.Lease), now) {
 		for _, handover := range handovers[name] {
-			_, err := k.apply(state.Event{Group: &estates.Event{TakeOver: &handover}})
+			_, err := k.apply(state.Event{Group: &replicationstate.Event{TakeOver: &handover}})
 			slog.Info("owner of a replication group is lost; assigning a successor", "relay", name, "estate", handover.ID, "err", err)
 			if err != nil {
 				return // the next check goes on with the rest, if this keeper is still the leader
--- a/internal/keeper/groups_test.go
+++ b/internal/keeper/groups_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"larchrouter/internal/keeper/api"
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 // Guards against a successor for an owner that only restarts or is back, and for most owners of a fleet at once.
@@ -70,18 +70,18 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 	}
-	var owned []*estates.Group
-	open := estates.Event{Open: &estates.Open{Name: "a", Instance: "a-1", Copies: 1}}
+	var owned []*replicationstate.Group
+	open := replicationstate.Event{Open: &replicationstate.Open{Name: "a", Instance: "a-1", Copies: 1}}
 	if err := client.Call(ctx, http.MethodPost, api.GroupsPath, open, &owned); err != nil || len(owned) != 1 || len(owned[0].Replicas) != 2 {
 		t.Fatalf("opened: %v, %v", owned, err)
 	}
 	var refused *api.RefusedError
-	err = client.Call(ctx, http.MethodPost, api.GroupsPath, estates.Event{TakeOver: &estates.TakeOver{ID: owned[0].ID, Epoch: owned[0].Epoch}}, nil)
+	err = client.Call(ctx, http.MethodPost, api.GroupsPath, replicationstate.Event{TakeOver: &replicationstate.TakeOver{ID: owned[0].ID, Epoch: owned[0].Epoch}}, nil)
 	if !errors.As(err, &refused) {
 		t.Errorf("a relay assigns a successor: %v, want refused", err)
 	}
-	err = client.Call(ctx, http.MethodPost, api.GroupsPath, estates.Event{SetComplete: &estates.GroupEpoch{ID: owned[0].ID, Epoch: 9, Instance: "a-1"}}, nil)
-	if !errors.As(err, &refused) || refused.Remedy() != estates.ErrStaleEpoch.Advice {
+	err = client.Call(ctx, http.MethodPost, api.GroupsPath, replicationstate.Event{SetComplete: &replicationstate.GroupEpoch{ID: owned[0].ID, Epoch: 9, Instance: "a-1"}}, nil)
+	if !errors.As(err, &refused) || refused.Remedy() != replicationstate.ErrStaleEpoch.Advice {
 		t.Errorf("an event with another epoch: %v, want refused with advice", err)
 	}
 	var replicaOf []uint64
@@ -91,7 +91,7 @@
 	for range 3 { // a relay without replication groups waits for an update like any other
 		asked := time.Now()
 		var s api.SessionResponse
-		call := api.Session{Name: "c", Instance: "c-1", Addr: "c:1", Folder: "c", GroupsMark: estates.Fingerprint(nil), WaitMS: 60}
+		call := api.Session{Name: "c", Instance: "c-1", Addr: "c:1", Folder: "c", GroupsMark: replicationstate.Fingerprint(nil), WaitMS: 60}
 		if err := client.Call(ctx, http.MethodPost, api.SessionPath, call, &s); err != nil || time.Since(asked) < 50*time.Millisecond {
 			t.Fatalf("answered after %v of 60 ms though there is no update, %v", time.Since(asked), err)
 		}
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -8,7 +8,7 @@
 
 	"larchrouter/internal/keeper/api"
 	"larchrouter/internal/keeper/state"
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 // serveSession begins or renews a member's session, and waits for an update for as long as the call allows.
@@ -45,7 +45,7 @@
 		changed := k.stateMachine.changeSignal()
 		updated := false
 		k.stateMachine.read(func(st *state.State) {
-			updated = st.Revision != call.Revision || call.GroupsMark != "" && estates.Fingerprint(st.Groups.OwnedBy(call.Name)) != call.GroupsMark
+			updated = st.Revision != call.Revision || call.GroupsMark != "" && replicationstate.Fingerprint(st.Groups.OwnedBy(call.Name)) != call.GroupsMark
 		})
 		if updated {
 			break
--- a/internal/keeper/state/events.go
+++ b/internal/keeper/state/events.go
@@ -3,18 +3,18 @@
 import (
 	"encoding/json"
 
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 // Event is one entry of the replicated log. Exactly one field is set.
 type Event struct {
-	Join    *Join          `json:"join,omitempty"`
-	Leave   *Leave         `json:"leave,omitempty"`
-	Propose *Propose       `json:"propose,omitempty"`
-	Confirm *Confirm       `json:"confirm,omitempty"`
-	Reject  *Reject        `json:"reject,omitempty"`
-	GiveUp  *GiveUp        `json:"give_up,omitempty"`
-	Group   *estates.Event `json:"estate,omitempty"`
+	Join    *Join                   `json:"join,omitempty"`
+	Leave   *Leave                  `json:"leave,omitempty"`
+	Propose *Propose                `json:"propose,omitempty"`
+	Confirm *Confirm                `json:"confirm,omitempty"`
+	Reject  *Reject                 `json:"reject,omitempty"`
+	GiveUp  *GiveUp                 `json:"give_up,omitempty"`
+	Group   *replicationstate.Event `json:"estate,omitempty"`
 }
 
 // Join begins a member's session. It replaces a session that the same instance already has. A session that another
@@ -81,7 +81,7 @@
 )
 
 // Refusal is the reason why an event changed nothing, with advice to the operator.
-type Refusal = estates.Refusal
+type Refusal = replicationstate.Refusal
 
 // Result is the outcome of an event.
 type Result struct {
--- a/internal/keeper/state/state.go
+++ b/internal/keeper/state/state.go
@@ -19,7 +19,7 @@
 	"fmt"
 	"slices"
 
-	estates "larchrouter/internal/replication/state"
+	replicationstate "larchrouter/internal/replication/state"
 )
 
 // Limits of the state, so that no sequence of events makes it grow without bound.
@@ -88,7 +88,7 @@
 	// generation that is now in effect, or with one that was given up.
 	Settling bool `json:"settling"`
 	// Groups records the owner and the replicas of each replication group.
-	Groups estates.Registry `json:"estates"`
+	Groups replicationstate.Registry `json:"estates"`
 }
 
 // Operation is an operator's call and its answer. It is stored so that a call that is repeated because its answer was
@@ -167,10 +167,10 @@
 }
 
 // groupMembers returns the members as the registry of replication groups needs them.
-func (s *State) groupMembers() []estates.Member {
-	members := make([]estates.Member, len(s.Members))
+func (s *State) groupMembers() []replicationstate.Member {
+	members := make([]replicationstate.Member, len(s.Members))
 	for i, m := range s.Members {
-		members[i] = estates.Member{Name: m.Name, Instance: m.Instance, Zone: m.Zone, Addr: m.Addr, Folder: m.Folder}
+		members[i] = replicationstate.Member{Name: m.Name, Instance: m.Instance, Zone: m.Zone, Addr: m.Addr, Folder: m.Folder}
 	}
 	return members
 }
