--- a/choice/answers.go
+++ b/choice/answers.go
@@ -36,7 +36,7 @@
 	sentCall, h, u, d := m.call, m.call.host, m.call.host.unit, m.dest
 	c.markChanged(d)
 	c.markChanged(h.dest)
-	u.retryAfter = max(u.retryAfter, c.now+e.RetryAfter) // it binds with any outcome
+	u.retryAfter = max(u.retryAfter, c.now+e.RetryAfter) // it applies with any outcome
 	c.detachFromCall(m)
 	if i := c.settings.ReportLimitIndex; i >= 0 && i < len(e.Report) && e.Report[i] > 0 {
 		u.setReportedRate(e.Report[i])
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// restoreMessage adds a message of an earlier process. Its effect and its attempts bind as if there
+// restoreMessage adds a message of an earlier process. Its effect and its attempts count as if there
 // had been no restart; a message that may not be sent again is answered now.
 func (c *Chooser) restoreMessage(e Restored) {
 	c.accept(e.Arrival)
--- a/choice/restore_test.go
+++ b/choice/restore_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// TestRetryAfterWithAnyOutcome checks that a retry-after time binds with an answer that is no
+// TestRetryAfterWithAnyOutcome checks that a retry-after time applies with an answer that is no
 // refusal, too.
 func TestRetryAfterWithAnyOutcome(t *testing.T) {
 	r := newHarness(t, settings(), Host{Addr: "a", Dest: 1, State: Ready})
--- a/internal/relay/admin.go
+++ b/internal/relay/admin.go
@@ -101,7 +101,7 @@
 	case h == nil && !r.isManuallyDisabled(id):
 		return errUnknownEndpoint
 	}
-	if err := r.bind([]journal.Record{{Op: journal.OpDisabled, ID: id, Flag: disable, At: steady.UnixMilli()}}, 0, nil); err != nil {
+	if err := r.commitRecords([]journal.Record{{Op: journal.OpDisabled, ID: id, Flag: disable, At: steady.UnixMilli()}}, 0, nil); err != nil {
 		slog.Error("endpoint not disabled or enabled", "endpoint", id, "err", err)
 		return err
 	}
--- a/internal/relay/backlog_load.go
+++ b/internal/relay/backlog_load.go
@@ -16,7 +16,7 @@
 // Loading messages from the backlog on disk, by way of the journal, to the Chooser.
 
 // minLoadDelay is the least time between two checks for messages that cannot be loaded yet. It is part of what
-// lastLook allows for.
+// latestEndLead allows for.
 const minLoadDelay = 5 * time.Millisecond
 
 // loadFromBacklog loads messages from disk: those whose deadline is close, which the Chooser ends, and the oldest
--- a/internal/relay/flush.go
+++ b/internal/relay/flush.go
@@ -14,14 +14,14 @@
 // what it holds, and regains space by the entries that they end.
 const maxRecordsPerWrite = 64
 
-// bindInOrder records what a new message or call depends on. It fails if earlier records are not written yet: if they
+// commitInOrder commits what a new message or call depends on. It fails if earlier records are not written yet: if they
 // were written after the new ones, the end of an earlier message would end a new one with the same id, and an outcome
 // would be taken for that of a new attempt.
-func (r *Relay) bindInOrder(records []journal.Record, maxWait time.Duration, onCommit func(committed bool)) error {
+func (r *Relay) commitInOrder(records []journal.Record, maxWait time.Duration, onCommit func(committed bool)) error {
 	if len(r.pendingRecords) > 0 {
 		return errRecordsPending
 	}
-	return r.bind(records, maxWait, onCommit)
+	return r.commitRecords(records, maxWait, onCommit)
 }
 
 // flush records what has ended. Records that cannot be written now are retained, and no notice is sent before its
@@ -39,7 +39,7 @@
 		if len(notices) > 0 {
 			onCommit = r.whenNoticesCommitted(notices)
 		}
-		if err := r.bind(batch, 0, onCommit); err != nil {
+		if err := r.commitRecords(batch, 0, onCommit); err != nil {
 			if onCommit != nil {
 				r.dropUncommittedNotices()
 			}
--- a/internal/relay/groups.go
+++ b/internal/relay/groups.go
@@ -12,7 +12,7 @@
 	"larchrouter/internal/replication/state"
 )
 
-// groupRecords implements the interface by which estate.Owner uses the relay. The loop runs each call.
+// groupRecords implements the interface by which replication.Owner uses the relay. The loop runs each call.
 type groupRecords Relay
 
 // runInLoop has the loop run a function and reports whether it did; false means that the relay is stopping.
@@ -177,7 +177,7 @@
 		r.unrecordedNotices = slices.DeleteFunc(r.unrecordedNotices, func(n notice) bool { return ids[n.ID] })
 		r.pendingNotices -= countBefore - len(r.unrecordedNotices)
 		if stream != nil {
-			stream.gates.Abort()
+			stream.commitWaiters.Abort()
 		}
 		if err := r.journal.Append(r.journal.RecordsToForget(id)...); err != nil {
 			slog.Error("cannot remove a replication group of another relay from the journal", "estate", id, "err", err)
@@ -191,7 +191,7 @@
 func (g *groupRecords) IsEmpty(id uint64) (empty bool) {
 	g.runInLoop(func(r *Relay) {
 		stream := r.replication.streams[id]
-		empty = stream != nil && stream.gates.Len() == 0 && len(r.pendingRecords) == 0
+		empty = stream != nil && stream.commitWaiters.Len() == 0 && len(r.pendingRecords) == 0
 		for entry := range r.journal.All() {
 			empty = empty && entry.Group != id
 		}
--- a/internal/relay/handover_send.go
+++ b/internal/relay/handover_send.go
@@ -232,7 +232,7 @@
 	}
 	for _, stream := range rep.streams {
 		stream.Close()
-		stream.gates.Discard()
+		stream.commitWaiters.Discard()
 	}
 	if replica := rep.replica.Load(); replica != nil {
 		replica.Close()
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -64,7 +64,7 @@
 	inFlight := receive(t, calls, "call")
 	postMessage(t, old.Addr(), "m2", "payment", "X-Addressing", "dest=8")
 	waitCall := receive(t, calls, "call")
-	waitToldAt := time.Now()
+	waitAdvisedAt := time.Now()
 	waitCall.answer <- 429 // with a wait of 0.3 s
 	awaitMetrics(t, old, "svc.attempts=2", "svc.in_flight=2")
 
@@ -87,8 +87,8 @@
 		if c.id != "m2" && c.id != "m3" || c.host == "b" {
 			t.Fatalf("call %d has %s, at %s", n, c.id, c.host)
 		}
-		if c.id == "m2" && c.receivedAt.Sub(waitToldAt) < 300*time.Millisecond {
-			t.Errorf("m2 was sent %v after a wait of 0.3 s was advised", c.receivedAt.Sub(waitToldAt))
+		if c.id == "m2" && c.receivedAt.Sub(waitAdvisedAt) < 300*time.Millisecond {
+			t.Errorf("m2 was sent %v after a wait of 0.3 s was advised", c.receivedAt.Sub(waitAdvisedAt))
 		}
 		c.answer <- 200
 	}
--- a/internal/relay/replica_capacity.go
+++ b/internal/relay/replica_capacity.go
@@ -40,7 +40,7 @@
 		} else {
 			figures.copiedRelays = append(figures.copiedRelays, fmt.Sprintf("%s.%d", stream.group.Name, stream.ID))
 		}
-		figures.pendingRecords += stream.gates.Len()
+		figures.pendingRecords += stream.commitWaiters.Len()
 	}
 	slices.Sort(figures.copiedRelays)
 	if r.replication.main == 0 {
--- a/internal/relay/replica_capacity_test.go
+++ b/internal/relay/replica_capacity_test.go
@@ -108,7 +108,7 @@
 					t.Fatalf("only %d messages of %d bytes are accepted", len(accepted), bodySize)
 				}
 				r.checkCommits()
-				want(t, "uncommitted records", stream.gates.Len(), 0)
+				want(t, "uncommitted records", stream.commitWaiters.Len(), 0)
 				want(t, "time without enough replicas", stream.shortSince, 0)
 				// All accepted messages end; the replicas have space for that in any case.
 				for _, id := range accepted {
@@ -131,7 +131,7 @@
 	due := time.Now().Add(300 * time.Millisecond)
 	for id, deadline := range map[string]time.Time{"due": due, "not due": due.Add(time.Hour)} {
 		m := &message{Entry: &journal.Entry{ID: id, Class: "c", Group: 1, Due: deadline.UnixMilli()}}
-		if err := r.bind([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, 0, nil); err != nil {
+		if err := r.commitRecords([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, 0, nil); err != nil {
 			t.Fatal(err)
 		}
 		r.pending[id] = m
@@ -155,7 +155,7 @@
 func TestUnrecordedDueNoticeWaits(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.ShortageRefuse)
 	m := &message{Entry: &journal.Entry{ID: "due", Class: "c", Group: 1, Due: time.Now().Add(-time.Second).UnixMilli()}}
-	if err := r.bind([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, 0, nil); err != nil {
+	if err := r.commitRecords([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, 0, nil); err != nil {
 		t.Fatal(err)
 	}
 	r.pending["due"] = m
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -54,9 +54,9 @@
 // groupStream is a replication group that this relay writes.
 type groupStream struct {
 	*replication.Stream
-	group      state.Group
-	gates      replication.CommitWaiters
-	shortSince time.Duration // since when too few replicas have a copy; 0 while enough do
+	group         state.Group
+	commitWaiters replication.CommitWaiters
+	shortSince    time.Duration // since when too few replicas have a copy; 0 while enough do
 }
 
 // newReplication returns nil if the configuration asks for no copies.
@@ -81,18 +81,18 @@
 	return 0
 }
 
-// bind writes records to disk and calls then(true) once they are committed, which is at once where nothing is
-// replicated. It calls then(false) if they are not committed within the timeout (0 for no limit), or if their group
-// becomes another relay's. then may be nil if nothing depends on the records. On an error nothing was recorded and
-// then is not called.
-func (r *Relay) bind(records []journal.Record, timeout time.Duration, then func(committed bool)) error {
+// commitRecords writes records to disk and calls onCommit(true) once they are committed, which is at once where nothing is
+// replicated. It calls onCommit(false) if they are not committed within the timeout (0 for no limit), or if their group
+// becomes another relay's. onCommit may be nil if nothing depends on the records. On an error nothing was recorded
+// and onCommit is not called.
+func (r *Relay) commitRecords(records []journal.Record, timeout time.Duration, onCommit func(committed bool)) error {
 	rep := r.replication
 	if rep == nil {
 		if err := r.journal.Append(records...); err != nil {
 			return err
 		}
-		if then != nil {
-			then(true)
+		if onCommit != nil {
+			onCommit(true)
 		}
 		return nil
 	}
@@ -111,20 +111,20 @@
 	}
 	remaining, failed := len(byStream), false
 	for stream, streamRecords := range byStream {
-		next := stream.Append(then != nil, streamRecords...)
-		if then == nil {
+		next := stream.Append(onCommit != nil, streamRecords...)
+		if onCommit == nil {
 			continue
 		}
-		stream.gates.Add(next, r.now(), timeout, func(committed bool) {
+		stream.commitWaiters.Add(next, r.now(), timeout, func(committed bool) {
 			failed = failed || !committed
 			if remaining--; remaining == 0 {
-				then(!failed)
+				onCommit(!failed)
 			}
 		})
 		r.scheduleCommitCheck()
 	}
-	if remaining == 0 && then != nil {
-		then(true)
+	if remaining == 0 && onCommit != nil {
+		onCommit(true)
 	}
 	return nil
 }
@@ -148,11 +148,11 @@
 func (r *Relay) checkCommits() {
 	checkAgain := false
 	for _, stream := range r.replication.streams {
-		standing, now := stream.Status(), r.now()
+		status, now := stream.Status(), r.now()
 		switch {
-		case !standing.UnderReplicated:
+		case !status.UnderReplicated:
 			if stream.shortSince > 0 {
-				slog.Info("enough replicas accept copies", "estate", stream.ID, "epoch", standing.Epoch, "after", now-stream.shortSince)
+				slog.Info("enough replicas accept copies", "estate", stream.ID, "epoch", status.Epoch, "after", now-stream.shortSince)
 			}
 			stream.shortSince = 0
 			if stream.ID == r.replication.main {
@@ -160,11 +160,11 @@
 			}
 		case stream.shortSince == 0:
 			stream.shortSince = now
-			slog.Warn("too few replicas accept copies", "estate", stream.ID, "epoch", standing.Epoch, "holders", standing.ReplicaStates)
+			slog.Warn("too few replicas accept copies", "estate", stream.ID, "epoch", status.Epoch, "holders", status.ReplicaStates)
 		}
 		risk := r.replication.config.OnShortage == fleet.ShortageOwnDisk && stream.shortSince > 0 && now-stream.shortSince >= commitTimeout/2
-		stream.gates.Release(standing.Committed, risk, now)
-		checkAgain = checkAgain || stream.gates.Len() > 0 || stream.shortSince > 0
+		stream.commitWaiters.Release(status.Committed, risk, now)
+		checkAgain = checkAgain || stream.commitWaiters.Len() > 0 || stream.shortSince > 0
 	}
 	r.sendDueNotices()
 	if checkAgain {
@@ -198,7 +198,7 @@
 		return false
 	}
 	for _, stream := range rep.streams {
-		if stream.gates.Len() > 0 {
+		if stream.commitWaiters.Len() > 0 {
 			return true
 		}
 	}
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -36,7 +36,7 @@
 	request := &apiRequest{ctx: context.Background(), reply: make(chan apiResponse, 1)}
 	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Group: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, unanswered: []*apiRequest{request}}
 	r.pending[id] = m
-	if err := r.bind([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, commitTimeout, func(committed bool) {
+	if err := r.commitRecords([]journal.Record{{Op: journal.OpAccepted, Entry: m.Entry}}, commitTimeout, func(committed bool) {
 		if committed {
 			m.answer(apiResponse{status: http.StatusAccepted})
 		} else {
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -124,7 +124,7 @@
 // alwaysReady is a closed channel.
 var alwaysReady = func() <-chan struct{} { c := make(chan struct{}); close(c); return c }()
 
-// loop runs the functions in the inbox, in batches of up to batchMost, and takes a step after each batch, until the
+// loop runs the functions in the inbox, in batches of up to maxBatch, and takes a step after each batch, until the
 // relay stops.
 func (r *Relay) loop() {
 	for {
--- a/internal/relay/step.go
+++ b/internal/relay/step.go
@@ -75,7 +75,7 @@
 		if msg.ended {
 			continue
 		}
-		err := r.bindInOrder([]journal.Record{{Op: journal.OpAccepted, Entry: msg.Entry}}, commitTimeout, func(committed bool) {
+		err := r.commitInOrder([]journal.Record{{Op: journal.OpAccepted, Entry: msg.Entry}}, commitTimeout, func(committed bool) {
 			switch {
 			case msg.ended:
 			case committed:
@@ -161,7 +161,7 @@
 		}
 		// An attempt must not be sent unless it is recorded: after a restart, nothing would be known of it.
 		recordedAt := time.Now()
-		err := r.bindInOrder(records, callStartTimeout, func(committed bool) { r.startRecorded(hostCall, recordedAt, committed) })
+		err := r.commitInOrder(records, callStartTimeout, func(committed bool) { r.startRecorded(hostCall, recordedAt, committed) })
 		if err != nil {
 			slog.Error("attempts not sent: could not be recorded", "err", err, "remedy", remedy.Of(err))
 			r.reportNotSent(hostCall)
--- a/internal/relay/withdraw.go
+++ b/internal/relay/withdraw.go
@@ -69,7 +69,7 @@
 		return false
 	}
 	r.flush()
-	if err := r.bindInOrder([]journal.Record{{Op: journal.OpEnd, ID: id}}, commitTimeout, onResult); err != nil {
+	if err := r.commitInOrder([]journal.Record{{Op: journal.OpEnd, ID: id}}, commitTimeout, onResult); err != nil {
 		slog.Error("message not withdrawn", "err", err, "remedy", remedy.Of(err))
 		return false
 	}
