--- a/choice/answers.go
+++ b/choice/answers.go
@@ -194,8 +194,9 @@
 	if unsent := m.restored && m.attempts == 0; unsent || m.mayHaveRun && m.class.Effect != Safe {
 		return false
 	}
-	// While nothing can be sent, evicting one message for another gains nothing and breaks a
-	// promise.
+	// While nothing can be sent, evicting one message for another gains nothing and breaks the
+	// promise to deliver it. Only new messages, and those that have been pending for
+	// minPendingShare of their deadline, may be evicted then.
 	return !c.listExpired || m.arrivedAt == c.now ||
 		float64(c.now-m.createdAt) >= minPendingShare*float64(m.class.Deadline)
 }
--- a/choice/api.go
+++ b/choice/api.go
@@ -43,7 +43,7 @@
 	PerCall        int  // most messages in one call
 }
 
-// Rules are the operating rules that all relays keep.
+// Rules are the operating rules that all relays follow.
 type Rules struct {
 	AnswerGrace    time.Duration // how long after its deadline a final answer still counts
 	DrainGrace     time.Duration // how long a draining endpoint may still be called
--- a/choice/deferred.go
+++ b/choice/deferred.go
@@ -82,9 +82,9 @@
 	return d.waiting.items[start:]
 }
 
-// noteBlocked records that none of the waiting messages may go to the given hosts now, and until
+// recordBlocked records that none of the waiting messages may go to the given hosts now, and until
 // when maySend and keyAllows give the same result. Events that change the result reset the record.
-func (c *Chooser) noteBlocked(d *dest, hosts []*host) {
+func (c *Chooser) recordBlocked(d *dest, hosts []*host) {
 	if d.waiting.count == 0 {
 		return
 	}
--- a/choice/events.go
+++ b/choice/events.go
@@ -32,7 +32,7 @@
 	Report    []float64 // load report, nil for none
 }
 
-// Withdrawn says that nobody wants a message any more.
+// Withdrawn says that a message needs neither further attempts nor a final answer.
 type Withdrawn struct{ ID string }
 
 // State is an endpoint's state on the list.
--- a/choice/health.go
+++ b/choice/health.go
@@ -161,8 +161,8 @@
 func (c *Chooser) suspectSilent() {
 	for d := range c.calledDests {
 		for _, u := range d.units {
-			awaiting := u.state == healthy && len(u.calls) > 0
-			if awaiting && c.now-max(u.calls[0].sentAt, u.lastServed) > c.silenceLimit(d) {
+			awaitsAnswer := u.state == healthy && len(u.calls) > 0
+			if awaitsAnswer && c.now-max(u.calls[0].sentAt, u.lastServed) > c.silenceLimit(d) {
 				u.mayHaveRun = true
 				c.markSuspect(u, d, "silent")
 			}
--- a/choice/index.go
+++ b/choice/index.go
@@ -71,11 +71,11 @@
 		c.markChanged(m.dest)
 	}
 	c.byAnswerTime.drop(m)
-	c.noteIfIdle(m.dest)
+	c.markIfIdle(m.dest)
 }
 
-// noteIfIdle notes a destination that has no messages waiting or in flight any more.
-func (c *Chooser) noteIfIdle(d *dest) {
+// markIfIdle marks a destination as idle if it has no messages waiting or in flight any more.
+func (c *Chooser) markIfIdle(d *dest) {
 	if d.idle() {
 		if c.maybeIdle = append(c.maybeIdle, d); len(d.hosts) == 0 {
 			c.scheduleListCheck(d)
@@ -134,7 +134,7 @@
 		c.inFlight, m.dest.inFlight, h.inFlight = c.inFlight-1, m.dest.inFlight-1, h.inFlight-1
 		h.unit.calls = without(h.unit.calls, call)
 		c.countUnitCalls(h.dest, -1)
-		c.noteIfIdle(m.dest)
+		c.markIfIdle(m.dest)
 	}
 }
 
--- a/choice/manual_test.go
+++ b/choice/manual_test.go
@@ -41,7 +41,7 @@
 	s.Workers, s.MaxPending = 400, 1000
 	for name, c := range map[string]struct {
 		back  []Event
-		spent bool // a window counts as used up, for what the process before this one may have sent in it
+		spent bool // a window counts as used up, for what the previous process may have sent in it
 		want  func(a, b int) bool
 	}{
 		// Of 100 calls per second, each of two relays may send a cold half 0.9 x 2 x 0.2 x 100 x 2
--- a/choice/pick.go
+++ b/choice/pick.go
@@ -21,9 +21,9 @@
 	// A message that cannot be repeated does not go to a unit with failures after which a message
 	// may have run, until the unit has served a few answers or the message's own time runs short.
 	u := h.unit
-	proven := u.state == healthy || !u.mayHaveRun ||
+	reliable := u.state == healthy || !u.mayHaveRun ||
 		u.state == recovering && (!u.sawErrors || u.servedStreak >= outcomeHistory)
-	return proven || m.class.Effect != Unsafe || m.deadline-c.now < m.class.Deadline/4
+	return reliable || m.class.Effect != Unsafe || m.deadline-c.now < m.class.Deadline/4
 }
 
 // mostUrgent returns the allowed candidate that loses most worth by waiting. A message over its
@@ -69,7 +69,7 @@
 		return slices.ContainsFunc(hosts, func(h *host) bool { return c.maySend(m, h) })
 	})
 	if m == nil {
-		c.noteBlocked(d, hosts)
+		c.recordBlocked(d, hosts)
 	}
 	var best *host
 	least := math.Inf(1)
--- a/choice/recorded_test.go
+++ b/choice/recorded_test.go
@@ -215,8 +215,8 @@
 		if e.at > p.now {
 			return false
 		}
-		sure := e.Outcome == Served || e.Outcome == Refused || e.Outcome == NoConnection || e.Outcome == NotSent
-		if !sure && !m.MayHaveRun {
+		certain := e.Outcome == Served || e.Outcome == Refused || e.Outcome == NoConnection || e.Outcome == NotSent
+		if !certain && !m.MayHaveRun {
 			m.MayHaveRun, m.firstRunAt = true, m.sentAt
 			m.FirstRunZone = p.hosts[slices.IndexFunc(p.hosts, func(h Host) bool { return h.Addr == e.Host })].Zone
 		}
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -17,8 +17,7 @@
 	maxCalls := max(1, (3*c.settings.Workers+3)/4-1)
 	sharedMax := max(1, c.settings.Workers/2)
 	// Destinations with nothing but trials go last, so that calls that may hang don't fill the
-	// slots of a small relay; a trial that is overdue for a whole window
-	// is not delayed further.
+	// slots of a small relay; a trial that is overdue for a whole window is not delayed further.
 	preferred := func(u *unit) bool {
 		return u.state != suspect || c.now-u.trialAt > c.settings.Rules.OverloadWindow
 	}
@@ -83,7 +82,7 @@
 // cancelStuck frees one slot while all are taken and a message waits for one. It cancels the oldest
 // call that has been in flight for longer than its destination's silence limit: twice that if the unit
 // has served others since, and multiplied by the number of attempts, so that slow messages are
-// served in the end. This guards against calls that nobody will ever answer. An unsafe message is
+// served in the end. This guards against calls that are never answered. An unsafe message is
 // lost by it, so its call gets twice the limit while stuck calls hold no more than half of the
 // slots. The limit is halved while more than half of Settings.MaxPending is used.
 func (c *Chooser) cancelStuck() {
--- a/internal/backlog/state/loads.go
+++ b/internal/backlog/state/loads.go
@@ -31,7 +31,7 @@
 	secondStart                      time.Duration
 }
 
-// Add records that a message became pending.
+// Admit records that a message became pending.
 func (w *Window) Admit(dest, bytes int) {
 	w.pending, w.pendingTotal = w.pending.plus(dest, 1, bytes), Load{w.pendingTotal.Messages + 1, w.pendingTotal.Bytes + bytes}
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -63,10 +63,10 @@
 	dir := t.TempDir()
 	m := Open(dir, "one", testFile(t, 5))
 	const leaseMS = 10000
-	receive := func(now time.Duration, standing api.SessionResponse) Reply {
+	receive := func(now time.Duration, response api.SessionResponse) Reply {
 		t.Helper()
-		standing.LeaseMS = leaseMS
-		reply, err := m.Receive(now, now-time.Second, standing)
+		response.LeaseMS = leaseMS
+		reply, err := m.Receive(now, now-time.Second, response)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -230,7 +230,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
 		s := newSession(keepers, 1, 3, func(answer Answer) ([]uint64, Reply, bool) {
-			return nil, Reply{Confirm: answer.Standing.Revision}, true
+			return nil, Reply{Confirm: answer.Response.Revision}, true
 		})
 		s.Run(ctx)
 		if len(confirmed) < 20 {
@@ -287,12 +287,12 @@
 	f.Add([]byte(`{"lease_ms":1000,"turn":3,"next":{"number":2}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		parseState(data)
-		var standing api.SessionResponse
-		if json.Unmarshal(data, &standing) != nil {
+		var response api.SessionResponse
+		if json.Unmarshal(data, &response) != nil {
 			return
 		}
 		m := Open(t.TempDir(), "one", testFile(t, 5))
-		reply, err := m.Receive(2*time.Second, time.Second, standing)
+		reply, err := m.Receive(2*time.Second, time.Second, response)
 		m.Refresh(2 * time.Second)
 		if err != nil && reply.Confirm != 0 {
 			t.Errorf("%+v is confirmed after %v", reply, err)
--- a/internal/fleet/member.go
+++ b/internal/fleet/member.go
@@ -188,17 +188,17 @@
 // are by the relay's clock. The reply must not be sent before the loop has called Refresh and acts by the settings that it
 // returned, as Confirm says that it does. A generation that cannot be used is reported as *UnusableGeneration, together with a
 // reply.
-func (m *Member) Receive(now, requestedAt time.Duration, standing api.SessionResponse) (Reply, error) {
-	grant := lease.Grant{RequestedAt: requestedAt, Duration: time.Duration(standing.LeaseMS) * time.Millisecond, Revision: standing.Revision}
-	if standing.Effective != nil {
-		grant.Current = standing.Effective.Number
-		if err := m.addGeneration(standing.Effective); err != nil {
+func (m *Member) Receive(now, requestedAt time.Duration, response api.SessionResponse) (Reply, error) {
+	grant := lease.Grant{RequestedAt: requestedAt, Duration: time.Duration(response.LeaseMS) * time.Millisecond, Revision: response.Revision}
+	if response.Effective != nil {
+		grant.Current = response.Effective.Number
+		if err := m.addGeneration(response.Effective); err != nil {
 			return Reply{Leave: true, Reason: err.Error()}, &UnusableGeneration{grant.Current, true, err}
 		}
 	}
-	if standing.Prepared != nil {
-		grant.Next = standing.Prepared.Number
-		if err := m.addGeneration(standing.Prepared); err != nil {
+	if response.Prepared != nil {
+		grant.Next = response.Prepared.Number
+		if err := m.addGeneration(response.Prepared); err != nil {
 			return Reply{Reject: grant.Next, Reason: err.Error()}, &UnusableGeneration{grant.Next, false, err}
 		}
 	}
@@ -213,7 +213,7 @@
 	}
 	pending, ok := m.lease.Pending()
 	if !ok {
-		if standing.ConfirmedRevision == grant.Revision {
+		if response.ConfirmedRevision == grant.Revision {
 			return Reply{}, nil
 		}
 		return Reply{Confirm: grant.Revision}, nil // confirm again: the confirmation was lost, or there is a new session
--- a/internal/fleet/session.go
+++ b/internal/fleet/session.go
@@ -15,7 +15,7 @@
 // Answer is an answer of the keepers to a session call.
 type Answer struct {
 	RequestedAt time.Duration // when the call was sent, by the relay's clock
-	Standing    api.SessionResponse
+	Response    api.SessionResponse
 }
 
 // Session maintains a relay's session with the keepers. It shares no state with the relay's loop: it passes each answer to
@@ -34,7 +34,7 @@
 
 	Instance, PreviousInstance string // as in Member
 	// Addr and Folder are the address and the folder in which the relay receives copies of replication groups' records. Owned
-	// returns a mark that identifies the list of the groups that the relay owns, as it knows it. They are empty and nil for a
+	// returns a fingerprint that identifies the list of the groups that the relay owns, as it knows it. They are empty and nil for a
 	// relay that receives no copies.
 	Addr, Folder string
 	Owned        func() string
@@ -86,12 +86,12 @@
 		call := api.Session{Name: s.Name, Instance: s.Instance, Predecessor: s.PreviousInstance, Zone: s.Zone, Version: s.Version, Revision: revision,
 			WaitMS: time.Duration((0.75 + random.Float64()/2) * float64(wait)).Milliseconds(), KnownGenerations: known}
 		if s.Owned != nil {
-			call.Addr, call.Folder, call.GroupsMark = s.Addr, s.Folder, s.Owned()
+			call.Addr, call.Folder, call.GroupsFingerprint = s.Addr, s.Folder, s.Owned()
 		}
 		callCtx, cancel := context.WithTimeout(ctx, min(2*wait, wait+callTimeout))
 		requestedAt := s.Now()
-		var standing api.SessionResponse
-		err := s.Client.Call(callCtx, http.MethodPost, api.SessionPath, call, &standing)
+		var response api.SessionResponse
+		err := s.Client.Call(callCtx, http.MethodPost, api.SessionPath, call, &response)
 		cancel()
 		if err != nil {
 			if ctx.Err() != nil {
@@ -107,13 +107,13 @@
 			continue
 		}
 		failures = 0
-		if d := time.Duration(standing.LeaseMS) * time.Millisecond; d > 0 {
+		if d := time.Duration(response.LeaseMS) * time.Millisecond; d > 0 {
 			s.leaseDuration = d
 		}
 		var reply Reply
 		var ok bool
-		if known, reply, ok = s.HandleAnswer(Answer{requestedAt, standing}); ok {
-			revision = standing.Revision
+		if known, reply, ok = s.HandleAnswer(Answer{requestedAt, response}); ok {
+			revision = response.Revision
 		} else {
 			revision = 0
 			sleep(retryPause(random, 1, s.FleetSize(), s.leaseDuration))
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -104,7 +104,7 @@
 		return nil, fleet.Reply{}, false
 	}
 	m.look() // what it acted by until now may have ended before
-	w, err := k.Receive(Clock(), h.RequestedAt, h.Standing)
+	w, err := k.Receive(Clock(), h.RequestedAt, h.Response)
 	m.look()
 	return slices.Clone(k.KnownGenerations()), w, err == nil
 }
--- a/internal/keeper/api/api.go
+++ b/internal/keeper/api/api.go
@@ -39,12 +39,12 @@
 	WaitMS      int64  `json:"wait_ms"`           // how long the answer may wait, in milliseconds
 	// KnownGenerations are the numbers of generations whose documents the member has; they are not sent again.
 	KnownGenerations []uint64 `json:"have,omitempty"`
-	// Addr is the address at which the relay accepts copies of replication groups. GroupsMark identifies the list of the
+	// Addr is the address at which the relay accepts copies of replication groups. GroupsFingerprint identifies the list of the
 	// groups that it owns, as it knows that list: the answer comes as soon as the list differs. Both are empty for a relay
 	// that takes no part in replication.
-	Addr       string `json:"addr,omitempty"`
-	Folder     string `json:"folder,omitempty"` // folder in which the relay stores the copies
-	GroupsMark string `json:"estates,omitempty"`
+	Addr              string `json:"addr,omitempty"`
+	Folder            string `json:"folder,omitempty"` // folder in which the relay stores the copies
+	GroupsFingerprint string `json:"estates,omitempty"`
 }
 
 // SessionResponse tells a member what to act by, and for how long.
@@ -55,7 +55,7 @@
 	Prepared  *Generation `json:"next,omitempty"` // prepared generation: act by what both allow
 	// ConfirmedRevision is the revision that the member has confirmed, as recorded by the keepers; 0 for none in this session.
 	ConfirmedRevision uint64 `json:"confirmed,omitempty"`
-	// OwnedGroups are the replication groups that the member owns, if its call had a GroupsMark.
+	// OwnedGroups are the replication groups that the member owns, if its call had a GroupsFingerprint.
 	OwnedGroups []*replicationstate.Group `json:"owned,omitempty"`
 }
 
--- a/internal/keeper/cost_test.go
+++ b/internal/keeper/cost_test.go
@@ -102,7 +102,7 @@
 			Instance: k.Instance, FleetSize: func() int { return members }, Now: func() time.Duration { return time.Since(began) }}
 		session.HandleAnswer = func(h fleet.Answer) ([]uint64, fleet.Reply, bool) {
 			pool.answers.Add(1)
-			w, err := k.Receive(time.Since(began), h.RequestedAt, h.Standing)
+			w, err := k.Receive(time.Since(began), h.RequestedAt, h.Response)
 			k.Refresh(time.Since(began))
 			return k.KnownGenerations(), w, err == nil
 		}
--- a/internal/keeper/groups_test.go
+++ b/internal/keeper/groups_test.go
@@ -63,7 +63,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	session := func(name string, wait time.Duration) (s api.SessionResponse, err error) {
-		return s, client.Call(ctx, http.MethodPost, api.SessionPath, api.Session{Name: name, Instance: name + "-1", Addr: name + ":1", Folder: name, GroupsMark: "none", WaitMS: wait.Milliseconds()}, &s)
+		return s, client.Call(ctx, http.MethodPost, api.SessionPath, api.Session{Name: name, Instance: name + "-1", Addr: name + ":1", Folder: name, GroupsFingerprint: "none", WaitMS: wait.Milliseconds()}, &s)
 	}
 	for _, name := range []string{"a", "b", "c"} {
 		for _, err = session(name, 0); err != nil && ctx.Err() == nil; _, err = session(name, 0) {
@@ -91,7 +91,7 @@
 	for range 3 { // a relay without replication groups waits for an update like any other
 		asked := time.Now()
 		var s api.SessionResponse
-		call := api.Session{Name: "c", Instance: "c-1", Addr: "c:1", Folder: "c", GroupsMark: replicationstate.Fingerprint(nil), WaitMS: 60}
+		call := api.Session{Name: "c", Instance: "c-1", Addr: "c:1", Folder: "c", GroupsFingerprint: replicationstate.Fingerprint(nil), WaitMS: 60}
 		if err := client.Call(ctx, http.MethodPost, api.SessionPath, call, &s); err != nil || time.Since(asked) < 50*time.Millisecond {
 			t.Fatalf("answered after %v of 60 ms though there is no update, %v", time.Since(asked), err)
 		}
--- a/internal/keeper/session.go
+++ b/internal/keeper/session.go
@@ -17,7 +17,7 @@
 	if err := decode(body, &call); err != nil {
 		return nil, err
 	}
-	if call.Name == "" || call.Instance == "" || max(len(call.Name), len(call.Instance), len(call.Zone), len(call.Version), len(call.Addr), len(call.Folder), len(call.GroupsMark)) > maxNameBytes || call.WaitMS < 0 || len(call.KnownGenerations) > 8 {
+	if call.Name == "" || call.Instance == "" || max(len(call.Name), len(call.Instance), len(call.Zone), len(call.Version), len(call.Addr), len(call.Folder), len(call.GroupsFingerprint)) > maxNameBytes || call.WaitMS < 0 || len(call.KnownGenerations) > 8 {
 		return nil, refuse(http.StatusBadRequest, "name or instance is empty or too long, or the wait below 0")
 	}
 	if !k.isLeader() {
@@ -45,7 +45,7 @@
 		changed := k.stateMachine.changeSignal()
 		updated := false
 		k.stateMachine.read(func(st *state.State) {
-			updated = st.Revision != call.Revision || call.GroupsMark != "" && replicationstate.Fingerprint(st.Groups.OwnedBy(call.Name)) != call.GroupsMark
+			updated = st.Revision != call.Revision || call.GroupsFingerprint != "" && replicationstate.Fingerprint(st.Groups.OwnedBy(call.Name)) != call.GroupsFingerprint
 		})
 		if updated {
 			break
@@ -75,7 +75,7 @@
 				response.ConfirmedRevision = m.Revision
 			}
 		}
-		if call.GroupsMark != "" {
+		if call.GroupsFingerprint != "" {
 			response.OwnedGroups = ownedGroups(st, call.Name)
 		}
 	})
--- a/internal/relay/agreement.go
+++ b/internal/relay/agreement.go
@@ -68,7 +68,7 @@
 // handleKeeperAnswer applies an answer of the keepers in the loop, and returns what to reply.
 func (r *Relay) handleKeeperAnswer(answer fleet.Answer) (have []uint64, reply fleet.Reply, ok bool) {
 	if r.replication != nil {
-		r.replication.owner.UpdateOwned(answer.Standing.OwnedGroups)
+		r.replication.owner.UpdateOwned(answer.Response.OwnedGroups)
 	}
 	done := make(chan struct{})
 	r.post(func() {
@@ -77,7 +77,7 @@
 			return
 		}
 		var err error
-		if reply, err = r.fleetConfig.Receive(r.now(), answer.RequestedAt, answer.Standing); err != nil {
+		if reply, err = r.fleetConfig.Receive(r.now(), answer.RequestedAt, answer.Response); err != nil {
 			slog.Warn("answer of the keepers rejected", "err", err, "remedy", remedy.Of(err))
 		}
 		r.refreshAgreed()
--- a/internal/relay/api.go
+++ b/internal/relay/api.go
@@ -117,7 +117,7 @@
 }
 
 // settingsAtRequestStart returns the settings that apply to a request: those in effect when its first byte arrived,
-// since its client wrote it under these. It returns nil for a request that the next process has to judge.
+// since its client wrote it under these. It returns nil for a request that only the next process can check.
 func (r *Relay) settingsAtRequestStart(req *http.Request) *activeSettings {
 	if active, ok := inboundConnOf(req).settingsAtRequestStart().(*activeSettings); ok {
 		return active
@@ -171,7 +171,7 @@
 func (r *Relay) submit(apiReq *apiRequest) {
 	id, active := apiReq.entry.ID, r.settings.Load()
 	var err error
-	if apiReq.entry.Terms == nil { // it came through the process before this one, under the settings of this one
+	if apiReq.entry.Terms == nil { // the previous process forwarded it; the settings of this process apply
 		apiReq.entry.Terms, err = messageTerms(active, apiReq.entry, r.now())
 	}
 	refusal := apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "no room"}
@@ -179,7 +179,7 @@
 	case r.nextProcess != nil:
 		r.forward(apiReq)
 	case len(r.handoverRequests) > 0 && r.replication != nil: // the next process has to receive all that counts first
-		r.deferredIntakes = append(r.deferredIntakes, apiReq)
+		r.deferredRequests = append(r.deferredRequests, apiReq)
 	case r.pending[id] != nil: // the client sent it again after its connection broke
 		msg := r.pending[id]
 		msg.resent = true
--- a/internal/relay/backlog.go
+++ b/internal/relay/backlog.go
@@ -108,15 +108,15 @@
 
 // answerStoredDuplicate answers a client that sent a message again after its connection broke, if the message is on
 // disk or is about to be. It reports whether it did.
-func (r *Relay) answerStoredDuplicate(in *apiRequest) bool {
+func (r *Relay) answerStoredDuplicate(apiReq *apiRequest) bool {
 	o := r.overflow
 	if o == nil || o.store == nil {
 		return false
 	}
-	journalEntry := in.entry
+	journalEntry := apiReq.entry
 	if i := slices.IndexFunc(o.queued, func(m *message) bool { return m.ID == journalEntry.ID }); i >= 0 {
 		o.resentIDs.add(journalEntry.ID)
-		o.queued[i].unanswered = append(o.queued[i].unanswered, in)
+		o.queued[i].unanswered = append(o.queued[i].unanswered, apiReq)
 		return true
 	}
 	if o.store.LenOf(journalEntry.Dest) == 0 {
@@ -125,10 +125,10 @@
 	switch _, found, err := o.store.Find(journalEntry.Dest, journalEntry.ID); {
 	case err != nil:
 		slog.Error("cannot search the backlog", "err", err, "remedy", remedy.Of(err))
-		in.reply <- apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "no room"}
+		apiReq.reply <- apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "no room"}
 	case found:
 		o.resentIDs.add(journalEntry.ID)
-		in.reply <- apiResponse{status: http.StatusAccepted}
+		apiReq.reply <- apiResponse{status: http.StatusAccepted}
 	default:
 		return false
 	}
@@ -137,16 +137,16 @@
 
 // queueForDisk queues a message to be stored by the next step, if it has to wait on disk, or refuses it if its key
 // waits for another destination. It reports whether it did either.
-func (r *Relay) queueForDisk(in *apiRequest) bool {
-	o, journalEntry := r.overflow, in.entry
+func (r *Relay) queueForDisk(apiReq *apiRequest) bool {
+	o, journalEntry := r.overflow, apiReq.entry
 	switch {
 	case o == nil:
 		return false
 	case o.keyPendingElsewhere(journalEntry.OrderKey, journalEntry.Dest):
 		r.metrics.countOutcome(journalEntry.Class, outcomeRefused)
-		in.reply <- apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "its key waits for another destination"}
+		apiReq.reply <- apiResponse{status: http.StatusServiceUnavailable, retryAfter: defaultRetryAfter, text: "its key waits for another destination"}
 	case o.mustWait(journalEntry.Dest, r.now(), r.journal.NearlyFull()):
-		o.queued = append(o.queued, &message{Entry: journalEntry, due: in.due, unanswered: []*apiRequest{in}})
+		o.queued = append(o.queued, &message{Entry: journalEntry, due: apiReq.due, unanswered: []*apiRequest{apiReq}})
 	default:
 		return false
 	}
--- a/internal/relay/backlog_config_test.go
+++ b/internal/relay/backlog_config_test.go
@@ -57,7 +57,7 @@
 
 	without := backlogOptions{stateDir: conf.StateDir, changeConfig: func(c *Config) { c.Backlog = nil }}
 	_, err = newBacklogRelay(t, p, without)
-	if owing := (*PendingBacklogError)(nil); !errors.As(err, &owing) || owing.Messages == 0 || owing.Remedy() == "" {
+	if pendingErr := (*PendingBacklogError)(nil); !errors.As(err, &pendingErr) || pendingErr.Messages == 0 || pendingErr.Remedy() == "" {
 		t.Fatalf("a start without a backlog configuration: %v", err)
 	}
 	p = newFakePlatform(t, endpoint.server(7, true))
--- a/internal/relay/backlog_start_test.go
+++ b/internal/relay/backlog_start_test.go
@@ -158,7 +158,7 @@
 		t.Errorf("the process that handed over reports a backlog: %s", text)
 	}
 	submitKeyed(next, 5)
-	submitAccepted(t, old, testMessage{id: "passed", dest: 8}) // through the old process
+	submitAccepted(t, old, testMessage{id: "passed", dest: 8}) // through the previous process
 	p.publish(2, true, endpoint.server(7, true), endpoint.server(8, true))
 	received := endpoint.awaitMessages(t, len(ids)+1)
 	n := 0
--- a/internal/relay/draining.go
+++ b/internal/relay/draining.go
@@ -37,8 +37,8 @@
 		return l.listenerClosed
 	}
 	l.draining = true
-	deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
-	if !ok || deadliner.SetDeadline(time.Now().Add(queueAcceptTimeout)) != nil { // in memory, or the next process has it
+	deadlineSetter, ok := l.Listener.(interface{ SetDeadline(time.Time) error })
+	if !ok || deadlineSetter.SetDeadline(time.Now().Add(queueAcceptTimeout)) != nil { // in memory, or the next process has it
 		l.closeListener()
 	}
 	return l.listenerClosed
@@ -55,8 +55,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.acceptStarted = time.Now()
-	if deadliner, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok && l.draining {
-		deadliner.SetDeadline(l.acceptStarted.Add(queueAcceptTimeout))
+	if deadlineSetter, ok := l.Listener.(interface{ SetDeadline(time.Time) error }); ok && l.draining {
+		deadlineSetter.SetDeadline(l.acceptStarted.Add(queueAcceptTimeout))
 	}
 }
 
--- a/internal/relay/dropped_outcome_test.go
+++ b/internal/relay/dropped_outcome_test.go
@@ -113,7 +113,7 @@
 	t.Helper()
 	relay := newSteppedRelay(t, platform, state)
 	for _, id := range ids {
-		in := newIntake(t, relay, context.Background(), id, class, time.Minute)
+		in := newAPIRequest(t, relay, context.Background(), id, class, time.Minute)
 		relay.submit(in)
 		defer func() { want(t, "status", replyStatus(in), http.StatusAccepted) }()
 	}
--- a/internal/relay/groups.go
+++ b/internal/relay/groups.go
@@ -28,30 +28,30 @@
 	}
 }
 
-// Known returns the replication groups that the journal records but that no stream serves yet.
-func (g *groupRecords) StoredGroups() (known []state.Group) {
+// StoredGroups returns the replication groups that the journal records but that no stream serves yet.
+func (g *groupRecords) StoredGroups() (groups []state.Group) {
 	g.runInLoop(func(r *Relay) {
-		for _, mark := range r.journal.GroupStates() {
-			group := state.Group{ID: mark.Group, Name: mark.Name, Epoch: mark.Epoch, Owner: r.config.Name, Writer: mark.Writer, Main: mark.Main, Copies: mark.Copies}
-			if len(mark.Sets) > 0 {
-				group.Replicas, group.EarlierSets = mark.Sets[0].Replicas, mark.Sets[1:]
+		for _, groupState := range r.journal.GroupStates() {
+			group := state.Group{ID: groupState.Group, Name: groupState.Name, Epoch: groupState.Epoch, Owner: r.config.Name, Writer: groupState.Writer, Main: groupState.Main, Copies: groupState.Copies}
+			if len(groupState.Sets) > 0 {
+				group.Replicas, group.EarlierSets = groupState.Sets[0].Replicas, groupState.Sets[1:]
 			}
-			if r.replication.streams[mark.Group] == nil {
-				known = append(known, group)
+			if r.replication.streams[groupState.Group] == nil {
+				groups = append(groups, group)
 			}
 		}
 	})
-	return known
+	return groups
 }
 
-// Mark records a replication group's sets of replicas, and reports whether it did.
+// RecordReplicas records a replication group's sets of replicas, and reports whether it did.
 func (g *groupRecords) RecordReplicas(group state.Group) (ok bool) {
 	g.runInLoop(func(r *Relay) {
 		stream := r.replication.streams[group.ID]
 		if stream == nil || r.nextProcess != nil {
 			return
 		}
-		if err := r.markGroup(group, stream.Next()); err != nil {
+		if err := r.recordGroup(group, stream.Next()); err != nil {
 			slog.Error("cannot record the replicas of a replication group", "estate", group.ID, "err", err)
 			return
 		}
@@ -60,12 +60,12 @@
 	return ok
 }
 
-func (r *Relay) markGroup(group state.Group, next uint64) error {
+func (r *Relay) recordGroup(group state.Group, next uint64) error {
 	return r.journal.Append(journal.Record{Op: journal.OpGroupState, GroupState: &journal.GroupState{Group: group.ID, Name: group.Name, Main: group.Main, Copies: group.Copies, Sets: group.ReplicaSets(),
 		Copy: state.Copy{Epoch: group.Epoch, Writer: group.Writer, ContentWriter: group.Writer, ContentEpoch: group.Epoch, Next: next}}})
 }
 
-// Begin makes this process the writer of a replication group. It returns nil if that fails.
+// StartWriting makes this process the writer of a replication group. It returns nil if that fails.
 func (g *groupRecords) StartWriting(group state.Group, found *replication.FoundCopy) (stream *replication.Stream) {
 	g.runInLoop(func(r *Relay) {
 		if r.nextProcess != nil || r.stopped || r.replication.streams[group.ID] != nil {
@@ -83,9 +83,9 @@
 // beginGroup resumes a replication group from this relay's journal, or from the records found at replicas if those
 // are newer.
 func (r *Relay) beginGroup(group state.Group, found *replication.FoundCopy) (*replication.Stream, error) {
-	mark, marked := r.journal.GroupState(group.ID)
-	next := max(mark.Next, 1)
-	useReplica := found != nil && (!marked || r.journal.Damaged() || found.Newer(mark.Copy))
+	groupState, recorded := r.journal.GroupState(group.ID)
+	next := max(groupState.Next, 1)
+	useReplica := found != nil && (!recorded || r.journal.Damaged() || found.Newer(groupState.Copy))
 	if useReplica {
 		next = max(next, found.Next)
 		if err := r.journal.Append(r.journal.RecordsToForget(group.ID)...); err != nil {
@@ -101,7 +101,7 @@
 			return nil, err
 		}
 	}
-	if err := r.markGroup(group, next); err != nil {
+	if err := r.recordGroup(group, next); err != nil {
 		return nil, err
 	}
 	stream := r.newGroupStream(group, next)
@@ -141,7 +141,7 @@
 	return stream
 }
 
-// Lost stops all work on a replication group that another relay now owns.
+// OwnershipLost stops all work on a replication group that another relay now owns.
 func (g *groupRecords) OwnershipLost(id uint64) {
 	g.runInLoop(func(r *Relay) {
 		rep := r.replication
@@ -187,7 +187,7 @@
 	})
 }
 
-// Empty reports whether no message and no record of a replication group is left.
+// IsEmpty reports whether no message and no record of a replication group is left.
 func (g *groupRecords) IsEmpty(id uint64) (empty bool) {
 	g.runInLoop(func(r *Relay) {
 		stream := r.replication.streams[id]
@@ -202,17 +202,17 @@
 // adoptGroups continues the replication groups of the previous process after a handover, as the same writer.
 func (r *Relay) adoptGroups(writer string) {
 	rep := r.replication
-	marks := r.journal.GroupStates()
-	for _, id := range slices.Sorted(maps.Keys(marks)) {
-		mark := marks[id]
-		if writer == "" || mark.Writer != writer {
+	groupStates := r.journal.GroupStates()
+	for _, id := range slices.Sorted(maps.Keys(groupStates)) {
+		groupState := groupStates[id]
+		if writer == "" || groupState.Writer != writer {
 			continue
 		}
-		group := state.Group{ID: id, Name: mark.Name, Epoch: mark.Epoch, Owner: r.config.Name, Writer: writer, Main: mark.Main, Copies: mark.Copies}
-		if len(mark.Sets) > 0 {
-			group.Replicas, group.EarlierSets = mark.Sets[0].Replicas, mark.Sets[1:]
+		group := state.Group{ID: id, Name: groupState.Name, Epoch: groupState.Epoch, Owner: r.config.Name, Writer: writer, Main: groupState.Main, Copies: groupState.Copies}
+		if len(groupState.Sets) > 0 {
+			group.Replicas, group.EarlierSets = groupState.Sets[0].Replicas, groupState.Sets[1:]
 		}
-		stream := r.newGroupStream(group, max(1, mark.Next))
+		stream := r.newGroupStream(group, max(1, groupState.Next))
 		stream.SetReplicas(group.Epoch, group.Copies, group.Replicas)
 		rep.owner.AdoptStream(stream.Stream)
 	}
--- a/internal/relay/handover.go
+++ b/internal/relay/handover.go
@@ -57,7 +57,7 @@
 	IDs     []string      `json:"ids"`
 }
 
-// forwarded is an update that the process that handed over sends to the next one: a client's message, or the result
+// handoverUpdate is an update that the process that handed over sends to the next one: a client's message, or the result
 // of an attempt.
 type handoverUpdate struct {
 	RequestID int64            `json:"n,omitempty"`
@@ -88,14 +88,14 @@
 
 // handoverState is the state of a relay's handovers, from the previous process and to the next one.
 type handoverState struct {
-	previousProcess  *previousProcess      // nil if there was none
-	handoverListener *net.UnixListener     // accepts requests of the next process; nil if it could not be opened
-	handoverRequests []*net.UnixConn       // connections of next processes, oldest first; the first one may have died since
-	deferredIntakes  []*apiRequest         // arrived after the request; accepted once the handover is over
-	nextProcess      *processLink          // nil until it has taken over
-	forwardedIntakes map[int64]*apiRequest // by RequestID: forwarded messages without a reply yet
-	lastForwardedID  int64
-	handedOverAt     atomic.Int64 // steady Unix nanoseconds; 0 before the handover
+	previousProcess   *previousProcess      // nil if there was none
+	handoverListener  *net.UnixListener     // accepts requests of the next process; nil if it could not be opened
+	handoverRequests  []*net.UnixConn       // connections of next processes, oldest first; the first one may have died since
+	deferredRequests  []*apiRequest         // arrived after the request; accepted once the handover is over
+	nextProcess       *processLink          // nil until it has taken over
+	forwardedRequests map[int64]*apiRequest // by RequestID: forwarded messages without a reply yet
+	lastForwardedID   int64
+	handedOverAt      atomic.Int64 // steady Unix nanoseconds; 0 before the handover
 }
 
 // awaitAccepted waits for the next process to confirm that it has taken over. A confirmation that arrives just as the
--- a/internal/relay/handover_receive.go
+++ b/internal/relay/handover_receive.go
@@ -184,14 +184,14 @@
 	// The message may have waited for either process on its way, so its deadline is measured by the clock that both
 	// share.
 	timeLeft := min(update.TimeLeft, steady.Until(update.Entry.Due))
-	in := &apiRequest{entry: update.Entry, due: r.now() + timeLeft, ctx: r.callContext, reply: make(chan apiResponse, 1)}
+	apiReq := &apiRequest{entry: update.Entry, due: r.now() + timeLeft, ctx: r.callContext, reply: make(chan apiResponse, 1)}
 	sendReply := func(a apiResponse) {
 		link.send(handoverReply{RequestID: update.RequestID, Status: a.status, RetryAfter: a.retryAfter, Text: a.text})
 	}
-	r.submit(in)
+	r.submit(apiReq)
 	go func() {
 		select {
-		case a := <-in.reply:
+		case a := <-apiReq.reply:
 			sendReply(a)
 		case <-r.quit:
 		}
--- a/internal/relay/handover_send.go
+++ b/internal/relay/handover_send.go
@@ -88,7 +88,7 @@
 		return
 	}
 	slog.Info("handed over", "held", len(r.pending), "calls", r.callsInFlight)
-	r.nextProcess, r.forwardedIntakes = link, map[int64]*apiRequest{}
+	r.nextProcess, r.forwardedRequests = link, map[int64]*apiRequest{}
 	r.overflow = nil
 	r.metrics.setTotals(0, 0, 0) // the next process reports them now
 	r.metrics.setBacklog(nil)
@@ -165,10 +165,10 @@
 }
 
 // forward sends a client's message to the next process.
-func (r *Relay) forward(in *apiRequest) {
+func (r *Relay) forward(apiReq *apiRequest) {
 	r.lastForwardedID++
-	r.forwardedIntakes[r.lastForwardedID] = in
-	if !r.nextProcess.send(handoverUpdate{RequestID: r.lastForwardedID, Entry: in.entry, TimeLeft: in.due - r.now()}) {
+	r.forwardedRequests[r.lastForwardedID] = apiReq
+	if !r.nextProcess.send(handoverUpdate{RequestID: r.lastForwardedID, Entry: apiReq.entry, TimeLeft: apiReq.due - r.now()}) {
 		r.handleHandoverReply(handoverReply{RequestID: r.lastForwardedID, Status: 503, RetryAfter: defaultRetryAfter, Text: "no next process"})
 	}
 }
@@ -178,9 +178,9 @@
 	if m := r.pending[reply.CancelID]; m != nil && m.call != nil {
 		m.call.cancel(errCancelled)
 	}
-	if in := r.forwardedIntakes[reply.RequestID]; in != nil {
-		delete(r.forwardedIntakes, reply.RequestID)
-		in.reply <- apiResponse{status: reply.Status, retryAfter: reply.RetryAfter, text: reply.Text}
+	if apiReq := r.forwardedRequests[reply.RequestID]; apiReq != nil {
+		delete(r.forwardedRequests, reply.RequestID)
+		apiReq.reply <- apiResponse{status: reply.Status, retryAfter: reply.RetryAfter, text: reply.Text}
 	}
 }
 
@@ -195,9 +195,9 @@
 // process may have accepted them, and whichever process runs next delivers what is on record. Clients are told to
 // retry only where a second delivery does no harm.
 func (r *Relay) answerUnconfirmed() {
-	for requestID, in := range r.forwardedIntakes {
+	for requestID, apiReq := range r.forwardedRequests {
 		reply := handoverReply{RequestID: requestID, Status: http.StatusInternalServerError, Text: "it is not known whether it will be delivered"}
-		if in.entry.Terms != nil && in.entry.Terms.Class.Effect == choice.Safe {
+		if apiReq.entry.Terms != nil && apiReq.entry.Terms.Class.Effect == choice.Safe {
 			reply = handoverReply{RequestID: requestID, Status: http.StatusServiceUnavailable, RetryAfter: defaultRetryAfter, Text: "no next process"}
 		}
 		r.handleHandoverReply(reply)
@@ -241,9 +241,9 @@
 
 // acceptDeferred processes the messages that arrived after a next process had asked for the handover.
 func (r *Relay) acceptDeferred() {
-	deferred := r.deferredIntakes
-	r.deferredIntakes = nil
-	for _, in := range deferred {
-		r.submit(in)
+	deferred := r.deferredRequests
+	r.deferredRequests = nil
+	for _, apiReq := range deferred {
+		r.submit(apiReq)
 	}
 }
--- a/internal/relay/handover_test.go
+++ b/internal/relay/handover_test.go
@@ -45,7 +45,7 @@
 	if status, _ := operatorCall(t, old, "PUT", "/endpoints/disable/s-2"); status != 200 {
 		t.Fatal(status)
 	}
-	oldConnClient := &http.Client{Transport: &http.Transport{}} // its connection stays with the old process
+	oldConnClient := &http.Client{Transport: &http.Transport{}} // its connection stays with the previous process
 	post := func(id string) *http.Response {
 		t.Helper()
 		req, _ := http.NewRequest("POST", "http://"+old.Addr()+"/api", strings.NewReader("body of "+id))
@@ -73,7 +73,7 @@
 	maxConns := next.clientListener.limit
 	next.clientListener.mu.Unlock()
 	if n := old.clientListener.connCount(); n == 0 || maxConns+n > next.config.Sockets/2 {
-		t.Errorf("clients have %d sockets at the old process and may have %d at the next one, of %d", n, maxConns, next.config.Sockets)
+		t.Errorf("clients have %d sockets at the previous process and may have %d at the next one, of %d", n, maxConns, next.config.Sockets)
 	}
 	awaitMetrics(t, next, "svc.attempts=0", "svc.in_flight=2", "svc.endpoints_known=3", "svc.endpoints_excluded=1",
 		"svc.requests.payment.served=0")
@@ -106,7 +106,7 @@
 	}
 	want(t, "further calls", len(calls), 0)
 
-	// What is in flight when the old process ends may have run, so a payment is not sent again.
+	// What is in flight when the previous process ends may have run, so a payment is not sent again.
 	third := upgrade(t, p, next)
 	postMessage(t, third.Addr(), "m6", "payment")
 	receive(t, calls, "call")
@@ -172,7 +172,7 @@
 		{name: "messages of the next process", pending: 1, handedOver: true, idle: true},
 	} {
 		r := &Relay{callsInFlight: test.inFlight, stopped: test.stopped, messageRecords: messageRecords{pending: map[string]*message{}},
-			handoverState: handoverState{previousProcess: &previousProcess{calls: map[string]*call{}}, forwardedIntakes: map[int64]*apiRequest{}}}
+			handoverState: handoverState{previousProcess: &previousProcess{calls: map[string]*call{}}, forwardedRequests: map[int64]*apiRequest{}}}
 		if test.handedOver {
 			r.nextProcess = &processLink{}
 		}
@@ -180,7 +180,7 @@
 			r.previousProcess.calls[fmt.Sprint("m", i)] = &call{}
 		}
 		for i := range test.forwarded {
-			r.forwardedIntakes[int64(i)] = &apiRequest{}
+			r.forwardedRequests[int64(i)] = &apiRequest{}
 		}
 		for i := range test.pending {
 			r.pending[fmt.Sprint("m", i)] = &message{}
@@ -244,7 +244,7 @@
 }
 
 // Guards against an upgrade that fails because an earlier next process had asked for a handover and died within the
-// same turn of the loop: the new process found the address in use and did not start.
+// same turn of the loop: the next process found the address in use and did not start.
 func TestHandoverAfterRequesterDied(t *testing.T) {
 	calls := make(chan *receivedCall, 10)
 	p := newFakePlatform(t, testEndpoint("s-1", newFakeHost(t, "a", calls), "taller"))
--- a/internal/relay/limit_listener.go
+++ b/internal/relay/limit_listener.go
@@ -135,13 +135,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.open)-l.lingering >= l.limit {
-		victim := l.evictionCandidate()
+		candidate := l.evictionCandidate()
 		switch {
-		case victim == nil:
+		case candidate == nil:
 			return false
-		case !victim.requestStart.IsZero():
-			victim.beginClose()
-		case !l.closedOrKept(victim):
+		case !candidate.requestStart.IsZero():
+			candidate.beginClose()
+		case !l.closedOrKept(candidate):
 			return false
 		}
 	}
--- a/internal/relay/notices_relay_test.go
+++ b/internal/relay/notices_relay_test.go
@@ -78,7 +78,7 @@
 	<-done
 }
 
-// pending returns the number of pending notices. The loop must answer at once.
+// undeliveredNotices returns the number of pending notices. The loop must answer at once.
 func (g *noticeRig) undeliveredNotices() int {
 	g.t.Helper()
 	count, startedAt := make(chan int, 1), time.Now()
--- a/internal/relay/record_order_test.go
+++ b/internal/relay/record_order_test.go
@@ -26,8 +26,8 @@
 	return r
 }
 
-// newIntake returns a message as a handler submits it to the loop.
-func newIntake(t *testing.T, r *Relay, ctx context.Context, id, class string, timeLeft time.Duration) *apiRequest {
+// newAPIRequest returns a message as a handler submits it to the loop.
+func newAPIRequest(t *testing.T, r *Relay, ctx context.Context, id, class string, timeLeft time.Duration) *apiRequest {
 	t.Helper()
 	e := &journal.Entry{ID: id, Class: class, Dest: 7, Key: "key-" + id, Body: []byte("body of " + id), Due: time.Now().Add(timeLeft).UnixMilli()}
 	terms, err := messageTerms(r.settings.Load(), e, r.now())
@@ -66,13 +66,13 @@
 func TestNothingIsAcceptedBeforeEarlierRecordsAreWritten(t *testing.T) {
 	state := t.TempDir()
 	r := newSteppedRelay(t, newFakePlatform(t, leavingHost()), state)
-	first := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+	first := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.submit(first)
 	r.step()
 	want(t, "status of the first", replyStatus(first), http.StatusAccepted)
 	r.withdraw("m1", nil)
 	r.pendingRecords = append(append([]journal.Record(nil), r.pendingRecords...), oversizedRecord()...)
-	rejected := []*apiRequest{newIntake(t, r, context.Background(), "m1", "payment", time.Minute), newIntake(t, r, context.Background(), "m2", "payment", time.Minute)}
+	rejected := []*apiRequest{newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute), newAPIRequest(t, r, context.Background(), "m2", "payment", time.Minute)}
 	for _, in := range rejected {
 		r.submit(in)
 	}
@@ -82,7 +82,7 @@
 	}
 	r.pendingRecords = r.pendingRecords[:len(r.pendingRecords)-len(oversizedRecord())]
 	r.step()
-	retried := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+	retried := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.submit(retried)
 	r.step()
 	want(t, "status of m1 once they are written", replyStatus(retried), http.StatusAccepted)
@@ -114,7 +114,7 @@
 		if forget {
 			r.endedIDs = recentIDs{}
 		}
-		in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+		in := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.submit(in)
 		r.step()
 		want(t, name+": status", replyStatus(in), http.StatusAccepted)
@@ -123,7 +123,7 @@
 		r.record(journal.Record{Op: journal.OpEnd, ID: "m1"}) // the platform has accepted the notice
 		r.step()
 		want(t, name+": messages on record", r.journal.Len(), 0)
-		again := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+		again := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.submit(again)
 		r.step()
 		want(t, name+": pending messages once the notice is sent", len(r.pending), map[bool]int{false: 0, true: 1}[forget])
@@ -136,11 +136,11 @@
 func TestRecordedMessageIsNotRecordedAgain(t *testing.T) {
 	r := newSteppedRelay(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	for class, wantStatus := range map[string]int{"status-update": http.StatusServiceUnavailable, "payment": http.StatusInternalServerError} {
-		first := newIntake(t, r, context.Background(), class, class, time.Minute)
+		first := newAPIRequest(t, r, context.Background(), class, class, time.Minute)
 		if err := r.journal.Append(journal.Record{Op: journal.OpAccepted, Entry: first.entry}); err != nil {
 			t.Fatal(err)
 		}
-		in := newIntake(t, r, context.Background(), class, class, time.Minute)
+		in := newAPIRequest(t, r, context.Background(), class, class, time.Minute)
 		r.submit(in)
 		r.step()
 		want(t, class, replyStatus(in), wantStatus)
--- a/internal/relay/record_test.go
+++ b/internal/relay/record_test.go
@@ -88,13 +88,13 @@
 func TestNextProcessExitsWithoutAnswering(t *testing.T) {
 	for effect, status := range map[choice.Effect]int{choice.Safe: 503, choice.Keyed: 500, choice.Unsafe: 500} {
 		request := &apiRequest{entry: &journal.Entry{ID: "m", Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, reply: make(chan apiResponse, 1)}
-		r := &Relay{quit: make(chan struct{}), handoverState: handoverState{forwardedIntakes: map[int64]*apiRequest{1: request}}}
+		r := &Relay{quit: make(chan struct{}), handoverState: handoverState{forwardedRequests: map[int64]*apiRequest{1: request}}}
 		r.nextProcessExited()
 		want(t, "status", receive(t, request.reply, "answer").status, status)
-		want(t, "asked", len(r.forwardedIntakes), 0)
+		want(t, "asked", len(r.forwardedRequests), 0)
 	}
 	unknown := &apiRequest{entry: &journal.Entry{ID: "m"}, reply: make(chan apiResponse, 1)}
-	r := &Relay{handoverState: handoverState{forwardedIntakes: map[int64]*apiRequest{1: unknown}}}
+	r := &Relay{handoverState: handoverState{forwardedRequests: map[int64]*apiRequest{1: unknown}}}
 	r.answerAtExit()
 	want(t, "status of a message of unknown class", receive(t, unknown.reply, "answer").status, 500)
 }
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -33,8 +33,8 @@
 }
 
 func (m *message) answer(a apiResponse) {
-	for _, in := range m.unanswered {
-		in.reply <- a
+	for _, apiReq := range m.unanswered {
+		apiReq.reply <- a
 	}
 	m.unanswered = nil
 }
--- a/internal/relay/replica_capacity_test.go
+++ b/internal/relay/replica_capacity_test.go
@@ -53,7 +53,7 @@
 		t.Cleanup(replica.Close)
 		group.Replicas = append(group.Replicas, state.Replica{Name: fmt.Sprint("holder-", i), Addr: listener.Addr().String(), Folder: replica.Folder})
 	}
-	if err := r.markGroup(group, 1); err != nil {
+	if err := r.recordGroup(group, 1); err != nil {
 		t.Fatal(err)
 	}
 	stream := r.newGroupStream(group, 1)
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -32,7 +32,7 @@
 	fleetListenTimeout = 5 * time.Second
 )
 
-// replication is the replicated part of messageRecords. It belongs to the loop, and is nil in a relay that replicates
+// replicationState is the replicated part of messageRecords. It belongs to the loop, and is nil in a relay that replicates
 // nothing.
 type replicationState struct {
 	config         fleet.Config
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -21,7 +21,7 @@
 	r.fleetConfig = fleet.Open(t.TempDir(), "w", fleet.File{})
 	t.Cleanup(func() { close(r.quit) })
 	group := state.Group{ID: 1, Name: "r", Epoch: 1, Owner: "r", Writer: "w", Main: true, Copies: 1, Replicas: []state.Replica{{Name: "gone", Addr: "127.0.0.1:1", Folder: "f"}}}
-	if err := r.markGroup(group, 1); err != nil {
+	if err := r.recordGroup(group, 1); err != nil {
 		t.Fatal(err)
 	}
 	stream := r.newGroupStream(group, 1)
--- a/internal/relay/restart_test.go
+++ b/internal/relay/restart_test.go
@@ -44,7 +44,7 @@
 		queued := queuedNotices(r)
 		want(t, "notices", len(queued), 1)
 		want(t, "status of the notice", queued[0].Status, status)
-		in := newIntake(t, r, context.Background(), "m2", class, time.Minute)
+		in := newAPIRequest(t, r, context.Background(), "m2", class, time.Minute)
 		r.submit(in)
 		advanceClock(r, time.Minute)
 		r.step()
@@ -105,7 +105,7 @@
 // Guards against an end that is late by the time that a message took on its way from the previous process.
 func TestForwardedMessageTimeRunsInTransit(t *testing.T) {
 	r := newSteppedRelay(t, newFakePlatform(t, leavingHost()), t.TempDir())
-	in := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+	in := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.acceptForwarded(nil, handoverUpdate{RequestID: 1, Entry: in.entry, TimeLeft: 2 * time.Minute}) // received a minute ago
 	if timeLeft := r.pending["m1"].due - r.now(); timeLeft > time.Minute {
 		t.Errorf("%v left, want a minute at most", timeLeft)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -95,11 +95,11 @@
 // isIdle reports whether a stopping relay has nothing left to wait for.
 func (r *Relay) isIdle() bool {
 	inFlight := r.callsInFlight
-	if r.previousProcess != nil { // the process before this one may have calls in flight, whose outcomes arrive here
+	if r.previousProcess != nil { // the previous process may have calls in flight, whose outcomes arrive here
 		inFlight += len(r.previousProcess.calls)
 	}
 	if r.nextProcess != nil {
-		return inFlight == 0 && len(r.forwardedIntakes) == 0
+		return inFlight == 0 && len(r.forwardedRequests) == 0
 	}
 	if r.replication.hasUncommitted() { // clients wait for some: they get an answer, or their messages are removed from the record
 		return false
--- a/internal/relay/withdraw_test.go
+++ b/internal/relay/withdraw_test.go
@@ -62,7 +62,7 @@
 	r := newSteppedRelay(t, newFakePlatform(t, leavingHost()), t.TempDir())
 	r.inbox = make(chan func())
 	for n := range 40 {
-		apiReq := newIntake(t, r, context.Background(), fmt.Sprint("m", n), "payment", time.Minute)
+		apiReq := newAPIRequest(t, r, context.Background(), fmt.Sprint("m", n), "payment", time.Minute)
 		r.submit(apiReq)
 		r.step()
 		want(t, "status", replyStatus(apiReq), http.StatusAccepted)
@@ -83,7 +83,7 @@
 // its end is still to be reported.
 func TestWithdrawalNotSeenByLoop(t *testing.T) {
 	r := newSteppedRelay(t, newFakePlatform(t, leavingHost()), t.TempDir())
-	apiReq := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+	apiReq := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.submit(apiReq)
 	r.step()
 	r.stop()
@@ -97,7 +97,7 @@
 // record.
 func TestSameMessageOnTwoConnections(t *testing.T) {
 	second := func(r *Relay) *apiRequest {
-		apiReq := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+		apiReq := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 		r.submit(apiReq)
 		return apiReq
 	}
@@ -158,7 +158,7 @@
 // that was accepted on the first: it is delivered, and the client would submit it once more.
 func TestSecondConnectionLearnsOfPendingMessage(t *testing.T) {
 	r := newSteppedRelay(t, newFakePlatform(t, leavingHost()), t.TempDir())
-	first := newIntake(t, r, context.Background(), "m1", "payment", time.Minute)
+	first := newAPIRequest(t, r, context.Background(), "m1", "payment", time.Minute)
 	r.submit(first)
 	r.step()
 	want(t, "status on the first connection", replyStatus(first), http.StatusAccepted)
