--- a/choice/rules.go
+++ b/choice/rules.go
@@ -34,8 +34,8 @@
 		}
 	}
 	c.settings, c.tenantShares, c.maxTimeout, c.minAim = s, shares, 0, math.MaxInt64
-	for _, k := range s.Classes {
-		c.maxTimeout, c.minAim = max(c.maxTimeout, k.Aim), min(c.minAim, k.Aim)
+	for _, class := range s.Classes {
+		c.maxTimeout, c.minAim = max(c.maxTimeout, class.Aim), min(c.minAim, class.Aim)
 	}
 	c.checkInterval = max(s.Tick, c.minAim/checksPerAim)
 	c.pooledLatencies.rebucket(c.maxTimeout / buckets)
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -89,32 +89,32 @@
 	var stuck []*call
 	for d := range c.calledDests {
 		for _, u := range d.units {
-			for _, k := range u.calls {
-				if k.cancelled {
+			for _, stuckCall := range u.calls {
+				if stuckCall.cancelled {
 					return // one at a time
 				}
 				limit := c.silenceLimit(d)
 				if c.settings.MaxPending > 0 && 2*c.pending > c.settings.MaxPending {
 					limit /= 2
 				}
-				if u.lastServed >= k.sentAt {
+				if u.lastServed >= stuckCall.sentAt {
 					limit *= 2
 				}
-				limit *= time.Duration(k.messages[0].attempts)
-				if c.now-k.sentAt > limit {
-					stuck = append(stuck, k)
+				limit *= time.Duration(stuckCall.messages[0].attempts)
+				if c.now-stuckCall.sentAt > limit {
+					stuck = append(stuck, stuckCall)
 				}
 			}
 		}
 	}
 	slices.SortStableFunc(stuck, func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) })
-	for _, k := range stuck {
-		unsafe := slices.ContainsFunc(k.messages, func(m *message) bool { return m.class.Effect == Unsafe })
-		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-k.sentAt < 2*c.silenceLimit(k.host.dest) {
+	for _, stuckCall := range stuck {
+		unsafe := slices.ContainsFunc(stuckCall.messages, func(m *message) bool { return m.class.Effect == Unsafe })
+		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-stuckCall.sentAt < 2*c.silenceLimit(stuckCall.host.dest) {
 			continue
 		}
-		k.cancelled = true
-		for _, m := range k.messages {
+		stuckCall.cancelled = true
+		for _, m := range stuckCall.messages {
 			c.emit(Cancel{m.ID, m.attempts - 1})
 		}
 		return
@@ -155,13 +155,13 @@
 }
 
 // sendMessage makes a message part of a call.
-func (c *Chooser) sendMessage(m *message, k *call) {
-	m.timeout = c.timeout(m, k.host.unit)
+func (c *Chooser) sendMessage(m *message, sentCall *call) {
+	m.timeout = c.timeout(m, sentCall.host.unit)
 	c.dequeue(m)
 	m.attempts++
-	m.call = k
-	k.messages = append(k.messages, m)
-	s := Send{ID: m.ID, Host: k.host.Addr, Timeout: m.timeout}
+	m.call = sentCall
+	sentCall.messages = append(sentCall.messages, m)
+	s := Send{ID: m.ID, Host: sentCall.host.Addr, Timeout: m.timeout}
 	if m.mayHaveRun && m.class.Effect == Keyed {
 		s.Before = c.windowEnd(m)
 	}
--- a/internal/fleet/config.go
+++ b/internal/fleet/config.go
@@ -15,7 +15,7 @@
 	// Address is the address by which other relays reach it, if that differs from Listen.
 	Listen  string `json:"listen,omitempty"`
 	Address string `json:"address,omitempty"`
-	// Copies is the number of other relays that must have a record before it counts as stored; 0 for a relay that copies
+	// Copies is the number of other relays that must have a record before it is committed; 0 for a relay that copies
 	// nothing. OnShortage says what the relay does while fewer can be reached: ShortageRefuse or ShortageOwnDisk.
 	Copies     int    `json:"copies,omitempty"`
 	OnShortage string `json:"short,omitempty"`
--- a/internal/relay/agreement.go
+++ b/internal/relay/agreement.go
@@ -73,7 +73,7 @@
 	done := make(chan struct{})
 	r.post(func() {
 		defer close(done)
-		if r.nextProcess != nil { // the next process speaks for the relay
+		if r.nextProcess != nil { // the next process answers the keepers for this relay
 			return
 		}
 		var err error
--- a/internal/relay/backlog_faults_test.go
+++ b/internal/relay/backlog_faults_test.go
@@ -39,16 +39,16 @@
 }
 
 func (f *faultyStore) Next(dest, n, bytes int) ([]backlog.StoredMessage, error) {
-	hs, err := f.store.Next(dest, n, bytes)
-	for i := range hs {
-		hs[i].InDoubt = hs[i].InDoubt || f.markDoubtful
+	stored, err := f.store.Next(dest, n, bytes)
+	for i := range stored {
+		stored[i].InDoubt = stored[i].InDoubt || f.markDoubtful
 	}
-	return hs, errors.Join(err, f.nextErr)
+	return stored, errors.Join(err, f.nextErr)
 }
 
 func (f *faultyStore) Find(dest int, id string) (backlog.StoredMessage, bool, error) {
-	h, there, err := f.store.Find(dest, id)
-	return h, there, errors.Join(err, f.findErr)
+	message, found, err := f.store.Find(dest, id)
+	return message, found, errors.Join(err, f.findErr)
 }
 
 // startFaultyRelay starts a relay whose destination 7 is unavailable, with 30 messages of which most are on disk.
--- a/internal/relay/groups.go
+++ b/internal/relay/groups.go
@@ -60,6 +60,7 @@
 	return ok
 }
 
+// recordGroup records a replication group, its sets of replicas and the number of its next record in the journal.
 func (r *Relay) recordGroup(group state.Group, next uint64) error {
 	return r.journal.Append(journal.Record{Op: journal.OpGroupState, GroupState: &journal.GroupState{Group: group.ID, Name: group.Name, Main: group.Main, Copies: group.Copies, Sets: group.ReplicaSets(),
 		Copy: state.Copy{Epoch: group.Epoch, Writer: group.Writer, ContentWriter: group.Writer, ContentEpoch: group.Epoch, Next: next}}})
--- a/internal/relay/notices_test.go
+++ b/internal/relay/notices_test.go
@@ -14,7 +14,7 @@
 // Guards against a notice, and all notices behind it, waiting for one connection or one answer.
 func TestNoticesDoNotWaitForOneAnswer(t *testing.T) {
 	const from = 100 * time.Millisecond // time of the second POST; the first one left an idle connection
-	for name, act := range map[string]reaction{
+	for name, answer := range map[string]reaction{
 		"reused connection is silent":     {silent: true},
 		"reused connection is reset":      {reset: true},
 		"one answer is late":              {delay: 900 * time.Millisecond},
@@ -24,7 +24,7 @@
 		t.Run(name, func(t *testing.T) {
 			platform := &memoryPlatform{react: func(conn, post int, _ time.Duration) reaction {
 				if conn == 1 && post > 1 {
-					return act
+					return answer
 				}
 				return reaction{}
 			}}
@@ -128,9 +128,9 @@
 // Guards against notices that wait for an address which the platform has left.
 func TestNoticesFollowPlatformAddress(t *testing.T) {
 	const moved = 500 * time.Millisecond
-	for name, act := range map[string]reaction{"silent": {silent: true}, "errors": {status: http.StatusServiceUnavailable}} {
+	for name, answer := range map[string]reaction{"silent": {silent: true}, "errors": {status: http.StatusServiceUnavailable}} {
 		t.Run(name, func(t *testing.T) {
-			platform, next := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return act }}, &memoryPlatform{}
+			platform, next := &memoryPlatform{react: func(_, _ int, _ time.Duration) reaction { return answer }}, &memoryPlatform{}
 			inNoticeRig(t, platform, func(rig *noticeRig) {
 				rig.add(secondAddr, next)
 				rig.end("in flight")
--- a/internal/relay/replication.go
+++ b/internal/relay/replication.go
@@ -162,8 +162,8 @@
 			stream.shortSince = now
 			slog.Warn("too few replicas accept copies", "estate", stream.ID, "epoch", status.Epoch, "holders", status.ReplicaStates)
 		}
-		risk := r.replication.config.OnShortage == fleet.ShortageOwnDisk && stream.shortSince > 0 && now-stream.shortSince >= commitTimeout/2
-		stream.commitWaiters.Release(status.Committed, risk, now)
+		useOwnDisk := r.replication.config.OnShortage == fleet.ShortageOwnDisk && stream.shortSince > 0 && now-stream.shortSince >= commitTimeout/2
+		stream.commitWaiters.Release(status.Committed, useOwnDisk, now)
 		checkAgain = checkAgain || stream.commitWaiters.Len() > 0 || stream.shortSince > 0
 	}
 	r.sendDueNotices()
@@ -220,10 +220,10 @@
 
 // answerUncommitted answers the client of a message that has ended here without being committed.
 func (r *Relay) answerUncommitted(m *message) {
-	a, ending := withdrawnLocally(m.Entry), outcomeRefused
-	if a.status == http.StatusInternalServerError {
+	response, ending := withdrawnLocally(m.Entry), outcomeRefused
+	if response.status == http.StatusInternalServerError {
 		ending = outcomeFailed
 	}
 	r.metrics.countOutcome(m.Class, ending)
-	m.answer(a)
+	m.answer(response)
 }
--- a/internal/relay/replication_test.go
+++ b/internal/relay/replication_test.go
@@ -30,8 +30,8 @@
 	return r, stream
 }
 
-// bindMessage records a message as a step of the loop does.
-func bindMessage(t *testing.T, r *Relay, id string, effect choice.Effect) (*message, chan apiResponse) {
+// commitMessage records a message as a step of the loop does.
+func commitMessage(t *testing.T, r *Relay, id string, effect choice.Effect) (*message, chan apiResponse) {
 	t.Helper()
 	request := &apiRequest{ctx: context.Background(), reply: make(chan apiResponse, 1)}
 	m := &message{Entry: &journal.Entry{ID: id, Class: "c", Group: 1, Terms: &choice.Terms{Class: choice.Class{Effect: effect}}}, unanswered: []*apiRequest{request}}
@@ -53,8 +53,8 @@
 // unknown, and the record is removed.
 func TestNothingIsAcceptedWithoutCopies(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.ShortageRefuse)
-	_, keyed := bindMessage(t, r, "m1", choice.Keyed)
-	_, once := bindMessage(t, r, "m2", choice.Unsafe)
+	_, keyed := commitMessage(t, r, "m1", choice.Keyed)
+	_, once := commitMessage(t, r, "m2", choice.Unsafe)
 	r.checkCommits()
 	if len(keyed)+len(once) > 0 {
 		t.Fatal("a client is answered before its message is committed")
@@ -83,7 +83,7 @@
 // it without reporting the risk.
 func TestOwnDiskModeAcceptsAndReportsRisk(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.ShortageOwnDisk)
-	_, reply := bindMessage(t, r, "m1", choice.Unsafe)
+	_, reply := commitMessage(t, r, "m1", choice.Unsafe)
 	r.checkCommits()
 	r.startedAt = r.startedAt.Add(-commitTimeout)
 	r.checkCommits()
@@ -99,7 +99,7 @@
 // to know of it.
 func TestCallsWaitForCommittedRecords(t *testing.T) {
 	r, stream := newReplicatingRelay(t, fleet.ShortageRefuse)
-	m, _ := bindMessage(t, r, "m1", choice.Keyed)
+	m, _ := commitMessage(t, r, "m1", choice.Keyed)
 	for name, recordedAt := range map[string]time.Time{"not committed": time.Now(), "too late": time.Now().Add(-callStartTimeout)} {
 		r.events = nil
 		c := &call{host: &host{id: "h"}, members: []*message{m}, sends: []choice.Send{{ID: "m1", Host: "h", Timeout: time.Minute}}}
@@ -134,7 +134,7 @@
 // it as well.
 func TestWithdrawalWaitsForCopies(t *testing.T) {
 	r, _ := newReplicatingRelay(t, fleet.ShortageRefuse)
-	m, _ := bindMessage(t, r, "m1", choice.Keyed)
+	m, _ := commitMessage(t, r, "m1", choice.Keyed)
 	results := make(chan bool, 1)
 	want(t, "it is withdrawn", r.withdraw(m.ID, func(committed bool) { results <- committed }), true)
 	r.checkCommits()
