--- a/internal/lab/link/link.go
+++ b/internal/lab/link/link.go
@@ -44,7 +44,7 @@
 	Clock *history.Clock
 	mu    sync.Mutex
 	links map[[2]string]*Link
-	// partyListeners are the listeners of all PartyFronts.
+	// partyListeners are the listeners of all fronts of type PartyFront.
 	partyListeners []*net.TCPListener
 	diag           diag
 	// failure is the first failure of the lab's own sockets; nil for none.
@@ -130,8 +130,8 @@
 	n.diag.close()
 }
 
-// Dial opens a connection from an emulated party to the process at addr. Source is the IP address that it connects from; empty
-// for any. While the link is cut, it waits until ctx ends.
+// Dial opens a connection from an emulated party to the process at addr, from the IP address source, or from any if source is
+// empty. While the link is cut, it waits until ctx ends.
 func (n *Net) Dial(ctx context.Context, from, to, sourceIP, addr string) (*Conn, error) {
 	l := n.Link(from, to)
 	for l.cut() { // no packet reaches the other machine
--- a/internal/lab/link/party_front.go
+++ b/internal/lab/link/party_front.go
@@ -17,9 +17,9 @@
 	listener   *net.TCPListener
 }
 
-// ServeParty opens a front for the emulated party name at which all processes reach it. SenderByIP returns the name of the
-// process that sends from an address, or "" for an unknown one, whose connection is reset. Serve handles each connection;
-// Conn.Peer tells it the process.
+// ServeParty opens a front for the emulated party name at which all processes reach it. The function senderByIP returns
+// the name of the process that sends from an address, or "" for an unknown one, whose connection is reset. The function serve
+// handles each connection; Conn.Peer tells it the process.
 func (n *Net) ServeParty(name, addr string, senderByIP func(ip string) string, serve func(*Conn)) (*PartyFront, error) {
 	l, err := net.Listen("tcp4", addr)
 	if err != nil {
--- a/internal/lab/link/shared_front.go
+++ b/internal/lab/link/shared_front.go
@@ -33,7 +33,8 @@
 const maxInFlight = 1024
 
 // ShareProcess opens a front at ip for the process name, which listens at target. It serves TCP and UDP at the same port number.
-// SenderByIP returns the front of the process that sends from an address, or nil for an unknown one, which is not let through.
+// The function senderByIP returns the front of the process that sends from an address, or nil for an unknown one, which is not let
+// through.
 func (n *Net) ShareProcess(name, ip, target string, senderByIP func(ip string) *SharedFront) (*SharedFront, error) {
 	s := &SharedFront{name: name, net: n, senderByIP: senderByIP, targetAddr: target}
 	var err error
--- a/internal/lab/proc/proc.go
+++ b/internal/lab/proc/proc.go
@@ -53,7 +53,7 @@
 	return jobs
 })
 
-// Start starts a program. OnEnd is called after the process has ended, whether or not it was asked to.
+// Start starts a program. The function onEnd is called after the process has ended, whether or not it was asked to.
 func Start(s Spec, onEnd func(*Process)) (*Process, error) {
 	log, err := newCappedFile(s.Log, s.MaxLogBytes)
 	if err != nil {
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -82,8 +82,8 @@
 	return r.run.suspend(ctx, r.name, &r.mu, &r.process, &r.paused, duration)
 }
 
-// suspend stops a process with SIGSTOP for the given time and continues it. Mu guards process and paused; it is not held
-// meanwhile.
+// suspend stops a process with SIGSTOP for the given time and continues it. The lock mu guards process and paused; it is not
+// held meanwhile.
 func (run *labRun) suspend(ctx context.Context, name string, mu *sync.Mutex, process **proc.Process, paused *bool, duration time.Duration) error {
 	mu.Lock()
 	p := *process
--- a/internal/lab/rules/state.go
+++ b/internal/lab/rules/state.go
@@ -10,7 +10,7 @@
 
 // messageState is the state of a message submitted under one id.
 type messageState struct {
-	history.Event // the Hand event
+	history.Event // the RequestSent event
 	class         *history.Class
 	dueAt         int64
 	orphan        bool  // its relay's machine was lost, so another relay has to end it
