--- a/choice/fleet.go
+++ b/choice/fleet.go
@@ -80,8 +80,8 @@
 func (c *Chooser) fewCallsPerAim(u *unit) bool { return c.evenInterval(u) > c.minAim/4 }
 
 // maxPace returns the highest pace of one relay. All relays together may send no more than the
-// known rate, so neither may one. Where a call carries several messages and the even share is few
-// calls, it is little above that share: waiting messages can share a call, and reports of the other
+// known rate, and one relay no more than that either. Where a call carries several messages and the
+// even share is few calls, the highest pace is little above that share: waiting messages can share a call, and reports of the other
 // relays' calls would come too late.
 func (c *Chooser) maxPace(u *unit) float64 {
 	if u.sharesCalls && c.fewCallsPerAim(u) {
--- a/choice/health.go
+++ b/choice/health.go
@@ -52,16 +52,16 @@
 func (c *Chooser) trialDelay(u *unit) time.Duration {
 	window := c.settings.Rules.OverloadWindow
 	budget, _ := c.coldBudget(u, 0)
-	spread := 1.0 // headroom for chance; none where shares are below half a call and rarely coincide
+	spread := 1.0 // headroom for random coincidence; 1 where shares are below half a call, which rarely coincide
 	if budget >= 0.5 {
 		spread += 2 / math.Sqrt(budget*float64(c.settings.Fleet))
 	}
 	longest := max(window/3, min(2*c.settings.Rules.WarmUp, time.Duration(float64(window)/(budget*spread))))
-	gap := min(window/8<<min(u.failedTrials, 6), longest)
+	delay := min(window/8<<min(u.failedTrials, 6), longest)
 	if c.seldomCalls(u) {
-		gap = longest
+		delay = longest
 	}
-	return gap/2 + time.Duration(c.rand.Float64()*float64(gap))
+	return delay/2 + time.Duration(c.rand.Float64()*float64(delay))
 }
 
 // markSuspect starts an outage of a unit: from now on it gets single trials only.
--- a/choice/manual.go
+++ b/choice/manual.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// This file handles endpoints that operators disable and enable, and computes the budget of what
-// returns cold.
+// This file handles endpoints that operators disable and enable, and computes the budget of calls to
+// units and endpoints that return cold.
 
 // manualChange applies an operator's change. Operators restart what they disable, so an enabled
 // endpoint is cold.
@@ -84,8 +84,8 @@
 	return []time.Duration{c.now - sinceLast}
 }
 
-// withinBudget reports whether one more call stays within a share of the budget of what returned at
-// the given time: within that of the overload window or, where that is less than one call, within
+// withinBudget reports whether one more call stays within a share of the budget of a unit or host
+// that returned at the given time: within that of the overload window or, where that is less than one call, within
 // what has accrued since the last call.
 func (c *Chooser) withinBudget(sends []time.Duration, u *unit, returnedAt time.Duration, share float64) bool {
 	window, sum := c.coldBudget(u, c.now-returnedAt)
--- a/choice/restore.go
+++ b/choice/restore.go
@@ -32,7 +32,7 @@
 	if h == nil {
 		return
 	}
-	// The last three keep one answer from ending the outage.
+	// With these badStreak, mayHaveRun and sawErrors, a single answer does not end the outage.
 	h.unit.servedRate, h.unit.badStreak, h.unit.mayHaveRun, h.unit.sawErrors = e.BaseRate, 1, true, true
 	c.markSuspect(h.unit, h.dest, "unwell before the restart")
 	window, _ := c.coldBudget(h.unit, 0)
@@ -43,7 +43,7 @@
 }
 
 // clientRetryAfter returns when a client should best submit a refused message again: once a unit of
-// its destination may be called, and the messages that wait there are gone.
+// its destination may be called, and the messages that wait there have been served.
 func (c *Chooser) clientRetryAfter(d *dest) time.Duration {
 	earliest, servedRate := time.Duration(-1), 0.0
 	for _, u := range d.units {
--- a/choice/state.go
+++ b/choice/state.go
@@ -12,8 +12,8 @@
 // message is one message until its final answer and the outcome of its last attempt.
 type message struct {
 	Arrival
-	class        *Class // it was accepted under
-	maxAttempts  int    // it was accepted under
+	class        *Class // class as it was when the message was accepted
+	maxAttempts  int    // limit on attempts as it was then
 	dest         *dest
 	deadline     time.Duration
 	arrivedAt    time.Duration // time of the Step that received it
@@ -41,7 +41,7 @@
 type call struct {
 	host          *host
 	sentAt        time.Duration
-	messages      []*message // whose outcomes are due
+	messages      []*message // messages whose outcomes are not known yet
 	cancelled     bool       // a Cancel was sent
 	resumedNumber int        // number at the process that made the call; 0 if made by this one
 }
@@ -55,7 +55,7 @@
 	preference  float64         // random, so that relays prefer different hosts
 	failures    int             // in a row
 	retryAt     time.Duration   // earliest time of use at no extra cost after failures
-	pauseUntil  time.Duration   // no calls before this time, after a refusal as by one that drains
+	pauseUntil  time.Duration   // no calls before this time, after a refusal that suggests that it drains
 	recentSends []time.Duration // send times while it is cold after operators enabled it
 }
 
@@ -72,7 +72,7 @@
 type unit struct {
 	name           string
 	createdAt      time.Duration
-	listedRate     float64 // as listed
+	listedRate     float64 // calls per second accepted from all relays, as listed
 	knownRate      float64 // calls per second accepted from all relays: as listed, then as reported; 0 if unknown
 	hasReports     bool    // its answers carry load reports
 	sharesCalls    bool    // a call may carry more than one message
@@ -114,13 +114,14 @@
 	retrySuccess  *float64      // entry of its kind in Chooser.retrySuccess
 	pauseUntil    time.Duration // no calls before this time, by this relay's own choice
 	timeoutStreak int           // time-outs in a row with nothing served in between
-	// Of index: numbers by order of becoming known and of entering liveDests, calls in flight at the units,
-	// step up to which paces are updated, number of excluded endpoints, schedule, place in deferredDests.
+	// For index: position in the order of becoming known, and in that of entering liveDests; number of calls in
+	// flight at the units; number of Steps up to which the paces are updated; number of excluded endpoints; whether
+	// it is idle, active or deferred (destIdle ...); index in deferredDests.
 	knownNumber, liveNumber, unitCalls, pacedStep, excluded, schedule, heapIndex int
-	deferredUntil                                                                time.Duration // while deferred
-	// Until blockedUntil, none of the waiting messages with a queue number of up to blockedThrough
+	deferredUntil                                                                time.Duration // end of the deferral
+	// Before blockedUntil, none of the waiting messages with a queue number of up to blockedThrough
 	// may go to any of blockedHosts, unless something happens to the destination or to the keys of
-	// its messages. 0 for none.
+	// its messages. A blockedUntil of 0 means that nothing is known.
 	blockedUntil          time.Duration
 	blockedThrough        int
 	blockedHosts          []*host
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -89,32 +89,32 @@
 	var stuck []*call
 	for d := range c.calledDests {
 		for _, u := range d.units {
-			for _, stuckCall := range u.calls {
-				if stuckCall.cancelled {
+			for _, candidate := range u.calls {
+				if candidate.cancelled {
 					return // one at a time
 				}
 				limit := c.silenceLimit(d)
 				if c.settings.MaxPending > 0 && 2*c.pending > c.settings.MaxPending {
 					limit /= 2
 				}
-				if u.lastServed >= stuckCall.sentAt {
+				if u.lastServed >= candidate.sentAt {
 					limit *= 2
 				}
-				limit *= time.Duration(stuckCall.messages[0].attempts)
-				if c.now-stuckCall.sentAt > limit {
-					stuck = append(stuck, stuckCall)
+				limit *= time.Duration(candidate.messages[0].attempts)
+				if c.now-candidate.sentAt > limit {
+					stuck = append(stuck, candidate)
 				}
 			}
 		}
 	}
 	slices.SortStableFunc(stuck, func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) })
-	for _, stuckCall := range stuck {
-		unsafe := slices.ContainsFunc(stuckCall.messages, func(m *message) bool { return m.class.Effect == Unsafe })
-		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-stuckCall.sentAt < 2*c.silenceLimit(stuckCall.host.dest) {
+	for _, candidate := range stuck {
+		unsafe := slices.ContainsFunc(candidate.messages, func(m *message) bool { return m.class.Effect == Unsafe })
+		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-candidate.sentAt < 2*c.silenceLimit(candidate.host.dest) {
 			continue
 		}
-		stuckCall.cancelled = true
-		for _, m := range stuckCall.messages {
+		candidate.cancelled = true
+		for _, m := range candidate.messages {
 			c.emit(Cancel{m.ID, m.attempts - 1})
 		}
 		return
@@ -145,7 +145,7 @@
 		}
 		c.sendMessage(m, newCall)
 	}
-	// Further messages of a call weigh little: together they count as one more call.
+	// Further messages in a call cost the unit little: together they count as one more call.
 	weight := slices.Repeat([]time.Duration{c.now}, min(len(newCall.messages), 2))
 	u.recentSends = append(slices.DeleteFunc(u.recentSends, expired), weight...)
 	if _, warming := c.enabledAt[h.Addr]; warming {
