--- a/internal/relay/backlog_load.go
+++ b/internal/relay/backlog_load.go
@@ -128,7 +128,7 @@
 			slog.Error("cannot decode a message on disk", "err", err, "remedy", remedy.Of(err))
 			unpacked = &journal.Entry{ID: message.ID, Dest: message.Dest, Due: message.Due}
 		}
-		journaled := r.journal.Entry(message.ID) != nil // then the journal decides
+		journaled := r.journal.Entry(message.ID) != nil // if so, the journal's record of it applies
 		if !journaled {
 			records = append(records, journal.Record{Op: journal.OpAccepted, Entry: unpacked})
 		}
--- a/internal/relay/overflow.go
+++ b/internal/relay/overflow.go
@@ -49,15 +49,15 @@
 	dir           string // of the store, in the state directory
 	diskBytes     int64  // limit for the store
 	window        state.Window
-	queued        []*message       // to be stored by the next step
-	moving        []*movingMessage // in the journal, but still on disk
-	resentIDs     recentIDs        // messages sent on a second connection
-	checkQueue    []int            // destinations that may have capacity
-	checkQueued   map[int]bool
+	queued        []*message            // to be stored by the next step
+	moving        []*movingMessage      // in the journal, but still on disk
+	resentIDs     recentIDs             // messages sent on a second connection
+	checkQueue    []int                 // destinations that may have capacity
+	checkQueued   map[int]bool          // the destinations in checkQueue
 	lastServed    map[int]time.Duration // when a message to a destination was last delivered
-	lastCheckAll  time.Duration
-	readRetryAt   time.Duration // after a failed read, the time of the next one
-	removeRetryAt time.Duration // after a failed removal, the time of the next one
+	lastCheckAll  time.Duration         // when all destinations were last checked
+	readRetryAt   time.Duration         // after a failed read, the time of the next one
+	removeRetryAt time.Duration         // after a failed removal, the time of the next one
 	timer         *time.Timer
 	moreWork      bool // there is more to do than one turn did
 	fenced        bool // older versions refuse to start on the state directory
@@ -67,8 +67,8 @@
 // movingMessage is a message on its way from disk to the Chooser.
 type movingMessage struct {
 	entry     *journal.Entry
-	place     uint64 // on disk; 0 once it is removed
-	submitted bool   // to the Chooser
+	place     uint64 // sequence number on disk; 0 once it is removed from there
+	submitted bool   // the Chooser has it
 }
 
 func newOverflow(dir string, diskBytes int64, windowTotal state.Load) *overflow {
--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -20,18 +20,19 @@
 // message is an accepted message, or one about to be, whose end this relay must report.
 type message struct {
 	*journal.Entry
-	due         time.Duration
+	due         time.Duration // when its time is up, on the relay's clock
 	call        *call         // in flight; nil for none
 	unanswered  []*apiRequest // requests of its client that still wait for an answer; more than one if the client sent it again
 	resent      bool          // its client sent it on a second connection
 	transferred bool          // another relay has become responsible for it
-	ended       bool
+	ended       bool          // released: this process makes no more decisions about it
 	// cost is the part of the backlog window that it uses, in bytes; 0 while it uses none. served is set if it ended
 	// by a delivery.
 	cost   int
 	served bool
 }
 
+// answer answers all requests of the message's client that still wait.
 func (m *message) answer(a apiResponse) {
 	for _, apiReq := range m.unanswered {
 		apiReq.reply <- a
@@ -43,10 +44,10 @@
 type messageRecords struct {
 	journal           *journal.Journal
 	pending           map[string]*message
-	endedIDs          recentIDs
-	pendingRecords    []journal.Record
-	unrecordedNotices []notice // sent once they are recorded
-	pendingNotices    int      // number of notices that the platform has not accepted yet
+	endedIDs          recentIDs        // IDs of messages that ended recently
+	pendingRecords    []journal.Record // to be written by the next flush
+	unrecordedNotices []notice         // sent once they are recorded
+	pendingNotices    int              // number of notices that the platform has not accepted yet
 	notices           *noticeSender
 	flushScheduled    bool              // an attempt to write pendingRecords is scheduled
 	replication       *replicationState // nil in a relay that replicates nothing
@@ -66,7 +67,7 @@
 		}
 	}
 	for id, health := range r.journal.Outages() {
-		if r.previousProcess != nil { // the Chooser's memory, which was handed over, has more
+		if r.previousProcess != nil { // the Chooser's snapshot, which was handed over, includes the outages
 			break
 		}
 		r.events = append(r.events, choice.KnownOutage{Host: id, BaseRate: health.Base})
@@ -118,6 +119,7 @@
 	r.events = append(r.events, restored)
 }
 
+// record queues a record to be written by the next flush.
 func (r *Relay) record(record journal.Record) { r.pendingRecords = append(r.pendingRecords, record) }
 
 // queueNotice has a notice sent once its record is written.
