--- a/internal/relay/records.go
+++ b/internal/relay/records.go
@@ -25,7 +25,7 @@
 	unanswered  []*apiRequest // requests of its client that still wait for an answer; more than one if the client sent it again
 	resent      bool          // its client sent it on a second connection
 	transferred bool          // another relay has become responsible for it
-	ended       bool          // released: this process makes no more decisions about it
+	ended       bool          // this process makes no more decisions about it
 	// cost is the part of the backlog window that it uses, in bytes; 0 while it uses none. served is set if it ended
 	// by a delivery.
 	cost   int
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -39,7 +39,7 @@
 	startedAt      time.Time // zero of the relay's clock
 	clientServer   *http.Server
 	clientListener *limitListener
-	tcpListener    *net.TCPListener // the listening socket that listener wraps
+	tcpListener    *net.TCPListener // the listening socket that clientListener wraps
 	platformClient *http.Client     // for calls to discovery
 	// platformAddr is the current address of discovery and of the receiver of notices.
 	platformAddr       *discovery.Address
