--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -181,34 +181,34 @@
 	switch f.Kind {
 	case "outage":
 		for d := range dests {
-			w.partners.Out(d, true)
-			defer w.partners.Out(d, false)
+			w.partners.SetDown(d, true)
+			defer w.partners.SetDown(d, false)
 		}
 	case "shut":
 		for d := range dests {
-			w.partners.Shut(d, time.Duration(f.For))
+			w.partners.RefuseFor(d, time.Duration(f.For))
 		}
 	case "limit":
 		for d := range dests {
-			w.partners.Limit(d, f.Part)
-			defer w.partners.Limit(d, 1/f.Part)
+			w.partners.ScaleLimit(d, f.Part)
+			defer w.partners.ScaleLimit(d, 1/f.Part)
 		}
 	case "errors", "slow", "garble":
-		put := func(fails, slow, garbles float64) func(*platform.Trouble) {
-			return func(t *platform.Trouble) {
+		put := func(fails, slow, garbles float64) func(*platform.EndpointFaults) {
+			return func(t *platform.EndpointFaults) {
 				switch f.Kind {
 				case "errors":
-					t.Fails = fails
+					t.ErrorShare = fails
 				case "slow":
-					t.Slow = slow
+					t.SlowFactor = slow
 				case "garble":
-					t.Garbles = garbles
+					t.GarbledShare = garbles
 				}
 			}
 		}
 		for _, p := range parties {
-			w.partners.Trouble(p.Name, put(f.Part, f.Part, f.Part))
-			defer w.partners.Trouble(p.Name, put(0, 1, 0))
+			w.partners.ChangeFaults(p.Name, put(f.Part, f.Part, f.Part))
+			defer w.partners.ChangeFaults(p.Name, put(0, 1, 0))
 		}
 	}
 	w.rest(ctx, f.For)
--- a/internal/lab/faults_discovery.go
+++ b/internal/lab/faults_discovery.go
@@ -13,33 +13,33 @@
 	by := time.Duration(f.By)
 	switch f.Kind {
 	case "outage":
-		w.discovery.Down(true)
-		defer w.discovery.Down(false)
+		w.discovery.SetDown(true)
+		defer w.discovery.SetDown(false)
 	case "late-list":
-		w.discovery.Late(by)
-		defer w.discovery.Late(0)
+		w.discovery.DelayChanges(by)
+		defer w.discovery.DelayChanges(0)
 	case "slow-notices":
-		w.discovery.SlowNotices(by)
-		defer w.discovery.SlowNotices(0)
+		w.discovery.DelayNotices(by)
+		defer w.discovery.DelayNotices(0)
 	default:
-		w.discovery.Disturb(func(t *platform.ListTrouble) { setListTrouble(t, f.Kind, by, f.Part) })
-		defer w.discovery.Disturb(func(t *platform.ListTrouble) { setListTrouble(t, f.Kind, 0, 0) })
+		w.discovery.ChangeFaults(func(t *platform.ListFaults) { setListTrouble(t, f.Kind, by, f.Part) })
+		defer w.discovery.ChangeFaults(func(t *platform.ListFaults) { setListTrouble(t, f.Kind, 0, 0) })
 	}
 	w.rest(ctx, f.For)
 }
 
 // setListTrouble sets what a kind of fault of the list stands for.
-func setListTrouble(t *platform.ListTrouble, kind string, by time.Duration, part float64) {
+func setListTrouble(t *platform.ListFaults, kind string, by time.Duration, part float64) {
 	switch kind {
 	case "slow-lists":
-		t.Slow = by
+		t.Delay = by
 	case "busy-lists":
-		t.Busy = part
+		t.RefusedShare = part
 	case "cut-lists":
-		t.Cut = part
+		t.CutShare = part
 	case "stalled-lists":
-		t.Stall = part
+		t.StalledShare = part
 	case "mute-lists":
-		t.Mute = part
+		t.UnansweredShare = part
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -33,7 +33,7 @@
 	net       *link.Net
 	partners  *platform.Partners
 	discovery *platform.Discovery
-	front     *platform.Front
+	front     *platform.RelayPool
 	clients   *platform.Clients
 	strangers *platform.Strangers
 	relays    []*relay
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	defer giveBack()
-	w := &world{relayCores: relayCores, scenario: s, options: o, draw: platform.NewDraw(s), clock: history.NewClock(), front: platform.NewFront(),
+	w := &world{relayCores: relayCores, scenario: s, options: o, draw: platform.NewDraw(s), clock: history.NewClock(), front: platform.NewRelayPool(),
 		checker: rules.New(), on: map[string]int{}, rand: rand.New(rand.NewPCG(s.Seed, 0x4d))}
 	if o.Draw != nil {
 		w.draw = o.Draw
@@ -119,8 +119,8 @@
 	w.partners = platform.NewPartners(env)
 	w.discovery = platform.NewDiscovery(env, w.partners)
 	w.clients = platform.NewClients(env, w.front)
-	w.discovery.Noticed = w.clients.Noticed
-	w.strangers = &platform.Strangers{Env: env, Front: w.front, Source: w.block.strangerIP()}
+	w.discovery.OnNotice = w.clients.HandleNotice
+	w.strangers = &platform.Strangers{Env: env, Relays: w.front, Source: w.block.strangerIP()}
 	if err := w.openShared(); err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 		ends.Wait()
 		w.clients.Close()
 		w.net.Close()
-		w.discovery.Settle()
+		w.discovery.AwaitOutcomes()
 		w.record(history.Event{Kind: history.End})
 		w.mu.Lock()
 		w.closed = true
--- a/internal/lab/lose.go
+++ b/internal/lab/lose.go
@@ -138,7 +138,7 @@
 				ctx, cancel := context.WithTimeout(ctx, time.Second)
 				defer cancel()
 				asked := w.clock.Now()
-				if figures, err := platform.Figures(ctx, admin); err == nil {
+				if figures, err := platform.Metrics(ctx, admin); err == nil {
 					w.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, Whole: asked, Figures: figures})
 				}
 			}()
--- a/internal/lab/machine_test.go
+++ b/internal/lab/machine_test.go
@@ -80,7 +80,7 @@
 		void bool
 	}{{Lateness{1, 49, 300}, false}, {Lateness{1, 51, 300}, true}} {
 		s := scenario.Default()
-		w := &world{scenario: s, checker: rules.New(), net: link.NewNet(history.NewClock()), clients: platform.NewClients(platform.Env{Scenario: s}, platform.NewFront())}
+		w := &world{scenario: s, checker: rules.New(), net: link.NewNet(history.NewClock()), clients: platform.NewClients(platform.Env{Scenario: s}, platform.NewRelayPool())}
 		if r := w.result(c.late); (r.Void != "") != c.void {
 			t.Errorf("%+v: void is %q", c.late, r.Void)
 		}
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -65,7 +65,7 @@
 	if !out { // it may be sent to from now on
 		r.w.record(history.Event{Kind: history.ByHand, Relay: r.name, Endpoint: endpoint, How: how})
 	}
-	status, err := platform.ByHand(ctx, admin, endpoint, out)
+	status, err := platform.SetDisabled(ctx, admin, endpoint, out)
 	if out {
 		r.w.record(history.Event{Kind: history.ByHand, Relay: r.name, Endpoint: endpoint, How: how, Status: status})
 	}
--- a/internal/lab/platform/answer.go
+++ b/internal/lab/platform/answer.go
@@ -11,25 +11,25 @@
 
 // answer sends an answer, and records when the relay had it.
 func (e *endpoint) answer(j *job, status int, wait time.Duration) {
-	d, p := e.of, e.of.all
+	d, p := e.dest, e.dest.partners
 	header := ""
 	if wait > 0 {
 		wait = wait.Round(time.Millisecond)
 		header = fmt.Sprintf("Retry-After: %.3f\r\n", wait.Seconds())
 	}
 	d.mu.Lock()
-	drained := e.refuses
+	drained := e.drained
 	if !drained {
-		header += e.load()
+		header += e.loadHeader()
 	}
-	garbled := status < 400 && e.trouble.Garbles > 0 && d.rand.Float64() < e.trouble.Garbles
-	text, says := "", 0
+	garbled := status < 400 && e.faults.GarbledShare > 0 && d.rand.Float64() < e.faults.GarbledShare
+	text, garbledStatus := "", 0
 	if garbled {
-		text, says = garble(d.rand, j.many)
+		text, garbledStatus = garbledAnswer(d.rand, j.batch)
 	}
 	d.mu.Unlock()
 	var body []byte
-	if j.many && status == 200 {
+	if j.batch && status == 200 {
 		for _, id := range j.ids {
 			body = append(body, id+" ok\r\n"...)
 		}
@@ -37,7 +37,7 @@
 	written := func(at int64, ok bool) {
 		e := history.Event{T: at, Kind: history.Answer, Relay: j.relay, Call: j.call, Status: status, Wait: wait.Milliseconds()}
 		if garbled {
-			e.Status, e.How = says, history.Unreadable
+			e.Status, e.How = garbledStatus, history.Unreadable
 		}
 		if gone := j.conn.GoneAt(); gone > 0 && gone <= at { // it was written to nobody
 			e = history.Event{T: gone, Kind: history.Gone, Relay: j.relay, Call: j.call}
@@ -57,15 +57,15 @@
 
 // garble is an answer that no relay can read, and the status that it still tells: 200 where its first line says so
 // and it answers one message, else 0.
-func garble(r *rand.Rand, many bool) (text string, says int) {
-	junk := make([]byte, 20+r.IntN(200))
-	for i := range junk {
-		junk[i] = byte(r.Uint32())
+func garbledAnswer(r *rand.Rand, batch bool) (text string, status int) {
+	noise := make([]byte, 20+r.IntN(200))
+	for i := range noise {
+		noise[i] = byte(r.Uint32())
 	}
 	const ok = "HTTP/1.1 200 OK\r\n"
 	switch r.IntN(6) {
 	case 0:
-		return string(junk), 0
+		return string(noise), 0
 	case 1:
 		return "HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n", 0
 	case 2:
@@ -73,29 +73,29 @@
 	case 3:
 		text = ok + "Content-Length: many\r\n\r\n"
 	case 4:
-		text = ok + "Content-Length: 500\r\n\r\n" + string(junk)
+		text = ok + "Content-Length: 500\r\n\r\n" + string(noise)
 	default:
-		text = ok + "\x00" + string(junk) + "\r\n\r\n"
+		text = ok + "\x00" + string(noise) + "\r\n\r\n"
 	}
-	if many {
+	if batch {
 		return text, 0
 	}
 	return text, 200
 }
 
 // load is the report of an answer, which is as old as the last refreshing. The lock is held.
-func (e *endpoint) load() string {
-	d := e.of
+func (e *endpoint) loadHeader() string {
+	d := e.dest
 	if d.Rate <= 0 {
 		return ""
 	}
-	if now := time.Now(); now.Sub(e.reported).Seconds() > d.all.Draw.ReportEvery {
-		noise := func() float64 { return 1 + d.all.Draw.ReportNoise*d.rand.NormFloat64() }
-		data, err := json.Marshal(map[string]float64{"x0": max(0, d.left()*noise()), "x1": max(0, d.Rate*noise())})
+	if now := time.Now(); now.Sub(e.loadReportedAt).Seconds() > d.partners.Draw.ReportEvery {
+		noise := func() float64 { return 1 + d.partners.Draw.ReportNoise*d.rand.NormFloat64() }
+		data, err := json.Marshal(map[string]float64{"x0": max(0, d.remainingShare()*noise()), "x1": max(0, d.Rate*noise())})
 		if err != nil {
 			return ""
 		}
-		e.report, e.reported = "X-Load: "+string(data)+"\r\n", now
+		e.loadReport, e.loadReportedAt = "X-Load: "+string(data)+"\r\n", now
 	}
-	return e.report
+	return e.loadReport
 }
--- a/internal/lab/platform/clients_test.go
+++ b/internal/lab/platform/clients_test.go
@@ -20,7 +20,7 @@
 )
 
 // Guards against clients that lose a message, hand it in too often, or go by another rule than the protocol's.
-func TestClients(t *testing.T) {
+func TestClientSubmissions(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		answer func(n int, w http.ResponseWriter) // of the nth request
@@ -40,7 +40,7 @@
 		{"failed", func(_ int, w http.ResponseWriter) { w.WriteHeader(404) }, 1, 404},
 		{"no answer, then taken", func(n int, w http.ResponseWriter) {
 			if n == 1 {
-				time.Sleep(patience + 50*time.Millisecond)
+				time.Sleep(answerTimeout + 50*time.Millisecond)
 			}
 			w.WriteHeader(202)
 		}, 2, 202},
@@ -63,15 +63,15 @@
 			io.Copy(io.Discard, req.Body)
 			c.answer(nth, w)
 		}))
-		front := NewFront()
+		front := NewRelayPool()
 		front.Add("relay/0", relay.Listener.Addr().String())
-		front.Use("relay/0", true)
+		front.SetUsable("relay/0", true)
 		clients := NewClients(env.Env, front)
-		clients.hand(clients.draw(rand.New(rand.NewPCG(1, 1))), "")
+		clients.submit(clients.newMessage(rand.New(rand.NewPCG(1, 1))), "")
 		clients.Close()
 		relay.Close()
 		status := 0
-		for _, e := range env.all {
+		for _, e := range env.events {
 			if e.Kind == history.Heard {
 				status = e.Status
 			}
@@ -82,23 +82,23 @@
 	}
 }
 
-func TestFiguresAreRead(t *testing.T) {
+func TestMetricsAreParsed(t *testing.T) {
 	text := "svc.requests.a.served=12\nsvc.in_flight=3\n"
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) { fmt.Fprint(w, text) }))
 	defer s.Close()
 	addr := s.Listener.Addr().String()
-	got, err := Figures(context.Background(), addr)
+	got, err := Metrics(context.Background(), addr)
 	if err != nil || got["svc.in_flight"] != 3 || got["svc.requests.a.served"] != 12 {
 		t.Errorf("%v, %v", got, err)
 	}
 	text = "svc.in_flight=many\n"
-	if _, err := Figures(context.Background(), addr); err == nil {
+	if _, err := Metrics(context.Background(), addr); err == nil {
 		t.Error("a figure that is no number passes")
 	}
 }
 
 // Guards against strangers that are clients after all: what they send must be no message.
-func TestStrangersAreNoClients(t *testing.T) {
+func TestStrangersSendNoValidMessage(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	valid := []byte("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: s1\r\nX-Class: order-msg\r\nX-Tenant: a\r\nX-Deadline-Ms: 900\r\n" +
 		"Idempotency-Key: k\r\nX-Addressing: dest=0\r\nContent-Length: 5\r\n\r\nhello")
@@ -112,13 +112,13 @@
 		text, addressed := strings.CutPrefix(h.Get("X-Addressing"), "dest=")
 		dest, destErr := strconv.Atoi(text)
 		ms, msErr := strconv.Atoi(h.Get("X-Deadline-Ms"))
-		return err == nil && len(body) <= maxBody && req.TransferEncoding == nil && req.Method == "POST" && req.URL.Path == "/api" && addressed && destErr == nil && dest >= 0 &&
+		return err == nil && len(body) <= maxBodyBytes && req.TransferEncoding == nil && req.Method == "POST" && req.URL.Path == "/api" && addressed && destErr == nil && dest >= 0 &&
 			msErr == nil && ms >= 0 && h.Get("X-Class") == "order-msg" && h.Get("X-Request-Id") != ""
 	}
 	if !message(valid) {
 		t.Fatal("a message is not taken for one")
 	}
-	for _, m := range manners {
+	for _, m := range misuses {
 		for range 50 {
 			if sent := bytes.Join(m.pieces(r, valid), nil); message(sent) {
 				t.Fatalf("%s is a message: %q", m.name, sent)
--- a/internal/lab/platform/connections.go
+++ b/internal/lab/platform/connections.go
@@ -12,17 +12,17 @@
 // The connections that a client keeps.
 
 // connect takes a kept connection, or opens one.
-func (c *Clients) connect(client int, relay, addr string, end time.Time, fresh bool) (*clientConn, error) {
+func (c *Clients) connect(client int, relay, addr string, deadline time.Time, fresh bool) (*clientConn, error) {
 	key := connKey(client, relay)
 	for !fresh {
 		c.mu.Lock()
-		kept := c.idle[key]
-		if len(kept) == 0 {
+		idle := c.idle[key]
+		if len(idle) == 0 {
 			c.mu.Unlock()
 			break
 		}
-		conn := kept[len(kept)-1]
-		c.idle[key] = kept[:len(kept)-1]
+		conn := idle[len(idle)-1]
+		c.idle[key] = idle[:len(idle)-1]
 		c.mu.Unlock()
 		select {
 		case <-conn.Gone():
@@ -32,7 +32,7 @@
 		}
 		return conn, nil
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	source := ""
 	if c.ClientIP != nil {
@@ -46,7 +46,7 @@
 }
 
 // hasKept tells whether a client has a connection to a relay that it can use.
-func (c *Clients) hasKept(client int, relay string) bool {
+func (c *Clients) hasIdleConn(client int, relay string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.ContainsFunc(c.idle[connKey(client, relay)], func(conn *clientConn) bool {
@@ -63,14 +63,14 @@
 func connKey(client int, relay string) string { return fmt.Sprint(client, " ", relay) }
 
 // keep keeps a connection after an answer, unless one side has said that it ends it.
-func (c *Clients) keep(client int, relay string, conn *clientConn, last *http.Response) {
+func (c *Clients) releaseConn(client int, relay string, conn *clientConn, last *http.Response) {
 	conn.watch.stop()
 	conn.used = true
 	conn.SetReadDeadline(time.Time{})
 	key := connKey(client, relay)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if last.Close || conn.halfClosed || len(c.idle[key]) >= idleMost {
+	if last.Close || conn.halfClosed || len(c.idle[key]) >= maxIdleConns {
 		conn.Close()
 		return
 	}
@@ -81,8 +81,8 @@
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, kept := range c.idle {
-		for _, conn := range kept {
+	for _, idle := range c.idle {
+		for _, conn := range idle {
 			conn.Abort()
 		}
 	}
--- a/internal/lab/platform/discovery_test.go
+++ b/internal/lab/platform/discovery_test.go
@@ -17,20 +17,20 @@
 	p := NewPartners(env.Env)
 	d := NewDiscovery(env.Env, p)
 	var ends []string
-	d.Noticed = func(id, status string, _ time.Duration) { ends = append(ends, id+" "+status) }
-	d.Reach("relay/0", "endpoint/1", "127.0.0.1:77")
+	d.OnNotice = func(id, status string, _ time.Duration) { ends = append(ends, id+" "+status) }
+	d.SetAddr("relay/0", "endpoint/1", "127.0.0.1:77")
 	addr, err := d.Serve("relay/0", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	get := func(query string) (int, answer) {
+	get := func(query string) (int, endpointList) {
 		t.Helper()
 		resp, err := http.Get("http://" + addr + "/discovery/hosts" + query)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer resp.Body.Close()
-		var a answer
+		var a endpointList
 		if resp.StatusCode == 200 {
 			if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 				t.Fatal(err)
@@ -38,7 +38,7 @@
 		}
 		return resp.StatusCode, a
 	}
-	whole := len(p.eps)
+	whole := len(p.endpoints)
 	if status, a := get(""); status != 200 || !a.Full || a.Version != 1 || len(a.Servers) != whole || a.Servers[1].Addr != "127.0.0.1:77" {
 		t.Errorf("whole list: %d, %+v", status, a)
 	}
@@ -48,25 +48,25 @@
 	if _, a := get("?since=99&timeout_ms=1"); !a.Full {
 		t.Errorf("a watch from a version that is not there yet: %+v", a)
 	}
-	type said struct {
+	type listResult struct {
 		status int
-		answer
+		endpointList
 	}
-	watch := func(query string) chan said {
-		ch, before := make(chan said, 1), env.count(history.Asked)
-		go func() { status, a := get(query); ch <- said{status, a} }()
+	watch := func(query string) chan listResult {
+		ch, before := make(chan listResult, 1), env.count(history.Asked)
+		go func() { status, a := get(query); ch <- listResult{status, a} }()
 		for env.count(history.Asked) == before {
 			time.Sleep(time.Millisecond)
 		}
 		return ch
 	}
 	w := watch("?since=1&timeout_ms=60000")
-	d.Set("endpoint/1", "leaving", nil)
+	d.SetState("endpoint/1", "leaving", nil)
 	if got := <-w; got.Full || got.Version != 2 || len(got.Servers) != 1 || got.Servers[0].State != "leaving" {
 		t.Errorf("a watch that ends with a change: %+v", got)
 	}
 	left := make(chan struct{})
-	d.Set("endpoint/1", "left", func() { close(left) })
+	d.SetState("endpoint/1", "left", func() { close(left) })
 	<-left
 	if _, a := get(""); len(a.Servers) != whole-1 {
 		t.Errorf("%d endpoints in the whole list after one left, want %d", len(a.Servers), whole-1)
@@ -75,7 +75,7 @@
 		t.Errorf("a change since version 2: %+v", a)
 	}
 	w = watch("?since=3&timeout_ms=60000")
-	d.Down(true)
+	d.SetDown(true)
 	if got := <-w; got.status != 503 {
 		t.Errorf("a watch ends with %d as discovery goes down, want 503", got.status)
 	}
@@ -98,7 +98,7 @@
 	if got := strings.Join(ends, ", "); got != "a deferred, b undeliverable" {
 		t.Errorf("ends %q", got)
 	}
-	d.Down(false)
+	d.SetDown(false)
 	if status, _ := get(""); status != 200 {
 		t.Errorf("status %d once it is up again", status)
 	}
--- a/internal/lab/platform/draw.go
+++ b/internal/lab/platform/draw.go
@@ -64,17 +64,17 @@
 	Share float64
 }
 
-func between(r *rand.Rand, low, high float64) float64 { return low + r.Float64()*(high-low) }
+func uniform(r *rand.Rand, low, high float64) float64 { return low + r.Float64()*(high-low) }
 
 // NewDraw draws a platform within what a scenario says.
 func NewDraw(s *scenario.Scenario) *Draw {
 	r := rand.New(rand.NewPCG(s.Seed, 0x1a))
 	d := &Draw{Kinds: []Kind{{"big-buyers", 20}, {"small-partners", 1}},
 		Tenants: []Tenant{{"sibiu", 0.30}, {"brasov", 0.27}, {"arad", 0.19}, {"bacau", 0.15}, {"buhusi", 0.09}},
-		Honour:  between(r, 0.49, 0.99), Retries: r.IntN(2), Backoff: between(r, 0.73, 1.5), Notice: between(r, 0.87, 3.9),
-		ListDelay: between(r, 1.7, 4.9), ListCost: between(r, 0.002, 0.01), ReportEvery: between(r, 0.14, 0.89),
-		ReportNoise: between(r, 0.059, 0.14), Error: between(r, 0, 0.004), Cold: time.Duration(s.Platform.Cold).Seconds(),
-		Handshake: between(r, 0.001, 0.004)}
+		Honour:  uniform(r, 0.49, 0.99), Retries: r.IntN(2), Backoff: uniform(r, 0.73, 1.5), Notice: uniform(r, 0.87, 3.9),
+		ListDelay: uniform(r, 1.7, 4.9), ListCost: uniform(r, 0.002, 0.01), ReportEvery: uniform(r, 0.14, 0.89),
+		ReportNoise: uniform(r, 0.059, 0.14), Error: uniform(r, 0, 0.004), Cold: time.Duration(s.Platform.Cold).Seconds(),
+		Handshake: uniform(r, 0.001, 0.004)}
 	deadline := time.Duration(s.Load.Deadline)
 	for _, k := range s.Load.Classes {
 		class := history.Class{Name: "order-msg", Effect: "deduplicated", Window: deadline * 15 / 24,
@@ -87,23 +87,23 @@
 		}
 		d.Classes = append(d.Classes, class)
 	}
-	zipf, sum := between(r, 0.65, 0.96), 0.0
+	zipf, sum := uniform(r, 0.65, 0.96), 0.0
 	for i := range s.Platform.Destinations {
 		sum += math.Pow(float64(i+1), -zipf)
 	}
 	for i := range s.Platform.Destinations {
 		v := Dest{Number: i, Kind: i % 3 & 1, Share: math.Pow(float64(i+1), -zipf) / sum, Rate: s.Platform.Limit,
-			Median: time.Duration(s.Platform.Latency).Seconds() * between(r, 0.6, 1.6), Sigma: between(r, 0.3, 0.9),
-			Depth: between(r, 0.35, 0.98), ItemCost: between(r, 0.057, 0.23), ColdFrom: between(r, 0.29, 0.41),
+			Median: time.Duration(s.Platform.Latency).Seconds() * uniform(r, 0.6, 1.6), Sigma: uniform(r, 0.3, 0.9),
+			Depth: uniform(r, 0.35, 0.98), ItemCost: uniform(r, 0.057, 0.23), ColdFrom: uniform(r, 0.29, 0.41),
 			Conns: s.Fleet.Relays*8 + 16}
 		if i%3 == 1 { // one in three is large, counts in spans and takes many messages in a call
-			v.Kind, v.Window, v.Tells, v.Spend = 0, between(r, 1, 2), between(r, 0.62, 0.93), r.IntN(2) == 0
+			v.Kind, v.Window, v.Tells, v.Spend = 0, uniform(r, 1, 2), uniform(r, 0.62, 0.93), r.IntN(2) == 0
 		} else {
-			v.Kind, v.Wait, v.Tells, v.Spend = 1, between(r, 0.44, 2), between(r, 0.57, 0.98), true
+			v.Kind, v.Wait, v.Tells, v.Spend = 1, uniform(r, 0.44, 2), uniform(r, 0.57, 0.98), true
 		}
-		need := max(v.Rate, s.Load.Rate*v.Share*s.Load.Burst)
-		v.Capacity = need * between(r, 1.2, 1.5) / float64(s.Platform.Endpoints)
-		v.Listed = need * between(r, 0.67, 1.5)
+		requiredRate := max(v.Rate, s.Load.Rate*v.Share*s.Load.Burst)
+		v.Capacity = requiredRate * uniform(r, 1.2, 1.5) / float64(s.Platform.Endpoints)
+		v.Listed = requiredRate * uniform(r, 0.67, 1.5)
 		d.Dests = append(d.Dests, v)
 	}
 	return d
@@ -135,25 +135,25 @@
 	for _, t := range d.Tenants {
 		tenants = append(tenants, map[string]any{"name": t.Name, "fraction": t.Share, "quota-per-s": max(1, total*t.Share*1.2)})
 	}
-	var skus, own, per []any
+	var kindNames, ownLimits, perCall []any
 	for _, k := range d.Kinds {
-		skus, own, per = append(skus, k.Name), append(own, false), append(per, k.PerCall)
+		kindNames, ownLimits, perCall = append(kindNames, k.Name), append(ownLimits, false), append(perCall, k.PerCall)
 	}
-	var busy float64
+	var busyWorkers float64
 	for _, v := range d.Dests {
-		busy += total * v.Share * v.Median * math.Exp(v.Sigma*v.Sigma/2)
+		busyWorkers += total * v.Share * v.Median * math.Exp(v.Sigma*v.Sigma/2)
 	}
-	n := float64(s.Fleet.Relays)
+	relays := float64(s.Fleet.Relays)
 	// Messages held are bounded by memory, those on disk as well by that: a message of the load takes 500 to 700 bytes there.
-	held := max(32, int(total/n*8), int(s.Fleet.BacklogMB*1e6/500))
-	fees := make([]float64, len(s.Fleet.Zones))
+	maxPending := max(32, int(total/relays*8), int(s.Fleet.BacklogMB*1e6/500))
+	zoneFees := make([]float64, len(s.Fleet.Zones))
 	return map[string]any{
 		"bounds": map[string]any{"cancel": true, "conn-idle": 10.0, "cpu-us-per-request": 0.0, "cpu-us-per-s": 500000, "dial-timeout": 1.5,
-			"max-attempts": 8, "max-retry-after": 3.0, "most-held": held, "peers": false, "probes": false,
+			"max-attempts": 8, "max-retry-after": 3.0, "most-held": maxPending, "peers": false, "probes": false,
 			"retry-after": true, "second-copies": false, "streams-per-conn": 1},
 		"classes": classes, "client-habits": map[string]any{"marks-retry": false}, "domain-type": "deliver",
-		"family-info": map[string]any{"late": "halving", "own-limits": own, "per-call": per, "workers": max(8, int(busy/n*2.5)+4),
-			"refused-price": 0.05, "zone-fee": fees},
+		"family-info": map[string]any{"late": "halving", "own-limits": ownLimits, "per-call": perCall, "workers": max(8, int(busyWorkers/relays*2.5)+4),
+			"refused-price": 0.05, "zone-fee": zoneFees},
 		"fleet-size": s.Fleet.Relays, "index": index, "tier": 0, "tiers": []any{"partner-systems"},
 		"goal":             map[string]any{"whole": 0.4, "worst-class": 0.0, "worst-tenant": 0.35, "worst-window": 0.25},
 		"load-report":      map[string]any{"columns": []any{"x0", "x1"}, "how": "inline"},
@@ -161,7 +161,7 @@
 		"registry-mode": "subscribe",
 		"rules": map[string]any{"ask-within": 10.0, "cold": d.Cold, "cold-from": 0.29, "drain-grace": 1.0, "fall": 2.0,
 			"grace-to-answer": 0.3, "overload-factor": 1.5},
-		"skus": skus, "tenants": tenants, "tick": 0.005, "weights": "rough", "worth-by": "request",
+		"skus": kindNames, "tenants": tenants, "tick": 0.005, "weights": "rough", "worth-by": "request",
 		"zone": index % len(s.Fleet.Zones), "zones": s.Fleet.Zones,
 	}
 }
--- a/internal/lab/platform/endpoint.go
+++ b/internal/lab/platform/endpoint.go
@@ -11,36 +11,36 @@
 
 // endpoint is one machine of a destination.
 type endpoint struct {
-	name, id string // endpoint/3 in scenario and history, s-3 on the list
-	of       *partner
-	workers  int
-	busy     int
-	waiting  []*job
-	conns    int
-	refuses  bool // it has drained
-	trouble  Trouble
-	applied  map[string]time.Time // keys that took effect
-	report   string
-	reported time.Time
+	name, id       string // endpoint/3 in scenario and history, s-3 on the list
+	dest           *destination
+	workers        int
+	busy           int
+	waiting        []*job
+	conns          int
+	drained        bool // it has drained
+	faults         EndpointFaults
+	appliedKeys    map[string]time.Time // keys that took effect
+	loadReport     string
+	loadReportedAt time.Time
 }
 
 // job is a call that an endpoint has taken.
 type job struct {
-	call   int64
-	relay  string
-	conn   *link.Conn
-	many   bool
-	ids    []string
-	keys   []string
-	weight float64
-	done   func() // once
+	call  int64
+	relay string
+	conn  *link.Conn
+	batch bool
+	ids   []string
+	keys  []string
+	cost  float64
+	done  func() // once
 }
 
 func (e *endpoint) serve(relay string, c *link.Conn) {
-	d := e.of
-	time.Sleep(time.Duration(d.all.Draw.Handshake * float64(time.Second)))
+	d := e.dest
+	time.Sleep(time.Duration(d.partners.Draw.Handshake * float64(time.Second)))
 	d.mu.Lock()
-	over := e.conns >= d.Conns
+	overLimit := e.conns >= d.Conns
 	e.conns++
 	d.mu.Unlock()
 	defer func() {
@@ -48,31 +48,31 @@
 		e.conns--
 		d.mu.Unlock()
 	}()
-	const idle = 10 * time.Second
-	c.SetReadDeadline(time.Now().Add(idle))
+	const idleTimeout = 10 * time.Second
+	c.SetReadDeadline(time.Now().Add(idleTimeout))
 	var call int64
-	requests(c, maxBody, func(a *asked) bool {
+	serveRequests(c, maxBodyBytes, func(a *request) bool {
 		c.SetReadDeadline(time.Time{})
 		ended := make(chan struct{})
-		call = e.take(relay, a, over, func() { close(ended) })
+		call = e.receive(relay, a, overLimit, func() { close(ended) })
 		select {
 		case <-ended: // the answer is written at the front, or there will be none
 		case <-c.Gone(): // whether the relay still waits is known at the front alone
-			d.all.Record(history.Event{T: c.GoneAt(), Kind: history.Gone, Relay: relay, Call: call})
+			d.partners.Record(history.Event{T: c.GoneAt(), Kind: history.Gone, Relay: relay, Call: call})
 			return false
 		}
-		c.SetReadDeadline(time.Now().Add(idle))
-		return !over
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
+		return !overLimit
 	})
 	if at := c.GoneAt(); at > 0 && call > 0 { // perhaps as the last answer came, and without having read it
-		d.all.Record(history.Event{T: at, Kind: history.Gone, Relay: relay, Call: call})
+		d.partners.Record(history.Event{T: at, Kind: history.Gone, Relay: relay, Call: call})
 	}
 }
 
 // take decides what becomes of a call, as it comes. One on a connection too many is turned away.
-func (e *endpoint) take(relay string, a *asked, over bool, done func()) (call int64) {
-	d, p := e.of, e.of.all
-	j := &job{call: p.calls.Add(1), relay: relay, conn: a.conn, done: done, weight: 1}
+func (e *endpoint) receive(relay string, a *request, overLimit bool, done func()) (call int64) {
+	d, p := e.dest, e.dest.partners
+	j := &job{call: p.calls.Add(1), relay: relay, conn: a.conn, done: done, cost: 1}
 	bodies := [][]byte{a.body}
 	var err error
 	switch {
@@ -82,9 +82,9 @@
 			err = fmt.Errorf("a call without id")
 		}
 	case a.Method == "POST" && a.URL.Path == "/receive-many":
-		j.many = true
-		j.ids, j.keys, bodies, err = frames(a.body)
-		j.weight += d.ItemCost * float64(len(j.ids)-1)
+		j.batch = true
+		j.ids, j.keys, bodies, err = parseFrames(a.body)
+		j.cost += d.ItemCost * float64(len(j.ids)-1)
 	default:
 		err = fmt.Errorf("%s %s", a.Method, a.URL.Path)
 	}
@@ -93,21 +93,21 @@
 		e.answer(j, 400, 0)
 		return j.call
 	}
-	came := history.Event{T: p.Clock.Now(), Kind: history.Call, Relay: relay, Call: j.call, IDs: j.ids, Endpoint: e.name, Dest: d.Number,
-		Begun: a.begun, Whole: a.whole, Agreed: a.Header.Get("X-Agreed")}
+	event := history.Event{T: p.Clock.Now(), Kind: history.Call, Relay: relay, Call: j.call, IDs: j.ids, Endpoint: e.name, Dest: d.Number,
+		Begun: a.firstByteAt, Whole: a.lastByteAt, Agreed: a.Header.Get("X-Agreed")}
 	for i, b := range bodies {
-		came.Sums = append(came.Sums, Sum(append([]byte(j.keys[i]+"\n"), b...)))
+		event.Sums = append(event.Sums, Checksum(append([]byte(j.keys[i]+"\n"), b...)))
 	}
-	p.Record(came)
-	if j.many && len(j.ids) > p.Draw.Kinds[d.Kind].PerCall {
+	p.Record(event)
+	if j.batch && len(j.ids) > p.Draw.Kinds[d.Kind].PerCall {
 		e.answer(j, 413, 0)
 		return j.call
 	}
 	d.mu.Lock()
 	now := time.Now()
-	d.count(relay, now)
+	d.countArrival(relay, now)
 	status, wait := 503, time.Duration(0)
-	if !over {
+	if !overLimit {
 		status, wait = e.admit(j, now)
 	}
 	if status != 0 {
@@ -116,7 +116,7 @@
 		return j.call
 	}
 	if e.busy < e.workers {
-		e.begin(j)
+		e.start(j)
 	} else {
 		e.waiting = append(e.waiting, j)
 	}
@@ -125,49 +125,49 @@
 }
 
 // begin starts on a call. The lock is held.
-func (e *endpoint) begin(j *job) {
-	d := e.of
+func (e *endpoint) start(j *job) {
+	d := e.dest
 	e.busy++
-	takes := d.Median * math.Exp(d.Sigma*d.rand.NormFloat64()) * d.slow * e.trouble.Slow / d.warmth(time.Now()) * j.weight
-	time.AfterFunc(time.Duration(takes*float64(time.Second)), func() { e.finish(j) })
+	seconds := d.Median * math.Exp(d.Sigma*d.rand.NormFloat64()) * d.slowFactor * e.faults.SlowFactor / d.warmShare(time.Now()) * j.cost
+	time.AfterFunc(time.Duration(seconds*float64(time.Second)), func() { e.finish(j) })
 }
 
 // finish ends a call that has run, and starts on the next.
 func (e *endpoint) finish(j *job) {
-	d := e.of
+	d := e.dest
 	now := time.Now()
 	d.mu.Lock()
 	e.busy--
 	if len(e.waiting) > 0 && e.busy < e.workers {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.begin(next)
+		e.start(next)
 	}
-	if d.out || d.fallen { // its machine went down under it
+	if d.down || d.collapsed { // its machine went down under it
 		d.mu.Unlock()
 		j.done()
 		return
 	}
-	status, failed := 200, max(d.fails, e.trouble.Fails)
-	if d.rand.Float64() < max(d.all.Draw.Error, failed) {
+	status, failed := 200, max(d.errorShare, e.faults.ErrorShare)
+	if d.rand.Float64() < max(d.partners.Draw.Error, failed) {
 		status = 500
 	} else {
 		for _, key := range j.keys {
 			if key != "" {
-				e.applied[key] = now
+				e.appliedKeys[key] = now
 			}
 		}
-		if len(e.applied) > 4096 {
-			for key, at := range e.applied {
+		if len(e.appliedKeys) > 4096 {
+			for key, at := range e.appliedKeys {
 				if now.Sub(at) > time.Minute {
-					delete(e.applied, key)
+					delete(e.appliedKeys, key)
 				}
 			}
 		}
 	}
 	d.mu.Unlock()
 	if status == 200 {
-		d.all.Record(history.Event{T: d.all.Clock.At(now), Kind: history.Ran, Call: j.call})
+		d.partners.Record(history.Event{T: d.partners.Clock.At(now), Kind: history.Ran, Call: j.call})
 	}
 	e.answer(j, status, 0)
 }
--- a/internal/lab/platform/notices.go
+++ b/internal/lab/platform/notices.go
@@ -12,14 +12,14 @@
 // The platform's part that takes notices.
 
 // SlowNotices has the answer to each call with notices come so much later. What the call says is taken at once.
-func (d *Discovery) SlowNotices(by time.Duration) {
+func (d *Discovery) DelayNotices(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = by
+	d.noticeDelay = delay
 }
 
 // notices takes the ends of messages, also while discovery is down.
-func (d *Discovery) notices(relay string, a *asked) bool {
+func (d *Discovery) serveNotices(relay string, a *request) bool {
 	type notice struct {
 		ID     string `json:"id"`
 		Status string `json:"status"`
@@ -38,16 +38,16 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		d.Record(history.Event{T: a.whole, Kind: history.Notice, Relay: relay, ID: n.ID, How: n.Status, Wait: n.Again})
-		if d.Noticed != nil {
-			d.Noticed(n.ID, n.Status, time.Duration(n.Again)*time.Millisecond)
+		d.Record(history.Event{T: a.lastByteAt, Kind: history.Notice, Relay: relay, ID: n.ID, How: n.Status, Wait: n.Again})
+		if d.OnNotice != nil {
+			d.OnNotice(n.ID, n.Status, time.Duration(n.Again)*time.Millisecond)
 		}
 	}
 	d.mu.Lock()
-	slow := d.slow
+	delay := d.noticeDelay
 	d.mu.Unlock()
 	select {
-	case <-time.After(slow):
+	case <-time.After(delay):
 	case <-a.conn.Gone():
 	}
 	return respond(a.conn, http.StatusNoContent, "", nil, nil) == nil
--- a/internal/lab/platform/notices_test.go
+++ b/internal/lab/platform/notices_test.go
@@ -17,10 +17,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := make(chan struct{}, 1)
-	d.Noticed = func(string, string, time.Duration) { taken <- struct{}{} }
+	noticed := make(chan struct{}, 1)
+	d.OnNotice = func(string, string, time.Duration) { noticed <- struct{}{} }
 	const slow = 200 * time.Millisecond
-	d.SlowNotices(slow)
+	d.DelayNotices(slow)
 	answered := make(chan time.Time, 1)
 	begin := time.Now()
 	go func() {
@@ -30,7 +30,7 @@
 		}
 		answered <- time.Now()
 	}()
-	<-taken
+	<-noticed
 	if env.count(history.Notice) != 1 {
 		t.Error("the notice is not recorded as it comes")
 	}
--- a/internal/lab/platform/operate.go
+++ b/internal/lab/platform/operate.go
@@ -11,15 +11,15 @@
 )
 
 // Figures reads a relay's figures at its second address.
-func Figures(ctx context.Context, addr string) (map[string]float64, error) {
-	status, body, err := operate(ctx, "GET", addr, "/metrics")
+func Metrics(ctx context.Context, addr string) (map[string]float64, error) {
+	status, body, err := adminRequest(ctx, "GET", addr, "/metrics")
 	if err != nil {
 		return nil, err
 	}
 	if status != http.StatusOK {
 		return nil, fmt.Errorf("/metrics: status %d", status)
 	}
-	figures := map[string]float64{}
+	metrics := map[string]float64{}
 	for line := range bytes.Lines(body) {
 		name, value, ok := strings.Cut(strings.TrimSpace(string(line)), "=")
 		if !ok {
@@ -29,36 +29,36 @@
 		if err != nil {
 			return nil, fmt.Errorf("/metrics: %q", line)
 		}
-		figures[name] = v
+		metrics[name] = v
 	}
-	return figures, nil
+	return metrics, nil
 }
 
 // Ready tells whether a relay's second address says that it can serve.
 func Ready(ctx context.Context, addr string) bool {
-	status, _, err := operate(ctx, "GET", addr, "/ready")
+	status, _, err := adminRequest(ctx, "GET", addr, "/ready")
 	return err == nil && status/100 == 2
 }
 
 // ByHand takes an endpoint out at a relay, or gives it back.
-func ByHand(ctx context.Context, addr, endpoint string, out bool) (status int, err error) {
-	what := "enable"
-	if out {
-		what = "disable"
+func SetDisabled(ctx context.Context, addr, endpoint string, disabled bool) (status int, err error) {
+	action := "enable"
+	if disabled {
+		action = "disable"
 	}
-	status, _, err = operate(ctx, "PUT", addr, "/endpoints/"+what+"/"+ID(endpoint))
+	status, _, err = adminRequest(ctx, "PUT", addr, "/endpoints/"+action+"/"+ListedID(endpoint))
 	return status, err
 }
 
 // operators make one call on a connection.
-var operators = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-func operate(ctx context.Context, method, addr, path string) (int, []byte, error) {
+func adminRequest(ctx context.Context, method, addr, path string) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, nil)
 	if err != nil {
 		return 0, nil, err
 	}
-	resp, err := operators.Do(req)
+	resp, err := adminClient.Do(req)
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/lab/platform/partner.go
+++ b/internal/lab/platform/partner.go
@@ -25,7 +25,7 @@
 }
 
 // Sum is what the history keeps of a body.
-func Sum(body []byte) string {
+func Checksum(body []byte) string {
 	h := fnv.New64a()
 	h.Write(body)
 	return fmt.Sprintf("%016x", h.Sum64())
@@ -34,66 +34,66 @@
 // Partners are all destinations with their endpoints.
 type Partners struct {
 	Env
-	dests []*partner
-	eps   map[string]*endpoint
-	calls atomic.Int64
+	dests     []*destination
+	endpoints map[string]*endpoint
+	calls     atomic.Int64
 }
 
 // partner is one destination: limit, outages and coldness are of all its endpoints together.
-type partner struct {
+type destination struct {
 	*Dest
-	all *Partners
+	partners *Partners
 
-	mu       sync.Mutex
-	rand     *rand.Rand
-	eps      []*endpoint
-	tokens   float64
-	filled   time.Time
-	span     time.Time // when the span that runs began
-	counted  float64
-	shut     time.Time // until when it turns all away
-	fails    float64   // share of calls that fail
-	slow     float64   // calls take so many times as long
-	out      bool      // no endpoint answers
-	warmFrom time.Time // came back cold then; zero for warm
-	fallen   bool
-	arrivals []arrival // while cold
+	mu          sync.Mutex
+	rand        *rand.Rand
+	endpoints   []*endpoint
+	tokens      float64
+	tokensAt    time.Time
+	windowStart time.Time // when the span that runs began
+	windowCalls float64
+	shutUntil   time.Time // until when it turns all away
+	errorShare  float64   // share of calls that fail
+	slowFactor  float64   // calls take so many times as long
+	down        bool      // no endpoint answers
+	coldSince   time.Time // came back cold then; zero for warm
+	collapsed   bool
+	arrivals    []arrival // while cold
 }
 
 // NewPartners makes the destinations of a draw.
 func NewPartners(env Env) *Partners {
-	p := &Partners{Env: env, eps: map[string]*endpoint{}}
+	p := &Partners{Env: env, endpoints: map[string]*endpoint{}}
 	for i := range env.Draw.Dests {
-		d := &partner{Dest: &env.Draw.Dests[i], all: p, rand: rand.New(rand.NewPCG(env.Scenario.Seed, 0x100+uint64(i))),
-			slow: 1, filled: time.Now(), span: time.Now()}
-		d.tokens = d.burst()
+		d := &destination{Dest: &env.Draw.Dests[i], partners: p, rand: rand.New(rand.NewPCG(env.Scenario.Seed, 0x100+uint64(i))),
+			slowFactor: 1, tokensAt: time.Now(), windowStart: time.Now()}
+		d.tokens = d.burstCalls()
 		p.dests = append(p.dests, d)
 	}
 	for i := range env.Scenario.Platform.Destinations * env.Scenario.Platform.Endpoints {
 		d := p.dests[i%len(p.dests)]
-		e := &endpoint{name: fmt.Sprintf("endpoint/%d", i), id: fmt.Sprintf("s-%d", i), of: d, trouble: Trouble{Slow: 1}, applied: map[string]time.Time{}}
-		e.workers = max(1, int(math.Round(d.Capacity*d.mean())))
-		d.eps = append(d.eps, e)
-		p.eps[e.name] = e
+		e := &endpoint{name: fmt.Sprintf("endpoint/%d", i), id: fmt.Sprintf("s-%d", i), dest: d, faults: EndpointFaults{SlowFactor: 1}, appliedKeys: map[string]time.Time{}}
+		e.workers = max(1, int(math.Round(d.Capacity*d.meanSeconds())))
+		d.endpoints = append(d.endpoints, e)
+		p.endpoints[e.name] = e
 	}
 	return p
 }
 
 // mean is the mean time of a call in seconds.
-func (d *Dest) mean() float64 { return d.Median * math.Exp(d.Sigma*d.Sigma/2) }
+func (d *Dest) meanSeconds() float64 { return d.Median * math.Exp(d.Sigma*d.Sigma/2) }
 
 // burst is how many calls a plain rate lets through at once.
-func (d *Dest) burst() float64 { return max(1, d.Rate/4) }
+func (d *Dest) burstCalls() float64 { return max(1, d.Rate/4) }
 
 // Serve lets a relay reach an endpoint at an address of their own.
 func (p *Partners) Serve(relay, name, addr string) (string, error) {
-	e := p.eps[name]
+	e := p.endpoints[name]
 	return p.Net.Serve(relay, name, addr, func(c *link.Conn) { e.serve(relay, c) })
 }
 
 // ServeAll lets all relays reach an endpoint at one address.
 func (p *Partners) ServeAll(name, addr string, who func(ip string) string) (string, error) {
-	e := p.eps[name]
+	e := p.endpoints[name]
 	o, err := p.Net.ServeAll(name, addr, who, func(c *link.Conn) { e.serve(c.Peer(), c) })
 	if err != nil {
 		return "", err
@@ -102,4 +102,4 @@
 }
 
 // ID is the name of an endpoint on the list.
-func ID(name string) string { return "s-" + name[len("endpoint/"):] }
+func ListedID(name string) string { return "s-" + name[len("endpoint/"):] }
--- a/internal/lab/platform/pipeline.go
+++ b/internal/lab/platform/pipeline.go
@@ -6,71 +6,71 @@
 )
 
 // handed is one of two messages whose requests go out one behind the other.
-type handed struct {
-	m      *message
-	id     string
-	left   time.Duration
-	status int // of its answer; 0 for none
-	after  time.Duration
-	how    string // it was left without one
-	anew   bool   // its request may be written anew
+type pipelinedRequest struct {
+	message    *message
+	id         string
+	timeLeft   time.Duration
+	status     int // of its answer; 0 for none
+	retryAfter time.Duration
+	outcome    string // it was left without one
+	resend     bool   // its request may be written anew
 }
 
 // handBoth hands two messages in on one connection, the second one's request behind the first one's, and reads both answers.
 // What gets none is handed in as a client does that sends one request at a time.
-func (c *Clients) handBoth(first, second *message) {
-	relay, addr := c.Front.next()
+func (c *Clients) submitPipelined(first, second *message) {
+	relay, addr := c.Relays.next()
 	if relay == "" { // none is up
-		c.wait.Go(func() { c.hand(first, "") })
-		c.hand(second, "")
+		c.inProgress.Go(func() { c.submit(first, "") })
+		c.submit(second, "")
 		return
 	}
-	both := []*handed{{m: first}, {m: second}}
+	pair := []*pipelinedRequest{{message: first}, {message: second}}
 	var requests []byte
-	for _, h := range both {
-		h.left = h.m.class.Deadline - time.Since(h.m.begun)
-		h.id = c.begin(h.m, relay, h.left)
-		requests = append(requests, h.m.request(h.id, "", h.left)...)
+	for _, h := range pair {
+		h.timeLeft = h.message.class.Deadline - time.Since(h.message.createdAt)
+		h.id = c.startSubmission(h.message, relay, h.timeLeft)
+		requests = append(requests, h.message.request(h.id, "", h.timeLeft)...)
 	}
-	c.exchange(both, requests, relay, addr)
-	for _, h := range both {
-		c.wait.Go(func() { c.goOn(h, relay, addr) })
+	c.exchange(pair, requests, relay, addr)
+	for _, h := range pair {
+		c.inProgress.Go(func() { c.finishPipelined(h, relay, addr) })
 	}
 }
 
 // exchange writes the requests and reads the answers, as far as they come.
-func (c *Clients) exchange(both []*handed, requests []byte, relay, addr string) {
-	end := time.Now().Add(patience)
-	conn, err := c.connect(both[0].m.client, relay, addr, end, false)
+func (c *Clients) exchange(pair []*pipelinedRequest, requests []byte, relay, addr string) {
+	deadline := time.Now().Add(answerTimeout)
+	conn, err := c.connect(pair[0].message.client, relay, addr, deadline, false)
 	if err != nil {
-		for _, h := range both {
-			h.how = noConnection
+		for _, h := range pair {
+			h.outcome = noConnection
 		}
 		return
 	}
-	conn.send(requests, end)
+	conn.send(requests, deadline)
 	var last *http.Response
-	for i, h := range both {
-		resp, err := conn.answer()
+	for i, h := range pair {
+		resp, err := conn.readAnswer()
 		if err != nil {
-			how, anew := conn.ended(end)
-			for _, rest := range both[i:] {
-				rest.how, rest.anew = how, anew
+			outcome, resend := conn.giveUp(deadline)
+			for _, rest := range pair[i:] {
+				rest.outcome, rest.resend = outcome, resend
 			}
 			return
 		}
-		h.status, h.after = resp.StatusCode, c.heard(h.id, relay, conn, resp)
+		h.status, h.retryAfter = resp.StatusCode, c.recordAnswer(h.id, relay, conn, resp)
 		last = resp
 	}
-	c.keep(both[0].m.client, relay, conn, last)
+	c.releaseConn(pair[0].message.client, relay, conn, last)
 }
 
 // goOn does for one message what comes after the exchange.
-func (c *Clients) goOn(h *handed, relay, addr string) {
-	if h.anew {
-		h.status, h.after, h.how = c.try(h.m, h.id, relay, addr, "", h.left)
+func (c *Clients) finishPipelined(h *pipelinedRequest, relay, addr string) {
+	if h.resend {
+		h.status, h.retryAfter, h.outcome = c.try(h.message, h.id, relay, addr, "", h.timeLeft)
 	}
-	if mark, again := c.settle(h.m, h.id, relay, h.status, h.after, h.how); again {
-		c.hand(h.m, mark)
+	if retryMark, retry := c.finishSubmission(h.message, h.id, relay, h.status, h.retryAfter, h.outcome); retry {
+		c.submit(h.message, retryMark)
 	}
 }
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -18,20 +18,20 @@
 )
 
 // recorded is an Env whose events a test can look at.
-type recorded struct {
+type recordedEnv struct {
 	Env
-	mu  sync.Mutex
-	all []history.Event
+	mu     sync.Mutex
+	events []history.Event
 }
 
-func newEnv(t *testing.T, change func(*scenario.Scenario, *Draw)) *recorded {
+func newEnv(t *testing.T, change func(*scenario.Scenario, *Draw)) *recordedEnv {
 	t.Helper()
 	s := scenario.Default()
-	r := &recorded{}
+	r := &recordedEnv{}
 	r.Env = Env{Clock: history.NewClock(), Scenario: s, Record: func(e history.Event) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.all = append(r.all, e)
+		r.events = append(r.events, e)
 	}}
 	r.Net = link.NewNet(r.Clock)
 	t.Cleanup(r.Net.Close)
@@ -43,10 +43,10 @@
 	return r
 }
 
-func (r *recorded) count(kind history.Kind) (n int) {
+func (r *recordedEnv) count(kind history.Kind) (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.all {
+	for _, e := range r.events {
 		if e.Kind == kind {
 			n++
 		}
@@ -86,20 +86,20 @@
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
 		env := newEnv(t, func(_ *scenario.Scenario, d *Draw) {
-			d.Dests[0].Rate, d.Dests[0].Window, d.Dests[0].Spend = between(r, 1, 60), 0, r.IntN(2) == 0
+			d.Dests[0].Rate, d.Dests[0].Window, d.Dests[0].Spend = uniform(r, 1, 60), 0, r.IntN(2) == 0
 			if seed%2 == 0 {
-				d.Dests[0].Window = between(r, 0.5, 2)
+				d.Dests[0].Window = uniform(r, 0.5, 2)
 			}
 		})
 		d := NewPartners(env.Env).dests[0]
 		now := time.Now()
-		var let []time.Time
-		asked, refused := 0, 0
-		for end := now.Add(20 * time.Second); now.Before(end); asked++ {
-			now = now.Add(time.Duration(r.ExpFloat64() / d.Rate / between(r, 0.5, 3) * float64(time.Second)))
+		var allowed []time.Time
+		calls, refused := 0, 0
+		for end := now.Add(20 * time.Second); now.Before(end); calls++ {
+			now = now.Add(time.Duration(r.ExpFloat64() / d.Rate / uniform(r, 0.5, 3) * float64(time.Second)))
 			wait, ok := d.allow(now)
 			if ok {
-				let = append(let, now)
+				allowed = append(allowed, now)
 				continue
 			}
 			refused++
@@ -107,19 +107,19 @@
 				t.Fatalf("seed %d: refused with a wait of %v", seed, wait)
 			}
 		}
-		spare := d.burst() // of a plain rate; a span's end and the next one's start lie side by side
+		spare := d.burstCalls() // of a plain rate; a span's end and the next one's start lie side by side
 		if d.Window > 0 {
 			spare = d.Rate * d.Window
 		}
-		for i := range let {
-			for k := i; k < len(let); k++ {
-				if most := d.Rate*let[k].Sub(let[i]).Seconds() + spare + 1; float64(k-i+1) > most+1e-6 {
-					t.Fatalf("seed %d: %d calls within %v of a limit of %.1f/s", seed, k-i+1, let[k].Sub(let[i]), d.Rate)
+		for i := range allowed {
+			for k := i; k < len(allowed); k++ {
+				if most := d.Rate*allowed[k].Sub(allowed[i]).Seconds() + spare + 1; float64(k-i+1) > most+1e-6 {
+					t.Fatalf("seed %d: %d calls within %v of a limit of %.1f/s", seed, k-i+1, allowed[k].Sub(allowed[i]), d.Rate)
 				}
 			}
 		}
-		if len(let) == 0 || refused == 0 {
-			t.Errorf("seed %d: of %d calls %d were let through and %d refused", seed, asked, len(let), refused)
+		if len(allowed) == 0 || refused == 0 {
+			t.Errorf("seed %d: of %d calls %d were let through and %d refused", seed, calls, len(allowed), refused)
 		}
 	}
 }
@@ -138,7 +138,7 @@
 		"a - 99999999999999999999\r\n\r\n":        "error",
 		strings.Repeat("x", 700) + " - 0\r\n\r\n": "error",
 	} {
-		ids, keys, bodies, err := frames([]byte(body))
+		ids, keys, bodies, err := parseFrames([]byte(body))
 		got := make([]string, len(ids))
 		for i := range ids {
 			got[i] = ids[i] + "/" + keys[i] + "/" + string(bodies[i])
@@ -156,7 +156,7 @@
 func FuzzFrames(f *testing.F) {
 	f.Add([]byte("a k 5\r\nhello\r\nb - 0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		ids, keys, bodies, err := frames(body)
+		ids, keys, bodies, err := parseFrames(body)
 		if err == nil && (len(ids) == 0 || len(ids) != len(keys) || len(ids) != len(bodies)) {
 			t.Errorf("%d ids, %d keys, %d bodies", len(ids), len(keys), len(bodies))
 		}
@@ -166,10 +166,10 @@
 // Guards against a garbled answer that can be read, and one that tells another status than it is said to.
 func TestGarble(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
-	true200 := 0
+	status200Sum := 0
 	for i := range 3000 {
-		many := i%2 == 0
-		text, says := garble(r, many)
+		batch := i%2 == 0
+		text, status := garbledAnswer(r, batch)
 		resp, err := http.ReadResponse(bufio.NewReader(strings.NewReader(text)), nil)
 		if err == nil {
 			_, err = io.Copy(io.Discard, resp.Body)
@@ -177,12 +177,12 @@
 		if err == nil {
 			t.Fatalf("%q can be read", text)
 		}
-		if ok := strings.HasPrefix(text, "HTTP/1.1 200 OK\r\n"); says == 200 != (ok && !many) || says != 0 && says != 200 {
-			t.Fatalf("%q, many %v, is said to tell %d", text, many, says)
+		if ok := strings.HasPrefix(text, "HTTP/1.1 200 OK\r\n"); status == 200 != (ok && !batch) || status != 0 && status != 200 {
+			t.Fatalf("%q, many %v, is said to tell %d", text, batch, status)
 		}
-		true200 += says
+		status200Sum += status
 	}
-	if true200 == 0 {
+	if status200Sum == 0 {
 		t.Error("none is true")
 	}
 }
--- a/internal/lab/platform/request.go
+++ b/internal/lab/platform/request.go
@@ -29,79 +29,79 @@
 
 // The ways in which a client leaves without an answer.
 const (
-	noConnection = "no connection"
-	leftEarly    = "early"
-	noAnswer     = "no answer in time"
-	connEnded    = "connection ended"
+	noConnection   = "no connection"
+	abandonedEarly = "early"
+	noAnswer       = "no answer in time"
+	connEnded      = "connection ended"
 )
 
 // request is a message's request as it is written.
-func (m *message) request(id, mark string, left time.Duration) []byte {
+func (m *message) request(id, retryMark string, timeLeft time.Duration) []byte {
 	var head strings.Builder
 	fmt.Fprintf(&head, "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline-Ms: %d\r\n"+
-		"Content-Length: %d\r\nX-Addressing: dest=%d\r\n", id, m.class.Name, m.tenant, left.Milliseconds(), len(m.body), m.dest)
+		"Content-Length: %d\r\nX-Addressing: dest=%d\r\n", id, m.class.Name, m.tenant, timeLeft.Milliseconds(), len(m.body), m.dest)
 	if m.key != "" {
 		fmt.Fprintf(&head, "Idempotency-Key: %s\r\n", m.key)
 	}
-	if mark != "" {
-		fmt.Fprintf(&head, "X-Retry: %s\r\n", mark)
+	if retryMark != "" {
+		fmt.Fprintf(&head, "X-Retry: %s\r\n", retryMark)
 	}
 	return append([]byte(head.String()+"\r\n"), m.body...)
 }
 
 // try hands a message in once. Status 0 is no answer. A request that the relay may not have read when it ended the connection
 // is written once more on a new one; one that it had surely read is owed an answer.
-func (c *Clients) try(m *message, id, relay, addr, mark string, left time.Duration) (status int, after time.Duration, how string) {
-	request := m.request(id, mark, left)
-	end := time.Now().Add(patience)
-	if m.early {
-		end = time.Now().Add(earlyAfter)
+func (c *Clients) try(m *message, id, relay, addr, retryMark string, timeLeft time.Duration) (status int, retryAfter time.Duration, outcome string) {
+	request := m.request(id, retryMark, timeLeft)
+	deadline := time.Now().Add(answerTimeout)
+	if m.abandonsEarly {
+		deadline = time.Now().Add(earlyAbandonAfter)
 	}
-	for again := false; ; again = true {
-		conn, err := c.connect(m.client, relay, addr, end, again)
+	for resent := false; ; resent = true {
+		conn, err := c.connect(m.client, relay, addr, deadline, resent)
 		if err != nil {
 			return 0, 0, noConnection
 		}
-		kept := conn.used
-		conn.send(request, end)
+		reused := conn.used
+		conn.send(request, deadline)
 		if m.halfClosed {
 			conn.halfClosed = true
 			conn.CloseWrite()
 		}
-		resp, err := conn.answer()
+		resp, err := conn.readAnswer()
 		if err != nil {
-			how, anew := conn.ended(end)
+			outcome, resend := conn.giveUp(deadline)
 			switch {
-			case how == noAnswer && m.early:
-				return 0, 0, leftEarly
-			case anew && !again && !m.halfClosed && (kept || !conn.Broken()):
+			case outcome == noAnswer && m.abandonsEarly:
+				return 0, 0, abandonedEarly
+			case resend && !resent && !m.halfClosed && (reused || !conn.Broken()):
 				continue
 			}
-			return 0, 0, how
+			return 0, 0, outcome
 		}
-		after = c.heard(id, relay, conn, resp)
-		c.keep(m.client, relay, conn, resp)
-		return resp.StatusCode, after, ""
+		retryAfter = c.recordAnswer(id, relay, conn, resp)
+		c.releaseConn(m.client, relay, conn, resp)
+		return resp.StatusCode, retryAfter, ""
 	}
 }
 
 // heard records an answer, and tells after which time it asks the client to come again.
-func (c *Clients) heard(id, relay string, conn *clientConn, resp *http.Response) (after time.Duration) {
-	s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	after = time.Duration(s * float64(time.Second))
-	c.Record(history.Event{T: c.Clock.Now(), Kind: history.Heard, Relay: relay, ID: id, Status: resp.StatusCode, Wait: after.Milliseconds(),
-		Whole: conn.watch.written.Load()})
-	return after
+func (c *Clients) recordAnswer(id, relay string, conn *clientConn, resp *http.Response) (retryAfter time.Duration) {
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	retryAfter = time.Duration(seconds * float64(time.Second))
+	c.Record(history.Event{T: c.Clock.Now(), Kind: history.Heard, Relay: relay, ID: id, Status: resp.StatusCode, Wait: retryAfter.Milliseconds(),
+		Whole: conn.watch.writtenAt.Load()})
+	return retryAfter
 }
 
 // send writes requests, and waits for their answers until a time.
-func (c *clientConn) send(requests []byte, end time.Time) {
-	c.SetReadDeadline(end)
-	c.watch = c.watchRead(requests)
+func (c *clientConn) send(requests []byte, deadline time.Time) {
+	c.SetReadDeadline(deadline)
+	c.watch = c.sendWatched(requests)
 }
 
 // answer reads the next answer.
-func (c *clientConn) answer() (*http.Response, error) {
+func (c *clientConn) readAnswer() (*http.Response, error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err == nil {
 		_, err = io.Copy(io.Discard, resp.Body)
@@ -111,9 +111,9 @@
 
 // ended gives up a connection on which an answer is missing. It tells how the client leaves, and whether what was not answered
 // may be written anew on another connection, because it is not known to have been read.
-func (c *clientConn) ended(end time.Time) (how string, anew bool) {
+func (c *clientConn) giveUp(deadline time.Time) (outcome string, resend bool) {
 	read := c.watch.stop() || c.PeerClosedAfterReading()
-	late, broken := !time.Now().Before(end), c.Broken()
+	late, broken := !time.Now().Before(deadline), c.Broken()
 	c.Abort()
 	switch {
 	case late:
@@ -126,42 +126,42 @@
 
 // readWatch finds out whether the relay reads a request while its client waits for the answer.
 type readWatch struct {
-	read    atomic.Bool
-	written atomic.Int64 // when the last byte was written at the front; 0 if that is not known yet
-	over    chan struct{}
-	once    sync.Once
+	read      atomic.Bool
+	writtenAt atomic.Int64 // when the last byte was written at the front; 0 if that is not known yet
+	stopped   chan struct{}
+	stopOnce  sync.Once
 }
 
 // The times at which a watch looks: often at first, for most requests are answered at once.
 const (
-	lookFirst = 200 * time.Microsecond
-	lookEvery = time.Millisecond
-	lookOften = 50
-	lookLater = 5 * time.Millisecond
+	firstPollAfter   = 200 * time.Microsecond
+	pollInterval     = time.Millisecond
+	fastPolls        = 50
+	slowPollInterval = 5 * time.Millisecond
 )
 
 // watchRead writes a request and begins to look whether the relay has read it.
-func (c *clientConn) watchRead(request []byte) *readWatch {
-	w := &readWatch{over: make(chan struct{})}
+func (c *clientConn) sendWatched(request []byte) *readWatch {
+	w := &readWatch{stopped: make(chan struct{})}
 	c.Send(request, func(at int64, ok bool) {
 		if ok {
-			w.written.Store(at)
-			go w.look(c.PeerHasRead)
+			w.writtenAt.Store(at)
+			go w.poll(c.PeerHasRead)
 		}
 	})
 	return w
 }
 
 // look looks until the request is known to be read, or the watch is over.
-func (w *readWatch) look(hasRead func() bool) {
-	for n, wait := 0, lookFirst; ; n++ {
+func (w *readWatch) poll(hasRead func() bool) {
+	for n, wait := 0, firstPollAfter; ; n++ {
 		select {
-		case <-w.over:
+		case <-w.stopped:
 			return
 		case <-time.After(wait):
 		}
 		select {
-		case <-w.over:
+		case <-w.stopped:
 			return
 		default:
 		}
@@ -169,14 +169,14 @@
 			w.read.Store(true)
 			return
 		}
-		if wait = lookEvery; n > lookOften {
-			wait = lookLater
+		if wait = pollInterval; n > fastPolls {
+			wait = slowPollInterval
 		}
 	}
 }
 
 // stop ends the watch, and tells what it found.
 func (w *readWatch) stop() bool {
-	w.once.Do(func() { close(w.over) })
+	w.stopOnce.Do(func() { close(w.stopped) })
 	return w.read.Load()
 }
--- a/internal/lab/platform/request_test.go
+++ b/internal/lab/platform/request_test.go
@@ -20,33 +20,33 @@
 //	last    reads a request, answers that it ends the connection, and does
 //	read    reads a request and closes with no answer
 //	unread  closes once a request has begun to come, without reading it
-type closer struct {
+type scriptedRelay struct {
 	net.Listener
-	mu     sync.Mutex
-	script []string
-	ids    []string // of the requests that were read
+	mu      sync.Mutex
+	script  []string
+	readIDs []string // of the requests that were read
 }
 
 // newCloser starts a relay with a script, and a front that knows it.
-func newCloser(t *testing.T, script string) (*closer, *Front) {
+func newScriptedRelay(t *testing.T, script string) (*scriptedRelay, *RelayPool) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	relay := &closer{Listener: l, script: strings.Fields(script)}
+	relay := &scriptedRelay{Listener: l, script: strings.Fields(script)}
 	go relay.run()
-	front := NewFront()
+	front := NewRelayPool()
 	front.Add("relay/0", l.Addr().String())
-	front.Use("relay/0", true)
+	front.SetUsable("relay/0", true)
 	return relay, front
 }
 
 // unanswered is how many requests were read and got no answer.
-func (r *recorded) unanswered() (n int) {
+func (r *recordedEnv) unanswered() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, e := range r.all {
+	for _, e := range r.events {
 		if e.Kind == history.Left && e.How == history.Unanswered {
 			n++
 		}
@@ -54,7 +54,7 @@
 	return n
 }
 
-func (r *closer) next() (word string) {
+func (r *scriptedRelay) nextStep() (word string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	word = "answer"
@@ -64,7 +64,7 @@
 	return word
 }
 
-func (r *closer) run() {
+func (r *scriptedRelay) run() {
 	for {
 		conn, err := r.Accept()
 		if err != nil {
@@ -74,11 +74,11 @@
 	}
 }
 
-func (r *closer) serve(conn net.Conn) {
+func (r *scriptedRelay) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
-		word := r.next()
+		word := r.nextStep()
 		if word == "unread" {
 			io.ReadFull(conn, make([]byte, 1))
 			return
@@ -89,7 +89,7 @@
 		}
 		io.Copy(io.Discard, req.Body)
 		r.mu.Lock()
-		r.ids = append(r.ids, req.Header.Get("X-Request-Id"))
+		r.readIDs = append(r.readIDs, req.Header.Get("X-Request-Id"))
 		r.mu.Unlock()
 		if word == "read" {
 			return
@@ -121,24 +121,24 @@
 		{"read read answer", 3, 3, 2},
 	} {
 		env := newEnv(t, func(*scenario.Scenario, *Draw) {})
-		relay, front := newCloser(t, c.script)
+		relay, front := newScriptedRelay(t, c.script)
 		clients := NewClients(env.Env, front)
 		draws := rand.New(rand.NewPCG(1, 1))
 		if strings.HasPrefix(c.script, "answer ") { // one before, so that there is a kept connection
-			before := clients.draw(draws)
+			before := clients.newMessage(draws)
 			before.client = 0
-			clients.hand(before, "")
-			env.all, relay.ids = nil, nil
+			clients.submit(before, "")
+			env.events, relay.readIDs = nil, nil
 		}
-		m := clients.draw(draws)
+		m := clients.newMessage(draws)
 		m.client = 0
-		clients.hand(m, "")
+		clients.submit(m, "")
 		clients.Close()
 		relay.Close()
 		unanswered := env.unanswered()
-		if got := env.count(history.Hand); got != c.hands || len(relay.ids) != c.reads || unanswered != c.unanswered || env.count(history.Heard) != 1 {
+		if got := env.count(history.Hand); got != c.hands || len(relay.readIDs) != c.reads || unanswered != c.unanswered || env.count(history.Heard) != 1 {
 			t.Errorf("%s: handed in %d times, read %d times, %d times read with no answer, answered %d times; want %d, %d, %d, 1",
-				c.script, got, len(relay.ids), unanswered, env.count(history.Heard), c.hands, c.reads, c.unanswered)
+				c.script, got, len(relay.readIDs), unanswered, env.count(history.Heard), c.hands, c.reads, c.unanswered)
 		}
 	}
 }
@@ -157,11 +157,11 @@
 		{"read answer answer", 4, 2}, // both were read
 	} {
 		env := newEnv(t, func(*scenario.Scenario, *Draw) {})
-		relay, front := newCloser(t, c.script)
+		relay, front := newScriptedRelay(t, c.script)
 		clients := NewClients(env.Env, front)
 		draws := rand.New(rand.NewPCG(1, 1))
-		clients.handBoth(clients.draw(draws), clients.draw(draws))
-		clients.wait.Wait()
+		clients.submitPipelined(clients.newMessage(draws), clients.newMessage(draws))
+		clients.inProgress.Wait()
 		clients.Close()
 		relay.Close()
 		if got, lost := env.count(history.Hand), env.unanswered(); got != c.hands || lost != c.unanswered || env.count(history.Heard) != 2 {
@@ -173,13 +173,13 @@
 // Guards against a client that ends its sending and does not hear its answer, or uses the connection again.
 func TestHalfClosedRequests(t *testing.T) {
 	env := newEnv(t, func(*scenario.Scenario, *Draw) {})
-	relay, front := newCloser(t, "answer answer")
+	relay, front := newScriptedRelay(t, "answer answer")
 	clients := NewClients(env.Env, front)
 	draws := rand.New(rand.NewPCG(1, 1))
 	for range 2 {
-		m := clients.draw(draws)
+		m := clients.newMessage(draws)
 		m.client, m.halfClosed = 0, true
-		clients.hand(m, "")
+		clients.submit(m, "")
 	}
 	relay.Close()
 	if env.count(history.Hand) != 2 || env.count(history.Heard) != 2 || len(clients.idle) != 0 {
@@ -189,15 +189,15 @@
 
 // Guards against a watch that misses a request which is read only after a while.
 func TestReadWatch(t *testing.T) {
-	looks := 0
-	w := &readWatch{over: make(chan struct{})}
-	w.look(func() bool { looks++; return looks == 3 })
+	polls := 0
+	w := &readWatch{stopped: make(chan struct{})}
+	w.poll(func() bool { polls++; return polls == 3 })
 	if !w.stop() {
 		t.Error("a request that was read at the third look counts as unread")
 	}
-	w = &readWatch{over: make(chan struct{})}
+	w = &readWatch{stopped: make(chan struct{})}
 	if w.stop() {
 		t.Error("a request that nobody looked after counts as read")
 	}
-	w.look(func() bool { t.Error("it looks on after its end"); return true })
+	w.poll(func() bool { t.Error("it looks on after its end"); return true })
 }
--- a/internal/lab/platform/slowstart.go
+++ b/internal/lab/platform/slowstart.go
@@ -9,18 +9,18 @@
 )
 
 // warmth is the share of its capacity that a destination has at a time. The lock is held.
-func (d *partner) warmth(now time.Time) float64 {
-	if d.warmFrom.IsZero() {
+func (d *destination) warmShare(now time.Time) float64 {
+	if d.coldSince.IsZero() {
 		return 1
 	}
-	part := now.Sub(d.warmFrom).Seconds() / d.all.Draw.Cold
-	return min(1, d.ColdFrom+(1-d.ColdFrom)*max(0, part))
+	elapsedShare := now.Sub(d.coldSince).Seconds() / d.partners.Draw.Cold
+	return min(1, d.ColdFrom+(1-d.ColdFrom)*max(0, elapsedShare))
 }
 
 // The figures by which a destination that comes back is limited; relays have them in their settings.
 const (
-	fallSpan  = 2 * time.Second
-	fallTimes = 1.5
+	overloadWindow = 2 * time.Second
+	overloadFactor = 1.5
 )
 
 // arrival is a call that reached a destination in slow start.
@@ -31,41 +31,41 @@
 
 // count counts the calls that reach a destination in slow start, and has it fall over when they are too many. Whose they are,
 // and how many relays there are, makes no difference. The lock is held.
-func (d *partner) count(relay string, now time.Time) {
-	if d.warmFrom.IsZero() || d.fallen || d.out {
+func (d *destination) countArrival(relay string, now time.Time) {
+	if d.coldSince.IsZero() || d.collapsed || d.down {
 		return
 	}
-	if d.warmth(now) >= 1 {
-		d.warmFrom, d.arrivals = time.Time{}, nil
+	if d.warmShare(now) >= 1 {
+		d.coldSince, d.arrivals = time.Time{}, nil
 		return
 	}
 	d.arrivals = append(d.arrivals, arrival{now, relay})
-	d.arrivals = slices.DeleteFunc(d.arrivals, func(a arrival) bool { return now.Sub(a.at) > fallSpan })
-	allowed := fallTimes * d.capacity() * d.warmth(now) * fallSpan.Seconds()
+	d.arrivals = slices.DeleteFunc(d.arrivals, func(a arrival) bool { return now.Sub(a.at) > overloadWindow })
+	allowed := overloadFactor * d.capacity() * d.warmShare(now) * overloadWindow.Seconds()
 	calls := float64(len(d.arrivals))
 	if calls <= history.SlowStartMost(allowed) {
 		return
 	}
-	d.fallen = true
+	d.collapsed = true
 	figures := map[string]float64{"allowed": allowed, "calls": calls}
 	for _, a := range d.arrivals {
 		figures[a.relay]++
 	}
-	d.all.Record(history.Event{T: d.all.Clock.At(now), Kind: history.Fell, Dest: d.Number, Figures: figures,
-		Text: fmt.Sprintf("%.0f calls in %v, where %.1f are allowed and %.1f bearable", calls, fallSpan, allowed, history.SlowStartMost(allowed))})
+	d.partners.Record(history.Event{T: d.partners.Clock.At(now), Kind: history.Fell, Dest: d.Number, Figures: figures,
+		Text: fmt.Sprintf("%.0f calls in %v, where %.1f are allowed and %.1f bearable", calls, overloadWindow, allowed, history.SlowStartMost(allowed))})
 }
 
 // capacity is what a destination's endpoints do in a second once they are warm. The lock is held.
-func (d *partner) capacity() (calls float64) {
-	for _, e := range d.eps {
-		if !e.refuses {
-			calls += float64(e.workers) / d.mean()
+func (d *destination) capacity() (calls float64) {
+	for _, e := range d.endpoints {
+		if !e.drained {
+			calls += float64(e.workers) / d.meanSeconds()
 		}
 	}
 	return calls
 }
 
 // comeBack has a destination begin cold. The lock is held.
-func (d *partner) comeBack(now time.Time) {
-	d.warmFrom, d.arrivals, d.tokens, d.filled, d.counted, d.span = now, nil, d.burst(), now, 0, now
+func (d *destination) startCold(now time.Time) {
+	d.coldSince, d.arrivals, d.tokens, d.tokensAt, d.windowCalls, d.windowStart = now, nil, d.burstCalls(), now, 0, now
 }
--- a/internal/lab/platform/slowstart_test.go
+++ b/internal/lab/platform/slowstart_test.go
@@ -11,7 +11,7 @@
 )
 
 // coldEnv is a platform with one destination of a given capacity for each endpoint.
-func coldEnv(t *testing.T, capacity float64) *recorded {
+func coldEnv(t *testing.T, capacity float64) *recordedEnv {
 	return newEnv(t, func(s *scenario.Scenario, d *Draw) {
 		s.Platform.Destinations = 1
 		d.Cold, d.Dests[0].ColdFrom = 10, 0.3
@@ -21,44 +21,44 @@
 }
 
 // Guards against a destination in slow start that nothing pushes over, or that what it can bear does.
-func TestColdReturn(t *testing.T) {
+func TestOnlyOverloadCollapsesColdDestination(t *testing.T) {
 	for _, c := range []struct {
 		times float64 // of what it can do
 		falls bool
 	}{{1.2, false}, {2.2, true}} {
 		d := NewPartners(coldEnv(t, 100).Env).dests[0]
 		now := time.Now()
-		d.comeBack(now)
+		d.startCold(now)
 		for at := now; at.Before(now.Add(9 * time.Second)); {
-			d.count("relay/0", at)
-			at = at.Add(time.Duration(float64(time.Second) / (c.times * d.capacity() * d.warmth(at))))
+			d.countArrival("relay/0", at)
+			at = at.Add(time.Duration(float64(time.Second) / (c.times * d.capacity() * d.warmShare(at))))
 		}
-		if d.fallen != c.falls {
-			t.Errorf("%g times what it can do: fallen is %v", c.times, d.fallen)
+		if d.collapsed != c.falls {
+			t.Errorf("%g times what it can do: fallen is %v", c.times, d.collapsed)
 		}
 	}
 }
 
 // Guards against a bound on calls in slow start that depends on how many relays send them, or on how large the destination is.
-func TestSlowStartBindsEveryFleet(t *testing.T) {
+func TestSlowStartBoundIsIndependentOfFleetSize(t *testing.T) {
 	for _, capacity := range []float64{10, 100} {
 		for _, relays := range []int{1, 3, 300} {
 			env := coldEnv(t, capacity)
 			d := NewPartners(env.Env).dests[0]
 			now := time.Now()
-			d.comeBack(now)
-			most := int(math.Floor(history.SlowStartMost(fallTimes * d.capacity() * d.warmth(now) * fallSpan.Seconds())))
+			d.startCold(now)
+			most := int(math.Floor(history.SlowStartMost(overloadFactor * d.capacity() * d.warmShare(now) * overloadWindow.Seconds())))
 			for i := range most {
-				d.count(fmt.Sprintf("relay/%d", i%relays), now)
+				d.countArrival(fmt.Sprintf("relay/%d", i%relays), now)
 			}
-			if d.fallen {
+			if d.collapsed {
 				t.Errorf("capacity %g, %d relays: it fell at %d calls, its bound", capacity, relays, most)
 			}
-			d.count("relay/0", now)
-			if !d.fallen {
+			d.countArrival("relay/0", now)
+			if !d.collapsed {
 				t.Errorf("capacity %g, %d relays: it bears %d calls, one more than its bound", capacity, relays, most+1)
 			}
-			e := env.all[len(env.all)-1]
+			e := env.events[len(env.events)-1]
 			if e.Kind != history.Fell || e.Figures["calls"] != float64(most+1) || e.Figures["relay/0"] == 0 {
 				t.Errorf("it does not say how it fell: %v", e)
 			}
--- a/internal/lab/platform/strangers.go
+++ b/internal/lab/platform/strangers.go
@@ -18,39 +18,39 @@
 // relay owes each of them an error or a close within a time. They come by no link: nothing is wrong with theirs.
 type Strangers struct {
 	Env
-	Front  *Front
+	Relays *RelayPool
 	Source string // address that they come from; empty for any
 }
 
 // The times that a relay has for a peer, from its connection on: for one that has much to send, too.
 const (
-	owedIn     = 3 * time.Second
-	owedFlood  = 6 * time.Second
-	strangePut = 500 * time.Millisecond // how much longer the stranger looks on
-	floodBytes = 8 << 20
+	responseTimeout      = 3 * time.Second
+	floodResponseTimeout = 6 * time.Second
+	extraWait            = 500 * time.Millisecond // how much longer the stranger looks on
+	floodBytes           = 8 << 20
 )
 
 // manner is what a stranger sends: pieces, with a time between them.
-type manner struct {
-	name   string
-	pieces func(r *rand.Rand, valid []byte) [][]byte
-	every  time.Duration
-	flood  bool
+type misuse struct {
+	name     string
+	pieces   func(r *rand.Rand, valid []byte) [][]byte
+	interval time.Duration
+	flood    bool
 }
 
-func whole(text string) func(*rand.Rand, []byte) [][]byte {
+func fixedText(text string) func(*rand.Rand, []byte) [][]byte {
 	return func(*rand.Rand, []byte) [][]byte { return [][]byte{[]byte(text)} }
 }
 
 // edit is a valid request with one thing wrong.
-func edit(old, with string) func(*rand.Rand, []byte) [][]byte {
+func replaceInValid(old, with string) func(*rand.Rand, []byte) [][]byte {
 	return func(_ *rand.Rand, valid []byte) [][]byte {
 		return [][]byte{bytes.Replace(valid, []byte(old), []byte(with), 1)}
 	}
 }
 
 // manners are all of them. A valid request is for no stranger: it would be a message.
-var manners = []manner{
+var misuses = []misuse{
 	{name: "nothing", pieces: func(*rand.Rand, []byte) [][]byte { return nil }},
 	{name: "noise", pieces: func(r *rand.Rand, _ []byte) [][]byte {
 		junk := make([]byte, 1+r.IntN(2000))
@@ -60,14 +60,14 @@
 		return [][]byte{junk}
 	}},
 	{name: "a request that is cut", pieces: func(r *rand.Rand, valid []byte) [][]byte { return [][]byte{valid[:1+r.IntN(len(valid)-1)]} }},
-	{name: "a request byte by byte", every: 150 * time.Millisecond, pieces: func(_ *rand.Rand, valid []byte) [][]byte {
+	{name: "a request byte by byte", interval: 150 * time.Millisecond, pieces: func(_ *rand.Rand, valid []byte) [][]byte {
 		var all [][]byte
 		for i := range 30 {
 			all = append(all, valid[i:i+1])
 		}
 		return all
 	}},
-	{name: "headers without end", every: 20 * time.Millisecond, pieces: func(*rand.Rand, []byte) [][]byte {
+	{name: "headers without end", interval: 20 * time.Millisecond, pieces: func(*rand.Rand, []byte) [][]byte {
 		all := [][]byte{[]byte("POST /api HTTP/1.1\r\n")}
 		for i := range 200 {
 			all = append(all, fmt.Appendf(nil, "X-More-%d: %s\r\n", i, strings.Repeat("x", 1000)))
@@ -82,24 +82,24 @@
 		}
 		return all
 	}},
-	{name: "a length that is no number", pieces: edit("Content-Length: ", "Content-Length: x")},
-	{name: "a length below 0", pieces: edit("Content-Length: ", "Content-Length: -")},
-	{name: "two lengths", pieces: edit("Content-Length: ", "Content-Length: 1\r\nContent-Length: ")},
-	{name: "a length and chunks", pieces: edit("Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ")},
-	{name: "no destination", pieces: edit("X-Addressing: dest=", "X-Addressing: ")},
-	{name: "a destination that is no number", pieces: edit("dest=", "dest=x")},
-	{name: "an unknown class", pieces: edit("X-Class: ", "X-Class: no-")},
-	{name: "no id", pieces: edit("X-Request-Id", "X-Other-Id")},
-	{name: "no deadline", pieces: edit("X-Deadline-Ms", "X-Other-Ms")},
-	{name: "a deadline below 0", pieces: edit("X-Deadline-Ms: ", "X-Deadline-Ms: -")},
-	{name: "another path", pieces: edit("/api", "/apj")},
-	{name: "another protocol", pieces: whole("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")},
-	{name: "a greeting of TLS", pieces: whole("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03")},
+	{name: "a length that is no number", pieces: replaceInValid("Content-Length: ", "Content-Length: x")},
+	{name: "a length below 0", pieces: replaceInValid("Content-Length: ", "Content-Length: -")},
+	{name: "two lengths", pieces: replaceInValid("Content-Length: ", "Content-Length: 1\r\nContent-Length: ")},
+	{name: "a length and chunks", pieces: replaceInValid("Content-Length: ", "Transfer-Encoding: chunked\r\nContent-Length: ")},
+	{name: "no destination", pieces: replaceInValid("X-Addressing: dest=", "X-Addressing: ")},
+	{name: "a destination that is no number", pieces: replaceInValid("dest=", "dest=x")},
+	{name: "an unknown class", pieces: replaceInValid("X-Class: ", "X-Class: no-")},
+	{name: "no id", pieces: replaceInValid("X-Request-Id", "X-Other-Id")},
+	{name: "no deadline", pieces: replaceInValid("X-Deadline-Ms", "X-Other-Ms")},
+	{name: "a deadline below 0", pieces: replaceInValid("X-Deadline-Ms: ", "X-Deadline-Ms: -")},
+	{name: "another path", pieces: replaceInValid("/api", "/apj")},
+	{name: "another protocol", pieces: fixedText("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n")},
+	{name: "a greeting of TLS", pieces: fixedText("\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03")},
 	{name: "a line without end", pieces: func(*rand.Rand, []byte) [][]byte { return [][]byte{bytes.Repeat([]byte("a"), 1<<20)} }},
 }
 
 // Play has strangers come until the context ends, and returns once all have gone.
-func (s *Strangers) Play(ctx context.Context) {
+func (s *Strangers) Run(ctx context.Context) {
 	r := rand.New(rand.NewPCG(s.Scenario.Seed, 0x5e))
 	var open sync.WaitGroup
 	defer open.Wait()
@@ -109,19 +109,19 @@
 			return
 		case <-time.After(time.Duration(r.ExpFloat64() / s.Scenario.Load.Strangers * float64(time.Second))):
 		}
-		m := manners[i%len(manners)]
+		m := misuses[i%len(misuses)]
 		valid := fmt.Appendf(nil, "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: s%09x%08x\r\nX-Class: %s\r\nX-Tenant: %s\r\n"+
 			"X-Deadline-Ms: 900\r\nIdempotency-Key: %016x%016x\r\nX-Addressing: dest=0\r\nContent-Length: 5\r\n\r\nhello",
 			i, uint32(s.Scenario.Seed), s.Draw.Classes[0].Name, s.Draw.Tenants[0].Name, r.Uint64(), r.Uint64())
 		pieces := m.pieces(r, valid)
-		if relay, addr := s.Front.next(); relay != "" {
-			open.Go(func() { s.come(m, pieces, relay, addr) })
+		if relay, addr := s.Relays.next(); relay != "" {
+			open.Go(func() { s.runOne(m, pieces, relay, addr) })
 		}
 	}
 }
 
 // come has one stranger come, and records how it fared.
-func (s *Strangers) come(m manner, pieces [][]byte, relay, addr string) {
+func (s *Strangers) runOne(m misuse, pieces [][]byte, relay, addr string) {
 	d := net.Dialer{Timeout: time.Second}
 	if s.Source != "" {
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(s.Source)}
@@ -131,15 +131,15 @@
 		return
 	}
 	defer conn.Close()
-	e := history.Event{Kind: history.Stranger, Relay: relay, Begun: s.Clock.Now(), How: m.name, Left: owedIn.Milliseconds(), State: "waits"}
+	e := history.Event{Kind: history.Stranger, Relay: relay, Begun: s.Clock.Now(), How: m.name, Left: responseTimeout.Milliseconds(), State: "waits"}
 	if m.flood {
-		e.Left = owedFlood.Milliseconds()
+		e.Left = floodResponseTimeout.Milliseconds()
 	}
-	end := time.Now().Add(time.Duration(e.Left)*time.Millisecond + strangePut)
+	end := time.Now().Add(time.Duration(e.Left)*time.Millisecond + extraWait)
 	conn.SetDeadline(end)
-	var ended sync.WaitGroup
+	var writer sync.WaitGroup
 	stop := make(chan struct{})
-	ended.Go(func() {
+	writer.Go(func() {
 		for _, p := range pieces {
 			if _, err := conn.Write(p); err != nil {
 				return // what it was told, if anything, is to be read
@@ -147,7 +147,7 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(m.every):
+			case <-time.After(m.interval):
 			}
 		}
 	})
@@ -171,6 +171,6 @@
 	e.T = s.Clock.Now()
 	close(stop)
 	conn.Close()
-	ended.Wait()
+	writer.Wait()
 	s.Record(e)
 }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -38,8 +38,8 @@
 	}
 	loaded, unload := context.WithTimeout(ctx, time.Duration(w.scenario.Duration))
 	defer unload()
-	parts.Go(func() { w.clients.Play(loaded) })
-	parts.Go(func() { w.strangers.Play(loaded) })
+	parts.Go(func() { w.clients.Run(loaded) })
+	parts.Go(func() { w.strangers.Run(loaded) })
 	go w.watch(ctx, began, checks)
 	parts.Wait()
 	most := time.Duration(w.scenario.Load.Deadline) + 8*time.Second
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -70,7 +70,7 @@
 				return nil, err
 			}
 		}
-		w.discovery.Reach(r.name, p.Name, addr)
+		w.discovery.SetAddr(r.name, p.Name, addr)
 	}
 	discovery, err := w.discovery.Serve(r.name, ip+":0")
 	if err != nil {
@@ -164,7 +164,7 @@
 	}
 	r.now, r.admin = p, admin
 	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: p.PID, How: "ready"})
-	r.w.front.Use(r.name, true)
+	r.w.front.SetUsable(r.name, true)
 	return nil
 }
 
@@ -210,7 +210,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if r.n == n || r.now == nil { // it has not come back meanwhile
-			r.w.front.Use(r.name, false)
+			r.w.front.SetUsable(r.name, false)
 		}
 	})
 }
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -53,11 +53,11 @@
 		return nil
 	}
 	r.w.record(history.Event{Kind: history.Proc, Proc: r.name, PID: r.now.PID, How: "term"})
-	leave := time.AfterFunc(lastClients, func() { r.w.front.Leave(r.name) })
+	leave := time.AfterFunc(lastClients, func() { r.w.front.SetLeaving(r.name) })
 	r.now.End(killAfter)
 	r.now = nil
 	leave.Stop()
-	r.w.front.Use(r.name, false)
+	r.w.front.SetUsable(r.name, false)
 	return r.again(ctx, max(out, restartIn))
 }
 
@@ -134,7 +134,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	asked := r.w.clock.Now()
-	figures, err := platform.Figures(ctx, admin)
+	figures, err := platform.Metrics(ctx, admin)
 	if err != nil {
 		row.State = "silent"
 		return row
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -24,7 +24,7 @@
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &use) == nil {
 		r.LabCPU = float64(use.Utime.Nano()+use.Stime.Nano()) / 1e9
 	}
-	if behind := w.clients.Behind(); behind > tooFarBehind {
+	if behind := w.clients.MaxLag(); behind > tooFarBehind {
 		r.Void = fmt.Sprintf("the machine is too busy for this load: messages were handed in up to %.1f s late", behind.Seconds())
 	}
 	if late.P99 > float64(tooLate.Milliseconds()) {
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -48,10 +48,10 @@
 		w.weigh(parties, limit)
 	case "drain":
 		for _, p := range parties {
-			w.discovery.Set(p.Name, "leaving", func() {
+			w.discovery.SetState(p.Name, "leaving", func() {
 				time.AfterFunc(drainFor, func() {
-					w.partners.Drained(p.Name)
-					w.discovery.Set(p.Name, "left", nil)
+					w.partners.SetDrained(p.Name)
+					w.discovery.SetState(p.Name, "left", nil)
 				})
 			})
 		}
@@ -74,7 +74,7 @@
 func (w *world) weigh(parties []scenario.Party, limit float64) {
 	for _, p := range parties {
 		if p.Kind() == "endpoint" {
-			w.discovery.Weigh(p.Name, limit)
+			w.discovery.SetWeight(p.Name, limit)
 		}
 	}
 }
