--- a/internal/lab/platform/operate.go
+++ b/internal/lab/platform/admin.go
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Figures reads a relay's figures at its second address.
+// Metrics reads the metrics of a relay at its admin address. It returns an error if one of them is not a number.
 func Metrics(ctx context.Context, addr string) (map[string]float64, error) {
 	status, body, err := adminRequest(ctx, "GET", addr, "/metrics")
 	if err != nil {
@@ -27,20 +27,21 @@
 		}
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return nil, fmt.Errorf("/metrics: %q", line)
+			return nil, fmt.Errorf("/metrics: malformed line %q", line)
 		}
 		metrics[name] = v
 	}
 	return metrics, nil
 }
 
-// Ready tells whether a relay's second address says that it can serve.
+// Ready reports whether a relay answers at its admin address that it is ready to serve.
 func Ready(ctx context.Context, addr string) bool {
 	status, _, err := adminRequest(ctx, "GET", addr, "/ready")
 	return err == nil && status/100 == 2
 }
 
-// ByHand takes an endpoint out at a relay, or gives it back.
+// SetDisabled has an operator disable or enable an endpoint at a relay, at the relay's admin address. It returns the status of
+// the answer.
 func SetDisabled(ctx context.Context, addr, endpoint string, disabled bool) (status int, err error) {
 	action := "enable"
 	if disabled {
@@ -50,7 +51,7 @@
 	return status, err
 }
 
-// operators make one call on a connection.
+// adminClient opens a connection for each call.
 var adminClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 func adminRequest(ctx context.Context, method, addr, path string) (int, []byte, error) {
--- a/internal/lab/platform/admit.go
+++ b/internal/lab/platform/admit.go
@@ -4,7 +4,8 @@
 	"time"
 )
 
-// admit tells with which status a call is turned away, or 0. The lock is held.
+// admit returns the status with which a call is refused, and the wait that the answer advises, or 0 if the call is accepted.
+// The destination's lock must be held.
 func (e *endpoint) admit(j *job, now time.Time) (status int, wait time.Duration) {
 	d := e.dest
 	refuse := func(wait time.Duration) (int, time.Duration) {
@@ -28,7 +29,8 @@
 	return 0, 0
 }
 
-// allow counts a call against the limit of its destination. The lock is held.
+// allow counts a call against the rate limit of its destination. It reports whether the call is allowed, and if not, after
+// which time another one would be. The destination's lock must be held.
 func (d *destination) allow(now time.Time) (wait time.Duration, ok bool) {
 	if d.Rate <= 0 {
 		return 0, true
@@ -59,7 +61,8 @@
 	return 0, true
 }
 
-// left is the share of the allowance that is left. The lock is held.
+// remainingShare returns the share of the rate limit that is unused, from 0 to 1, or 0 if there is no limit. The destination's
+// lock must be held.
 func (d *destination) remainingShare() float64 {
 	switch {
 	case d.Rate <= 0:
--- a/internal/lab/platform/answer.go
+++ b/internal/lab/platform/answer.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/lab/history"
 )
 
-// answer sends an answer, and records when the relay had it.
+// answer sends the answer to a call and records when it was written to the relay, or that the relay had closed its connection.
 func (e *endpoint) answer(j *job, status int, wait time.Duration) {
 	d, p := e.dest, e.dest.partners
 	header := ""
@@ -39,7 +39,7 @@
 		if garbled {
 			e.Status, e.How = garbledStatus, history.Unreadable
 		}
-		if gone := j.conn.GoneAt(); gone > 0 && gone <= at { // it was written to nobody
+		if gone := j.conn.GoneAt(); gone > 0 && gone <= at { // the relay closed the connection before the answer
 			e = history.Event{T: gone, Kind: history.Gone, Relay: j.relay, Call: j.call}
 		}
 		if ok || e.Kind == history.Gone {
@@ -55,8 +55,8 @@
 	j.conn.Close()
 }
 
-// garble is an answer that no relay can read, and the status that it still tells: 200 where its first line says so
-// and it answers one message, else 0.
+// garbledAnswer returns an answer that cannot be parsed, and the status that its first line still conveys: 200 if that line
+// is valid and the call had a single message, else 0.
 func garbledAnswer(r *rand.Rand, batch bool) (text string, status int) {
 	noise := make([]byte, 20+r.IntN(200))
 	for i := range noise {
@@ -83,7 +83,8 @@
 	return text, 200
 }
 
-// load is the report of an answer, which is as old as the last refreshing. The lock is held.
+// loadHeader returns the X-Load header of an answer. The report is refreshed at most once in Draw.ReportEvery seconds and
+// carries noise; it is empty for destinations without a rate limit. The destination's lock must be held.
 func (e *endpoint) loadHeader() string {
 	d := e.dest
 	if d.Rate <= 0 {
--- a/internal/lab/platform/clients.go
+++ b/internal/lab/platform/clients.go
@@ -13,21 +13,21 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Clients are the mills' programs.
+// Clients emulates the programs that send messages to the relays.
 type Clients struct {
 	Env
 	Relays *RelayPool
 
 	mu           sync.Mutex
-	idle         map[string][]*clientConn // by client and relay
-	openMessages map[string]*message      // taken on, by id
+	idle         map[string][]*clientConn // unused connections, by client and relay
+	openMessages map[string]*message      // submitted messages that may still end with a notice, by id
 	inProgress   sync.WaitGroup
 	lastNumber   atomic.Int64
 	stopped      atomic.Bool
-	maxLagNanos  atomic.Int64 // the most by which a message was handed in late, nanoseconds
+	maxLagNanos  atomic.Int64 // longest delay of a submission behind its schedule, nanoseconds
 }
 
-// message is one that a client wants delivered, under whatever ids.
+// message is a message that a client wants delivered. It has an id of its own for each submission.
 type message struct {
 	firstID, key  string
 	class         history.Class
@@ -36,25 +36,25 @@
 	body          []byte
 	createdAt     time.Time
 	client        int
-	retries       int // times that it was handed in after a refusal
+	retries       int // submissions after a refusal
 	abandonsEarly bool
-	halfClosed    bool // its client ends its sending behind the request
+	halfClosed    bool // the client closes its sending side after the request
 }
 
-// The times of a client.
+// Limits of a client's submissions.
 const (
 	answerTimeout     = 400 * time.Millisecond
 	earlyAbandonAfter = 2 * time.Millisecond
 	maxIdleConns      = 4
-	maxSubmissions    = 4 // ids for one message, whatever becomes of them
+	maxSubmissions    = 4 // ids for one message, whatever their outcomes
 )
 
-// NewClients returns clients that hand nothing in yet.
+// NewClients returns clients that send to the relays of a pool once Run is called.
 func NewClients(env Env, relays *RelayPool) *Clients {
 	return &Clients{Env: env, Relays: relays, idle: map[string][]*clientConn{}, openMessages: map[string]*message{}}
 }
 
-// Play hands messages in until the context ends, at the scenario's rate. It returns once all have their answer.
+// Run submits messages at the scenario's rate until the context ends. It returns once the last submission has finished.
 func (c *Clients) Run(ctx context.Context) {
 	s, r := c.Scenario, rand.New(rand.NewPCG(c.Scenario.Seed, 0x2b))
 	earlyDraws := rand.New(rand.NewPCG(c.Scenario.Seed, 0x3c))
@@ -64,7 +64,7 @@
 	for i := 0; ctx.Err() == nil && s.Load.Rate > 0; i++ {
 		rate := s.Load.Rate
 		if s.Load.Burst > 1 {
-			if next.After(burstTo) { // a burst of a few seconds, a third of the time
+			if next.After(burstTo) { // bursts last 2 to 4 s and take about a third of the time
 				burstFrom = next.Add(time.Duration(uniform(r, 3, 8) * float64(time.Second)))
 				burstTo = burstFrom.Add(time.Duration(uniform(r, 2, 4) * float64(time.Second)))
 			}
@@ -108,10 +108,10 @@
 	c.inProgress.Wait()
 }
 
-// Behind is the most by which the load was late: then it was not the load that was asked for.
+// MaxLag returns the longest delay of a submission behind its schedule. If it is large, the load was not that of the scenario.
 func (c *Clients) MaxLag() time.Duration { return time.Duration(c.maxLagNanos.Load()) }
 
-// draw makes a message.
+// newMessage draws a message at random.
 func (c *Clients) newMessage(r *rand.Rand) *message {
 	pick := func(n int, share func(int) float64) int {
 		v := r.Float64()
@@ -138,7 +138,8 @@
 	return m
 }
 
-// hand has a message taken on, or gives it up.
+// submit sends a message to relays until one answers without asking for a retry, or until the message's deadline or maxSubmissions
+// is reached.
 func (c *Clients) submit(m *message, retryMark string) {
 	for submissions := 0; submissions < maxSubmissions; submissions++ {
 		timeLeft := m.class.Deadline - time.Since(m.createdAt)
@@ -146,7 +147,7 @@
 			return
 		}
 		relay, addr := c.chooseRelay(m.client)
-		if relay == "" { // none is up
+		if relay == "" { // no relay is usable
 			time.Sleep(50 * time.Millisecond)
 			submissions--
 			continue
@@ -160,8 +161,8 @@
 	}
 }
 
-// relayFor is the relay that a client hands its next message in to: in turn, but for some that go on with a connection which they
-// have to a relay that leaves.
+// chooseRelay returns the relay to which a client submits its next message: round robin, except that one message in
+// leavingRelayOneIn uses a connection that the client has to a relay that is leaving.
 func (c *Clients) chooseRelay(client int) (relay, addr string) {
 	if rand.IntN(leavingRelayOneIn) == 0 {
 		if relay, addr = c.Relays.leavingRelay(func(relay string) bool { return c.hasIdleConn(client, relay) }); relay != "" {
@@ -171,10 +172,10 @@
 	return c.Relays.next()
 }
 
-// leavingPart is one in how many messages goes to a relay that leaves, if its client has a connection there.
+// leavingRelayOneIn is the number of messages of which one goes to a leaving relay, if its client has a connection there.
 const leavingRelayOneIn = 3
 
-// begin gives a message an id under which it is handed in to a relay, and records that.
+// startSubmission assigns the id under which a message is submitted to a relay, and records the submission.
 func (c *Clients) startSubmission(m *message, relay string, timeLeft time.Duration) (id string) {
 	id = fmt.Sprintf("m%09x%08x", c.lastNumber.Add(1), uint32(c.Scenario.Seed))
 	if m.firstID == "" {
@@ -193,7 +194,8 @@
 	return id
 }
 
-// settle does what a client does after it has tried, and tells whether and with which mark it hands the message in again.
+// finishSubmission handles the outcome of a submission. It reports whether the client submits the message again, and the value
+// of the X-Retry header for that, empty for none. A status of 0 means that there was no answer.
 func (c *Clients) finishSubmission(m *message, id, relay string, status int, retryAfter time.Duration, outcome string) (retryMark string, retry bool) {
 	switch status {
 	case 0:
@@ -206,14 +208,15 @@
 	return "", false
 }
 
-// forget drops an id whose end makes no difference any more.
+// forget drops an id whose outcome no longer matters.
 func (c *Clients) forget(id string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.openMessages, id)
 }
 
-// comeAgain waits as a client does that was refused, and tells whether it hands the message in again.
+// waitToRetry waits as a client does after a refusal, and reports whether it submits the message again. Some clients honour the
+// advised wait, up to 3 s; the others use the draw's backoff.
 func (c *Clients) waitToRetry(m *message, retryAfter time.Duration) bool {
 	if m.retries >= c.Draw.Retries {
 		return false
@@ -230,7 +233,7 @@
 	return true
 }
 
-// Noticed has a message come again that a relay handed back.
+// HandleNotice submits a message again whose notice has the status "deferred".
 func (c *Clients) HandleNotice(id, status string, retryAfter time.Duration) {
 	c.mu.Lock()
 	m := c.openMessages[id]
--- a/internal/lab/platform/connections.go
+++ b/internal/lab/platform/connections.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// The connections that a client keeps.
+// Persistent connections of clients to relays.
 
-// connect takes a kept connection, or opens one.
+// connect returns an idle connection of a client to a relay, or opens one if there is none or a fresh one is required.
 func (c *Clients) connect(client int, relay, addr string, deadline time.Time, fresh bool) (*clientConn, error) {
 	key := connKey(client, relay)
 	for !fresh {
@@ -45,7 +45,7 @@
 	return &clientConn{Conn: conn, in: bufio.NewReader(conn)}, nil
 }
 
-// hasKept tells whether a client has a connection to a relay that it can use.
+// hasIdleConn reports whether a client has an idle connection to a relay that the relay has not closed.
 func (c *Clients) hasIdleConn(client int, relay string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,10 +59,11 @@
 	})
 }
 
-// connKey names the connections of a client to a relay.
+// connKey returns the key of a client's connections to a relay.
 func connKey(client int, relay string) string { return fmt.Sprint(client, " ", relay) }
 
-// keep keeps a connection after an answer, unless one side has said that it ends it.
+// releaseConn stores a connection as idle after its last answer. It closes it if either side has announced the end of the
+// connection, or if the client has maxIdleConns already.
 func (c *Clients) releaseConn(client int, relay string, conn *clientConn, last *http.Response) {
 	conn.watch.stop()
 	conn.used = true
@@ -77,7 +78,7 @@
 	c.idle[key] = append(c.idle[key], conn)
 }
 
-// Close ends the connections that are kept.
+// Close aborts all idle connections.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/lab/platform/control.go
+++ b/internal/lab/platform/control.go
@@ -7,7 +7,8 @@
 	"larchrouter/internal/lab/link"
 )
 
-// Out takes destinations down, each with all its endpoints: they reset what they have and refuse what comes.
+// SetDown starts or ends an outage of a destination. During an outage all its endpoints reset their connections and refuse new
+// ones. After it the destination is in slow start.
 func (p *Partners) SetDown(dest int, down bool) {
 	d := p.dests[dest]
 	d.mu.Lock()
@@ -41,7 +42,7 @@
 	p.Record(history.Event{T: p.Clock.Now(), Kind: kind, Dest: dest, How: "outage"})
 }
 
-// Shut has a destination turn all away for a time, after which it is cold.
+// RefuseFor has a destination refuse all calls for a time, after which it is in slow start.
 func (p *Partners) RefuseFor(dest int, length time.Duration) {
 	d := p.dests[dest]
 	d.mu.Lock()
@@ -56,14 +57,14 @@
 	})
 }
 
-// Trouble is what is wrong with an endpoint.
+// EndpointFaults describes the faults of an endpoint.
 type EndpointFaults struct {
-	ErrorShare   float64 // share of its calls
-	SlowFactor   float64 // they take so many times as long
-	GarbledShare float64 // share of the answers to calls that ran that cannot be read
+	ErrorShare   float64 // share of its calls that fail
+	SlowFactor   float64 // factor by which calls take longer; 1 for none
+	GarbledShare float64 // share of the answers to executed calls that cannot be parsed
 }
 
-// Trouble changes what is wrong with an endpoint.
+// ChangeFaults applies a change to the faults of an endpoint.
 func (p *Partners) ChangeFaults(name string, change func(*EndpointFaults)) {
 	e := p.endpoints[name]
 	e.dest.mu.Lock()
@@ -71,7 +72,7 @@
 	change(&e.faults)
 }
 
-// Limit changes what a destination takes from all relays together by a factor.
+// ScaleLimit multiplies the rate limit of a destination, which is shared by all relays, by a factor.
 func (p *Partners) ScaleLimit(dest int, factor float64) {
 	d := p.dests[dest]
 	d.mu.Lock()
@@ -83,7 +84,7 @@
 	p.Record(history.Event{T: p.Clock.Now(), Kind: history.Limit, Dest: dest, Figures: map[string]float64{"rate": rate}})
 }
 
-// Drained has an endpoint turn away what comes, for it has been given up.
+// SetDrained has an endpoint refuse all further calls, as one does that is decommissioned.
 func (p *Partners) SetDrained(name string) {
 	e := p.endpoints[name]
 	e.dest.mu.Lock()
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/lab/link"
 )
 
-// Entry is an endpoint as the list has it.
+// Entry is an endpoint in the list of endpoints.
 type Entry struct {
 	ID      string  `json:"id"`
 	Addr    string  `json:"addr"`
@@ -20,7 +20,7 @@
 	State   string  `json:"state"`
 	Weight  float64 `json:"weight"`
 	Started int64   `json:"started_ms"`
-	version int64   // of the last change
+	version int64   // list version of the last change
 }
 
 type endpointList struct {
@@ -29,35 +29,35 @@
 	Servers []Entry `json:"servers"`
 }
 
-// Discovery tells relays of endpoints, late, and takes their notices.
+// Discovery serves the list of endpoints to relays, with a delay, and receives their notices.
 type Discovery struct {
 	Env
-	OnNotice func(id, status string, after time.Duration) // a message has ended with a notice
+	OnNotice func(id, status string, after time.Duration) // called for each notice; may be nil
 
 	mu              sync.Mutex
 	version         int64
-	entries         []Entry                      // in the order in which they were added; those that left stay, as such
-	addrs           map[string]map[string]string // by relay and endpoint
+	entries         []Entry                      // in order of addition; removed endpoints stay with the state "left"
+	addrs           map[string]map[string]string // endpoint addresses, by relay and endpoint
 	changed         chan struct{}
-	downSignal      chan struct{} // closed while it is down
+	downSignal      chan struct{} // closed during an outage
 	isDown          bool
 	changeDelay     time.Duration
-	noticeDelay     time.Duration // before a notice is answered
-	faults          ListFaults    // of calls for the list
+	noticeDelay     time.Duration // delay of the answer to a notice
+	faults          ListFaults    // faults of calls for the list
 	rand            *rand.Rand
-	slot            chan struct{} // a place at the counter: calls are handled in turn
-	waitingCalls    int           // calls that wait for their turn
+	slot            chan struct{} // semaphore of size 1: calls are handled one at a time
+	waitingCalls    int           // calls that wait for the slot or hold it
 	watches         map[string]int
-	lastWatchAnswer map[string]time.Time    // when a watch of a relay was answered last
-	lastLists       map[string]endpointList // the list as each relay had it last
-	// unsettled are answers of which it is not known yet whether they crossed the end of their call.
+	lastWatchAnswer map[string]time.Time    // when a relay's last watch was answered
+	lastLists       map[string]endpointList // the list that each relay received last
+	// pendingOutcomes counts answers of which it is not known yet whether the caller received them before it ended its call.
 	pendingOutcomes sync.WaitGroup
 }
 
-// watchGap is the time in which a relay has to call again for its watch to go on.
+// maxWatchGap is the time within which a relay must call again for its watch to count as uninterrupted.
 const maxWatchGap = 200 * time.Millisecond
 
-// NewDiscovery lists all endpoints of the partners.
+// NewDiscovery returns a discovery service that lists all endpoints of the partners as active, at version 1.
 func NewDiscovery(env Env, p *Partners) *Discovery {
 	d := &Discovery{Env: env, version: 1, changed: make(chan struct{}), downSignal: make(chan struct{}), slot: make(chan struct{}, 1),
 		addrs: map[string]map[string]string{}, watches: map[string]int{}, lastWatchAnswer: map[string]time.Time{}, lastLists: map[string]endpointList{},
@@ -71,7 +71,7 @@
 	return d
 }
 
-// Reach says at which address a relay reaches an endpoint.
+// SetAddr sets the address at which a relay reaches an endpoint.
 func (d *Discovery) SetAddr(relay, endpoint, addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,14 +81,14 @@
 	d.addrs[relay][ListedID(endpoint)] = addr
 }
 
-// Serve lets a relay reach discovery at an address of its own.
+// Serve starts serving discovery to one relay at an address of its own, and returns that address.
 func (d *Discovery) Serve(relay, addr string) (string, error) {
 	return d.Net.Serve(relay, "discovery", addr, func(c *link.Conn) {
 		serveRequests(c, 1<<20, func(a *request) bool { return d.handle(relay, a) })
 	})
 }
 
-// list has what changed after a version, or the whole list for 0. The lock is held.
+// listSince returns the changes after a version, or the whole list for version 0 or an unknown version. d.mu must be held.
 func (d *Discovery) listSince(relay string, since int64) endpointList {
 	l := endpointList{Version: d.version, Full: since == 0 || since > d.version, Servers: []Entry{}}
 	for _, e := range d.entries {
@@ -101,12 +101,12 @@
 	return l
 }
 
-// Set changes the state of an endpoint: discovery hears of it late, and tells it from then on.
+// SetState changes the state of an endpoint in the list after the discovery delay, and then calls afterwards unless it is nil.
 func (d *Discovery) SetState(endpoint, state string, afterwards func()) {
 	d.applyLater(endpoint, func(e *Entry) { e.State = state }, afterwards)
 }
 
-// Weigh lists another rate for an endpoint, as late as any change.
+// SetWeight changes the listed rate of an endpoint, in calls a second, after the discovery delay.
 func (d *Discovery) SetWeight(endpoint string, rate float64) {
 	d.applyLater(endpoint, func(e *Entry) { e.Weight = rate }, nil)
 }
@@ -129,7 +129,7 @@
 		d.Record(history.Event{T: now, Kind: history.Change, Version: d.version, Endpoint: endpoint, State: state})
 		if !d.isDown {
 			for relay, at := range d.lastWatchAnswer {
-				if d.watches[relay] == 0 && time.Since(at) < maxWatchGap { // it counts as told in between
+				if d.watches[relay] == 0 && time.Since(at) < maxWatchGap { // a watch that is about to be renewed counts as notified
 					d.Record(history.Event{T: now, Kind: history.Told, Relay: relay, Version: d.version, How: "between watches"})
 				}
 			}
@@ -143,7 +143,7 @@
 	})
 }
 
-// Down has calls for the list fail until Down(false).
+// SetDown starts or ends an outage, during which calls for the list fail.
 func (d *Discovery) SetDown(down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -163,7 +163,7 @@
 	d.isDown = down
 }
 
-// Late has discovery hear of changes so much later.
+// DelayChanges sets a delay of list changes in addition to Draw.ListDelay.
 func (d *Discovery) DelayChanges(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/platform/draw.go
+++ b/internal/lab/platform/draw.go
@@ -1,5 +1,5 @@
-// Package platform emulates what relays meet on the platform, from its published pages alone: clients,
-// destinations with their endpoints, discovery, the taker of notices, and operators at the second address.
+// Package platform emulates the platform around the relays, from its published documentation alone: clients,
+// destinations with their endpoints, discovery, the receiver of notices, and operators at the admin address.
 package platform
 
 import (
@@ -19,46 +19,47 @@
 	PerCall int // messages in one call
 }
 
-// Dest is what the seed drew of one destination. All times are seconds.
+// Dest holds the random properties of one destination. All times are in seconds.
 type Dest struct {
 	Number   int
 	Kind     int
-	Share    float64 // of the messages
-	Rate     float64 // calls a second that it takes from all relays together; 0 for no limit but its capacity
-	Window   float64 // it counts calls in spans of this length; 0 for a plain rate
-	Tells    float64 // share of its refusals that tell how long to wait
-	Wait     float64 // that wait, where there is no span
-	Spend    bool    // refused calls use the limit up too
-	Median   float64 // of a call's time
-	Sigma    float64 // of its logarithm
-	Capacity float64 // calls a second of each of its endpoints
-	Depth    float64 // seconds of calls that each holds waiting
-	Conns    int     // connections that each holds
-	ItemCost float64 // a further message in a call costs so much of the first
-	Listed   float64 // the rate as the list has it, rough
-	ColdFrom float64 // share of its capacity with which it returns
+	Share    float64 // share of the messages
+	Rate     float64 // calls a second that it accepts from all relays together; 0 for no limit but its capacity
+	Window   float64 // length of the fixed window in which it counts calls; 0 for a token bucket
+	Tells    float64 // share of its refusals that advise a wait
+	Wait     float64 // minimum advised wait, without a fixed window
+	Spend    bool    // refused calls count against the limit too
+	Median   float64 // median duration of a call
+	Sigma    float64 // standard deviation of the logarithm of a call's duration
+	Capacity float64 // calls a second that each of its endpoints can execute
+	Depth    float64 // queue length of each endpoint, in seconds of calls at capacity
+	Conns    int     // connections that each endpoint accepts
+	ItemCost float64 // cost of a further message in a call, relative to the first
+	Listed   float64 // approximate rate in the list of endpoints, calls a second
+	ColdFrom float64 // share of its capacity at the start of slow start
 }
 
-// Draw is all that a seed has drawn. It is printed with a run's result, and can be put in a file to fix it.
+// Draw holds all random properties of a platform, which follow from the seed. It is printed with a run's result, and can be
+// stored in a file to use it again.
 type Draw struct {
 	Kinds       []Kind
 	Dests       []Dest
 	Tenants     []Tenant
 	Classes     []history.Class
-	Honour      float64 // share of clients that heed a time to come again
-	Retries     int     // times that a client comes again after a refusal
-	Backoff     float64 // seconds
-	Notice      float64 // seconds until the front notices a dead relay
-	ListDelay   float64 // seconds until discovery knows of a change
-	ListCost    float64 // seconds that discovery needs for a call
-	ReportEvery float64
-	ReportNoise float64
-	Error       float64 // share of calls that fail on a sound day
-	Cold        float64
-	Handshake   float64
+	Honour      float64 // share of clients that honour an advised wait
+	Retries     int     // number of times that a client retries after a refusal
+	Backoff     float64 // seconds that a client waits after a refusal without an advised wait that it honours
+	Notice      float64 // seconds until clients stop using a failed relay
+	ListDelay   float64 // seconds until a change appears in discovery
+	ListCost    float64 // seconds that discovery takes for a call
+	ReportEvery float64 // seconds for which a load report is repeated unchanged
+	ReportNoise float64 // relative standard deviation of the figures of a load report
+	Error       float64 // share of calls that fail without any fault
+	Cold        float64 // seconds that slow start lasts
+	Handshake   float64 // seconds that an endpoint takes to set up a connection
 }
 
-// Tenant is a mill and its share.
+// Tenant is a tenant and its share of the messages.
 type Tenant struct {
 	Name  string
 	Share float64
@@ -66,7 +67,7 @@
 
 func uniform(r *rand.Rand, low, high float64) float64 { return low + r.Float64()*(high-low) }
 
-// NewDraw draws a platform within what a scenario says.
+// NewDraw draws the properties of a platform within the bounds of a scenario, from the scenario's seed.
 func NewDraw(s *scenario.Scenario) *Draw {
 	r := rand.New(rand.NewPCG(s.Seed, 0x1a))
 	d := &Draw{Kinds: []Kind{{"big-buyers", 20}, {"small-partners", 1}},
@@ -96,7 +97,7 @@
 			Median: time.Duration(s.Platform.Latency).Seconds() * uniform(r, 0.6, 1.6), Sigma: uniform(r, 0.3, 0.9),
 			Depth: uniform(r, 0.35, 0.98), ItemCost: uniform(r, 0.057, 0.23), ColdFrom: uniform(r, 0.29, 0.41),
 			Conns: s.Fleet.Relays*8 + 16}
-		if i%3 == 1 { // one in three is large, counts in spans and takes many messages in a call
+		if i%3 == 1 { // one in three is large, counts calls in fixed windows and accepts several messages in a call
 			v.Kind, v.Window, v.Tells, v.Spend = 0, uniform(r, 1, 2), uniform(r, 0.62, 0.93), r.IntN(2) == 0
 		} else {
 			v.Kind, v.Wait, v.Tells, v.Spend = 1, uniform(r, 0.44, 2), uniform(r, 0.57, 0.98), true
@@ -109,13 +110,13 @@
 	return d
 }
 
-// Config is a relay's configuration, as the platform writes it.
+// Config is the configuration of a relay, as the platform writes it.
 type Config struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Admin     string          `json:"admin_addr"`
 	Discovery string          `json:"discovery"`
-	Source    string          `json:"source"` // that the relay sends from
+	Source    string          `json:"source"` // address from which the relay sends
 	Seed      string          `json:"seed"`
 	Fleet     map[string]any  `json:"fleet,omitempty"`
 	Backlog   map[string]any  `json:"backlog,omitempty"`
@@ -124,7 +125,7 @@
 	Settings  map[string]any  `json:"settings"`
 }
 
-// Settings is the settings object of one relay.
+// Settings returns the settings object of the relay with an index in the fleet.
 func (d *Draw) Settings(s *scenario.Scenario, index int) map[string]any {
 	var classes, tenants []any
 	total := s.Load.Rate * max(1, s.Load.Burst)
@@ -144,7 +145,7 @@
 		busyWorkers += total * v.Share * v.Median * math.Exp(v.Sigma*v.Sigma/2)
 	}
 	relays := float64(s.Fleet.Relays)
-	// Messages held are bounded by memory, those on disk as well by that: a message of the load takes 500 to 700 bytes there.
+	// Pending messages are bounded by memory, and with a backlog on disk also by its size: a message takes 500 to 700 bytes there.
 	maxPending := max(32, int(total/relays*8), int(s.Fleet.BacklogMB*1e6/500))
 	zoneFees := make([]float64, len(s.Fleet.Zones))
 	return map[string]any{
@@ -166,7 +167,7 @@
 	}
 }
 
-// Terms are the figures by which the run's history is judged.
+// Terms returns the terms by which the history of a run is judged.
 func (d *Draw) Terms(s *scenario.Scenario) *history.Terms {
 	t := &history.Terms{Seed: s.Seed, Classes: d.Classes, MaxAttempts: 8, DrainGrace: time.Second, AskWithin: 10 * time.Second,
 		Endpoints: map[string]int{}, Zones: map[string]string{}, Limits: map[string]history.Limits{}, TakeOver: scenario.TakeOver(s)}
--- a/internal/lab/platform/endpoint.go
+++ b/internal/lab/platform/endpoint.go
@@ -9,22 +9,22 @@
 	"larchrouter/internal/lab/link"
 )
 
-// endpoint is one machine of a destination.
+// endpoint is one server of a destination.
 type endpoint struct {
-	name, id       string // endpoint/3 in scenario and history, s-3 on the list
+	name, id       string // for example endpoint/3 in scenario and history, and s-3 in the list
 	dest           *destination
 	workers        int
 	busy           int
 	waiting        []*job
 	conns          int
-	drained        bool // it has drained
+	drained        bool // it refuses all calls because it is decommissioned
 	faults         EndpointFaults
-	appliedKeys    map[string]time.Time // keys that took effect
+	appliedKeys    map[string]time.Time // idempotency keys of executed messages, with their times
 	loadReport     string
 	loadReportedAt time.Time
 }
 
-// job is a call that an endpoint has taken.
+// job is a call that an endpoint has received.
 type job struct {
 	call  int64
 	relay string
@@ -33,7 +33,7 @@
 	ids   []string
 	keys  []string
 	cost  float64
-	done  func() // once
+	done  func() // must be called once, when the call has ended
 }
 
 func (e *endpoint) serve(relay string, c *link.Conn) {
@@ -56,20 +56,20 @@
 		ended := make(chan struct{})
 		call = e.receive(relay, a, overLimit, func() { close(ended) })
 		select {
-		case <-ended: // the answer is written at the front, or there will be none
-		case <-c.Gone(): // whether the relay still waits is known at the front alone
+		case <-ended: // the answer has been written to the relay, or there will be none
+		case <-c.Gone(): // the relay has closed the connection
 			d.partners.Record(history.Event{T: c.GoneAt(), Kind: history.Gone, Relay: relay, Call: call})
 			return false
 		}
 		c.SetReadDeadline(time.Now().Add(idleTimeout))
 		return !overLimit
 	})
-	if at := c.GoneAt(); at > 0 && call > 0 { // perhaps as the last answer came, and without having read it
+	if at := c.GoneAt(); at > 0 && call > 0 { // the relay may have closed the connection while the last answer arrived, without having read it
 		d.partners.Record(history.Event{T: at, Kind: history.Gone, Relay: relay, Call: call})
 	}
 }
 
-// take decides what becomes of a call, as it comes. One on a connection too many is turned away.
+// receive handles an arriving call: it executes, queues or refuses it. Calls on a connection over the limit are refused with 503.
 func (e *endpoint) receive(relay string, a *request, overLimit bool, done func()) (call int64) {
 	d, p := e.dest, e.dest.partners
 	j := &job{call: p.calls.Add(1), relay: relay, conn: a.conn, done: done, cost: 1}
@@ -79,14 +79,14 @@
 	case a.Method == "POST" && a.URL.Path == "/receive":
 		j.ids, j.keys = []string{a.Header.Get("X-Request-Id")}, []string{a.Header.Get("Idempotency-Key")}
 		if j.ids[0] == "" {
-			err = fmt.Errorf("a call without id")
+			err = fmt.Errorf("call without X-Request-Id")
 		}
 	case a.Method == "POST" && a.URL.Path == "/receive-many":
 		j.batch = true
 		j.ids, j.keys, bodies, err = parseFrames(a.body)
 		j.cost += d.ItemCost * float64(len(j.ids)-1)
 	default:
-		err = fmt.Errorf("%s %s", a.Method, a.URL.Path)
+		err = fmt.Errorf("unexpected request %s %s", a.Method, a.URL.Path)
 	}
 	if err != nil {
 		p.Record(history.Event{T: p.Clock.Now(), Kind: history.Bad, Relay: relay, Endpoint: e.name, Text: err.Error()})
@@ -124,7 +124,7 @@
 	return j.call
 }
 
-// begin starts on a call. The lock is held.
+// start starts to execute a call. The destination's lock must be held.
 func (e *endpoint) start(j *job) {
 	d := e.dest
 	e.busy++
@@ -132,7 +132,7 @@
 	time.AfterFunc(time.Duration(seconds*float64(time.Second)), func() { e.finish(j) })
 }
 
-// finish ends a call that has run, and starts on the next.
+// finish ends the execution of a call, answers it, and starts the next one in the queue.
 func (e *endpoint) finish(j *job) {
 	d := e.dest
 	now := time.Now()
@@ -143,7 +143,7 @@
 		e.waiting = e.waiting[1:]
 		e.start(next)
 	}
-	if d.down || d.collapsed { // its machine went down under it
+	if d.down || d.collapsed { // the destination failed during the call
 		d.mu.Unlock()
 		j.done()
 		return
--- a/internal/lab/platform/http.go
+++ b/internal/lab/platform/http.go
@@ -11,19 +11,20 @@
 	"larchrouter/internal/lab/link"
 )
 
-// asked is one request as it came at an endpoint, discovery or the taker of notices.
+// request is a request received by an endpoint, by discovery or by the receiver of notices.
 type request struct {
 	*http.Request
 	body        []byte
-	firstByteAt int64 // its first byte left the relay
-	lastByteAt  int64 // and its last
+	firstByteAt int64 // when its first byte left the relay, microseconds of the run's clock
+	lastByteAt  int64 // when its last byte did
 	conn        *link.Conn
 }
 
 const maxBodyBytes = 64 << 10
 
-// requests reads one request after the other, and passes each to serve, which tells whether the connection
-// goes on. It is written by hand where net/http would do, for it has to know when each byte left the relay.
+// serveRequests reads the requests of a connection one after the other and passes each to serve, which reports whether the
+// connection stays open. It closes the connection at the end, and on a body over maxBytes. A server of net/http would not
+// tell when each byte left the relay.
 func serveRequests(c *link.Conn, maxBytes int64, serve func(*request) (keepOpen bool)) {
 	defer c.Close()
 	in := bufio.NewReader(c)
@@ -46,7 +47,7 @@
 	}
 }
 
-// respond writes an answer; after tells when it was written at the front.
+// respond sends an answer. It calls written, if not nil, with the time at which the answer was written to the relay's connection.
 func respond(c *link.Conn, status int, header string, body []byte, written func(at int64, ok bool)) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n%s\r\n", status, http.StatusText(status), len(body), header)
@@ -57,25 +58,26 @@
 	return c.Send(append([]byte(b.String()), body...), written)
 }
 
-// frames reads the body of a call with several messages.
+// parseFrames parses the body of a call with several messages: for each a line of id, key ("-" for none) and size in bytes,
+// then the message. It returns an error for a malformed or empty body, or an id that occurs twice.
 func parseFrames(body []byte) (ids, keys []string, bodies [][]byte, err error) {
 	seen := map[string]bool{}
 	for rest := body; len(rest) > 0; {
 		line, _, ok := strings.Cut(string(rest[:min(len(rest), 600)]), "\r\n")
 		if !ok {
-			return nil, nil, nil, errors.New("a line without its end")
+			return nil, nil, nil, errors.New("message header line is not terminated")
 		}
 		var id, key string
 		var size int
 		if _, err := fmt.Sscanf(line, "%s %s %d", &id, &key, &size); err != nil || size < 0 {
-			return nil, nil, nil, fmt.Errorf("line %q", line)
+			return nil, nil, nil, fmt.Errorf("malformed message header line %q", line)
 		}
 		rest = rest[len(line)+2:]
 		if len(rest) < size+2 || string(rest[size:size+2]) != "\r\n" {
-			return nil, nil, nil, fmt.Errorf("message %s is cut", id)
+			return nil, nil, nil, fmt.Errorf("message %s is truncated", id)
 		}
 		if seen[id] {
-			return nil, nil, nil, fmt.Errorf("message %s stands twice", id)
+			return nil, nil, nil, fmt.Errorf("message %s occurs twice", id)
 		}
 		seen[id] = true
 		if key == "-" {
@@ -85,7 +87,7 @@
 		rest = rest[size+2:]
 	}
 	if len(ids) == 0 {
-		return nil, nil, nil, errors.New("no message")
+		return nil, nil, nil, errors.New("body contains no message")
 	}
 	return ids, keys, bodies, nil
 }
--- a/internal/lab/platform/lists.go
+++ b/internal/lab/platform/listcalls.go
@@ -11,37 +11,38 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Calls for the list: watches, the queue that all calls wait in, and what may be wrong with the answers.
+// Calls for the list of endpoints: watches, the queue of calls, and faults of the answers.
 
-// callMost is how long a call waits for its turn before it fails.
+// maxQueueWait is the time that a call waits in the queue before it fails.
 const maxQueueWait = 2 * time.Second
 
-// toldAnyway is when an answer counts as told that did not arrive.
+// assumedDeliveredAfter is the time after which an answer that did not arrive counts as delivered.
 const assumedDeliveredAfter = 6 * time.Second
 
-// ListTrouble is what is wrong with calls for the list while discovery is up. Shares are of all calls, each by chance.
+// ListFaults describes the faults of calls for the list while discovery is up. Shares are of all calls, each drawn at random.
 type ListFaults struct {
-	Delay           time.Duration // each call takes discovery so much longer
-	RefusedShare    float64       // share that is refused at once
-	CutShare        float64       // share whose answer stops short, and its connection ends
-	StalledShare    float64       // share whose answer stops short, and whose connection stays
-	UnansweredShare float64       // share that is never answered, nor ended
+	Delay           time.Duration // additional handling time of each call
+	RefusedShare    float64       // share that is refused immediately
+	CutShare        float64       // share whose answer is truncated and whose connection is closed
+	StalledShare    float64       // share whose answer is truncated and whose connection stays open
+	UnansweredShare float64       // share that is never answered and whose connection stays open
 }
 
-// Disturb replaces what is wrong with calls for the list.
+// ChangeFaults applies a change to the faults of calls for the list.
 func (d *Discovery) ChangeFaults(change func(*ListFaults)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change(&d.faults)
 }
 
-// fate is what becomes of one call.
+// callFate holds the handling time of a call and the faults drawn for it.
 type callFate struct {
 	handlingTime                    time.Duration
 	refused, cut, stall, unanswered bool
 }
 
-// draw decides the fate of a call. One whose turn could not come in time is refused at once, and does not wait.
+// drawFate draws the fate of a call. A call that could not be handled within maxQueueWait is refused immediately. Any other one
+// is counted as waiting.
 func (d *Discovery) drawFate() callFate {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,7 +56,8 @@
 	return f
 }
 
-// turn waits until a call has been handled, and tells whether it was.
+// waitForSlot waits in the queue and for the handling time of a call. It reports whether the call was handled: it returns false
+// after maxQueueWait, or once the relay closes the connection.
 func (d *Discovery) waitForSlot(f callFate, a *request) (handled bool) {
 	defer func() {
 		d.mu.Lock()
@@ -74,7 +76,7 @@
 	}
 }
 
-// tell answers a call for the list, or a watch once there is something new.
+// serveList answers a call for the list. A watch is answered once there is a change or its timeout has passed.
 func (d *Discovery) serveList(relay string, a *request) bool {
 	since, _ := strconv.ParseInt(a.URL.Query().Get("since"), 10, 64)
 	ms, _ := strconv.ParseInt(a.URL.Query().Get("timeout_ms"), 10, 64)
@@ -84,7 +86,7 @@
 		d.Record(history.Event{T: d.Clock.Now(), Kind: history.Untold, Relay: relay, Begun: a.lastByteAt})
 		return respond(a.conn, http.StatusServiceUnavailable, "", nil, nil) == nil
 	}
-	if since > 0 && wait > 0 { // the watch goes on from when its next call comes
+	if since > 0 && wait > 0 { // the watch is uninterrupted from the arrival of its next call on
 		d.countWatch(relay, 1)
 		defer d.countWatch(relay, -1)
 	}
@@ -104,7 +106,8 @@
 	return d.writeList(relay, a, l, f, since > 0 && wait > 0)
 }
 
-// awaitNews returns what there is to tell, for a watch as soon as there is any or its wait is over; false during an outage.
+// awaitChange returns the list as of a version; for a watch, once there is a change or its wait is over. It returns false
+// during an outage.
 func (d *Discovery) awaitChange(relay string, since int64, wait time.Duration, a *request) (l endpointList, up bool) {
 	watch := since > 0 && wait > 0
 	d.mu.Lock()
@@ -133,21 +136,22 @@
 	return d.listSince(relay, since), true
 }
 
-// watching counts the watches of a relay.
+// countWatch adds delta to the number of open watches of a relay.
 func (d *Discovery) countWatch(relay string, delta int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.watches[relay] += delta
 }
 
-// answeredWatch has changes of the next moments count as told, though the relay may not go on watching.
+// noteWatchAnswer records the time at which a watch of a relay was answered. Changes within maxWatchGap of it count as notified,
+// even if the relay does not watch again.
 func (d *Discovery) noteWatchAnswer(relay string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastWatchAnswer[relay] = time.Now()
 }
 
-// write sends an answer, or the part of it that its fate lets go.
+// writeList sends an answer, or half of it if its fate is to be truncated. It reports whether the connection stays open.
 func (d *Discovery) writeList(relay string, a *request, l endpointList, f callFate, watch bool) bool {
 	body, err := json.Marshal(l)
 	if err != nil {
@@ -155,7 +159,7 @@
 	}
 	sent := d.Clock.Now()
 	select {
-	case <-a.conn.Gone(): // the relay has given the call up: it is told nothing
+	case <-a.conn.Gone(): // the relay has cancelled the call: it receives nothing
 		d.Record(history.Event{T: sent, Kind: history.Untold, Relay: relay, Begun: a.lastByteAt})
 		return false
 	default:
@@ -177,11 +181,12 @@
 	return err == nil && !f.cut && !f.stall
 }
 
-// crossing is within which an answer and the end of its call count as having crossed: the slack of each time.
+// crossingTolerance is the interval within which an answer and the end of its call count as simultaneous: the inaccuracy of
+// either time.
 const crossingTolerance = 50 * time.Millisecond
 
-// written records what became of an answer that was sent. One that crossed the end of its call, or of the process that made it, was
-// told to nobody.
+// recordOutcome records the outcome of an answer that was sent. An answer that coincides with the end of its call, or of the
+// process that made it, counts as not received. Times are in microseconds of the run's clock.
 func (d *Discovery) recordOutcome(relay string, a *request, l endpointList, sent, at int64, how string, ok, whole bool) {
 	switch {
 	case ok && whole:
@@ -192,16 +197,16 @@
 		case <-time.After(crossingTolerance):
 		}
 		d.storeList(relay, l)
-	case !ok: // it counts as told some time after, whether it arrived or not
+	case !ok: // it counts as received after assumedDeliveredAfter, whether it arrived or not
 		at, how = sent+assumedDeliveredAfter.Microseconds(), "lost"
 	}
 	d.Record(history.Event{T: min(at, sent+assumedDeliveredAfter.Microseconds()), Kind: history.Told, Relay: relay, Version: l.Version, How: how, Begun: a.lastByteAt})
 }
 
-// Settle waits until what became of all answers is on record.
+// AwaitOutcomes waits until the outcomes of all answers have been recorded.
 func (d *Discovery) AwaitOutcomes() { d.pendingOutcomes.Wait() }
 
-// remember takes in that a relay has an answer.
+// storeList updates the list that a relay is known to have with an answer that it received.
 func (d *Discovery) storeList(relay string, l endpointList) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -214,7 +219,7 @@
 	}
 }
 
-// merge is a list with changes in it.
+// mergeChanges returns a list with changes applied, without the endpoints that left.
 func mergeChanges(list, changes []Entry) []Entry {
 	merged := map[string]Entry{}
 	var order []string
@@ -233,7 +238,8 @@
 	return all
 }
 
-// Known is the list as a relay had it last, which it is started with, and its version; the whole list of now if it had none yet.
+// Known returns the list that a relay received last, encoded for its configuration, and the list's version. For a relay that has
+// received none it is the current list.
 func (d *Discovery) Known(relay string) (data []byte, version int64, err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/lab/platform/notices.go
+++ b/internal/lab/platform/notices.go
@@ -9,16 +9,16 @@
 	"larchrouter/internal/lab/history"
 )
 
-// The platform's part that takes notices.
+// The receiver of notices.
 
-// SlowNotices has the answer to each call with notices come so much later. What the call says is taken at once.
+// DelayNotices sets the delay of answers to calls with notices. The notices themselves are processed without delay.
 func (d *Discovery) DelayNotices(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.noticeDelay = delay
 }
 
-// notices takes the ends of messages, also while discovery is down.
+// serveNotices receives notices, also during an outage of discovery. It answers 400 if any of them is malformed.
 func (d *Discovery) serveNotices(relay string, a *request) bool {
 	type notice struct {
 		ID     string `json:"id"`
--- a/internal/lab/platform/partner.go
+++ b/internal/lab/platform/partner.go
@@ -14,24 +14,24 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// Env is what all parties of a run share.
+// Env holds what all emulated parties of a run share.
 type Env struct {
 	Clock    *history.Clock
 	Record   func(history.Event)
 	Net      *link.Net
 	Scenario *scenario.Scenario
 	Draw     *Draw
-	ClientIP func(n int) string // where the nth client connects from; nil for anywhere
+	ClientIP func(n int) string // source address of the nth client; nil for any
 }
 
-// Sum is what the history keeps of a body.
+// Checksum returns the checksum by which the history identifies a body.
 func Checksum(body []byte) string {
 	h := fnv.New64a()
 	h.Write(body)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Partners are all destinations with their endpoints.
+// Partners holds all destinations with their endpoints.
 type Partners struct {
 	Env
 	dests     []*destination
@@ -39,7 +39,7 @@
 	calls     atomic.Int64
 }
 
-// partner is one destination: limit, outages and coldness are of all its endpoints together.
+// destination is the state of one destination. Rate limit, outages and slow start apply to all its endpoints together.
 type destination struct {
 	*Dest
 	partners *Partners
@@ -49,18 +49,18 @@
 	endpoints   []*endpoint
 	tokens      float64
 	tokensAt    time.Time
-	windowStart time.Time // when the span that runs began
+	windowStart time.Time // start of the current fixed window
 	windowCalls float64
-	shutUntil   time.Time // until when it turns all away
+	shutUntil   time.Time // time until which it refuses all calls
 	errorShare  float64   // share of calls that fail
-	slowFactor  float64   // calls take so many times as long
-	down        bool      // no endpoint answers
-	coldSince   time.Time // came back cold then; zero for warm
+	slowFactor  float64   // factor by which calls take longer
+	down        bool      // an outage: no endpoint answers
+	coldSince   time.Time // start of slow start; zero if there is none
 	collapsed   bool
-	arrivals    []arrival // while cold
+	arrivals    []arrival // recent calls, during slow start
 }
 
-// NewPartners makes the destinations of a draw.
+// NewPartners creates the destinations of a draw, with their endpoints.
 func NewPartners(env Env) *Partners {
 	p := &Partners{Env: env, endpoints: map[string]*endpoint{}}
 	for i := range env.Draw.Dests {
@@ -79,19 +79,20 @@
 	return p
 }
 
-// mean is the mean time of a call in seconds.
+// meanSeconds returns the mean duration of a call in seconds.
 func (d *Dest) meanSeconds() float64 { return d.Median * math.Exp(d.Sigma*d.Sigma/2) }
 
-// burst is how many calls a plain rate lets through at once.
+// burstCalls returns the size of the token bucket of a destination without a fixed window, in calls.
 func (d *Dest) burstCalls() float64 { return max(1, d.Rate/4) }
 
-// Serve lets a relay reach an endpoint at an address of their own.
+// Serve starts serving an endpoint to one relay at an address for this pair, and returns that address.
 func (p *Partners) Serve(relay, name, addr string) (string, error) {
 	e := p.endpoints[name]
 	return p.Net.Serve(relay, name, addr, func(c *link.Conn) { e.serve(relay, c) })
 }
 
-// ServeAll lets all relays reach an endpoint at one address.
+// ServeAll starts serving an endpoint to all relays at one address, and returns that address. The function who names the
+// relay with a source address.
 func (p *Partners) ServeAll(name, addr string, who func(ip string) string) (string, error) {
 	e := p.endpoints[name]
 	o, err := p.Net.ServeAll(name, addr, who, func(c *link.Conn) { e.serve(c.Peer(), c) })
@@ -101,5 +102,5 @@
 	return o.Addr, nil
 }
 
-// ID is the name of an endpoint on the list.
+// ListedID returns the id that an endpoint has in the list, given its name in scenario and history.
 func ListedID(name string) string { return "s-" + name[len("endpoint/"):] }
--- a/internal/lab/platform/pipeline.go
+++ b/internal/lab/platform/pipeline.go
@@ -5,22 +5,22 @@
 	"time"
 )
 
-// handed is one of two messages whose requests go out one behind the other.
+// pipelinedRequest is one of two requests that are sent on one connection without waiting for the first answer.
 type pipelinedRequest struct {
 	message    *message
 	id         string
 	timeLeft   time.Duration
-	status     int // of its answer; 0 for none
+	status     int // status of its answer; 0 for none
 	retryAfter time.Duration
-	outcome    string // it was left without one
-	resend     bool   // its request may be written anew
+	outcome    string // why there is no answer; empty if there is one
+	resend     bool   // the request may be sent again on another connection
 }
 
-// handBoth hands two messages in on one connection, the second one's request behind the first one's, and reads both answers.
-// What gets none is handed in as a client does that sends one request at a time.
+// submitPipelined submits two messages on one connection, both requests before the first answer, and reads both answers. A
+// message without an answer is then submitted as by a client that sends one request at a time.
 func (c *Clients) submitPipelined(first, second *message) {
 	relay, addr := c.Relays.next()
-	if relay == "" { // none is up
+	if relay == "" { // no relay is usable
 		c.inProgress.Go(func() { c.submit(first, "") })
 		c.submit(second, "")
 		return
@@ -38,7 +38,7 @@
 	}
 }
 
-// exchange writes the requests and reads the answers, as far as they come.
+// exchange sends the requests and reads the answers up to the first that is missing.
 func (c *Clients) exchange(pair []*pipelinedRequest, requests []byte, relay, addr string) {
 	deadline := time.Now().Add(answerTimeout)
 	conn, err := c.connect(pair[0].message.client, relay, addr, deadline, false)
@@ -65,7 +65,8 @@
 	c.releaseConn(pair[0].message.client, relay, conn, last)
 }
 
-// goOn does for one message what comes after the exchange.
+// finishPipelined handles the outcome of the exchange for one of the messages: it sends the request again if it may, and
+// submits the message again if the client does.
 func (c *Clients) finishPipelined(h *pipelinedRequest, relay, addr string) {
 	if h.resend {
 		h.status, h.retryAfter, h.outcome = c.try(h.message, h.id, relay, addr, "", h.timeLeft)
--- a/internal/lab/platform/front.go
+++ b/internal/lab/platform/relaypool.go
@@ -2,23 +2,23 @@
 
 import "sync"
 
-// Front knows which relays clients may be dealt to.
+// RelayPool tracks the relays that clients may use.
 type RelayPool struct {
 	mu     sync.Mutex
 	addrs  map[string]string
 	order  []string
 	usable map[string]bool
-	// leaving are relays that were told to end: they get no new connections, and those that clients have are used.
+	// leaving holds the relays that have been told to stop: they get no new connections, but existing ones stay in use.
 	leaving   map[string]bool
 	lastIndex int
 }
 
-// NewFront deals connections out to relays in turn.
+// NewRelayPool returns an empty pool, which assigns relays round robin.
 func NewRelayPool() *RelayPool {
 	return &RelayPool{addrs: map[string]string{}, usable: map[string]bool{}, leaving: map[string]bool{}}
 }
 
-// Add names a relay and its address.
+// Add adds a relay, or sets its address. SetUsable makes it available to clients.
 func (f *RelayPool) Add(relay, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -28,7 +28,7 @@
 	f.addrs[relay] = addr
 }
 
-// Use says whether a relay gets clients.
+// SetUsable sets whether clients may connect to a relay, and ends its leaving.
 func (f *RelayPool) SetUsable(relay string, usable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -36,14 +36,14 @@
 	delete(f.leaving, relay)
 }
 
-// Leave has a relay get no new connections, while those that are open stay in use.
+// SetLeaving excludes a relay from new connections, while open ones stay in use.
 func (f *RelayPool) SetLeaving(relay string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.usable[relay], f.leaving[relay] = false, true
 }
 
-// left is a relay that leaves and for which a test holds, with its address.
+// leavingRelay returns the first leaving relay for which matches returns true, and its address; empty strings if there is none.
 func (f *RelayPool) leavingRelay(matches func(relay string) bool) (relay, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -55,7 +55,7 @@
 	return "", ""
 }
 
-// next is the relay whose turn it is.
+// next returns the next usable relay in turn, and its address; empty strings if there is none.
 func (f *RelayPool) next() (relay, addr string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/lab/platform/request.go
+++ b/internal/lab/platform/request.go
@@ -15,19 +15,19 @@
 	"larchrouter/internal/lab/link"
 )
 
-// How a client hands in one request on a connection, and what it makes of the connection's end.
+// How a client sends a request on a connection, and how it handles the end of the connection.
 
 // clientConn is a connection of a client to a relay.
 type clientConn struct {
 	*link.Conn
 	in   *bufio.Reader
 	used bool
-	// halfClosed says that the client has ended its sending.
+	// halfClosed is set once the client has closed its sending side.
 	halfClosed bool
-	watch      *readWatch // of what was sent last
+	watch      *readWatch // watches the requests that were sent last
 }
 
-// The ways in which a client leaves without an answer.
+// Reasons why a client has no answer.
 const (
 	noConnection   = "no connection"
 	abandonedEarly = "early"
@@ -35,7 +35,7 @@
 	connEnded      = "connection ended"
 )
 
-// request is a message's request as it is written.
+// request returns the encoded request for a message; a retryMark is sent as X-Retry unless empty.
 func (m *message) request(id, retryMark string, timeLeft time.Duration) []byte {
 	var head strings.Builder
 	fmt.Fprintf(&head, "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Deadline-Ms: %d\r\n"+
@@ -49,8 +49,9 @@
 	return append([]byte(head.String()+"\r\n"), m.body...)
 }
 
-// try hands a message in once. Status 0 is no answer. A request that the relay may not have read when it ended the connection
-// is written once more on a new one; one that it had surely read is owed an answer.
+// try submits a message once. It returns status 0 and the reason if there is no answer. If the relay closes the connection and
+// may not have read the request, the request is sent once more on a new connection; a relay that has certainly read it must
+// answer.
 func (c *Clients) try(m *message, id, relay, addr, retryMark string, timeLeft time.Duration) (status int, retryAfter time.Duration, outcome string) {
 	request := m.request(id, retryMark, timeLeft)
 	deadline := time.Now().Add(answerTimeout)
@@ -85,7 +86,7 @@
 	}
 }
 
-// heard records an answer, and tells after which time it asks the client to come again.
+// recordAnswer records an answer and returns the wait that it advises, or 0.
 func (c *Clients) recordAnswer(id, relay string, conn *clientConn, resp *http.Response) (retryAfter time.Duration) {
 	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 	retryAfter = time.Duration(seconds * float64(time.Second))
@@ -94,13 +95,13 @@
 	return retryAfter
 }
 
-// send writes requests, and waits for their answers until a time.
+// send writes requests, and sets the deadline of reading their answers.
 func (c *clientConn) send(requests []byte, deadline time.Time) {
 	c.SetReadDeadline(deadline)
 	c.watch = c.sendWatched(requests)
 }
 
-// answer reads the next answer.
+// readAnswer reads the next answer with its body.
 func (c *clientConn) readAnswer() (*http.Response, error) {
 	resp, err := http.ReadResponse(c.in, nil)
 	if err == nil {
@@ -109,8 +110,8 @@
 	return resp, err
 }
 
-// ended gives up a connection on which an answer is missing. It tells how the client leaves, and whether what was not answered
-// may be written anew on another connection, because it is not known to have been read.
+// giveUp aborts a connection on which an answer is missing. It returns the reason, and whether the unanswered requests may be
+// sent again on another connection because they are not known to have been read.
 func (c *clientConn) giveUp(deadline time.Time) (outcome string, resend bool) {
 	read := c.watch.stop() || c.PeerClosedAfterReading()
 	late, broken := !time.Now().Before(deadline), c.Broken()
@@ -124,15 +125,15 @@
 	return connEnded, true
 }
 
-// readWatch finds out whether the relay reads a request while its client waits for the answer.
+// readWatch detects whether the relay reads a request while the client waits for the answer.
 type readWatch struct {
 	read      atomic.Bool
-	writtenAt atomic.Int64 // when the last byte was written at the front; 0 if that is not known yet
+	writtenAt atomic.Int64 // when the last byte was written to the relay, microseconds of the run's clock; 0 if not known yet
 	stopped   chan struct{}
 	stopOnce  sync.Once
 }
 
-// The times at which a watch looks: often at first, for most requests are answered at once.
+// Polling of a readWatch: frequent at first, because most requests are answered immediately, then slower after fastPolls polls.
 const (
 	firstPollAfter   = 200 * time.Microsecond
 	pollInterval     = time.Millisecond
@@ -140,7 +141,7 @@
 	slowPollInterval = 5 * time.Millisecond
 )
 
-// watchRead writes a request and begins to look whether the relay has read it.
+// sendWatched sends a request and starts polling whether the relay has read it.
 func (c *clientConn) sendWatched(request []byte) *readWatch {
 	w := &readWatch{stopped: make(chan struct{})}
 	c.Send(request, func(at int64, ok bool) {
@@ -152,7 +153,7 @@
 	return w
 }
 
-// look looks until the request is known to be read, or the watch is over.
+// poll polls until the request is known to have been read, or the watch is stopped.
 func (w *readWatch) poll(hasRead func() bool) {
 	for n, wait := 0, firstPollAfter; ; n++ {
 		select {
@@ -175,7 +176,7 @@
 	}
 }
 
-// stop ends the watch, and tells what it found.
+// stop ends the watch and reports whether the request is known to have been read.
 func (w *readWatch) stop() bool {
 	w.stopOnce.Do(func() { close(w.stopped) })
 	return w.read.Load()
--- a/internal/lab/platform/slowstart.go
+++ b/internal/lab/platform/slowstart.go
@@ -8,7 +8,8 @@
 	"larchrouter/internal/lab/history"
 )
 
-// warmth is the share of its capacity that a destination has at a time. The lock is held.
+// warmShare returns the share of its capacity that a destination has at a time: during slow start it grows linearly from ColdFrom
+// to 1. The destination's lock must be held.
 func (d *destination) warmShare(now time.Time) float64 {
 	if d.coldSince.IsZero() {
 		return 1
@@ -17,20 +18,22 @@
 	return min(1, d.ColdFrom+(1-d.ColdFrom)*max(0, elapsedShare))
 }
 
-// The figures by which a destination that comes back is limited; relays have them in their settings.
+// Limits of the calls to a destination in slow start. Relays have the same values in their settings, as "fall" and
+// "overload-factor".
 const (
 	overloadWindow = 2 * time.Second
 	overloadFactor = 1.5
 )
 
-// arrival is a call that reached a destination in slow start.
+// arrival is a call that reached a destination during slow start.
 type arrival struct {
 	at    time.Time
 	relay string
 }
 
-// count counts the calls that reach a destination in slow start, and has it fall over when they are too many. Whose they are,
-// and how many relays there are, makes no difference. The lock is held.
+// countArrival counts the calls that reach a destination in slow start, and makes the destination collapse when there are too
+// many. The bound does not depend on which relays send the calls or how many relays there are. The destination's lock must be
+// held.
 func (d *destination) countArrival(relay string, now time.Time) {
 	if d.coldSince.IsZero() || d.collapsed || d.down {
 		return
@@ -55,7 +58,7 @@
 		Text: fmt.Sprintf("%.0f calls in %v, where %.1f are allowed and %.1f bearable", calls, overloadWindow, allowed, history.SlowStartMost(allowed))})
 }
 
-// capacity is what a destination's endpoints do in a second once they are warm. The lock is held.
+// capacity returns the calls a second that a destination's endpoints execute after slow start. The destination's lock must be held.
 func (d *destination) capacity() (calls float64) {
 	for _, e := range d.endpoints {
 		if !e.drained {
@@ -65,7 +68,7 @@
 	return calls
 }
 
-// comeBack has a destination begin cold. The lock is held.
+// startCold starts the slow start of a destination. The destination's lock must be held.
 func (d *destination) startCold(now time.Time) {
 	d.coldSince, d.arrivals, d.tokens, d.tokensAt, d.windowCalls, d.windowStart = now, nil, d.burstCalls(), now, 0, now
 }
--- a/internal/lab/platform/strangers.go
+++ b/internal/lab/platform/strangers.go
@@ -14,23 +14,25 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Strangers connect to relays and are no clients: they send what is no message, or a part of one, or nothing. The
-// relay owes each of them an error or a close within a time. They come by no link: nothing is wrong with theirs.
+// Strangers emulates peers that connect to relays but are not clients: they send something other than a message, a part of one,
+// or nothing. The relay must answer each with an error or close the connection within a time limit. They connect directly, not
+// through a link of package link, so their connections have no network faults.
 type Strangers struct {
 	Env
 	Relays *RelayPool
-	Source string // address that they come from; empty for any
+	Source string // source address of their connections; empty for any
 }
 
-// The times that a relay has for a peer, from its connection on: for one that has much to send, too.
+// Limits of a stranger's connection. The timeouts are those of the relay's response, from the connection on; the second one is
+// for a stranger that sends floodBytes bytes.
 const (
 	responseTimeout      = 3 * time.Second
 	floodResponseTimeout = 6 * time.Second
-	extraWait            = 500 * time.Millisecond // how much longer the stranger looks on
+	extraWait            = 500 * time.Millisecond // time that the stranger waits beyond the timeout
 	floodBytes           = 8 << 20
 )
 
-// manner is what a stranger sends: pieces, with a time between them.
+// misuse is what a stranger sends: pieces, with an interval between them.
 type misuse struct {
 	name     string
 	pieces   func(r *rand.Rand, valid []byte) [][]byte
@@ -42,14 +44,14 @@
 	return func(*rand.Rand, []byte) [][]byte { return [][]byte{[]byte(text)} }
 }
 
-// edit is a valid request with one thing wrong.
+// replaceInValid returns a valid request with the first occurrence of a text replaced.
 func replaceInValid(old, with string) func(*rand.Rand, []byte) [][]byte {
 	return func(_ *rand.Rand, valid []byte) [][]byte {
 		return [][]byte{bytes.Replace(valid, []byte(old), []byte(with), 1)}
 	}
 }
 
-// manners are all of them. A valid request is for no stranger: it would be a message.
+// misuses lists what strangers send, in turn. None of it may be a valid request, which would be a message.
 var misuses = []misuse{
 	{name: "nothing", pieces: func(*rand.Rand, []byte) [][]byte { return nil }},
 	{name: "noise", pieces: func(r *rand.Rand, _ []byte) [][]byte {
@@ -98,7 +100,7 @@
 	{name: "a line without end", pieces: func(*rand.Rand, []byte) [][]byte { return [][]byte{bytes.Repeat([]byte("a"), 1<<20)} }},
 }
 
-// Play has strangers come until the context ends, and returns once all have gone.
+// Run connects strangers at the scenario's rate until the context ends, and returns once all have disconnected.
 func (s *Strangers) Run(ctx context.Context) {
 	r := rand.New(rand.NewPCG(s.Scenario.Seed, 0x5e))
 	var open sync.WaitGroup
@@ -120,7 +122,7 @@
 	}
 }
 
-// come has one stranger come, and records how it fared.
+// runOne connects one stranger, sends its pieces, and records how the relay responded.
 func (s *Strangers) runOne(m misuse, pieces [][]byte, relay, addr string) {
 	d := net.Dialer{Timeout: time.Second}
 	if s.Source != "" {
@@ -142,7 +144,7 @@
 	writer.Go(func() {
 		for _, p := range pieces {
 			if _, err := conn.Write(p); err != nil {
-				return // what it was told, if anything, is to be read
+				return // an answer, if there is one, remains to be read
 			}
 			select {
 			case <-stop:
