--- a/internal/lab/flaws_test.go
+++ b/internal/lab/flaws_test.go
@@ -27,29 +27,29 @@
 		more string
 		rule rules.Rule
 	}{
-		{standin.None, drains + fails + shut, ""},
-		{standin.None, strangers, ""},
-		{standin.Patient, strangers, rules.Strange},
-		{standin.Welcomes, strangers, rules.Strange},
-		{standin.Late, fails + once, rules.Repeat},
-		{standin.Twice, "", rules.Twice},
-		{standin.Late, fails, rules.Repeat},
-		{standin.Waits, shut, rules.Wait},
-		{standin.Drains, "duration = \"9s\"\n" + drains, rules.Drain},
-		{standin.Bans, "[[step]]\nat = \"500ms\"\ndo = \"ban\"\nto = \"endpoint/0\"\n", rules.Drain},
-		{standin.Forgets, "", rules.End},
-		{standin.HangsUp, "", rules.End},
-		{standin.Tardy, "[[fault]]\nat = \"0s\"\nfor = \"3s\"\nkind = \"outage\"\nfrom = \"discovery\"\n" + strings.Replace(fails, "0.5", "1.0", 1), rules.End},
-		{standin.Tardy, "[[fault]]\nat = \"200ms\"\nfor = \"3s\"\nkind = \"cut\"\nfrom = \"relays\"\nto = \"endpoints:dest=0\"\nboth = true\n", rules.End},
-		{standin.None, busy + "[[fault]]\nat = \"500ms\"\nfor = \"1500ms\"\nkind = \"outage\"\nfrom = \"endpoints:dest=0\"\n", rules.Cold}, // it has no slow start
-		{standin.TwoEnds, "", rules.Once},
-		{standin.Lies, "", rules.Figures},
-		{standin.Changes, "", rules.Own},
-		{standin.Strays, "", rules.Own},
-		{standin.Invented, "", rules.Own},
-		{standin.Endless, strings.Replace(fails, "0.5", "1.0", 1), rules.Attempts},
-		{standin.Dies, "", rules.Process},
-		{standin.None, "[[fault]]\nat = \"1s\"\nkind = \"kill\"\nfrom = \"relays\"\n", rules.End}, // it has no journal
+		{standin.NoFlaw, drains + fails + shut, ""},
+		{standin.NoFlaw, strangers, ""},
+		{standin.NoReadTimeout, strangers, rules.Strange},
+		{standin.AcceptsInvalid, strangers, rules.Strange},
+		{standin.RepeatsOutsideWindow, fails + once, rules.Repeat},
+		{standin.DuplicateAttempts, "", rules.Twice},
+		{standin.RepeatsOutsideWindow, fails, rules.Repeat},
+		{standin.IgnoresWaits, shut, rules.Wait},
+		{standin.SendsToDraining, "duration = \"9s\"\n" + drains, rules.Drain},
+		{standin.SendsToDisabled, "[[step]]\nat = \"500ms\"\ndo = \"ban\"\nto = \"endpoint/0\"\n", rules.Drain},
+		{standin.LosesMessages, "", rules.End},
+		{standin.ClosesAfterReading, "", rules.End},
+		{standin.LateNotices, "[[fault]]\nat = \"0s\"\nfor = \"3s\"\nkind = \"outage\"\nfrom = \"discovery\"\n" + strings.Replace(fails, "0.5", "1.0", 1), rules.End},
+		{standin.LateNotices, "[[fault]]\nat = \"200ms\"\nfor = \"3s\"\nkind = \"cut\"\nfrom = \"relays\"\nto = \"endpoints:dest=0\"\nboth = true\n", rules.End},
+		{standin.NoFlaw, busy + "[[fault]]\nat = \"500ms\"\nfor = \"1500ms\"\nkind = \"outage\"\nfrom = \"endpoints:dest=0\"\n", rules.Cold}, // it has no slow start
+		{standin.NoticeAfterDelivery, "", rules.Once},
+		{standin.MiscountsServed, "", rules.Figures},
+		{standin.AltersBodies, "", rules.Own},
+		{standin.WrongDestination, "", rules.Own},
+		{standin.InventsMessages, "", rules.Own},
+		{standin.UnlimitedAttempts, strings.Replace(fails, "0.5", "1.0", 1), rules.Attempts},
+		{standin.ExitsUnasked, "", rules.Process},
+		{standin.NoFlaw, "[[fault]]\nat = \"1s\"\nkind = \"kill\"\nfrom = \"relays\"\n", rules.End}, // it has no journal
 	} {
 		t.Run(fmt.Sprintf("%s,%s", c.flaw, c.rule), func(t *testing.T) {
 			t.Parallel()
@@ -65,7 +65,7 @@
 			} else if more, ok := strings.CutSuffix(c.more, once); ok {
 				text = base + once + "\n" + more
 			}
-			r := play(t, parse(t, text), Options{Root: t.TempDir(), Command: "exec " + self, Env: []string{standin.Env + "=" + string(c.flaw)}})
+			r := play(t, parse(t, text), Options{Root: t.TempDir(), Command: "exec " + self, Env: []string{standin.FlawEnv + "=" + string(c.flaw)}})
 			if c.rule != "" && r.Report.Broken[c.rule] == 0 || c.rule == "" && len(r.Failures) > 0 {
 				tell(t, r)
 				t.Errorf("rule %q: broken %d times", c.rule, r.Report.Broken[c.rule])
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -16,7 +16,7 @@
 
 // Run as a child, this binary is a stand-in for a relay.
 func TestMain(m *testing.M) {
-	if flaw, ok := os.LookupEnv(standin.Env); ok {
+	if flaw, ok := os.LookupEnv(standin.FlawEnv); ok {
 		if err := standin.Main(standin.Flaw(flaw)); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
--- a/internal/lab/machine_test.go
+++ b/internal/lab/machine_test.go
@@ -48,7 +48,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var pids []int
 	dir := t.TempDir()
-	o := Options{Root: t.TempDir(), Folder: dir, Command: "echo $$ >> pids; exec " + self, Env: []string{standin.Env + "="},
+	o := Options{Root: t.TempDir(), Folder: dir, Command: "echo $$ >> pids; exec " + self, Env: []string{standin.FlawEnv + "="},
 		Each: func(Progress) { cancel() }}
 	if _, err := Run(ctx, parse(t, "duration = \"1h\"\n[fleet]\nrelays = 2"), o); err != nil {
 		t.Fatal(err)
--- a/internal/lab/platform/clients.go
+++ b/internal/lab/platform/clients.go
@@ -185,11 +185,11 @@
 	c.openMessages[id] = m
 	c.mu.Unlock()
 	time.AfterFunc(timeLeft+10*time.Second, func() { c.forget(id) })
-	how := ""
+	sendMode := ""
 	if m.halfClosed {
-		how = history.HalfClosed
+		sendMode = history.HalfClosed
 	}
-	c.Record(history.Event{T: c.Clock.Now(), Kind: history.Hand, Relay: relay, ID: id, How: how, First: m.firstID, Class: m.class.Name, Tenant: m.tenant,
+	c.Record(history.Event{T: c.Clock.Now(), Kind: history.Hand, Relay: relay, ID: id, How: sendMode, First: m.firstID, Class: m.class.Name, Tenant: m.tenant,
 		Dest: m.dest, Key: m.key, Left: timeLeft.Milliseconds(), Sum: Checksum(append([]byte(m.key+"\n"), m.body...))})
 	return id
 }
--- a/internal/lab/platform/clients_test.go
+++ b/internal/lab/platform/clients_test.go
@@ -19,16 +19,16 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// Guards against clients that lose a message, hand it in too often, or go by another rule than the protocol's.
+// Guards against clients that lose a message, submit it too often, or retry by another rule than that of the protocol.
 func TestClientSubmissions(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		answer func(n int, w http.ResponseWriter) // of the nth request
-		hands  int                                // ids that it is handed in under
-		status int                                // of the last answer; 0 for none
+		name        string
+		answer      func(n int, w http.ResponseWriter) // of the nth request
+		submissions int                                // number of submissions, each with its own id
+		status      int                                // status of the last answer; 0 for none
 	}{
 		{"taken", func(_ int, w http.ResponseWriter) { w.WriteHeader(202) }, 1, 202},
-		{"refused, then taken", func(n int, w http.ResponseWriter) {
+		{"refused, then accepted", func(n int, w http.ResponseWriter) {
 			if n == 1 {
 				w.Header().Set("Retry-After", "0.01")
 				w.WriteHeader(503)
@@ -36,15 +36,15 @@
 			}
 			w.WriteHeader(202)
 		}, 2, 202},
-		{"refused for good", func(_ int, w http.ResponseWriter) { w.WriteHeader(503) }, 2, 503},
+		{"always refused", func(_ int, w http.ResponseWriter) { w.WriteHeader(503) }, 2, 503},
 		{"failed", func(_ int, w http.ResponseWriter) { w.WriteHeader(404) }, 1, 404},
-		{"no answer, then taken", func(n int, w http.ResponseWriter) {
+		{"no answer, then accepted", func(n int, w http.ResponseWriter) {
 			if n == 1 {
 				time.Sleep(answerTimeout + 50*time.Millisecond)
 			}
 			w.WriteHeader(202)
 		}, 2, 202},
-		{"broken off, then taken", func(n int, w http.ResponseWriter) {
+		{"connection aborted, then accepted", func(n int, w http.ResponseWriter) {
 			if n == 1 {
 				panic(http.ErrAbortHandler)
 			}
@@ -52,7 +52,7 @@
 		}, 2, 202},
 	} {
 		env := newEnv(t, func(s *scenario.Scenario, d *Draw) { d.Retries, d.Backoff, d.Honour = 1, 0.01, 1 })
-		var mu sync.Mutex // a client that no longer waits comes again beside its first request
+		var mu sync.Mutex // a client that has stopped waiting retries while its first request is still being handled
 		n, keys := 0, map[string]bool{}
 		relay := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 			mu.Lock()
@@ -63,10 +63,10 @@
 			io.Copy(io.Discard, req.Body)
 			c.answer(nth, w)
 		}))
-		front := NewRelayPool()
-		front.Add("relay/0", relay.Listener.Addr().String())
-		front.SetUsable("relay/0", true)
-		clients := NewClients(env.Env, front)
+		pool := NewRelayPool()
+		pool.Add("relay/0", relay.Listener.Addr().String())
+		pool.SetUsable("relay/0", true)
+		clients := NewClients(env.Env, pool)
 		clients.submit(clients.newMessage(rand.New(rand.NewPCG(1, 1))), "")
 		clients.Close()
 		relay.Close()
@@ -76,8 +76,8 @@
 				status = e.Status
 			}
 		}
-		if got := env.count(history.Hand); got != c.hands || status != c.status || len(keys) != 1 {
-			t.Errorf("%s: handed in %d times, %d keys, last answer %d; want %d, 1, %d", c.name, got, len(keys), status, c.hands, c.status)
+		if got := env.count(history.Hand); got != c.submissions || status != c.status || len(keys) != 1 {
+			t.Errorf("%s: submitted %d times, %d keys, last answer %d; want %d, 1, %d", c.name, got, len(keys), status, c.submissions, c.status)
 		}
 	}
 }
@@ -93,11 +93,11 @@
 	}
 	text = "svc.in_flight=many\n"
 	if _, err := Metrics(context.Background(), addr); err == nil {
-		t.Error("a figure that is no number passes")
+		t.Error("a metric that is not a number is accepted")
 	}
 }
 
-// Guards against strangers that are clients after all: what they send must be no message.
+// Guards against strangers that send a valid message by mistake, which the relay would be right to accept.
 func TestStrangersSendNoValidMessage(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 4))
 	valid := []byte("POST /api HTTP/1.1\r\nHost: h\r\nX-Request-Id: s1\r\nX-Class: order-msg\r\nX-Tenant: a\r\nX-Deadline-Ms: 900\r\n" +
@@ -116,12 +116,12 @@
 			msErr == nil && ms >= 0 && h.Get("X-Class") == "order-msg" && h.Get("X-Request-Id") != ""
 	}
 	if !message(valid) {
-		t.Fatal("a message is not taken for one")
+		t.Fatal("the check does not recognize a valid message")
 	}
-	for _, m := range misuses {
+	for _, m := range behaviours {
 		for range 50 {
 			if sent := bytes.Join(m.pieces(r, valid), nil); message(sent) {
-				t.Fatalf("%s is a message: %q", m.name, sent)
+				t.Fatalf("behaviour %q sends a valid message: %q", m.name, sent)
 			}
 			if m.flood {
 				break
--- a/internal/lab/platform/discovery_test.go
+++ b/internal/lab/platform/discovery_test.go
@@ -10,14 +10,14 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Guards against lists that a relay cannot follow: changes since a version, the whole list to whoever is behind,
-// watches that end with a change, with their time, and when discovery goes down; notices taken all the while.
+// Guards against lists that a relay cannot follow. Discovery must serve the changes since a version, and the whole list for an
+// unknown version. Watches must end with a change, with their timeout, and with an outage. Notices must be received throughout.
 func TestDiscovery(t *testing.T) {
 	env := newEnv(t, nil)
 	p := NewPartners(env.Env)
 	d := NewDiscovery(env.Env, p)
-	var ends []string
-	d.OnNotice = func(id, status string, _ time.Duration) { ends = append(ends, id+" "+status) }
+	var notices []string
+	d.OnNotice = func(id, status string, _ time.Duration) { notices = append(notices, id+" "+status) }
 	d.SetAddr("relay/0", "endpoint/1", "127.0.0.1:77")
 	addr, err := d.Serve("relay/0", "127.0.0.1:0")
 	if err != nil {
@@ -43,10 +43,10 @@
 		t.Errorf("whole list: %d, %+v", status, a)
 	}
 	if _, a := get("?since=1&timeout_ms=1"); a.Full || a.Version != 1 || len(a.Servers) != 0 {
-		t.Errorf("a watch that ends with its time: %+v", a)
+		t.Errorf("watch that ends with its timeout: %+v", a)
 	}
 	if _, a := get("?since=99&timeout_ms=1"); !a.Full {
-		t.Errorf("a watch from a version that is not there yet: %+v", a)
+		t.Errorf("watch from a version that does not exist yet: %+v", a)
 	}
 	type listResult struct {
 		status int
@@ -63,7 +63,7 @@
 	w := watch("?since=1&timeout_ms=60000")
 	d.SetState("endpoint/1", "leaving", nil)
 	if got := <-w; got.Full || got.Version != 2 || len(got.Servers) != 1 || got.Servers[0].State != "leaving" {
-		t.Errorf("a watch that ends with a change: %+v", got)
+		t.Errorf("watch that ends with a change: %+v", got)
 	}
 	left := make(chan struct{})
 	d.SetState("endpoint/1", "left", func() { close(left) })
@@ -72,15 +72,15 @@
 		t.Errorf("%d endpoints in the whole list after one left, want %d", len(a.Servers), whole-1)
 	}
 	if _, a := get("?since=2"); len(a.Servers) != 1 || a.Servers[0].State != "left" {
-		t.Errorf("a change since version 2: %+v", a)
+		t.Errorf("changes since version 2: %+v", a)
 	}
 	w = watch("?since=3&timeout_ms=60000")
 	d.SetDown(true)
 	if got := <-w; got.status != 503 {
-		t.Errorf("a watch ends with %d as discovery goes down, want 503", got.status)
+		t.Errorf("status %d for a watch at the start of an outage, want 503", got.status)
 	}
 	if status, _ := get(""); status != 503 {
-		t.Errorf("status %d while it is down, want 503", status)
+		t.Errorf("status %d during an outage, want 503", status)
 	}
 	for body, want := range map[string]int{
 		"{\"id\":\"a\",\"status\":\"deferred\",\"again_ms\":5}\n{\"id\":\"b\",\"status\":\"undeliverable\"}\n": 204,
@@ -92,14 +92,14 @@
 		}
 		resp.Body.Close()
 		if resp.StatusCode != want {
-			t.Errorf("notice %q is answered %d, want %d", body, resp.StatusCode, want)
+			t.Errorf("notice %q: status %d, want %d", body, resp.StatusCode, want)
 		}
 	}
-	if got := strings.Join(ends, ", "); got != "a deferred, b undeliverable" {
-		t.Errorf("ends %q", got)
+	if got := strings.Join(notices, ", "); got != "a deferred, b undeliverable" {
+		t.Errorf("received notices %q", got)
 	}
 	d.SetDown(false)
 	if status, _ := get(""); status != 200 {
-		t.Errorf("status %d once it is up again", status)
+		t.Errorf("status %d after the outage, want 200", status)
 	}
 }
--- a/internal/lab/platform/listcalls.go
+++ b/internal/lab/platform/listcalls.go
@@ -164,16 +164,16 @@
 		return false
 	default:
 	}
-	how, part := fmt.Sprint(len(l.Servers), " entries"), len(body)
+	detail, size := fmt.Sprint(len(l.Servers), " entries"), len(body)
 	if f.cut || f.stall {
-		how, part = history.CutShort, len(body)/2
+		detail, size = history.CutShort, len(body)/2
 	}
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n", len(body))
-	err = a.conn.Send(append([]byte(head), body[:part]...), func(at int64, ok bool) {
+	err = a.conn.Send(append([]byte(head), body[:size]...), func(at int64, ok bool) {
 		if ok && watch {
 			d.noteWatchAnswer(relay)
 		}
-		d.pendingOutcomes.Go(func() { d.recordOutcome(relay, a, l, sent, at, how, ok, part == len(body)) })
+		d.pendingOutcomes.Go(func() { d.recordOutcome(relay, a, l, sent, at, detail, ok, size == len(body)) })
 	})
 	if f.stall {
 		<-a.conn.Gone()
@@ -187,9 +187,9 @@
 
 // recordOutcome records the outcome of an answer that was sent. An answer that coincides with the end of its call, or of the
 // process that made it, counts as not received. Times are in microseconds of the run's clock.
-func (d *Discovery) recordOutcome(relay string, a *request, l endpointList, sent, at int64, how string, ok, whole bool) {
+func (d *Discovery) recordOutcome(relay string, a *request, l endpointList, sent, at int64, detail string, ok, complete bool) {
 	switch {
-	case ok && whole:
+	case ok && complete:
 		select {
 		case <-a.conn.Gone():
 			d.Record(history.Event{T: at, Kind: history.Untold, Relay: relay, Begun: a.lastByteAt})
@@ -198,9 +198,9 @@
 		}
 		d.storeList(relay, l)
 	case !ok: // it counts as received after assumedDeliveredAfter, whether it arrived or not
-		at, how = sent+assumedDeliveredAfter.Microseconds(), "lost"
+		at, detail = sent+assumedDeliveredAfter.Microseconds(), "lost"
 	}
-	d.Record(history.Event{T: min(at, sent+assumedDeliveredAfter.Microseconds()), Kind: history.Told, Relay: relay, Version: l.Version, How: how, Begun: a.lastByteAt})
+	d.Record(history.Event{T: min(at, sent+assumedDeliveredAfter.Microseconds()), Kind: history.Told, Relay: relay, Version: l.Version, How: detail, Begun: a.lastByteAt})
 }
 
 // AwaitOutcomes waits until the outcomes of all answers have been recorded.
--- a/internal/lab/platform/notices_test.go
+++ b/internal/lab/platform/notices_test.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Guards against a slow platform that answers at once, or that takes a notice no sooner than it answers.
+// Guards against a delay of notices that does not delay the answer, or that also delays the processing of the notice.
 func TestSlowNotices(t *testing.T) {
 	env := newEnv(t, nil)
 	d := NewDiscovery(env.Env, NewPartners(env.Env))
@@ -32,9 +32,9 @@
 	}()
 	<-noticed
 	if env.count(history.Notice) != 1 {
-		t.Error("the notice is not recorded as it comes")
+		t.Error("the notice is not recorded on arrival")
 	}
 	if at := <-answered; at.Sub(begin) < slow {
-		t.Errorf("it was answered after %v, want %v", at.Sub(begin), slow)
+		t.Errorf("answered after %v, want at least %v", at.Sub(begin), slow)
 	}
 }
--- a/internal/lab/platform/platform_test.go
+++ b/internal/lab/platform/platform_test.go
@@ -17,7 +17,7 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// recorded is an Env whose events a test can look at.
+// recordedEnv is an Env whose events a test can inspect.
 type recordedEnv struct {
 	Env
 	mu     sync.Mutex
@@ -54,7 +54,7 @@
 	return n
 }
 
-// Guards against a draw that differs between two runs of one seed, or that no relay could read.
+// Guards against a draw that differs between two runs with the same seed, or that is out of its bounds.
 func TestDraw(t *testing.T) {
 	for seed := range uint64(30) {
 		s := scenario.Default()
@@ -62,7 +62,7 @@
 		a, _ := json.Marshal(NewDraw(s))
 		b, _ := json.Marshal(NewDraw(s))
 		if !bytes.Equal(a, b) {
-			t.Fatalf("seed %d draws differently the second time", seed)
+			t.Fatalf("seed %d: the second draw differs", seed)
 		}
 		d := NewDraw(s)
 		sum, many := 0.0, 0
@@ -76,12 +76,12 @@
 			}
 		}
 		if sum < 0.999 || sum > 1.001 || many == 0 || many == len(d.Dests) {
-			t.Errorf("seed %d: shares add up to %.3f, %d of %d take many messages in a call", seed, sum, many, len(d.Dests))
+			t.Errorf("seed %d: shares add up to %.3f, %d of %d destinations accept several messages in a call", seed, sum, many, len(d.Dests))
 		}
 	}
 }
 
-// Guards against a limit that lets more through than it says, over any span, whatever comes.
+// Guards against a rate limit that allows more calls than specified over any interval, whatever the load.
 func TestLimits(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 1))
@@ -107,24 +107,25 @@
 				t.Fatalf("seed %d: refused with a wait of %v", seed, wait)
 			}
 		}
-		spare := d.burstCalls() // of a plain rate; a span's end and the next one's start lie side by side
+		burst := d.burstCalls() // of a token bucket; with fixed windows, the end of one and the start of the next may both be full
 		if d.Window > 0 {
-			spare = d.Rate * d.Window
+			burst = d.Rate * d.Window
 		}
 		for i := range allowed {
 			for k := i; k < len(allowed); k++ {
-				if most := d.Rate*allowed[k].Sub(allowed[i]).Seconds() + spare + 1; float64(k-i+1) > most+1e-6 {
+				if maxCalls := d.Rate*allowed[k].Sub(allowed[i]).Seconds() + burst + 1; float64(k-i+1) > maxCalls+1e-6 {
 					t.Fatalf("seed %d: %d calls within %v of a limit of %.1f/s", seed, k-i+1, allowed[k].Sub(allowed[i]), d.Rate)
 				}
 			}
 		}
 		if len(allowed) == 0 || refused == 0 {
-			t.Errorf("seed %d: of %d calls %d were let through and %d refused", seed, calls, len(allowed), refused)
+			t.Errorf("seed %d: of %d calls %d were allowed and %d refused", seed, calls, len(allowed), refused)
 		}
 	}
 }
 
-// Guards against bodies of several messages that are read otherwise than they are written.
+// Guards against bodies with several messages that are parsed to something other than was sent, and malformed ones that are
+// accepted.
 func TestFrames(t *testing.T) {
 	for body, want := range map[string]string{
 		"a - 5\r\nhello\r\n":                      "a//hello",
@@ -148,7 +149,7 @@
 			text = "error"
 		}
 		if text != want {
-			t.Errorf("%q reads as %q, want %q (%v)", body, text, want, err)
+			t.Errorf("%q is parsed as %q, want %q (%v)", body, text, want, err)
 		}
 	}
 }
@@ -163,7 +164,7 @@
 	})
 }
 
-// Guards against a garbled answer that can be read, and one that tells another status than it is said to.
+// Guards against a garbled answer that can be parsed, and one that conveys another status than the one returned with it.
 func TestGarble(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	status200Sum := 0
@@ -175,14 +176,14 @@
 			_, err = io.Copy(io.Discard, resp.Body)
 		}
 		if err == nil {
-			t.Fatalf("%q can be read", text)
+			t.Fatalf("%q can be parsed", text)
 		}
 		if ok := strings.HasPrefix(text, "HTTP/1.1 200 OK\r\n"); status == 200 != (ok && !batch) || status != 0 && status != 200 {
-			t.Fatalf("%q, many %v, is said to tell %d", text, batch, status)
+			t.Fatalf("%q, batch %v, is returned with status %d", text, batch, status)
 		}
 		status200Sum += status
 	}
 	if status200Sum == 0 {
-		t.Error("none is true")
+		t.Error("no garbled answer conveys status 200")
 	}
 }
--- a/internal/lab/platform/request_test.go
+++ b/internal/lab/platform/request_test.go
@@ -14,20 +14,20 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// closer is a relay that ends connections on purpose: what happens on each is said by a word of its script.
+// scriptedRelay is a relay that closes connections on purpose. Each word of its script says what happens next on a connection:
 //
-//	answer  reads a request, answers it and goes on with the next word on the same connection
-//	last    reads a request, answers that it ends the connection, and does
-//	read    reads a request and closes with no answer
-//	unread  closes once a request has begun to come, without reading it
+//	answer  reads a request, answers it and continues with the next word on the same connection
+//	last    reads a request, answers it with "Connection: close", and closes the connection
+//	read    reads a request and closes the connection without an answer
+//	unread  closes the connection once a request has begun to arrive, without reading it
 type scriptedRelay struct {
 	net.Listener
 	mu      sync.Mutex
 	script  []string
-	readIDs []string // of the requests that were read
+	readIDs []string // ids of the requests that were read
 }
 
-// newCloser starts a relay with a script, and a front that knows it.
+// newScriptedRelay starts a relay with a script, and returns it with a pool that contains it.
 func newScriptedRelay(t *testing.T, script string) (*scriptedRelay, *RelayPool) {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -36,13 +36,13 @@
 	}
 	relay := &scriptedRelay{Listener: l, script: strings.Fields(script)}
 	go relay.run()
-	front := NewRelayPool()
-	front.Add("relay/0", l.Addr().String())
-	front.SetUsable("relay/0", true)
-	return relay, front
+	pool := NewRelayPool()
+	pool.Add("relay/0", l.Addr().String())
+	pool.SetUsable("relay/0", true)
+	return relay, pool
 }
 
-// unanswered is how many requests were read and got no answer.
+// unanswered returns the number of requests that were read and got no answer.
 func (r *recordedEnv) unanswered() (n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,14 +54,14 @@
 	return n
 }
 
-func (r *scriptedRelay) nextStep() (word string) {
+func (r *scriptedRelay) nextStep() (step string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	word = "answer"
+	step = "answer"
 	if len(r.script) > 0 {
-		word, r.script = r.script[0], r.script[1:]
+		step, r.script = r.script[0], r.script[1:]
 	}
-	return word
+	return step
 }
 
 func (r *scriptedRelay) run() {
@@ -78,8 +78,8 @@
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
-		word := r.nextStep()
-		if word == "unread" {
+		step := r.nextStep()
+		if step == "unread" {
 			io.ReadFull(conn, make([]byte, 1))
 			return
 		}
@@ -91,10 +91,10 @@
 		r.mu.Lock()
 		r.readIDs = append(r.readIDs, req.Header.Get("X-Request-Id"))
 		r.mu.Unlock()
-		if word == "read" {
+		if step == "read" {
 			return
 		}
-		if word == "last" {
+		if step == "last" {
 			io.WriteString(conn, "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\nConnection: close\r\n\r\n")
 			return
 		}
@@ -102,29 +102,29 @@
 	}
 }
 
-// Guards against a client that forgives a relay which read its request and closed, and against one that blames a relay which
-// had not read it: such a request is sent anew under its own id.
+// Guards against a client that does not report a relay which read its request and closed the connection without an answer, and
+// against one that reports a relay which had not read it. An unread request must be sent again under the same id.
 func TestClosedRequests(t *testing.T) {
 	for _, c := range []struct {
-		script     string
-		hands      int // ids for one message
-		reads      int
-		unanswered int
+		script      string
+		submissions int // submissions of one message, each with its own id
+		reads       int
+		unanswered  int
 	}{
 		{"answer", 1, 1, 0},
-		{"unread answer", 1, 1, 0},        // the first on a new connection
-		{"answer unread answer", 1, 1, 0}, // the second on a kept one
+		{"unread answer", 1, 1, 0},        // the first request on a new connection
+		{"answer unread answer", 1, 1, 0}, // the second request on a persistent connection
 		{"read answer", 2, 2, 1},
 		{"answer read answer", 2, 2, 1},
-		{"unread read answer", 2, 2, 1}, // anew, and then it was read
+		{"unread read answer", 2, 2, 1}, // sent again, and then read
 		{"unread unread answer", 2, 1, 0},
 		{"read read answer", 3, 3, 2},
 	} {
 		env := newEnv(t, func(*scenario.Scenario, *Draw) {})
-		relay, front := newScriptedRelay(t, c.script)
-		clients := NewClients(env.Env, front)
+		relay, pool := newScriptedRelay(t, c.script)
+		clients := NewClients(env.Env, pool)
 		draws := rand.New(rand.NewPCG(1, 1))
-		if strings.HasPrefix(c.script, "answer ") { // one before, so that there is a kept connection
+		if strings.HasPrefix(c.script, "answer ") { // a message before, so that there is an idle connection
 			before := clients.newMessage(draws)
 			before.client = 0
 			clients.submit(before, "")
@@ -136,45 +136,45 @@
 		clients.Close()
 		relay.Close()
 		unanswered := env.unanswered()
-		if got := env.count(history.Hand); got != c.hands || len(relay.readIDs) != c.reads || unanswered != c.unanswered || env.count(history.Heard) != 1 {
-			t.Errorf("%s: handed in %d times, read %d times, %d times read with no answer, answered %d times; want %d, %d, %d, 1",
-				c.script, got, len(relay.readIDs), unanswered, env.count(history.Heard), c.hands, c.reads, c.unanswered)
+		if got := env.count(history.Hand); got != c.submissions || len(relay.readIDs) != c.reads || unanswered != c.unanswered || env.count(history.Heard) != 1 {
+			t.Errorf("%s: submitted %d times, read %d times, %d times read without an answer, answered %d times; want %d, %d, %d, 1",
+				c.script, got, len(relay.readIDs), unanswered, env.count(history.Heard), c.submissions, c.reads, c.unanswered)
 		}
 	}
 }
 
-// Guards against two requests on one connection of which one is handed in too often, forgiven or blamed.
+// Guards against pipelined requests of which one is submitted too often, or whose missing answer is reported wrongly.
 func TestPipelinedRequests(t *testing.T) {
 	for _, c := range []struct {
-		script     string
-		hands      int // ids for both messages
-		unanswered int
+		script      string
+		submissions int // submissions of both messages, each with its own id
+		unanswered  int
 	}{
 		{"answer answer", 2, 0},
 		{"unread answer answer", 2, 0},
-		{"last answer", 3, 1}, // the second was read with the first, whose answer says that it ends the connection
+		{"last answer", 3, 1}, // the second was read with the first, whose answer announces the end of the connection
 		{"answer read answer", 3, 1},
 		{"read answer answer", 4, 2}, // both were read
 	} {
 		env := newEnv(t, func(*scenario.Scenario, *Draw) {})
-		relay, front := newScriptedRelay(t, c.script)
-		clients := NewClients(env.Env, front)
+		relay, pool := newScriptedRelay(t, c.script)
+		clients := NewClients(env.Env, pool)
 		draws := rand.New(rand.NewPCG(1, 1))
 		clients.submitPipelined(clients.newMessage(draws), clients.newMessage(draws))
 		clients.inProgress.Wait()
 		clients.Close()
 		relay.Close()
-		if got, lost := env.count(history.Hand), env.unanswered(); got != c.hands || lost != c.unanswered || env.count(history.Heard) != 2 {
-			t.Errorf("%s: handed in %d times, %d times read with no answer, answered %d times; want %d, %d, 2", c.script, got, lost, env.count(history.Heard), c.hands, c.unanswered)
+		if got, unanswered := env.count(history.Hand), env.unanswered(); got != c.submissions || unanswered != c.unanswered || env.count(history.Heard) != 2 {
+			t.Errorf("%s: submitted %d times, %d times read without an answer, answered %d times; want %d, %d, 2", c.script, got, unanswered, env.count(history.Heard), c.submissions, c.unanswered)
 		}
 	}
 }
 
-// Guards against a client that ends its sending and does not hear its answer, or uses the connection again.
+// Guards against a client that closes its sending side and then does not receive its answer, or uses the connection again.
 func TestHalfClosedRequests(t *testing.T) {
 	env := newEnv(t, func(*scenario.Scenario, *Draw) {})
-	relay, front := newScriptedRelay(t, "answer answer")
-	clients := NewClients(env.Env, front)
+	relay, pool := newScriptedRelay(t, "answer answer")
+	clients := NewClients(env.Env, pool)
 	draws := rand.New(rand.NewPCG(1, 1))
 	for range 2 {
 		m := clients.newMessage(draws)
@@ -183,21 +183,21 @@
 	}
 	relay.Close()
 	if env.count(history.Hand) != 2 || env.count(history.Heard) != 2 || len(clients.idle) != 0 {
-		t.Errorf("handed in %d times, answered %d times, %d kept; want 2, 2, 0", env.count(history.Hand), env.count(history.Heard), len(clients.idle))
+		t.Errorf("submitted %d times, answered %d times, %d idle connections; want 2, 2, 0", env.count(history.Hand), env.count(history.Heard), len(clients.idle))
 	}
 }
 
-// Guards against a watch that misses a request which is read only after a while.
+// Guards against a watch that misses a request which is read only after several polls, or that polls after its end.
 func TestReadWatch(t *testing.T) {
 	polls := 0
 	w := &readWatch{stopped: make(chan struct{})}
 	w.poll(func() bool { polls++; return polls == 3 })
 	if !w.stop() {
-		t.Error("a request that was read at the third look counts as unread")
+		t.Error("a request that was read by the third poll counts as unread")
 	}
 	w = &readWatch{stopped: make(chan struct{})}
 	if w.stop() {
-		t.Error("a request that nobody looked after counts as read")
+		t.Error("a request that was never polled counts as read")
 	}
-	w.poll(func() bool { t.Error("it looks on after its end"); return true })
+	w.poll(func() bool { t.Error("the watch polls after its end"); return true })
 }
--- a/internal/lab/platform/slowstart.go
+++ b/internal/lab/platform/slowstart.go
@@ -55,7 +55,7 @@
 		figures[a.relay]++
 	}
 	d.partners.Record(history.Event{T: d.partners.Clock.At(now), Kind: history.Fell, Dest: d.Number, Figures: figures,
-		Text: fmt.Sprintf("%.0f calls in %v, where %.1f are allowed and %.1f bearable", calls, overloadWindow, allowed, history.SlowStartMost(allowed))})
+		Text: fmt.Sprintf("%.0f calls in %v, where %.1f are allowed and %.1f tolerated", calls, overloadWindow, allowed, history.SlowStartMost(allowed))})
 }
 
 // capacity returns the calls a second that a destination's endpoints execute after slow start. The destination's lock must be held.
--- a/internal/lab/platform/slowstart_test.go
+++ b/internal/lab/platform/slowstart_test.go
@@ -10,7 +10,7 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// coldEnv is a platform with one destination of a given capacity for each endpoint.
+// coldEnv returns a platform with one destination, whose endpoints have the given capacity in calls a second.
 func coldEnv(t *testing.T, capacity float64) *recordedEnv {
 	return newEnv(t, func(s *scenario.Scenario, d *Draw) {
 		s.Platform.Destinations = 1
@@ -20,26 +20,27 @@
 	})
 }
 
-// Guards against a destination in slow start that nothing pushes over, or that what it can bear does.
+// Guards against a destination in slow start that withstands any load, or that collapses under a load within its bound.
 func TestOnlyOverloadCollapsesColdDestination(t *testing.T) {
 	for _, c := range []struct {
-		times float64 // of what it can do
-		falls bool
+		loadFactor float64 // load relative to the current capacity
+		collapses  bool
 	}{{1.2, false}, {2.2, true}} {
 		d := NewPartners(coldEnv(t, 100).Env).dests[0]
 		now := time.Now()
 		d.startCold(now)
 		for at := now; at.Before(now.Add(9 * time.Second)); {
 			d.countArrival("relay/0", at)
-			at = at.Add(time.Duration(float64(time.Second) / (c.times * d.capacity() * d.warmShare(at))))
+			at = at.Add(time.Duration(float64(time.Second) / (c.loadFactor * d.capacity() * d.warmShare(at))))
 		}
-		if d.collapsed != c.falls {
-			t.Errorf("%g times what it can do: fallen is %v", c.times, d.collapsed)
+		if d.collapsed != c.collapses {
+			t.Errorf("load of %g times the capacity: collapsed is %v", c.loadFactor, d.collapsed)
 		}
 	}
 }
 
-// Guards against a bound on calls in slow start that depends on how many relays send them, or on how large the destination is.
+// Guards against a bound on calls in slow start that depends on the number of relays that send them, or that misses at small or
+// large destinations.
 func TestSlowStartBoundIsIndependentOfFleetSize(t *testing.T) {
 	for _, capacity := range []float64{10, 100} {
 		for _, relays := range []int{1, 3, 300} {
@@ -47,20 +48,20 @@
 			d := NewPartners(env.Env).dests[0]
 			now := time.Now()
 			d.startCold(now)
-			most := int(math.Floor(history.SlowStartMost(overloadFactor * d.capacity() * d.warmShare(now) * overloadWindow.Seconds())))
-			for i := range most {
+			maxCalls := int(math.Floor(history.SlowStartMost(overloadFactor * d.capacity() * d.warmShare(now) * overloadWindow.Seconds())))
+			for i := range maxCalls {
 				d.countArrival(fmt.Sprintf("relay/%d", i%relays), now)
 			}
 			if d.collapsed {
-				t.Errorf("capacity %g, %d relays: it fell at %d calls, its bound", capacity, relays, most)
+				t.Errorf("capacity %g, %d relays: collapsed at %d calls, its bound", capacity, relays, maxCalls)
 			}
 			d.countArrival("relay/0", now)
 			if !d.collapsed {
-				t.Errorf("capacity %g, %d relays: it bears %d calls, one more than its bound", capacity, relays, most+1)
+				t.Errorf("capacity %g, %d relays: no collapse at %d calls, one more than its bound", capacity, relays, maxCalls+1)
 			}
 			e := env.events[len(env.events)-1]
-			if e.Kind != history.Fell || e.Figures["calls"] != float64(most+1) || e.Figures["relay/0"] == 0 {
-				t.Errorf("it does not say how it fell: %v", e)
+			if e.Kind != history.Fell || e.Figures["calls"] != float64(maxCalls+1) || e.Figures["relay/0"] == 0 {
+				t.Errorf("the event does not describe the collapse: %v", e)
 			}
 		}
 	}
--- a/internal/lab/platform/strangers.go
+++ b/internal/lab/platform/strangers.go
@@ -32,8 +32,8 @@
 	floodBytes           = 8 << 20
 )
 
-// misuse is what a stranger sends: pieces, with an interval between them.
-type misuse struct {
+// behaviour is what a stranger sends: pieces, with an interval between them.
+type behaviour struct {
 	name     string
 	pieces   func(r *rand.Rand, valid []byte) [][]byte
 	interval time.Duration
@@ -51,8 +51,8 @@
 	}
 }
 
-// misuses lists what strangers send, in turn. None of it may be a valid request, which would be a message.
-var misuses = []misuse{
+// behaviours lists what strangers send, in turn. None of it may be a valid request, which would be a message.
+var behaviours = []behaviour{
 	{name: "nothing", pieces: func(*rand.Rand, []byte) [][]byte { return nil }},
 	{name: "noise", pieces: func(r *rand.Rand, _ []byte) [][]byte {
 		junk := make([]byte, 1+r.IntN(2000))
@@ -111,7 +111,7 @@
 			return
 		case <-time.After(time.Duration(r.ExpFloat64() / s.Scenario.Load.Strangers * float64(time.Second))):
 		}
-		m := misuses[i%len(misuses)]
+		m := behaviours[i%len(behaviours)]
 		valid := fmt.Appendf(nil, "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: s%09x%08x\r\nX-Class: %s\r\nX-Tenant: %s\r\n"+
 			"X-Deadline-Ms: 900\r\nIdempotency-Key: %016x%016x\r\nX-Addressing: dest=0\r\nContent-Length: 5\r\n\r\nhello",
 			i, uint32(s.Scenario.Seed), s.Draw.Classes[0].Name, s.Draw.Tenants[0].Name, r.Uint64(), r.Uint64())
@@ -123,7 +123,7 @@
 }
 
 // runOne connects one stranger, sends its pieces, and records how the relay responded.
-func (s *Strangers) runOne(m misuse, pieces [][]byte, relay, addr string) {
+func (s *Strangers) runOne(m behaviour, pieces [][]byte, relay, addr string) {
 	d := net.Dialer{Timeout: time.Second}
 	if s.Source != "" {
 		d.LocalAddr = &net.TCPAddr{IP: net.ParseIP(s.Source)}
--- a/internal/lab/standin/deliver.go
+++ b/internal/lab/standin/deliver.go
@@ -13,96 +13,99 @@
 	"time"
 )
 
-// How a stand-in delivers what it has taken on, and tells of ends.
+// Delivery of accepted messages by a stand-in, and its notices.
 
-// pick is an endpoint for a message, another than the last where there is one.
-func (r *relay) pick(m *message, last string) (id, addr string, wait time.Duration) {
+// pickEndpoint returns an endpoint for a message, preferably another one than the last. If there is none, id is empty and wait is
+// the time after which to ask again.
+func (r *relay) pickEndpoint(m *message, last string) (id, addr string, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if left := time.Until(r.waits[m.dest]); left > 0 && r.flaw != Waits {
+	if left := time.Until(r.waitUntil[m.dest]); left > 0 && r.flaw != IgnoresWaits {
 		return "", "", left
 	}
 	for _, h := range r.hosts {
-		right := h.Cell == m.dest
-		if r.flaw == Strays && m.key[len(m.key)-1]%4 == 0 {
-			right = !right
+		matches := h.Cell == m.dest
+		if r.flaw == WrongDestination && m.key[len(m.key)-1]%4 == 0 {
+			matches = !matches
 		}
-		if right && h.State == "active" && !r.out[h.ID] && (id == "" || id == last) {
+		if matches && h.State == "active" && !r.disabled[h.ID] && (id == "" || id == last) {
 			id, addr = h.ID, h.Addr
 		}
 	}
 	return id, addr, 100 * time.Millisecond
 }
 
-// deliver tries until the message is delivered or its time is up.
+// deliver attempts a message until it is delivered, its deadline is near or its attempts are used up. If it is not delivered, the
+// platform gets a notice.
 func (r *relay) deliver(m *message) {
-	var ranAt time.Time
+	var firstPossiblyExecutedAt time.Time
 	last := ""
-	for tries := 0; time.Until(m.due) > 100*time.Millisecond && (tries < r.most || r.flaw == Endless); {
-		id, addr, wait := r.pick(m, last)
+	for tries := 0; time.Until(m.deadline) > 100*time.Millisecond && (tries < r.maxAttempts || r.flaw == UnlimitedAttempts); {
+		id, addr, wait := r.pickEndpoint(m, last)
 		if id == "" {
-			time.Sleep(min(wait, time.Until(m.due)))
+			time.Sleep(min(wait, time.Until(m.deadline)))
 			continue
 		}
 		last = id
-		if !ranAt.IsZero() && time.Since(ranAt) > r.window-300*time.Millisecond && r.flaw != Late {
+		if !firstPossiblyExecutedAt.IsZero() && time.Since(firstPossiblyExecutedAt) > r.window-300*time.Millisecond && r.flaw != RepeatsOutsideWindow {
 			break
 		}
 		tries++
 		begin := time.Now()
-		status, told, sent := r.call(m, addr)
+		status, retryAfter, sent := r.attempt(m, addr)
 		switch {
 		case status == http.StatusOK:
 			r.served.Add(1)
-			if r.flaw == TwoEnds {
+			if r.flaw == NoticeAfterDelivery {
 				time.Sleep(200 * time.Millisecond)
-				r.notice(m.id, "undeliverable")
+				r.sendNotice(m.id, "undeliverable")
 			}
 			return
 		case status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || !sent:
-			if told > 0 {
+			if retryAfter > 0 {
 				r.mu.Lock()
-				r.waits[m.dest] = time.Now().Add(told + 20*time.Millisecond)
+				r.waitUntil[m.dest] = time.Now().Add(retryAfter + 20*time.Millisecond)
 				r.mu.Unlock()
 			}
-			if r.flaw != Endless && r.flaw != Waits {
+			if r.flaw != UnlimitedAttempts && r.flaw != IgnoresWaits {
 				time.Sleep(200 * time.Millisecond)
 			}
 		default:
-			if ranAt.IsZero() {
-				ranAt = begin
+			if firstPossiblyExecutedAt.IsZero() {
+				firstPossiblyExecutedAt = begin
 			}
 			switch r.flaw {
-			case Endless:
-			case Late:
-				time.Sleep(time.Until(ranAt.Add(r.window + 200*time.Millisecond)))
+			case UnlimitedAttempts:
+			case RepeatsOutsideWindow:
+				time.Sleep(time.Until(firstPossiblyExecutedAt.Add(r.window + 200*time.Millisecond)))
 			default:
 				time.Sleep(100 * time.Millisecond)
 			}
 		}
 	}
-	if ranAt.IsZero() {
+	if firstPossiblyExecutedAt.IsZero() {
 		r.refused.Add(1)
-		r.notice(m.id, "deferred")
+		r.sendNotice(m.id, "deferred")
 	} else {
 		r.failed.Add(1)
-		r.notice(m.id, "undeliverable")
+		r.sendNotice(m.id, "undeliverable")
 	}
 }
 
-// call makes one attempt. Sent tells whether it may have gone out.
-func (r *relay) call(m *message, addr string) (status int, told time.Duration, sent bool) {
-	ctx, cancel := context.WithDeadline(context.Background(), m.due.Add(-50*time.Millisecond))
+// attempt makes one attempt, twice with the flaw DuplicateAttempts. It returns the status, or 0 for no answer, the advised wait,
+// and whether the request may have been sent.
+func (r *relay) attempt(m *message, addr string) (status int, retryAfter time.Duration, sent bool) {
+	ctx, cancel := context.WithDeadline(context.Background(), m.deadline.Add(-50*time.Millisecond))
 	defer cancel()
-	if r.flaw == Twice {
+	if r.flaw == DuplicateAttempts {
 		defer time.AfterFunc(5*time.Millisecond, func() { go r.post(context.Background(), m, addr) }).Stop()
 	}
 	return r.post(ctx, m, addr)
 }
 
-func (r *relay) post(ctx context.Context, m *message, addr string) (status int, told time.Duration, sent bool) {
+func (r *relay) post(ctx context.Context, m *message, addr string) (status int, retryAfter time.Duration, sent bool) {
 	body := m.body
-	if r.flaw == Changes {
+	if r.flaw == AltersBodies {
 		body = append([]byte("x"), body...)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/receive", io.NopCloser(bytes.NewReader(body)))
@@ -112,8 +115,8 @@
 	req.ContentLength = int64(len(body))
 	req.Header.Set("X-Request-Id", m.id)
 	req.Header.Set("Idempotency-Key", m.key)
-	req.Header.Set("X-Deadline-Ms", strconv.Itoa(int(time.Until(m.due).Milliseconds())))
-	resp, err := r.calls.Do(req)
+	req.Header.Set("X-Deadline-Ms", strconv.Itoa(int(time.Until(m.deadline).Milliseconds())))
+	resp, err := r.callClient.Do(req)
 	if op := (*net.OpError)(nil); errors.As(err, &op) && op.Op == "dial" {
 		return 0, 0, false
 	}
@@ -123,19 +126,19 @@
 	}
 	defer resp.Body.Close()
 	io.Copy(io.Discard, resp.Body)
-	s, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	return resp.StatusCode, time.Duration(s * float64(time.Second)), true
+	seconds, _ := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
+	return resp.StatusCode, time.Duration(seconds * float64(time.Second)), true
 }
 
-// tardiness is by how much a stand-in's ends are late that tells them late.
-const tardiness = 500 * time.Millisecond
+// noticeDelay is the delay of notices with the flaw LateNotices.
+const noticeDelay = 500 * time.Millisecond
 
-func (r *relay) notice(id, status string) {
-	if r.flaw == Tardy {
-		time.Sleep(tardiness)
+func (r *relay) sendNotice(id, status string) {
+	if r.flaw == LateNotices {
+		time.Sleep(noticeDelay)
 	}
 	for range 20 {
-		resp, err := r.notices.Post("http://"+r.platform+"/status", "application/json", strings.NewReader(fmt.Sprintf("{\"id\":%q,\"status\":%q}\n", id, status)))
+		resp, err := r.noticeClient.Post("http://"+r.platformAddr+"/status", "application/json", strings.NewReader(fmt.Sprintf("{\"id\":%q,\"status\":%q}\n", id, status)))
 		if err == nil {
 			resp.Body.Close()
 			return
--- a/internal/lab/standin/flaws.go
+++ b/internal/lab/standin/flaws.go
@@ -1,29 +1,29 @@
 package standin
 
-// Flaw is what a stand-in does wrong.
+// Flaw is a rule that a stand-in breaks on purpose.
 type Flaw string
 
-// The flaws.
+// The flaws of stand-ins.
 const (
-	None     Flaw = ""
-	Twice    Flaw = "sends while an attempt is out"
-	Late     Flaw = "repeats outside the window"
-	Waits    Flaw = "ignores waits"
-	Drains   Flaw = "goes on sending to endpoints that drain"
-	Bans     Flaw = "goes on sending to endpoints that are out by hand"
-	Forgets  Flaw = "never ends one message in ten"
-	TwoEnds  Flaw = "tells a second end of what was delivered"
-	Lies     Flaw = "counts what it did not serve"
-	Changes  Flaw = "changes bodies"
-	Strays   Flaw = "sends to another destination"
-	Endless  Flaw = "has no limit of attempts"
-	Dies     Flaw = "ends unasked"
-	Invented Flaw = "sends what nobody handed in"
-	Patient  Flaw = "waits for ever for what a peer has to say"
-	Welcomes Flaw = "takes on what is no message"
-	HangsUp  Flaw = "closes the connection of one request in ten that it has read"
-	Tardy    Flaw = "tells of ends half a second late"
+	NoFlaw               Flaw = ""
+	DuplicateAttempts    Flaw = "sends while an attempt is in flight"
+	RepeatsOutsideWindow Flaw = "repeats outside the window"
+	IgnoresWaits         Flaw = "ignores waits"
+	SendsToDraining      Flaw = "continues to send to draining endpoints"
+	SendsToDisabled      Flaw = "continues to send to manually disabled endpoints"
+	LosesMessages        Flaw = "loses one message in ten"
+	NoticeAfterDelivery  Flaw = "sends a notice for delivered messages"
+	MiscountsServed      Flaw = "counts messages that it did not serve"
+	AltersBodies         Flaw = "changes bodies"
+	WrongDestination     Flaw = "sends to another destination"
+	UnlimitedAttempts    Flaw = "has no limit on attempts"
+	ExitsUnasked         Flaw = "exits without being asked"
+	InventsMessages      Flaw = "sends messages that no client submitted"
+	NoReadTimeout        Flaw = "waits without limit for a peer to send"
+	AcceptsInvalid       Flaw = "accepts invalid messages"
+	ClosesAfterReading   Flaw = "closes the connection of one request in ten after reading it"
+	LateNotices          Flaw = "sends notices half a second late"
 )
 
-// Env names the variable that has a stand-in's flaw.
-const Env = "LARCHLAB_STANDIN"
+// FlawEnv is the environment variable that holds the flaw of a stand-in.
+const FlawEnv = "LARCHLAB_STANDIN"
