--- a/internal/lab/platform/clients.go
+++ b/internal/lab/platform/clients.go
@@ -46,16 +46,16 @@
 	answerTimeout     = 400 * time.Millisecond
 	earlyAbandonAfter = 2 * time.Millisecond
 	maxIdleConns      = 4
-	maxSubmissions    = 4 // ids for one message, whatever their outcomes
+	maxSubmissions    = 4 // submissions of one message, each under its own id, whatever their outcomes
 )
 
-// NewClients returns clients that send to the relays of a pool once Run is called.
+// NewClients returns clients that send to the relays of a pool once Submit is called.
 func NewClients(env Env, relays *RelayPool) *Clients {
 	return &Clients{Env: env, Relays: relays, idle: map[string][]*clientConn{}, openMessages: map[string]*message{}}
 }
 
-// Run submits messages at the scenario's rate until the context ends. It returns once the last submission has finished.
-func (c *Clients) Run(ctx context.Context) {
+// Submit submits messages at the scenario's rate until the context ends. It returns once the last submission has finished.
+func (c *Clients) Submit(ctx context.Context) {
 	s, r := c.Scenario, rand.New(rand.NewPCG(c.Scenario.Seed, 0x2b))
 	earlyDraws := rand.New(rand.NewPCG(c.Scenario.Seed, 0x3c))
 	behaviourDraws := rand.New(rand.NewPCG(c.Scenario.Seed, 0x3d))
--- a/internal/lab/platform/discovery.go
+++ b/internal/lab/platform/discovery.go
@@ -23,6 +23,7 @@
 	version int64   // list version of the last change
 }
 
+// endpointList is an answer of discovery: the whole list, or the changes since a version.
 type endpointList struct {
 	Version int64   `json:"version"`
 	Full    bool    `json:"full"`
@@ -41,13 +42,13 @@
 	changed         chan struct{}
 	downSignal      chan struct{} // closed during an outage
 	isDown          bool
-	changeDelay     time.Duration
+	changeDelay     time.Duration // delay of changes in addition to Draw.ListDelay
 	noticeDelay     time.Duration // delay of the answer to a notice
 	faults          ListFaults    // faults of calls for the list
 	rand            *rand.Rand
-	slot            chan struct{} // semaphore of size 1: calls are handled one at a time
-	waitingCalls    int           // calls that wait for the slot or hold it
-	watches         map[string]int
+	slot            chan struct{}           // semaphore of size 1: calls are handled one at a time
+	waitingCalls    int                     // calls that wait for the slot or hold it
+	watches         map[string]int          // number of open watches, by relay
 	lastWatchAnswer map[string]time.Time    // when a relay's last watch was answered
 	lastLists       map[string]endpointList // the list that each relay received last
 	// pendingOutcomes counts answers of which it is not known yet whether the caller received them before it ended its call.
@@ -111,6 +112,7 @@
 	d.applyLater(endpoint, func(e *Entry) { e.Weight = rate }, nil)
 }
 
+// applyLater edits the entry of an endpoint after the discovery delay, and then calls afterwards unless it is nil.
 func (d *Discovery) applyLater(endpoint string, edit func(*Entry), afterwards func()) {
 	d.mu.Lock()
 	wait := time.Duration(d.Draw.ListDelay*float64(time.Second)) + d.changeDelay
--- a/internal/lab/platform/endpoint.go
+++ b/internal/lab/platform/endpoint.go
@@ -13,14 +13,14 @@
 type endpoint struct {
 	name, id       string // for example endpoint/3 in scenario and history, and s-3 in the list
 	dest           *destination
-	workers        int
-	busy           int
-	waiting        []*job
-	conns          int
-	drained        bool // it refuses all calls because it is decommissioned
+	workers        int    // calls that it executes at the same time
+	busy           int    // calls in execution
+	waiting        []*job // queued calls, in order of arrival
+	conns          int    // open connections
+	drained        bool   // it refuses all calls because it is decommissioned
 	faults         EndpointFaults
 	appliedKeys    map[string]time.Time // idempotency keys of executed messages, with their times
-	loadReport     string
+	loadReport     string               // latest X-Load header, with its line end
 	loadReportedAt time.Time
 }
 
@@ -29,11 +29,11 @@
 	call  int64
 	relay string
 	conn  *link.Conn
-	batch bool
+	batch bool // a call with several messages
 	ids   []string
 	keys  []string
-	cost  float64
-	done  func() // must be called once, when the call has ended
+	cost  float64 // relative to a call with a single message
+	done  func()  // must be called once, when the call has ended
 }
 
 func (e *endpoint) serve(relay string, c *link.Conn) {
--- a/internal/lab/platform/partner.go
+++ b/internal/lab/platform/partner.go
@@ -47,16 +47,16 @@
 	mu          sync.Mutex
 	rand        *rand.Rand
 	endpoints   []*endpoint
-	tokens      float64
-	tokensAt    time.Time
+	tokens      float64   // calls in the token bucket
+	tokensAt    time.Time // when tokens was last updated
 	windowStart time.Time // start of the current fixed window
-	windowCalls float64
+	windowCalls float64   // calls counted in the current fixed window
 	shutUntil   time.Time // time until which it refuses all calls
 	errorShare  float64   // share of calls that fail
 	slowFactor  float64   // factor by which calls take longer
 	down        bool      // an outage: no endpoint answers
 	coldSince   time.Time // start of slow start; zero if there is none
-	collapsed   bool
+	collapsed   bool      // overloaded during slow start; it refuses all calls until an outage resets it
 	arrivals    []arrival // recent calls, during slow start
 }
 
--- a/internal/lab/platform/strangers.go
+++ b/internal/lab/platform/strangers.go
@@ -100,8 +100,8 @@
 	{name: "a line without end", pieces: func(*rand.Rand, []byte) [][]byte { return [][]byte{bytes.Repeat([]byte("a"), 1<<20)} }},
 }
 
-// Run connects strangers at the scenario's rate until the context ends, and returns once all have disconnected.
-func (s *Strangers) Run(ctx context.Context) {
+// Connect connects strangers at the scenario's rate until the context ends, and returns once all have disconnected.
+func (s *Strangers) Connect(ctx context.Context) {
 	r := rand.New(rand.NewPCG(s.Scenario.Seed, 0x5e))
 	var open sync.WaitGroup
 	defer open.Wait()
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -38,8 +38,8 @@
 	}
 	loaded, unload := context.WithTimeout(ctx, time.Duration(w.scenario.Duration))
 	defer unload()
-	parts.Go(func() { w.clients.Run(loaded) })
-	parts.Go(func() { w.strangers.Run(loaded) })
+	parts.Go(func() { w.clients.Submit(loaded) })
+	parts.Go(func() { w.strangers.Connect(loaded) })
 	go w.watch(ctx, began, checks)
 	parts.Wait()
 	most := time.Duration(w.scenario.Load.Deadline) + 8*time.Second
