--- /dev/null
+++ b/internal/hollow/controller_test.go
@@ -0,0 +1,250 @@
+package hollow
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"testing"
+	"time"
+
+	"larchrouter/internal/discovery"
+	"larchrouter/internal/fleet/hold"
+	"larchrouter/internal/keeper/api"
+	"larchrouter/internal/lab/proc"
+)
+
+// shareEnv names the file of what a process of members is to play.
+const configEnv = "HOLLOW_SHARE"
+
+// TestMain is the test, or a process of members that a test started.
+func TestMain(m *testing.M) {
+	if path := os.Getenv(configEnv); path != "" {
+		var config ProcessConfig
+		data, err := os.ReadFile(path)
+		if err == nil {
+			err = json.Unmarshal(data, &config)
+		}
+		if err == nil {
+			err = RunMembers(config)
+		}
+		if err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// played is a process of members, as the player sees it.
+type memberProcess struct {
+	*proc.Process
+	conn  net.Conn
+	mu    sync.Mutex // of what is written
+	bytes int64
+}
+
+// player is a play: keepers, members and what was asked of either.
+type controller struct {
+	t         testing.TB
+	keepers   *keepers
+	members   int
+	processes []*memberProcess
+	readers   sync.WaitGroup
+
+	mu            sync.Mutex
+	transitions   []Transition
+	current       map[int]Transition
+	proposals     []ProposedChange
+	lastProposed  uint64 // the newest change that was asked for
+	proposalCount int
+	recoveries    []Recovery
+	failure       string
+}
+
+// document is a change's, of about so many bytes; no two that follow each other are equal.
+func document(n, bytes int) json.RawMessage {
+	names := []string{}
+	for i := 0; 12*len(names) < bytes-430; i++ {
+		names = append(names, fmt.Sprintf("sku-%05d", i))
+	}
+	skus, _ := json.Marshal(names)
+	return fmt.Appendf(nil, `{"bounds":{"max-attempts":%d,"most-held":10,"conn-idle":5,"dial-timeout":1},"classes":[{"name":"order","aim":1,"give-up":4,"effect":"idempotent","group":"all","worth":1}],
+	"family-info":{"workers":4,"per-call":[1]},"fleet-size":3,"rules":{"cold":4,"fall":2,"ask-within":10},"skus":%s,"tick":0.005,"zones":["a"]}`, 2+n%6, skus)
+}
+
+// newPlayer starts the processes of members, none of which has begun.
+func newController(t testing.TB, k *keepers, members, processes, docBytes, listSize int) *controller {
+	t.Helper()
+	p := &controller{t: t, keepers: k, members: members, current: map[int]Transition{}}
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	memberDirs, err := os.MkdirTemp(cmp.Or(*flagMemberDirs, k.dir), "members-")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { os.RemoveAll(memberDirs) })
+	config := ProcessConfig{ControllerAddr: listener.Addr().String(), Dir: memberDirs, FleetSize: members, Keepers: k.wan.Keepers, Paths: k.wan.Paths,
+		Settings: document(0, docBytes), List: discovery.List{Version: 1, Full: true}}
+	for i := range listSize {
+		config.List.Servers = append(config.List.Servers, discovery.Server{ID: fmt.Sprintf("endpoint-%06d", i), Addr: fmt.Sprintf("10.0.%d.%d:443", i>>8, i&0xff),
+			Zone: "a", Kind: "all", Cell: i, State: "up", Weight: 1})
+	}
+	for i := range processes {
+		config.Members = nil
+		for m := i * members / processes; m < (i+1)*members/processes; m++ {
+			config.Members = append(config.Members, m)
+		}
+		data, err := json.Marshal(config)
+		if err != nil {
+			t.Fatal(err)
+		}
+		path := filepath.Join(k.dir, fmt.Sprintf("members-%d.json", i))
+		if err := os.WriteFile(path, data, 0o644); err != nil {
+			t.Fatal(err)
+		}
+		started, err := proc.Start(proc.Spec{Name: fmt.Sprint("members/", i), Command: "exec " + os.Args[0], Dir: k.dir, Env: []string{configEnv + "=" + path},
+			Log: filepath.Join(k.dir, fmt.Sprintf("members-%d.log", i))}, func(started *proc.Process) {
+			if !started.Expected() && started.Err() != nil {
+				t.Errorf("%s ended: %v", started.Name, started.Err())
+			}
+		})
+		if err != nil {
+			t.Fatal(err)
+		}
+		listener.(*net.TCPListener).SetDeadline(time.Now().Add(30 * time.Second))
+		conn, err := listener.Accept()
+		if err != nil {
+			t.Fatal(err)
+		}
+		process := &memberProcess{Process: started, conn: conn}
+		p.processes = append(p.processes, process)
+		p.readers.Go(func() { p.readReports(process) })
+	}
+	t.Cleanup(p.stop)
+	return p
+}
+
+// follow takes in what a process reports.
+func (p *controller) readReports(process *memberProcess) {
+	for decoder := json.NewDecoder(process.conn); ; {
+		var report Report
+		if decoder.Decode(&report) != nil {
+			return
+		}
+		p.mu.Lock()
+		process.bytes, p.transitions = report.Bytes, append(p.transitions, report.Transitions...)
+		for _, a := range report.Transitions {
+			p.current[a.Member] = a
+		}
+		if report.Error != "" {
+			p.failure = process.Name + ": " + report.Error
+		}
+		p.mu.Unlock()
+	}
+}
+
+// order tells all processes to do something.
+func (p *controller) send(command Command) {
+	for _, process := range p.processes {
+		process.mu.Lock()
+		if err := json.NewEncoder(process.conn).Encode(command); err != nil {
+			p.t.Error(err)
+		}
+		process.mu.Unlock()
+	}
+}
+
+// end ends the processes of members.
+func (p *controller) stop() {
+	for _, process := range p.processes {
+		process.conn.(*net.TCPConn).CloseWrite()
+		select {
+		case <-process.Done():
+		case <-time.After(10 * time.Second):
+			process.Kill()
+		}
+		process.conn.Close()
+	}
+	p.readers.Wait()
+}
+
+// until waits until all members act by something.
+func (p *controller) waitUntil(timeout time.Duration, condition func(Transition) bool) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
+		p.mu.Lock()
+		all := true
+		for m := range p.members {
+			all = all && condition(p.current[m])
+		}
+		p.mu.Unlock()
+		if all {
+			return true
+		}
+	}
+	return false
+}
+
+// change has operators ask for a change that was due at a time, until keepers have taken it.
+func (p *controller) propose(due time.Duration, docBytes int) {
+	p.proposalCount++
+	doc := fmt.Appendf(nil, `{"settings":%s}`, document(p.proposalCount, docBytes))
+	for try, op := 0, 0; ; try++ {
+		var created api.Made
+		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+		err := p.keepers.client.Call(ctx, http.MethodPost, api.GenerationsPath, api.Proposal{Op: fmt.Sprintf("op-%d-%d", p.proposalCount, op), Base: p.lastProposed,
+			Doc: doc, Who: "operators", Why: "a play"}, &created)
+		cancel()
+		var refused *api.Refused
+		switch {
+		case err == nil:
+			p.mu.Lock()
+			p.proposals, p.lastProposed = append(p.proposals, ProposedChange{created.Number, due}), created.Number
+			p.mu.Unlock()
+			return
+		case errors.As(err, &refused): // as many wait as may
+			op++
+		}
+		if time.Sleep(100 * time.Millisecond); try > 1000 {
+			p.t.Errorf("no keeper takes the change: %v", err)
+			return
+		}
+	}
+}
+
+// settled waits until the newest change is in force and all who have a session have said so.
+func (p *controller) waitSettled(timeout time.Duration) bool {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
+		for _, a := range p.keepers.wan.Keepers {
+			var generation api.Generation
+			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+			err := p.keepers.client.Ask(ctx, a.PublicAddr, http.MethodGet, fmt.Sprintf("%s/%d", api.GenerationsPath, p.lastProposed), nil, &generation)
+			cancel()
+			if err == nil && generation.Stage == "in force" {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// modes counts the members by what they act by.
+func (p *controller) countModes() map[hold.Mode]int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	counts := map[hold.Mode]int{}
+	for _, a := range p.current {
+		counts[a.Mode]++
+	}
+	return counts
+}
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -13,60 +13,60 @@
 )
 
 var (
-	flagMembers   = flag.Int("hollow.members", 20, "members")
-	flagProcesses = flag.Int("hollow.processes", 2, "processes that they share")
-	flagKeepers   = flag.Int("hollow.keepers", 3, "keepers: 1, 3 or 5, in three regions")
-	flagLease     = flag.Duration("hollow.lease", 2*time.Second, "lease of a member's session")
-	flagElection  = flag.Duration("hollow.election", time.Second, "for which keepers that hear no leader wait")
-	flagLength    = flag.Duration("hollow.length", time.Second, "of each part of the play")
-	flagCut       = flag.Duration("hollow.cut", 3*time.Second, "for which a region is cut off")
-	flagGone      = flag.Duration("hollow.gone", 3*time.Second, "for which a rack's members are gone, 60 of 2,000")
-	flagSpeed     = flag.Float64("hollow.speed", 60, "by which the clock of changes and restarts is faster")
-	flagBurst     = flag.Int("hollow.burst", 4, "changes of a burst")
-	flagDoc       = flag.Int("hollow.document", 4096, "bytes of a change's document")
-	flagList      = flag.Int("hollow.list", 380, "endpoints on each member's list")
-	flagKeeper    = flag.String("hollow.keeper", "", "program of the keepers; empty for one that is built")
-	flagFolders   = flag.String("hollow.folders", "", "folder of the members' folders, in memory best for many: on one disk they hold keepers up that share it")
-	flagParts     = flag.String("hollow.parts", "day burst leader rack region", "of the play, in their order")
-	flagSeed      = flag.Uint64("hollow.seed", 1, "by which members are chosen")
+	flagMembers         = flag.Int("hollow.members", 20, "members")
+	flagProcesses       = flag.Int("hollow.processes", 2, "processes that they share")
+	flagKeepers         = flag.Int("hollow.keepers", 3, "keepers: 1, 3 or 5, in three regions")
+	flagLease           = flag.Duration("hollow.lease", 2*time.Second, "lease of a member's session")
+	flagElectionTimeout = flag.Duration("hollow.election", time.Second, "for which keepers that hear no leader wait")
+	flagPhaseLength     = flag.Duration("hollow.length", time.Second, "of each part of the play")
+	flagCutDuration     = flag.Duration("hollow.cut", 3*time.Second, "for which a region is cut off")
+	flagRackDowntime    = flag.Duration("hollow.gone", 3*time.Second, "for which a rack's members are gone, 60 of 2,000")
+	flagSpeed           = flag.Float64("hollow.speed", 60, "by which the clock of changes and restarts is faster")
+	flagBurstChanges    = flag.Int("hollow.burst", 4, "changes of a burst")
+	flagDocumentBytes   = flag.Int("hollow.document", 4096, "bytes of a change's document")
+	flagListSize        = flag.Int("hollow.list", 380, "endpoints on each member's list")
+	flagKeeperProgram   = flag.String("hollow.keeper", "", "program of the keepers; empty for one that is built")
+	flagMemberDirs      = flag.String("hollow.folders", "", "folder of the members' folders, in memory best for many: on one disk they hold keepers up that share it")
+	flagPhases          = flag.String("hollow.parts", "day burst leader rack region", "of the play, in their order")
+	flagSeed            = flag.Uint64("hollow.seed", 1, "by which members are chosen")
 )
 
 // The day at 2,000 members.
 const (
-	changeEvery  = 62 * time.Second  // 1,400 a day
-	restartEvery = 411 * time.Second // 210 a day
-	restartAway  = time.Second
-	wholeFleet   = 2000
-	rackOf       = 60
+	changeInterval     = 62 * time.Second  // 1,400 a day
+	restartInterval    = 411 * time.Second // 210 a day
+	restartDowntime    = time.Second
+	referenceFleetSize = 2000
+	referenceRackSize  = 60
 )
 
 // threeRegions are 50, 70 and 100 ms from each other, one way, and by chance up to half as much further; one piece in 200 is lost.
-func threeRegions() [][]Distance {
-	of := func(ms time.Duration) Distance {
-		return Distance{Delay: ms * time.Millisecond, Spread: ms * time.Millisecond / 2, Lost: 0.005}
+func threeRegions() [][]Path {
+	path := func(ms time.Duration) Path {
+		return Path{Delay: ms * time.Millisecond, Jitter: ms * time.Millisecond / 2, LossRate: 0.005}
 	}
-	return [][]Distance{{{}, of(50), of(100)}, {of(50), {}, of(70)}, {of(100), of(70), {}}}
+	return [][]Path{{{}, path(50), path(100)}, {path(50), {}, path(70)}, {path(100), path(70), {}}}
 }
 
 // play plays one part while changes and restarts go on at the day's rate, and then waits until all is in force.
-func (p *player) play(name string, r *rand.Rand, do func() string) part {
-	u := part{name: name, from: Clock(), elections: -p.keepers.elections()}
-	p.use(&u, -1)
+func (p *controller) runPhase(name string, random *rand.Rand, do func() string) phase {
+	result := phase{name: name, from: Clock(), elections: -p.keepers.countElections()}
+	p.addUsage(&result, -1)
 	stop := make(chan struct{})
 	due := make(chan time.Duration, 1000)
-	proposed := make(chan struct{})
+	proposalsDone := make(chan struct{})
 	go func() {
-		defer close(proposed)
+		defer close(proposalsDone)
 		for at := range due {
-			p.change(at, *flagDoc)
+			p.propose(at, *flagDocumentBytes)
 		}
 	}()
-	ticked := make(chan struct{})
+	tickersDone := make(chan struct{})
 	go func() {
-		defer close(ticked)
-		changes := time.NewTicker(time.Duration(float64(changeEvery) / *flagSpeed))
+		defer close(tickersDone)
+		changes := time.NewTicker(time.Duration(float64(changeInterval) / *flagSpeed))
 		defer changes.Stop()
-		restarts := time.NewTicker(time.Duration(float64(restartEvery) / *flagSpeed * wholeFleet / float64(p.members)))
+		restarts := time.NewTicker(time.Duration(float64(restartInterval) / *flagSpeed * referenceFleetSize / float64(p.members)))
 		defer restarts.Stop()
 		for {
 			select {
@@ -80,93 +80,93 @@
 				if name == "rest" {
 					continue
 				}
-				one := []int{r.IntN(p.members)}
-				p.order(Order{Do: Kill, Members: one})
-				time.AfterFunc(restartAway, func() { p.order(Order{Do: Begin, Members: one}) })
+				restarted := []int{random.IntN(p.members)}
+				p.send(Command{Action: KillMembers, Members: restarted})
+				time.AfterFunc(restartDowntime, func() { p.send(Command{Action: StartMembers, Members: restarted}) })
 			}
 		}
 	}()
 	if name == "burst" {
-		for now := Clock(); len(due) < *flagBurst; {
+		for now := Clock(); len(due) < *flagBurstChanges; {
 			due <- now
 		}
 	}
-	began := time.Now()
-	u.note = do()
-	time.Sleep(max(0, *flagLength-time.Since(began)))
+	startedAt := time.Now()
+	result.note = do()
+	time.Sleep(max(0, *flagPhaseLength-time.Since(startedAt)))
 	close(stop)
-	<-ticked
-	p.use(&u, 1) // the day's rate is that of the time until here
-	u.to = Clock()
+	<-tickersDone
+	p.addUsage(&result, 1) // the day's rate is that of the time until here
+	result.to = Clock()
 	close(due)
-	<-proposed
-	u.settled = p.settled(time.Minute)
-	u.elections += p.keepers.elections()
-	p.t.Logf("%s: %v, settled %v, %v, %d elections", name, u.note, u.settled, p.modes(), u.elections)
-	return u
+	<-proposalsDone
+	result.settled = p.waitSettled(time.Minute)
+	result.elections += p.keepers.countElections()
+	p.t.Logf("%s: %v, settled %v, %v, %d elections", name, result.note, result.settled, p.countModes(), result.elections)
+	return result
 }
 
 // everyone are the members that a condition holds for.
-func (p *player) everyone(holds func(int) bool) (all []int) {
+func (p *controller) membersWhere(matches func(int) bool) (members []int) {
 	for m := range p.members {
-		if holds(m) {
-			all = append(all, m)
+		if matches(m) {
+			members = append(members, m)
 		}
 	}
-	return all
+	return members
 }
 
 // back notes that members come back now.
-func (p *player) back(members []int) {
+func (p *controller) recordRecovery(members []int) {
 	p.mu.Lock()
-	p.returns = append(p.returns, Return{Clock(), members})
+	p.recoveries = append(p.recoveries, Recovery{Clock(), members})
 	p.mu.Unlock()
 }
 
 // cut cuts a region off for a while.
-func (p *player) cut(region int) {
-	p.keepers.cut(region, true)
-	p.order(Order{Do: Cut, Region: region})
-	time.Sleep(*flagCut)
-	p.back(p.everyone(func(m int) bool { return Region(m, 3) == region }))
-	p.order(Order{Do: Mend, Region: region})
-	p.keepers.cut(region, false)
+func (p *controller) cutRegion(region int) {
+	p.keepers.setCut(region, true)
+	p.send(Command{Action: CutRegion, Region: region})
+	time.Sleep(*flagCutDuration)
+	p.recordRecovery(p.membersWhere(func(m int) bool { return Region(m, 3) == region }))
+	p.send(Command{Action: RepairRegion, Region: region})
+	p.keepers.setCut(region, false)
 }
 
 // parts are what a play may have.
-func (p *player) parts() map[string]func() string {
+func (p *controller) phases() map[string]func() string {
 	k := p.keepers
 	return map[string]func() string{
 		"rest":  func() string { return "no changes, no restarts" },
 		"day":   func() string { return "" },
-		"burst": func() string { return fmt.Sprint(*flagBurst, " at once") },
+		"burst": func() string { return fmt.Sprint(*flagBurstChanges, " at once") },
 		"leader": func() string {
-			i := k.leads()
+			i := k.waitForLeader()
 			k.kill(i)
-			time.Sleep(*flagLength / 2)
+			time.Sleep(*flagPhaseLength / 2)
 			k.start(i)
-			return name(i) + " killed"
+			return keeperName(i) + " killed"
 		},
 		"rack": func() string {
-			rack := p.everyone(func(m int) bool { return m < max(1, p.members*rackOf/wholeFleet) })
-			p.order(Order{Do: Kill, Members: rack})
-			time.Sleep(*flagGone)
-			p.back(rack)
-			p.order(Order{Do: Begin, Members: rack})
+			rack := p.membersWhere(func(m int) bool { return m < max(1, p.members*referenceRackSize/referenceFleetSize) })
+			p.send(Command{Action: KillMembers, Members: rack})
+			time.Sleep(*flagRackDowntime)
+			p.recordRecovery(rack)
+			p.send(Command{Action: StartMembers, Members: rack})
 			return fmt.Sprint(len(rack), " members killed")
 		},
 		"region": func() string { // one without the keeper that leads, and without the operators
 			region := 2
-			if k.wan.Keepers[k.leads()].Region == region {
+			if k.wan.Keepers[k.waitForLeader()].Region == region {
 				region = 1
 			}
-			p.cut(region)
+			p.cutRegion(region)
 			return fmt.Sprint("region ", region)
 		},
 		"leading-region": func() string {
-			region := k.wan.Keepers[k.leads()].Region
-			k.from.Store(int64((region + 1) % 3))
-			p.cut(region)
+			region := k.wan.Keepers[k.waitForLeader()].Region
+			k.operatorRegion.Store(int64((region + 1) % 3))
+			p.cutRegion(region)
 			return fmt.Sprint("region ", region)
 		},
 	}
@@ -174,54 +174,54 @@
 
 // A fleet of members in three regions keeps its rules: no two members act by what contradicts each other, at most two generations are
 // in use, each change comes into force, and all members are back. Small in CI; its flags give the fleet of docs/keepers.md.
-func TestHollowFleet(t *testing.T) {
+func TestSimulatedFleet(t *testing.T) {
 	k := newKeepers(t, t.TempDir(), *flagKeepers, *flagLease, threeRegions())
-	k.leads()
-	p := newPlayer(t, k, *flagMembers, *flagProcesses, *flagDoc, *flagList)
-	p.change(Clock(), *flagDoc)
-	began := Clock()
-	p.order(Order{Do: Begin, Members: p.everyone(func(int) bool { return true })})
-	if !p.until(2*time.Minute, Act.leased) {
-		t.Fatalf("not all have begun: %v", p.modes())
+	k.waitForLeader()
+	p := newController(t, k, *flagMembers, *flagProcesses, *flagDocumentBytes, *flagListSize)
+	p.propose(Clock(), *flagDocumentBytes)
+	startedAt := Clock()
+	p.send(Command{Action: StartMembers, Members: p.membersWhere(func(int) bool { return true })})
+	if !p.waitUntil(2*time.Minute, Transition.hasLease) {
+		t.Fatalf("not all have begun: %v", p.countModes())
 	}
-	t.Logf("%d members began in %.1f s", p.members, (Clock() - began).Seconds())
-	p.settled(time.Minute)
-	r := rand.New(rand.NewPCG(*flagSeed, 1))
-	var parts []part
-	for _, name := range strings.Fields(*flagParts) {
-		do := p.parts()[name]
-		if do == nil {
+	t.Logf("%d members began in %.1f s", p.members, (Clock() - startedAt).Seconds())
+	p.waitSettled(time.Minute)
+	random := rand.New(rand.NewPCG(*flagSeed, 1))
+	var results []phase
+	for _, name := range strings.Fields(*flagPhases) {
+		run := p.phases()[name]
+		if run == nil {
 			t.Fatalf("a play has no part %q", name)
 		}
-		parts = append(parts, p.play(name, r, do))
+		results = append(results, p.runPhase(name, random, run))
 	}
-	if !p.until(time.Minute, func(a Act) bool { return a.Mode == hold.Alone && a.Force == p.last }) {
-		t.Errorf("not all act by change %d alone: %v", p.last, p.modes())
+	if !p.waitUntil(time.Minute, func(a Transition) bool { return a.Mode == hold.Alone && a.Force == p.lastProposed }) {
+		t.Errorf("not all act by change %d alone: %v", p.lastProposed, p.countModes())
 	}
-	time.Sleep(3 * reportEvery)
+	time.Sleep(3 * reportInterval)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.failed != "" {
-		t.Errorf("the play shows nothing: %s", p.failed)
+	if p.failure != "" {
+		t.Errorf("the play shows nothing: %s", p.failure)
 	}
-	v := Judge(p.acts, p.asked, p.returns, Clock())
-	for _, u := range parts {
-		p.tell(u, v)
-		if !u.settled {
-			t.Errorf("%s: what was asked for is not in force a minute after", u.name)
+	verdict := Judge(p.transitions, p.proposals, p.recoveries, Clock())
+	for _, result := range results {
+		p.logPhase(result, verdict)
+		if !result.settled {
+			t.Errorf("%s: what was asked for is not in force a minute after", result.name)
 		}
 	}
-	for i, b := range v.Back {
-		t.Logf("return %d: %d members back after %.2f s", i, len(p.returns[i].Members), b.Seconds())
+	for i, recoveryTime := range verdict.RecoveryTimes {
+		t.Logf("return %d: %d members back after %.2f s", i, len(p.recoveries[i].Members), recoveryTime.Seconds())
 	}
-	t.Logf("%d acts, by the fallback %.0f s of all members together, longest contradiction %v, three generations in use %v", v.Acts, v.Out.Seconds(), v.Contradiction, v.Three)
-	if v.Contradiction > 0 || v.Three > 0 {
-		t.Errorf("members contradict each other for %v, three generations are in use for %v", v.Contradiction, v.Three)
+	t.Logf("%d acts, by the fallback %.0f s of all members together, longest contradiction %v, three generations in use %v", verdict.Transitions, verdict.FallbackTime.Seconds(), verdict.Contradiction, verdict.ThreeGenerations)
+	if verdict.Contradiction > 0 || verdict.ThreeGenerations > 0 {
+		t.Errorf("members contradict each other for %v, three generations are in use for %v", verdict.Contradiction, verdict.ThreeGenerations)
 	}
-	if i := slices.Index(v.InForce, -1); i >= 0 {
-		t.Errorf("change %d never came into force everywhere", p.asked[i].Number)
+	if i := slices.Index(verdict.InEffect, -1); i >= 0 {
+		t.Errorf("change %d never came into force everywhere", p.proposals[i].Number)
 	}
-	if slices.Contains(v.Back, -1) {
+	if slices.Contains(verdict.RecoveryTimes, -1) {
 		t.Error("some members never came back")
 	}
 }
--- a/internal/hollow/judge.go
+++ b/internal/hollow/judge.go
@@ -11,10 +11,10 @@
 )
 
 // Gone is the mode of a member that has no process.
-const Gone hold.Mode = -1
+const Stopped hold.Mode = -1
 
 // Act is by what a member acts from a time on.
-type Act struct {
+type Transition struct {
 	At     time.Duration // by the machine's monotonic clock, which all processes share
 	Member int
 	Mode   hold.Mode
@@ -23,16 +23,16 @@
 }
 
 // leased tells whether it is by a generation, under a lease that has not run out.
-func (a Act) leased() bool { return a.Mode == hold.Alone || a.Mode == hold.Joined }
+func (a Transition) hasLease() bool { return a.Mode == hold.Alone || a.Mode == hold.Joined }
 
 // Asked is a change that operators asked for.
-type Asked struct {
+type ProposedChange struct {
 	Number uint64
 	At     time.Duration
 }
 
 // Return is of members that were gone, or cut off, until a time.
-type Return struct {
+type Recovery struct {
 	At      time.Duration
 	Members []int
 }
@@ -41,103 +41,103 @@
 type Verdict struct {
 	// Contradiction is the longest time for which one member still acted without a generation and another by that alone.
 	// Acting by the fallback contradicts nothing, as the lab's rules have it.
-	Contradiction time.Duration
-	Three         time.Duration   // the longest time for which three generations or more were in use
-	InForce       []time.Duration // of each change asked for, until nobody who held a lease acted without it; below 0 for never
-	Back          []time.Duration // of each return, until all of its members held a lease; below 0 for never
-	Out           time.Duration   // time of all members together in which a running one acted by the fallback
-	Acts          int
+	Contradiction    time.Duration
+	ThreeGenerations time.Duration   // the longest time for which three generations or more were in use
+	InEffect         []time.Duration // of each change asked for, until nobody who held a lease acted without it; below 0 for never
+	RecoveryTimes    []time.Duration // of each return, until all of its members held a lease; below 0 for never
+	FallbackTime     time.Duration   // time of all members together in which a running one acted by the fallback
+	Transitions      int
 }
 
 // sweep goes through a history in the order of time.
-type sweep struct {
-	last  time.Duration // when something changed last
-	now   map[int]Act
-	count map[Act]int // of those that hold a lease, with neither time nor member
+type analysis struct {
+	lastTransition time.Duration // when something changed last
+	current        map[int]Transition
+	leaseCount     map[Transition]int // of those that hold a lease, with neither time nor member
 	// contradiction and three are since when either has lasted; below 0 while it does not.
-	contradiction, three time.Duration
-	verdict              Verdict
+	contradictionSince, threeSince time.Duration
+	verdict                        Verdict
 }
 
 // Judge tells what a history shows that ended at a time.
-func Judge(acts []Act, asked []Asked, returns []Return, end time.Duration) Verdict {
-	acts = slices.Clone(acts)
-	slices.SortStableFunc(acts, func(a, b Act) int { return int(a.At - b.At) })
-	s := &sweep{now: map[int]Act{}, count: map[Act]int{}, contradiction: -1, three: -1}
-	s.verdict.Acts = len(acts)
-	s.verdict.InForce, s.verdict.Back = fill(len(asked)), fill(len(returns))
-	for _, a := range acts {
+func Judge(transitions []Transition, proposals []ProposedChange, recoveries []Recovery, end time.Duration) Verdict {
+	transitions = slices.Clone(transitions)
+	slices.SortStableFunc(transitions, func(a, b Transition) int { return int(a.At - b.At) })
+	s := &analysis{current: map[int]Transition{}, leaseCount: map[Transition]int{}, contradictionSince: -1, threeSince: -1}
+	s.verdict.Transitions = len(transitions)
+	s.verdict.InEffect, s.verdict.RecoveryTimes = unsetDurations(len(proposals)), unsetDurations(len(recoveries))
+	for _, a := range transitions {
 		// What held until now, for what is asked of a time between two acts.
-		s.reached(asked, returns, a.At)
-		s.take(a)
-		s.look(a.At)
-		s.last = a.At
+		s.recordCompletions(proposals, recoveries, a.At)
+		s.apply(a)
+		s.check(a.At)
+		s.lastTransition = a.At
 	}
-	s.reached(asked, returns, end)
-	for _, a := range s.now {
+	s.recordCompletions(proposals, recoveries, end)
+	for _, a := range s.current {
 		if a.Mode == hold.Fallback {
-			s.verdict.Out += end - a.At
+			s.verdict.FallbackTime += end - a.At
 		}
 	}
-	s.end(&s.contradiction, &s.verdict.Contradiction, end)
-	s.end(&s.three, &s.verdict.Three, end)
+	s.endSpan(&s.contradictionSince, &s.verdict.Contradiction, end)
+	s.endSpan(&s.threeSince, &s.verdict.ThreeGenerations, end)
 	return s.verdict
 }
 
 // fill is spans of which none is known.
-func fill(n int) []time.Duration { return slices.Repeat([]time.Duration{-1}, n) }
+func unsetDurations(n int) []time.Duration { return slices.Repeat([]time.Duration{-1}, n) }
 
 // take has a member act by something else.
-func (s *sweep) take(a Act) {
-	key := func(a Act) Act { return Act{Mode: a.Mode, Force: a.Force, Next: a.Next} }
-	if old, ok := s.now[a.Member]; ok {
+func (s *analysis) apply(a Transition) {
+	key := func(a Transition) Transition { return Transition{Mode: a.Mode, Force: a.Force, Next: a.Next} }
+	if old, ok := s.current[a.Member]; ok {
 		if old.Mode == hold.Fallback {
-			s.verdict.Out += a.At - old.At
+			s.verdict.FallbackTime += a.At - old.At
 		}
-		if old.leased() {
-			if s.count[key(old)]--; s.count[key(old)] == 0 {
-				delete(s.count, key(old))
+		if old.hasLease() {
+			if s.leaseCount[key(old)]--; s.leaseCount[key(old)] == 0 {
+				delete(s.leaseCount, key(old))
 			}
 		}
 	}
-	s.now[a.Member] = a
-	if a.leased() {
-		s.count[key(a)]++
+	s.current[a.Member] = a
+	if a.hasLease() {
+		s.leaseCount[key(a)]++
 	}
 }
 
 // look tells what is wrong from a time on.
-func (s *sweep) look(at time.Duration) {
-	var alone uint64 // the newest by which one acts alone
-	used := map[uint64]bool{}
-	for a := range s.count {
-		used[a.Force] = true
+func (s *analysis) check(at time.Duration) {
+	var newestAlone uint64 // the newest by which one acts alone
+	inUse := map[uint64]bool{}
+	for a := range s.leaseCount {
+		inUse[a.Force] = true
 		if a.Next != 0 {
-			used[a.Next] = true
+			inUse[a.Next] = true
 		} else {
-			alone = max(alone, a.Force)
+			newestAlone = max(newestAlone, a.Force)
 		}
 	}
-	without := false
-	for a := range s.count {
-		without = without || max(a.Force, a.Next) < alone
+	contradiction := false
+	for a := range s.leaseCount {
+		contradiction = contradiction || max(a.Force, a.Next) < newestAlone
 	}
-	delete(used, 0) // the join of no generation and the first
-	s.mark(without, &s.contradiction, &s.verdict.Contradiction, at)
-	s.mark(len(used) > 2, &s.three, &s.verdict.Three, at)
+	delete(inUse, 0) // the join of no generation and the first
+	s.updateSpan(contradiction, &s.contradictionSince, &s.verdict.Contradiction, at)
+	s.updateSpan(len(inUse) > 2, &s.threeSince, &s.verdict.ThreeGenerations, at)
 }
 
 // mark begins or ends a span.
-func (s *sweep) mark(on bool, since, longest *time.Duration, at time.Duration) {
+func (s *analysis) updateSpan(active bool, since, longest *time.Duration, at time.Duration) {
 	switch {
-	case on && *since < 0:
+	case active && *since < 0:
 		*since = at
-	case !on:
-		s.end(since, longest, at)
+	case !active:
+		s.endSpan(since, longest, at)
 	}
 }
 
-func (s *sweep) end(since, longest *time.Duration, at time.Duration) {
+func (s *analysis) endSpan(since, longest *time.Duration, at time.Duration) {
 	if *since >= 0 {
 		*longest = max(*longest, at-*since)
 	}
@@ -146,19 +146,19 @@
 
 // reached notes which changes are in force everywhere, and who is back, given that nothing has changed since the last act and
 // before a time.
-func (s *sweep) reached(asked []Asked, returns []Return, until time.Duration) {
-	least, some := ^uint64(0), false
-	for a := range s.count {
-		least, some = min(least, a.Force), true
+func (s *analysis) recordCompletions(proposals []ProposedChange, recoveries []Recovery, until time.Duration) {
+	oldest, anyLease := ^uint64(0), false
+	for a := range s.leaseCount {
+		oldest, anyLease = min(oldest, a.Force), true
 	}
-	for i, c := range asked {
-		if s.verdict.InForce[i] < 0 && some && least >= c.Number && c.At <= until {
-			s.verdict.InForce[i] = max(0, s.last-c.At)
+	for i, c := range proposals {
+		if s.verdict.InEffect[i] < 0 && anyLease && oldest >= c.Number && c.At <= until {
+			s.verdict.InEffect[i] = max(0, s.lastTransition-c.At)
 		}
 	}
-	for i, r := range returns {
-		if s.verdict.Back[i] < 0 && r.At <= until && !slices.ContainsFunc(r.Members, func(m int) bool { return !s.now[m].leased() }) {
-			s.verdict.Back[i] = max(0, s.last-r.At)
+	for i, r := range recoveries {
+		if s.verdict.RecoveryTimes[i] < 0 && r.At <= until && !slices.ContainsFunc(r.Members, func(m int) bool { return !s.current[m].hasLease() }) {
+			s.verdict.RecoveryTimes[i] = max(0, s.lastTransition-r.At)
 		}
 	}
 }
--- a/internal/hollow/keepers_test.go
+++ b/internal/hollow/keepers_test.go
@@ -27,22 +27,22 @@
 
 // keepers are the processes of cmd/larchkeeper, and the network between them.
 type keepers struct {
-	t    testing.TB
-	wan  *WAN
-	up   []*proc.Process
-	used []time.Duration // processor time of processes that were killed
-	io   []int64         // what those read and wrote
-	dir  string
-	bin  string       // the program
-	call *api.Client  // of the operators
-	from atomic.Int64 // the region that they call from
+	t              testing.TB
+	wan            *WAN
+	processes      []*proc.Process
+	killedCPU      []time.Duration // processor time of processes that were killed
+	killedIOBytes  []int64         // what those read and wrote
+	dir            string
+	bin            string       // the program
+	client         *api.Client  // of the operators
+	operatorRegion atomic.Int64 // the region that they call from
 }
 
 // newKeepers starts as many keepers, each at a loopback address of its own, which others reach through links.
-func newKeepers(t testing.TB, dir string, n int, lease time.Duration, distances [][]Distance) *keepers {
+func newKeepers(t testing.TB, dir string, n int, lease time.Duration, paths [][]Path) *keepers {
 	t.Helper()
-	k := &keepers{t: t, dir: dir, up: make([]*proc.Process, n), used: make([]time.Duration, n), io: make([]int64, n)}
-	if k.bin = *flagKeeper; k.bin == "" {
+	k := &keepers{t: t, dir: dir, processes: make([]*proc.Process, n), killedCPU: make([]time.Duration, n), killedIOBytes: make([]int64, n)}
+	if k.bin = *flagKeeperProgram; k.bin == "" {
 		k.bin = filepath.Join(dir, "larchkeeper")
 		if out, err := exec.Command("go", "build", "-o", k.bin, "larchrouter/cmd/larchkeeper").CombinedOutput(); err != nil {
 			t.Fatalf("%v\n%s", err, out)
@@ -50,19 +50,19 @@
 	}
 	var all []Keeper
 	for i, r := range keeperRegions[n] {
-		all = append(all, Keeper{Region: r, HTTP: k.ip(i) + ":7400"})
+		all = append(all, Keeper{Region: r, ListenAddr: k.ip(i) + ":7400"})
 	}
-	k.wan = NewWAN(all, distances)
+	k.wan = NewWAN(all, paths)
 	t.Cleanup(k.wan.Net.Close)
 	var mu sync.Mutex
-	by := map[string]*link.Shared{}
-	who := func(ip string) *link.Shared {
+	sharedByIP := map[string]*link.Shared{}
+	findShared := func(ip string) *link.Shared {
 		mu.Lock()
 		defer mu.Unlock()
-		return by[ip]
+		return sharedByIP[ip]
 	}
 	share := func(i, port int) *link.Shared {
-		s, err := k.wan.Net.Share(name(i), k.ip(i), fmt.Sprintf("%s:%d", k.ip(i), port), who)
+		s, err := k.wan.Net.Share(keeperName(i), k.ip(i), fmt.Sprintf("%s:%d", k.ip(i), port), findShared)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -78,18 +78,18 @@
 	for i := range all {
 		front := share(i, 7400)
 		mu.Lock()
-		by[k.ip(i)], all[i].Front = front, front.Addr
+		sharedByIP[k.ip(i)], all[i].PublicAddr = front, front.Addr
 		mu.Unlock()
-		peers = append(peers, peer{name(i), front.Addr, share(i, 7600).Addr})
+		peers = append(peers, peer{keeperName(i), front.Addr, share(i, 7600).Addr})
 	}
 	for i := range all {
 		for j := range all {
 			if i != j {
-				k.wan.Apart(k.wan.Net.Link(name(i), name(j)), all[i].Region, all[j].Region)
+				k.wan.ApplyPath(k.wan.Net.Link(keeperName(i), keeperName(j)), all[i].Region, all[j].Region)
 			}
 		}
-		data, err := toml.Marshal(map[string]any{"name": name(i), "http": all[i].HTTP, "raft": k.ip(i) + ":7600", "source": k.ip(i),
-			"dir": filepath.Join(dir, fmt.Sprint("state-", i)), "lease": lease.String(), "election": flagElection.String(), "peer": peers})
+		data, err := toml.Marshal(map[string]any{"name": keeperName(i), "http": all[i].ListenAddr, "raft": k.ip(i) + ":7600", "source": k.ip(i),
+			"dir": filepath.Join(dir, fmt.Sprint("state-", i)), "lease": lease.String(), "election": flagElectionTimeout.String(), "peer": peers})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -98,15 +98,15 @@
 		}
 		k.start(i)
 	}
-	k.call = &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true,
+	k.client = &api.Client{HTTP: &http.Client{Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return k.wan.Dial(int(k.from.Load()))(ctx, network, addr)
+			return k.wan.Dial(int(k.operatorRegion.Load()))(ctx, network, addr)
 		}}}}
 	for _, a := range all {
-		k.call.Keepers = append(k.call.Keepers, a.Front)
+		k.client.Keepers = append(k.client.Keepers, a.PublicAddr)
 	}
 	t.Cleanup(func() {
-		for _, p := range k.up {
+		for _, p := range k.processes {
 			p.Kill()
 		}
 	})
@@ -122,7 +122,7 @@
 
 func (k *keepers) start(i int) {
 	k.t.Helper()
-	p, err := proc.Start(proc.Spec{Name: name(i), Command: fmt.Sprintf("exec %s --config %s", k.bin, k.config(i)),
+	p, err := proc.Start(proc.Spec{Name: keeperName(i), Command: fmt.Sprintf("exec %s --config %s", k.bin, k.config(i)),
 		Dir: k.dir, Log: filepath.Join(k.dir, fmt.Sprintf("keeper-%d.log", i))}, func(p *proc.Process) {
 		if !p.Expected() {
 			k.t.Errorf("%s ended: %v", p.Name, p.Err())
@@ -131,39 +131,39 @@
 	if err != nil {
 		k.t.Fatal(err)
 	}
-	k.up[i] = p
+	k.processes[i] = p
 }
 
 // kill ends a keeper's process as a machine's loss does.
 func (k *keepers) kill(i int) {
-	if u, err := k.up[i].Usage(); err == nil {
-		k.used[i] += u.CPU
-		k.io[i] += transferred(k.up[i].PID)
+	if u, err := k.processes[i].Usage(); err == nil {
+		k.killedCPU[i] += u.CPU
+		k.killedIOBytes[i] += transferred(k.processes[i].PID)
 	}
-	k.up[i].Signal(syscall.SIGKILL, true)
-	<-k.up[i].Done()
+	k.processes[i].Signal(syscall.SIGKILL, true)
+	<-k.processes[i].Done()
 }
 
 // cut cuts a region's keepers and operators off from the others, or mends that.
-func (k *keepers) cut(region int, on bool) {
-	k.wan.Cut(region, on)
+func (k *keepers) setCut(region int, cut bool) {
+	k.wan.SetCut(region, cut)
 	for i, a := range k.wan.Keepers {
 		for j, b := range k.wan.Keepers {
 			if (a.Region == region) != (b.Region == region) {
-				Sever(k.wan.Net.Link(name(i), name(j)), on)
+				SetLinkCut(k.wan.Net.Link(keeperName(i), keeperName(j)), cut)
 			}
 		}
 	}
 }
 
 // leads is the keeper that leads; waits until there is one.
-func (k *keepers) leads() int {
+func (k *keepers) waitForLeader() int {
 	k.t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for i, a := range k.wan.Keepers {
 			var st api.Status
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			err := k.call.Ask(ctx, a.Front, http.MethodGet, api.StatusPath, nil, &st)
+			err := k.client.Ask(ctx, a.PublicAddr, http.MethodGet, api.StatusPath, nil, &st)
 			cancel()
 			if err == nil && st.Leads {
 				return i
@@ -175,8 +175,8 @@
 }
 
 // elections counts how often a keeper began to lead, by what the keepers log.
-func (k *keepers) elections() (n int) {
-	for i := range k.up {
+func (k *keepers) countElections() (n int) {
+	for i := range k.processes {
 		data, err := os.ReadFile(filepath.Join(k.dir, fmt.Sprintf("keeper-%d.log", i)))
 		if err != nil {
 			k.t.Error(err)
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -27,52 +27,54 @@
 
 // member is a relay's part in the agreement, and nothing else of it.
 type member struct {
-	number int
-	region int
-	fleet  int // members
-	dir    string
-	file   fleet.File
-	wan    *WAN
-	list   discovery.List
-	tell   func(Act)
+	number    int
+	region    int
+	fleetSize int // members
+	dir       string
+	file      fleet.File
+	wan       *WAN
+	list      discovery.List
+	report    func(Transition)
 
-	mu   sync.Mutex // in place of the relay's loop
-	kept *fleet.Kept
-	last hold.Acts
-	end  time.Duration // of the lease
-	wake *time.Timer   // at that time
-	stop context.CancelFunc
-	done chan struct{}
+	mu         sync.Mutex // in place of the relay's loop
+	state      *fleet.Kept
+	acting     hold.Acts
+	leaseEnd   time.Duration // of the lease
+	leaseTimer *time.Timer   // at that time
+	cancel     context.CancelFunc
+	done       chan struct{}
 }
 
 // start begins a process of the member.
 func (m *member) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.stop != nil {
+	if m.cancel != nil {
 		return fmt.Errorf("member %d runs already", m.number)
 	}
 	k := fleet.Open(m.dir, rand.Text()[:16], m.file)
 	if err := k.Sign(); err != nil {
 		return err
 	}
-	conns := &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute, DialContext: m.wan.Dial(m.region),
+	transport := &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute, DialContext: m.wan.Dial(m.region),
 		MaxIdleConnsPerHost: 2, MaxConnsPerHost: 2}
-	c := &api.Client{HTTP: &http.Client{Transport: conns}}
+	client := &api.Client{HTTP: &http.Client{Transport: transport}}
 	for _, k := range m.wan.Keepers {
-		c.Keepers = append(c.Keepers, k.Front)
+		client.Keepers = append(client.Keepers, k.PublicAddr)
 	}
-	s := &fleet.Session{Client: c, Name: fmt.Sprintf("relay/%d", m.number), Zone: fmt.Sprintf("region-%d", m.region), Seed: uint64(m.number),
-		Instance: k.Instance, Before: k.Before, Fleet: func() int { return m.fleet }, Now: Clock}
-	s.Hear = func(h fleet.Heard) (have []uint64, w fleet.Word, ok bool) { return m.hear(k, h) }
-	m.kept, m.last, m.end = k, hold.Acts{Mode: Gone}, 0
-	ctx, stop := context.WithCancel(context.Background())
-	m.stop, m.done = stop, make(chan struct{})
-	m.look()
+	session := &fleet.Session{Client: client, Name: fmt.Sprintf("relay/%d", m.number), Zone: fmt.Sprintf("region-%d", m.region), Seed: uint64(m.number),
+		Instance: k.Instance, Before: k.Before, Fleet: func() int { return m.fleetSize }, Now: Clock}
+	session.Hear = func(response fleet.Heard) (generations []uint64, message fleet.Word, ok bool) {
+		return m.receive(k, response)
+	}
+	m.state, m.acting, m.leaseEnd = k, hold.Acts{Mode: Stopped}, 0
+	ctx, cancel := context.WithCancel(context.Background())
+	m.cancel, m.done = cancel, make(chan struct{})
+	m.update()
 	go func() {
 		defer close(m.done)
-		s.Run(ctx)
-		conns.CloseIdleConnections()
+		session.Run(ctx)
+		transport.CloseIdleConnections()
 	}()
 	return nil
 }
@@ -80,60 +82,60 @@
 // kill ends the process of the member, without a word to anybody.
 func (m *member) kill() {
 	m.mu.Lock()
-	if m.stop == nil {
+	if m.cancel == nil {
 		m.mu.Unlock()
 		return
 	}
-	stop, done := m.stop, m.done
-	m.look()
-	m.kept, m.stop = nil, nil
-	if m.wake != nil {
-		m.wake.Stop()
+	cancel, done := m.cancel, m.done
+	m.update()
+	m.state, m.cancel = nil, nil
+	if m.leaseTimer != nil {
+		m.leaseTimer.Stop()
 	}
-	m.tell(Act{At: Clock(), Member: m.number, Mode: Gone})
+	m.report(Transition{At: Clock(), Member: m.number, Mode: Stopped})
 	m.mu.Unlock()
-	stop()
+	cancel()
 	<-done
 }
 
 // hear takes in an answer of the keepers, as a relay's loop does.
-func (m *member) hear(k *fleet.Kept, h fleet.Heard) (have []uint64, w fleet.Word, ok bool) {
+func (m *member) receive(state *fleet.Kept, response fleet.Heard) (generations []uint64, message fleet.Word, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.kept != k { // it was killed meanwhile
+	if m.state != state { // it was killed meanwhile
 		return nil, fleet.Word{}, false
 	}
-	m.look() // what it acted by until now may have ended before
-	w, err := k.Hear(Clock(), h.Asked, h.Standing)
-	m.look()
-	return slices.Clone(k.Have()), w, err == nil
+	m.update() // what it acted by until now may have ended before
+	message, err := state.Hear(Clock(), response.Asked, response.Standing)
+	m.update()
+	return slices.Clone(state.Have()), message, err == nil
 }
 
 // look has the member act by what it may act by now. The lock is held.
-func (m *member) look() {
-	if m.kept == nil {
+func (m *member) update() {
+	if m.state == nil {
 		return
 	}
 	now := Clock()
-	_, changed := m.kept.Look(now)
-	if acts := m.kept.Acting(); changed || m.last.Mode == Gone {
+	_, changed := m.state.Look(now)
+	if acting := m.state.Acting(); changed || m.acting.Mode == Stopped {
 		at := now
-		if acts.Mode == hold.Fallback && m.end > 0 { // nothing has gone out by the lease since it ended
-			at = min(at, m.end)
+		if acting.Mode == hold.Fallback && m.leaseEnd > 0 { // nothing has gone out by the lease since it ended
+			at = min(at, m.leaseEnd)
 		}
-		m.last = acts
-		m.tell(Act{At: at, Member: m.number, Mode: acts.Mode, Force: acts.Force, Next: acts.Next})
+		m.acting = acting
+		m.report(Transition{At: at, Member: m.number, Mode: acting.Mode, Force: acting.Force, Next: acting.Next})
 	}
-	left := m.kept.Left(now)
-	if end := now + left; left > 0 && end != m.end {
-		m.end = end
-		if m.wake != nil {
-			m.wake.Stop()
+	remaining := m.state.Left(now)
+	if leaseEnd := now + remaining; remaining > 0 && leaseEnd != m.leaseEnd {
+		m.leaseEnd = leaseEnd
+		if m.leaseTimer != nil {
+			m.leaseTimer.Stop()
 		}
-		m.wake = time.AfterFunc(left, func() {
+		m.leaseTimer = time.AfterFunc(remaining, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.look()
+			m.update()
 		})
 	}
 }
--- a/internal/hollow/wan.go
+++ b/internal/hollow/wan.go
@@ -13,68 +13,68 @@
 
 // Keeper is where a keeper is.
 type Keeper struct {
-	Region int    `json:"region"`
-	Front  string `json:"front"` // that all are told
-	HTTP   string `json:"http"`  // its own
+	Region     int    `json:"region"`
+	PublicAddr string `json:"front"` // that all are told
+	ListenAddr string `json:"http"`  // its own
 }
 
 // Distance is between two regions, one way.
-type Distance struct {
-	Delay  time.Duration `json:"delay"`
-	Spread time.Duration `json:"spread"` // by chance as much as this longer
-	Lost   float64       `json:"lost"`   // share of pieces that TCP has to send again
+type Path struct {
+	Delay    time.Duration `json:"delay"`
+	Jitter   time.Duration `json:"spread"` // by chance as much as this longer
+	LossRate float64       `json:"lost"`   // share of pieces that TCP has to send again
 }
 
 // resentLeast is the least time after which Linux sends again what was not confirmed (TCP_RTO_MIN).
-const resentLeast = 200 * time.Millisecond
+const minRetransmitDelay = 200 * time.Millisecond
 
 // WAN is the network between regions as one process sees it. Parties in one region have no distance.
 type WAN struct {
-	Net       *link.Net
-	Keepers   []Keeper
-	Distances [][]Distance // by the two regions
-	bytes     atomic.Int64
+	Net     *link.Net
+	Keepers []Keeper
+	Paths   [][]Path // by the two regions
+	bytes   atomic.Int64
 }
 
 // NewWAN is a network without connections.
-func NewWAN(keepers []Keeper, distances [][]Distance) *WAN {
-	w := &WAN{Net: link.NewNet(history.NewClock()), Keepers: keepers, Distances: distances}
-	for r := range distances {
+func NewWAN(keepers []Keeper, paths [][]Path) *WAN {
+	w := &WAN{Net: link.NewNet(history.NewClock()), Keepers: keepers, Paths: paths}
+	for r := range paths {
 		for i, k := range keepers {
-			w.Apart(w.Net.Link(party(r), name(i)), r, k.Region)
+			w.ApplyPath(w.Net.Link(regionName(r), keeperName(i)), r, k.Region)
 		}
 	}
 	return w
 }
 
 // party is a region's members, as links know them; name is the nth keeper.
-func party(region int) string { return fmt.Sprintf("region/%d", region) }
-func name(keeper int) string  { return fmt.Sprintf("keeper/%d", keeper) }
+func regionName(region int) string { return fmt.Sprintf("region/%d", region) }
+func keeperName(keeper int) string { return fmt.Sprintf("keeper/%d", keeper) }
 
 // Apart puts the distance of two regions on a link between them.
-func (w *WAN) Apart(l *link.Link, a, b int) {
-	d := w.Distances[a][b]
-	if a == b || d == (Distance{}) {
+func (w *WAN) ApplyPath(l *link.Link, a, b int) {
+	d := w.Paths[a][b]
+	if a == b || d == (Path{}) {
 		return
 	}
-	f := &link.Faults{Delay: d.Delay, Spread: d.Spread, Resent: d.Lost, ResentIn: max(resentLeast, 2*d.Delay+d.Spread)}
+	f := &link.Faults{Delay: d.Delay, Spread: d.Jitter, Resent: d.LossRate, ResentIn: max(minRetransmitDelay, 2*d.Delay+d.Jitter)}
 	l.Put("distance", f, f)
 }
 
 // Cut cuts a region off from the others, or mends it.
-func (w *WAN) Cut(region int, on bool) {
-	for r := range w.Distances {
+func (w *WAN) SetCut(region int, cut bool) {
+	for r := range w.Paths {
 		for i, k := range w.Keepers {
 			if (r == region) != (k.Region == region) {
-				Sever(w.Net.Link(party(r), name(i)), on)
+				SetLinkCut(w.Net.Link(regionName(r), keeperName(i)), cut)
 			}
 		}
 	}
 }
 
 // Sever cuts a link, or mends it.
-func Sever(l *link.Link, on bool) {
-	if !on {
+func SetLinkCut(l *link.Link, cut bool) {
+	if !cut {
 		l.Put("cut", nil, nil)
 		return
 	}
@@ -89,15 +89,15 @@
 func (w *WAN) Dial(region int) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		for i, k := range w.Keepers {
-			if k.Front != addr {
+			if k.PublicAddr != addr {
 				continue
 			}
 			select { // the kernel's handshake knows no distance
 			case <-ctx.Done():
 				return nil, ctx.Err()
-			case <-time.After(2 * w.Distances[region][k.Region].Delay):
+			case <-time.After(2 * w.Paths[region][k.Region].Delay):
 			}
-			c, err := w.Net.Dial(ctx, party(region), name(i), "", k.HTTP)
+			c, err := w.Net.Dial(ctx, regionName(region), keeperName(i), "", k.ListenAddr)
 			if err != nil {
 				return nil, err
 			}
