--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -14,7 +14,7 @@
 const root = "../.."
 
 // benchmarks are the names of all of them, by package folder and name.
-func benchmarks(t *testing.T) map[[2]string]bool {
+func findBenchmarks(t *testing.T) map[[2]string]bool {
 	t.Helper()
 	all := map[[2]string]bool{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -49,19 +49,19 @@
 }
 
 // Guards against a page that drifts from its arithmetic, or from the benchmarks that its slopes are of.
-func TestThePageFollowsFromItsSlopes(t *testing.T) {
+func TestCapacityPageIsConsistent(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := benchmarks(t)
+	known := findBenchmarks(t)
 	for _, problem := range check(string(text), func(dir, name string) bool { return known[[2]string{dir, name}] }) {
 		t.Error(problem)
 	}
 }
 
 // sound is a small page in which all follows.
-const sound = "| value | formula | is | unit | from |\n| --- | --- | --- | --- | --- |\n" +
+const consistentPage = "| value | formula | is | unit | from |\n| --- | --- | --- | --- | --- |\n" +
 	"| `events` | - | 510,000 | /s | given |\n| `relays` | - | 2,000 | | given |\n| `each` | `events / relays` | 255 | /s | arithmetic |\n" +
 	"| `held` | - | 17e6 | messages | given |\n| `most` | - | 1 | ms | assumed |\n| `core` | - | 1,000 | ms/s | assumed |\n\n" +
 	"| slope | is | ± | unit | by | from | to | beyond | benchmark |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n" +
@@ -78,11 +78,11 @@
 	"| extrapolated | times | why |\n| --- | --- | --- |\n| `walk` | 170 | c |\n"
 
 // Guards against a check that lets pass what it is for: each way in which a page may not follow is found in one that does.
-func TestWhatDoesNotFollowIsFound(t *testing.T) {
+func TestCheckReportsInconsistencies(t *testing.T) {
 	exists := func(dir, name string) bool {
 		return dir == "choice" && name == "BenchmarkOne" || dir == "internal/relay" && name == "BenchmarkTwo"
 	}
-	if problems := check(sound, exists); len(problems) > 0 {
+	if problems := check(consistentPage, exists); len(problems) > 0 {
 		t.Fatalf("a page in which all follows: %q", problems)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
@@ -115,10 +115,10 @@
 		"a cell too few":                     {"| 63.8 | ms/s |", "| 63.8 |", "calls: 7 cells where the head has 8"},
 		"a table that is gone":               {"| failure | formula", "| gone | formula", `there is no table of kind "failure"`},
 	} {
-		if n := strings.Count(sound, c.old); n != 1 {
+		if n := strings.Count(consistentPage, c.old); n != 1 {
 			t.Errorf("%s: %q is there %d times", name, c.old, n)
 		}
-		problems := check(strings.Replace(sound, c.old, c.new, 1), exists)
+		problems := check(strings.Replace(consistentPage, c.old, c.new, 1), exists)
 		if !strings.Contains(strings.Join(problems, "\n"), c.want) {
 			t.Errorf("%s: found %q, want %q", name, problems, c.want)
 		}
--- a/internal/hollow/controller_test.go
+++ b/internal/hollow/controller_test.go
@@ -20,10 +20,10 @@
 	"larchrouter/internal/lab/proc"
 )
 
-// shareEnv names the file of what a process of members is to play.
+// configEnv names the environment variable with the path of a member process's ProcessConfig.
 const configEnv = "HOLLOW_SHARE"
 
-// TestMain is the test, or a process of members that a test started.
+// TestMain runs the tests, or the members of a process that a test started.
 func TestMain(m *testing.M) {
 	if path := os.Getenv(configEnv); path != "" {
 		var config ProcessConfig
@@ -43,15 +43,15 @@
 	os.Exit(m.Run())
 }
 
-// played is a process of members, as the player sees it.
+// memberProcess is a process of members, as the controller sees it.
 type memberProcess struct {
 	*proc.Process
 	conn  net.Conn
-	mu    sync.Mutex // of what is written
-	bytes int64
+	mu    sync.Mutex // serializes writes to conn
+	bytes int64      // read and written by its members so far; guarded by controller.mu
 }
 
-// player is a play: keepers, members and what was asked of either.
+// controller runs a simulation: it starts keepers and member processes, sends commands and proposals, and records the history.
 type controller struct {
 	t         testing.TB
 	keepers   *keepers
@@ -63,13 +63,13 @@
 	transitions   []Transition
 	current       map[int]Transition
 	proposals     []ProposedChange
-	lastProposed  uint64 // the newest change that was asked for
+	lastProposed  uint64 // number of the newest change that keepers accepted
 	proposalCount int
 	recoveries    []Recovery
 	failure       string
 }
 
-// document is a change's, of about so many bytes; no two that follow each other are equal.
+// document returns the nth configuration document, of about that many bytes; consecutive documents differ.
 func document(n, bytes int) json.RawMessage {
 	names := []string{}
 	for i := 0; 12*len(names) < bytes-430; i++ {
@@ -80,7 +80,7 @@
 	"family-info":{"workers":4,"per-call":[1]},"fleet-size":3,"rules":{"cold":4,"fall":2,"ask-within":10},"skus":%s,"tick":0.005,"zones":["a"]}`, 2+n%6, skus)
 }
 
-// newPlayer starts the processes of members, none of which has begun.
+// newController starts the member processes; no member is started yet.
 func newController(t testing.TB, k *keepers, members, processes, docBytes, listSize int) *controller {
 	t.Helper()
 	p := &controller{t: t, keepers: k, members: members, current: map[int]Transition{}}
@@ -135,7 +135,7 @@
 	return p
 }
 
-// follow takes in what a process reports.
+// readReports records the reports of a process until its connection ends.
 func (p *controller) readReports(process *memberProcess) {
 	for decoder := json.NewDecoder(process.conn); ; {
 		var report Report
@@ -154,7 +154,7 @@
 	}
 }
 
-// order tells all processes to do something.
+// send sends a command to all member processes.
 func (p *controller) send(command Command) {
 	for _, process := range p.processes {
 		process.mu.Lock()
@@ -165,7 +165,7 @@
 	}
 }
 
-// end ends the processes of members.
+// stop ends the member processes, and kills those that have not ended after 10 s.
 func (p *controller) stop() {
 	for _, process := range p.processes {
 		process.conn.(*net.TCPConn).CloseWrite()
@@ -179,7 +179,7 @@
 	p.readers.Wait()
 }
 
-// until waits until all members act by something.
+// waitUntil waits until a condition holds for all members, and reports whether it did before the timeout.
 func (p *controller) waitUntil(timeout time.Duration, condition func(Transition) bool) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		p.mu.Lock()
@@ -195,7 +195,7 @@
 	return false
 }
 
-// change has operators ask for a change that was due at a time, until keepers have taken it.
+// propose proposes a change that was due at a time, on behalf of the operators, and retries until the keepers accept it.
 func (p *controller) propose(due time.Duration, docBytes int) {
 	p.proposalCount++
 	doc := fmt.Appendf(nil, `{"settings":%s}`, document(p.proposalCount, docBytes))
@@ -212,17 +212,17 @@
 			p.proposals, p.lastProposed = append(p.proposals, ProposedChange{created.Number, due}), created.Number
 			p.mu.Unlock()
 			return
-		case errors.As(err, &refused): // as many wait as may
+		case errors.As(err, &refused): // the keepers' limit of pending changes is reached; the next try is a new operation
 			op++
 		}
 		if time.Sleep(100 * time.Millisecond); try > 1000 {
-			p.t.Errorf("no keeper takes the change: %v", err)
+			p.t.Errorf("no keeper accepts the change: %v", err)
 			return
 		}
 	}
 }
 
-// settled waits until the newest change is in force and all who have a session have said so.
+// waitSettled waits until the newest change is in effect and all members with a session have confirmed it.
 func (p *controller) waitSettled(timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
 		for _, a := range p.keepers.wan.Keepers {
@@ -238,7 +238,7 @@
 	return false
 }
 
-// modes counts the members by what they act by.
+// countModes counts the members by mode.
 func (p *controller) countModes() map[hold.Mode]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -13,34 +13,35 @@
 )
 
 var (
-	flagMembers         = flag.Int("hollow.members", 20, "members")
-	flagProcesses       = flag.Int("hollow.processes", 2, "processes that they share")
-	flagKeepers         = flag.Int("hollow.keepers", 3, "keepers: 1, 3 or 5, in three regions")
+	flagMembers         = flag.Int("hollow.members", 20, "number of members")
+	flagProcesses       = flag.Int("hollow.processes", 2, "number of processes that run the members")
+	flagKeepers         = flag.Int("hollow.keepers", 3, "number of keepers: 1, 3 or 5, in three regions")
 	flagLease           = flag.Duration("hollow.lease", 2*time.Second, "lease of a member's session")
-	flagElectionTimeout = flag.Duration("hollow.election", time.Second, "for which keepers that hear no leader wait")
-	flagPhaseLength     = flag.Duration("hollow.length", time.Second, "of each part of the play")
-	flagCutDuration     = flag.Duration("hollow.cut", 3*time.Second, "for which a region is cut off")
-	flagRackDowntime    = flag.Duration("hollow.gone", 3*time.Second, "for which a rack's members are gone, 60 of 2,000")
-	flagSpeed           = flag.Float64("hollow.speed", 60, "by which the clock of changes and restarts is faster")
-	flagBurstChanges    = flag.Int("hollow.burst", 4, "changes of a burst")
-	flagDocumentBytes   = flag.Int("hollow.document", 4096, "bytes of a change's document")
-	flagListSize        = flag.Int("hollow.list", 380, "endpoints on each member's list")
-	flagKeeperProgram   = flag.String("hollow.keeper", "", "program of the keepers; empty for one that is built")
-	flagMemberDirs      = flag.String("hollow.folders", "", "folder of the members' folders, in memory best for many: on one disk they hold keepers up that share it")
-	flagPhases          = flag.String("hollow.parts", "day burst leader rack region", "of the play, in their order")
-	flagSeed            = flag.Uint64("hollow.seed", 1, "by which members are chosen")
+	flagElectionTimeout = flag.Duration("hollow.election", time.Second, "time without a leader after which keepers start an election")
+	flagPhaseLength     = flag.Duration("hollow.length", time.Second, "least duration of each phase")
+	flagCutDuration     = flag.Duration("hollow.cut", 3*time.Second, "time for which a region is cut off")
+	flagRackDowntime    = flag.Duration("hollow.gone", 3*time.Second, "time for which the members of a rack (60 of 2,000) are stopped")
+	flagSpeed           = flag.Float64("hollow.speed", 60, "factor by which changes and restarts come faster than on the reference day")
+	flagBurstChanges    = flag.Int("hollow.burst", 4, "number of changes in a burst")
+	flagDocumentBytes   = flag.Int("hollow.document", 4096, "size of a change's document in bytes")
+	flagListSize        = flag.Int("hollow.list", 380, "number of endpoints on each member's list")
+	flagKeeperProgram   = flag.String("hollow.keeper", "", "path of the keeper program; built by the test if empty")
+	flagMemberDirs      = flag.String("hollow.folders", "", "parent of the members' directories; in memory for many members, since on a disk shared with the keepers they delay the keepers")
+	flagPhases          = flag.String("hollow.parts", "day burst leader rack region", "phases of the run, in order")
+	flagSeed            = flag.Uint64("hollow.seed", 1, "seed of the random choice of members")
 )
 
-// The day at 2,000 members.
+// Rates of changes and restarts on the reference day of a fleet of 2,000 members.
 const (
 	changeInterval     = 62 * time.Second  // 1,400 a day
 	restartInterval    = 411 * time.Second // 210 a day
-	restartDowntime    = time.Second
-	referenceFleetSize = 2000
-	referenceRackSize  = 60
+	restartDowntime    = time.Second       // between the kill and the start
+	referenceFleetSize = 2000              // members
+	referenceRackSize  = 60                // members of a rack in that fleet
 )
 
-// threeRegions are 50, 70 and 100 ms from each other, one way, and by chance up to half as much further; one piece in 200 is lost.
+// threeRegions returns the paths between three regions: one-way delays of 50, 70 and 100 ms, a random addition of up to half
+// the delay, and a loss of one segment in 200.
 func threeRegions() [][]Path {
 	path := func(ms time.Duration) Path {
 		return Path{Delay: ms * time.Millisecond, Jitter: ms * time.Millisecond / 2, LossRate: 0.005}
@@ -48,7 +49,8 @@
 	return [][]Path{{{}, path(50), path(100)}, {path(50), {}, path(70)}, {path(100), path(70), {}}}
 }
 
-// play plays one part while changes and restarts go on at the day's rate, and then waits until all is in force.
+// runPhase runs one phase while changes and restarts go on at the reference day's rate, and then waits until all changes are in
+// effect. Phase "rest" has neither changes nor restarts.
 func (p *controller) runPhase(name string, random *rand.Rand, do func() string) phase {
 	result := phase{name: name, from: Clock(), elections: -p.keepers.countElections()}
 	p.addUsage(&result, -1)
@@ -96,7 +98,7 @@
 	time.Sleep(max(0, *flagPhaseLength-time.Since(startedAt)))
 	close(stop)
 	<-tickersDone
-	p.addUsage(&result, 1) // the day's rate is that of the time until here
+	p.addUsage(&result, 1) // usage is counted for the time with changes and restarts only
 	result.to = Clock()
 	close(due)
 	<-proposalsDone
@@ -106,7 +108,7 @@
 	return result
 }
 
-// everyone are the members that a condition holds for.
+// membersWhere returns the members for which a condition holds.
 func (p *controller) membersWhere(matches func(int) bool) (members []int) {
 	for m := range p.members {
 		if matches(m) {
@@ -116,14 +118,14 @@
 	return members
 }
 
-// back notes that members come back now.
+// recordRecovery records that stopped or cut-off members may recover from now on.
 func (p *controller) recordRecovery(members []int) {
 	p.mu.Lock()
 	p.recoveries = append(p.recoveries, Recovery{Clock(), members})
 	p.mu.Unlock()
 }
 
-// cut cuts a region off for a while.
+// cutRegion cuts a region off for flagCutDuration.
 func (p *controller) cutRegion(region int) {
 	p.keepers.setCut(region, true)
 	p.send(Command{Action: CutRegion, Region: region})
@@ -133,7 +135,7 @@
 	p.keepers.setCut(region, false)
 }
 
-// parts are what a play may have.
+// phases returns the available phases by name; each function performs the phase's events and returns a note for the log.
 func (p *controller) phases() map[string]func() string {
 	k := p.keepers
 	return map[string]func() string{
@@ -155,7 +157,7 @@
 			p.send(Command{Action: StartMembers, Members: rack})
 			return fmt.Sprint(len(rack), " members killed")
 		},
-		"region": func() string { // one without the keeper that leads, and without the operators
+		"region": func() string { // a region without the leading keeper and without the operators
 			region := 2
 			if k.wan.Keepers[k.waitForLeader()].Region == region {
 				region = 1
@@ -172,8 +174,9 @@
 	}
 }
 
-// A fleet of members in three regions keeps its rules: no two members act by what contradicts each other, at most two generations are
-// in use, each change comes into force, and all members are back. Small in CI; its flags give the fleet of docs/keepers.md.
+// TestSimulatedFleet guards against members in three regions that violate the rules of the agreement while keepers, members and
+// regions fail: no two members act by contradicting generations, at most two generations are in use, each change comes into
+// effect, and all members recover. The defaults are a small fleet for CI; the flags set up the fleet of docs/keepers.md.
 func TestSimulatedFleet(t *testing.T) {
 	k := newKeepers(t, t.TempDir(), *flagKeepers, *flagLease, threeRegions())
 	k.waitForLeader()
@@ -182,46 +185,46 @@
 	startedAt := Clock()
 	p.send(Command{Action: StartMembers, Members: p.membersWhere(func(int) bool { return true })})
 	if !p.waitUntil(2*time.Minute, Transition.hasLease) {
-		t.Fatalf("not all have begun: %v", p.countModes())
+		t.Fatalf("not all members have a lease after the start: %v", p.countModes())
 	}
-	t.Logf("%d members began in %.1f s", p.members, (Clock() - startedAt).Seconds())
+	t.Logf("%d members started in %.1f s", p.members, (Clock() - startedAt).Seconds())
 	p.waitSettled(time.Minute)
 	random := rand.New(rand.NewPCG(*flagSeed, 1))
 	var results []phase
 	for _, name := range strings.Fields(*flagPhases) {
 		run := p.phases()[name]
 		if run == nil {
-			t.Fatalf("a play has no part %q", name)
+			t.Fatalf("unknown phase %q", name)
 		}
 		results = append(results, p.runPhase(name, random, run))
 	}
 	if !p.waitUntil(time.Minute, func(a Transition) bool { return a.Mode == hold.Alone && a.Force == p.lastProposed }) {
-		t.Errorf("not all act by change %d alone: %v", p.lastProposed, p.countModes())
+		t.Errorf("not all members act by change %d alone: %v", p.lastProposed, p.countModes())
 	}
 	time.Sleep(3 * reportInterval)
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.failure != "" {
-		t.Errorf("the play shows nothing: %s", p.failure)
+		t.Errorf("the run is invalid: %s", p.failure)
 	}
 	verdict := Judge(p.transitions, p.proposals, p.recoveries, Clock())
 	for _, result := range results {
 		p.logPhase(result, verdict)
 		if !result.settled {
-			t.Errorf("%s: what was asked for is not in force a minute after", result.name)
+			t.Errorf("%s: proposed changes are not in effect a minute after the phase", result.name)
 		}
 	}
 	for i, recoveryTime := range verdict.RecoveryTimes {
-		t.Logf("return %d: %d members back after %.2f s", i, len(p.recoveries[i].Members), recoveryTime.Seconds())
+		t.Logf("recovery %d: %d members recovered after %.2f s", i, len(p.recoveries[i].Members), recoveryTime.Seconds())
 	}
-	t.Logf("%d acts, by the fallback %.0f s of all members together, longest contradiction %v, three generations in use %v", verdict.Transitions, verdict.FallbackTime.Seconds(), verdict.Contradiction, verdict.ThreeGenerations)
+	t.Logf("%d transitions, %.0f s by the fallback summed over all members, longest contradiction %v, three generations in use for %v", verdict.Transitions, verdict.FallbackTime.Seconds(), verdict.Contradiction, verdict.ThreeGenerations)
 	if verdict.Contradiction > 0 || verdict.ThreeGenerations > 0 {
-		t.Errorf("members contradict each other for %v, three generations are in use for %v", verdict.Contradiction, verdict.ThreeGenerations)
+		t.Errorf("members contradicted each other for %v, three generations were in use for %v", verdict.Contradiction, verdict.ThreeGenerations)
 	}
 	if i := slices.Index(verdict.InEffect, -1); i >= 0 {
-		t.Errorf("change %d never came into force everywhere", p.proposals[i].Number)
+		t.Errorf("change %d never came into effect everywhere", p.proposals[i].Number)
 	}
 	if slices.Contains(verdict.RecoveryTimes, -1) {
-		t.Error("some members never came back")
+		t.Error("some members never recovered")
 	}
 }
--- a/internal/hollow/judge.go
+++ b/internal/hollow/judge.go
@@ -1,6 +1,7 @@
-// Package hollow plays a fleet of thousands without its message paths: members that have a session with real keepers,
-// what they keep of it and their list, some hundreds in a process, in regions that are far from each other. It shows
-// what the agreement costs at a size at which relays as processes of their own would not fit on one machine.
+// Package hollow simulates a fleet of thousands of members without message paths, for tests. Each member has a session with
+// real keepers, the state that a relay stores from that session, and a list of endpoints. One process runs some hundreds of
+// members, spread over regions that are far from each other. The simulation shows the cost of agreeing on a configuration at a
+// size at which separate relay processes would not fit on one machine.
 package hollow
 
 import (
@@ -10,56 +11,56 @@
 	"larchrouter/internal/fleet/hold"
 )
 
-// Gone is the mode of a member that has no process.
+// Stopped is the mode of a member without a running process.
 const Stopped hold.Mode = -1
 
-// Act is by what a member acts from a time on.
+// Transition states the mode and the generations by which a member acts from a time on.
 type Transition struct {
-	At     time.Duration // by the machine's monotonic clock, which all processes share
+	At     time.Duration // on the machine's monotonic clock, which all processes share
 	Member int
 	Mode   hold.Mode
 	Force  uint64
-	Next   uint64 // 0 unless two are joined
+	Next   uint64 // next generation while the member is joining two, else 0
 }
 
-// leased tells whether it is by a generation, under a lease that has not run out.
+// hasLease reports whether the member acts by a generation under a lease that has not expired.
 func (a Transition) hasLease() bool { return a.Mode == hold.Alone || a.Mode == hold.Joined }
 
-// Asked is a change that operators asked for.
+// ProposedChange is a change of the configuration that operators proposed.
 type ProposedChange struct {
 	Number uint64
 	At     time.Duration
 }
 
-// Return is of members that were gone, or cut off, until a time.
+// Recovery names members that were stopped or cut off until At.
 type Recovery struct {
 	At      time.Duration
 	Members []int
 }
 
-// Verdict is what a history of acts shows.
+// Verdict is the result of judging a history of transitions.
 type Verdict struct {
-	// Contradiction is the longest time for which one member still acted without a generation and another by that alone.
-	// Acting by the fallback contradicts nothing, as the lab's rules have it.
+	// Contradiction is the longest time for which one member acted by a generation alone while another member with a lease
+	// did not use that generation yet. Acting by the fallback contradicts nothing, as in the lab's rules.
 	Contradiction    time.Duration
-	ThreeGenerations time.Duration   // the longest time for which three generations or more were in use
-	InEffect         []time.Duration // of each change asked for, until nobody who held a lease acted without it; below 0 for never
-	RecoveryTimes    []time.Duration // of each return, until all of its members held a lease; below 0 for never
-	FallbackTime     time.Duration   // time of all members together in which a running one acted by the fallback
-	Transitions      int
+	ThreeGenerations time.Duration   // longest time for which three or more generations were in use
+	InEffect         []time.Duration // for each proposed change, the time until no member with a lease acted without it; -1 for never
+	RecoveryTimes    []time.Duration // for each recovery, the time until all of its members had a lease; -1 for never
+	FallbackTime     time.Duration   // total time, summed over all members, in which running members acted by the fallback
+	Transitions      int             // number of transitions in the history
 }
 
-// sweep goes through a history in the order of time.
+// analysis processes a history in the order of time.
 type analysis struct {
-	lastTransition time.Duration // when something changed last
+	lastTransition time.Duration // time of the latest transition
 	current        map[int]Transition
-	leaseCount     map[Transition]int // of those that hold a lease, with neither time nor member
-	// contradiction and three are since when either has lasted; below 0 while it does not.
+	leaseCount     map[Transition]int // members with a lease, by transition without its time and member
+	// contradictionSince and threeSince are the times at which the current violation began; -1 while there is none.
 	contradictionSince, threeSince time.Duration
 	verdict                        Verdict
 }
 
-// Judge tells what a history shows that ended at a time.
+// Judge returns the verdict on a history of transitions that ended at a time, with the proposals and recoveries made during it.
 func Judge(transitions []Transition, proposals []ProposedChange, recoveries []Recovery, end time.Duration) Verdict {
 	transitions = slices.Clone(transitions)
 	slices.SortStableFunc(transitions, func(a, b Transition) int { return int(a.At - b.At) })
@@ -67,7 +68,7 @@
 	s.verdict.Transitions = len(transitions)
 	s.verdict.InEffect, s.verdict.RecoveryTimes = unsetDurations(len(proposals)), unsetDurations(len(recoveries))
 	for _, a := range transitions {
-		// What held until now, for what is asked of a time between two acts.
+		// Proposals and recoveries made between two transitions are checked against the state before the later one.
 		s.recordCompletions(proposals, recoveries, a.At)
 		s.apply(a)
 		s.check(a.At)
@@ -84,10 +85,10 @@
 	return s.verdict
 }
 
-// fill is spans of which none is known.
+// unsetDurations returns n durations of -1, which stands for an event that did not happen.
 func unsetDurations(n int) []time.Duration { return slices.Repeat([]time.Duration{-1}, n) }
 
-// take has a member act by something else.
+// apply records a member's transition.
 func (s *analysis) apply(a Transition) {
 	key := func(a Transition) Transition { return Transition{Mode: a.Mode, Force: a.Force, Next: a.Next} }
 	if old, ok := s.current[a.Member]; ok {
@@ -106,9 +107,9 @@
 	}
 }
 
-// look tells what is wrong from a time on.
+// check begins or ends violations according to the state from a time on.
 func (s *analysis) check(at time.Duration) {
-	var newestAlone uint64 // the newest by which one acts alone
+	var newestAlone uint64 // the newest generation by which a member acts alone
 	inUse := map[uint64]bool{}
 	for a := range s.leaseCount {
 		inUse[a.Force] = true
@@ -122,12 +123,12 @@
 	for a := range s.leaseCount {
 		contradiction = contradiction || max(a.Force, a.Next) < newestAlone
 	}
-	delete(inUse, 0) // the join of no generation and the first
+	delete(inUse, 0) // a member that joins the first generation has 0 as its current one
 	s.updateSpan(contradiction, &s.contradictionSince, &s.verdict.Contradiction, at)
 	s.updateSpan(len(inUse) > 2, &s.threeSince, &s.verdict.ThreeGenerations, at)
 }
 
-// mark begins or ends a span.
+// updateSpan begins a span when the condition becomes active and ends it when it no longer is.
 func (s *analysis) updateSpan(active bool, since, longest *time.Duration, at time.Duration) {
 	switch {
 	case active && *since < 0:
@@ -137,6 +138,7 @@
 	}
 }
 
+// endSpan ends a span that has begun, and keeps the longest duration.
 func (s *analysis) endSpan(since, longest *time.Duration, at time.Duration) {
 	if *since >= 0 {
 		*longest = max(*longest, at-*since)
@@ -144,8 +146,8 @@
 	*since = -1
 }
 
-// reached notes which changes are in force everywhere, and who is back, given that nothing has changed since the last act and
-// before a time.
+// recordCompletions records which changes are in effect everywhere and which recoveries are complete, given that nothing has
+// changed between the latest transition and the time until.
 func (s *analysis) recordCompletions(proposals []ProposedChange, recoveries []Recovery, until time.Duration) {
 	oldest, anyLease := ^uint64(0), false
 	for a := range s.leaseCount {
--- a/internal/hollow/judge_test.go
+++ b/internal/hollow/judge_test.go
@@ -16,38 +16,39 @@
 	return Transition{At: at * time.Second, Member: member, Mode: hold.Joined, Force: force, Next: next}
 }
 
-// What a history of two members shows: how long they contradicted each other, how many generations were in use, when a change
-// was in force everywhere and who was back when.
-func TestJudge(t *testing.T) {
-	out := func(at time.Duration, member int, force uint64) Transition {
+// TestJudgeReportsViolationsAndDelays guards against a judgement that misses a violation or a delay: in histories of two members
+// it checks for how long they contradicted each other, for how long three generations were in use, when a change was in effect
+// everywhere and when members recovered.
+func TestJudgeReportsViolationsAndDelays(t *testing.T) {
+	fallback := func(at time.Duration, member int, force uint64) Transition {
 		return Transition{At: at * time.Second, Member: member, Mode: hold.Fallback, Force: force}
 	}
-	gone := func(at time.Duration, member int) Transition {
+	stopped := func(at time.Duration, member int) Transition {
 		return Transition{At: at * time.Second, Member: member, Mode: Stopped}
 	}
-	asked := []ProposedChange{{Number: 2, At: 3 * time.Second}}
+	proposals := []ProposedChange{{Number: 2, At: 3 * time.Second}}
 	for _, c := range []struct {
-		name    string
-		acts    []Transition
-		returns []Recovery
-		want    Verdict
+		name        string
+		transitions []Transition
+		recoveries  []Recovery
+		want        Verdict
 	}{
 		{"two steps", []Transition{alone(1, 0, 1), alone(1, 1, 1), joined(4, 0, 1, 2), joined(5, 1, 1, 2), alone(6, 0, 2), alone(7, 1, 2)}, nil,
 			Verdict{InEffect: []time.Duration{4 * time.Second}}},
-		{"one goes ahead", []Transition{alone(1, 0, 1), alone(1, 1, 1), joined(4, 0, 1, 2), alone(6, 0, 2), joined(8, 1, 1, 2), alone(9, 1, 2)}, nil,
+		{"one acts alone too early", []Transition{alone(1, 0, 1), alone(1, 1, 1), joined(4, 0, 1, 2), alone(6, 0, 2), joined(8, 1, 1, 2), alone(9, 1, 2)}, nil,
 			Verdict{Contradiction: 2 * time.Second, InEffect: []time.Duration{6 * time.Second}}},
 		{"one never follows", []Transition{alone(1, 0, 1), alone(1, 1, 1), joined(4, 0, 1, 2), alone(6, 0, 2)}, nil,
 			Verdict{Contradiction: 14 * time.Second, InEffect: []time.Duration{-1}}},
 		{"three in use", []Transition{alone(1, 0, 1), alone(1, 1, 1), joined(4, 0, 1, 2), joined(5, 1, 1, 3), joined(9, 0, 1, 3)}, nil,
 			Verdict{ThreeGenerations: 4 * time.Second, InEffect: []time.Duration{-1}}},
-		{"one by the fallback", []Transition{alone(1, 0, 1), alone(1, 1, 1), out(5, 1, 1), alone(6, 0, 2), alone(10, 1, 2)}, []Recovery{{8 * time.Second, []int{1}}},
+		{"one acts by the fallback", []Transition{alone(1, 0, 1), alone(1, 1, 1), fallback(5, 1, 1), alone(6, 0, 2), alone(10, 1, 2)}, []Recovery{{8 * time.Second, []int{1}}},
 			Verdict{FallbackTime: 5 * time.Second, InEffect: []time.Duration{3 * time.Second}, RecoveryTimes: []time.Duration{2 * time.Second}}},
-		{"one gone", []Transition{alone(1, 0, 1), alone(1, 1, 1), gone(2, 1), alone(4, 0, 2)}, []Recovery{{8 * time.Second, []int{1}}},
+		{"one is stopped", []Transition{alone(1, 0, 1), alone(1, 1, 1), stopped(2, 1), alone(4, 0, 2)}, []Recovery{{8 * time.Second, []int{1}}},
 			Verdict{InEffect: []time.Duration{time.Second}, RecoveryTimes: []time.Duration{-1}}},
 	} {
-		got := Judge(c.acts, asked, c.returns, 20*time.Second)
+		got := Judge(c.transitions, proposals, c.recoveries, 20*time.Second)
 		if got.Contradiction != c.want.Contradiction || got.ThreeGenerations != c.want.ThreeGenerations || got.FallbackTime != c.want.FallbackTime ||
-			!slices.Equal(got.InEffect, c.want.InEffect) || !slices.Equal(got.RecoveryTimes, c.want.RecoveryTimes) || got.Transitions != len(c.acts) {
+			!slices.Equal(got.InEffect, c.want.InEffect) || !slices.Equal(got.RecoveryTimes, c.want.RecoveryTimes) || got.Transitions != len(c.transitions) {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
 		}
 	}
--- a/internal/hollow/keepers_test.go
+++ b/internal/hollow/keepers_test.go
@@ -22,23 +22,23 @@
 	"larchrouter/internal/lab/proc"
 )
 
-// regions of the keepers, by how many there are.
+// keeperRegions gives the region of each keeper, by the number of keepers.
 var keeperRegions = map[int][]int{1: {0}, 3: {0, 1, 2}, 5: {0, 0, 1, 1, 2}}
 
-// keepers are the processes of cmd/larchkeeper, and the network between them.
+// keepers runs the processes of cmd/larchkeeper and the network between them.
 type keepers struct {
 	t              testing.TB
 	wan            *WAN
 	processes      []*proc.Process
-	killedCPU      []time.Duration // processor time of processes that were killed
-	killedIOBytes  []int64         // what those read and wrote
+	killedCPU      []time.Duration // processor time of killed processes, by keeper
+	killedIOBytes  []int64         // bytes read and written by killed processes, by keeper
 	dir            string
-	bin            string       // the program
-	client         *api.Client  // of the operators
-	operatorRegion atomic.Int64 // the region that they call from
+	bin            string       // path of the keeper program
+	client         *api.Client  // the operators' client
+	operatorRegion atomic.Int64 // region from which the operators call
 }
 
-// newKeepers starts as many keepers, each at a loopback address of its own, which others reach through links.
+// newKeepers starts n keepers, each at a loopback address of its own, which others reach through links.
 func newKeepers(t testing.TB, dir string, n int, lease time.Duration, paths [][]Path) *keepers {
 	t.Helper()
 	k := &keepers{t: t, dir: dir, processes: make([]*proc.Process, n), killedCPU: make([]time.Duration, n), killedIOBytes: make([]int64, n)}
@@ -113,11 +113,12 @@
 	return k
 }
 
-// ip is a loopback address that no other run's keeper has.
+// ip returns a keeper's loopback address, derived from the process id so that concurrent runs do not share addresses.
 func (k *keepers) ip(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", 64+os.Getpid()>>8%64, 1+os.Getpid()&0xff%250, 10+i)
 }
 
+// config returns the path of a keeper's configuration file.
 func (k *keepers) config(i int) string { return filepath.Join(k.dir, fmt.Sprintf("keeper-%d.toml", i)) }
 
 func (k *keepers) start(i int) {
@@ -134,7 +135,7 @@
 	k.processes[i] = p
 }
 
-// kill ends a keeper's process as a machine's loss does.
+// kill kills a keeper's process without warning, as the loss of its machine would.
 func (k *keepers) kill(i int) {
 	if u, err := k.processes[i].Usage(); err == nil {
 		k.killedCPU[i] += u.CPU
@@ -144,7 +145,7 @@
 	<-k.processes[i].Done()
 }
 
-// cut cuts a region's keepers and operators off from the others, or mends that.
+// setCut cuts a region's keepers and operators off from the other regions, or ends that cut.
 func (k *keepers) setCut(region int, cut bool) {
 	k.wan.SetCut(region, cut)
 	for i, a := range k.wan.Keepers {
@@ -156,7 +157,7 @@
 	}
 }
 
-// leads is the keeper that leads; waits until there is one.
+// waitForLeader returns the index of the leading keeper; it waits up to a minute for one.
 func (k *keepers) waitForLeader() int {
 	k.t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -170,11 +171,11 @@
 			}
 		}
 	}
-	k.t.Fatal("no keeper leads")
+	k.t.Fatal("no keeper became leader within a minute")
 	return 0
 }
 
-// elections counts how often a keeper began to lead, by what the keepers log.
+// countElections counts how often a keeper became leader, by the lines that the keepers log.
 func (k *keepers) countElections() (n int) {
 	for i := range k.processes {
 		data, err := os.ReadFile(filepath.Join(k.dir, fmt.Sprintf("keeper-%d.log", i)))
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -17,7 +17,8 @@
 	"larchrouter/internal/keeper/api"
 )
 
-// Clock is the machine's monotonic clock (CLOCK_MONOTONIC), which all processes share, so that what they say can be put in order.
+// Clock returns the time on the machine's monotonic clock (CLOCK_MONOTONIC). All processes share that clock, so that their
+// reports can be put in order.
 func Clock() time.Duration {
 	var ts syscall.Timespec
 	const monotonic = 1
@@ -25,32 +26,32 @@
 	return time.Duration(ts.Nano())
 }
 
-// member is a relay's part in the agreement, and nothing else of it.
+// member is the part of a relay that takes part in agreeing on the configuration, without its message paths.
 type member struct {
 	number    int
 	region    int
-	fleetSize int // members
-	dir       string
-	file      fleet.File
+	fleetSize int        // number of members in the whole fleet
+	dir       string     // of its stored state
+	file      fleet.File // its own settings file
 	wan       *WAN
 	list      discovery.List
-	report    func(Transition)
+	report    func(Transition) // called with each transition, with mu locked
 
-	mu         sync.Mutex // in place of the relay's loop
+	mu         sync.Mutex // serializes what the relay's loop does one after another
 	state      *fleet.Kept
 	acting     hold.Acts
-	leaseEnd   time.Duration // of the lease
-	leaseTimer *time.Timer   // at that time
+	leaseEnd   time.Duration // on Clock; 0 without a lease so far
+	leaseTimer *time.Timer   // calls update at leaseEnd
 	cancel     context.CancelFunc
 	done       chan struct{}
 }
 
-// start begins a process of the member.
+// start starts the member's simulated process; it fails if the member already runs or its state cannot be stored.
 func (m *member) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.cancel != nil {
-		return fmt.Errorf("member %d runs already", m.number)
+		return fmt.Errorf("member %d is already running", m.number)
 	}
 	k := fleet.Open(m.dir, rand.Text()[:16], m.file)
 	if err := k.Sign(); err != nil {
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// kill ends the process of the member, without a word to anybody.
+// kill ends the member's simulated process without leaving its session.
 func (m *member) kill() {
 	m.mu.Lock()
 	if m.cancel == nil {
@@ -98,20 +99,21 @@
 	<-done
 }
 
-// hear takes in an answer of the keepers, as a relay's loop does.
+// receive applies a keeper's response, as a relay's loop does, and returns the generations that the member has and the message
+// to the keepers. It returns false if the response cannot be applied or belongs to a process that was killed.
 func (m *member) receive(state *fleet.Kept, response fleet.Heard) (generations []uint64, message fleet.Word, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.state != state { // it was killed meanwhile
+	if m.state != state { // the process was killed in the meantime
 		return nil, fleet.Word{}, false
 	}
-	m.update() // what it acted by until now may have ended before
+	m.update() // the lease may have expired before this response
 	message, err := state.Hear(Clock(), response.Asked, response.Standing)
 	m.update()
 	return slices.Clone(state.Have()), message, err == nil
 }
 
-// look has the member act by what it may act by now. The lock is held.
+// update sets by what the member acts now and reports a change of that. The caller holds mu.
 func (m *member) update() {
 	if m.state == nil {
 		return
@@ -120,7 +122,7 @@
 	_, changed := m.state.Look(now)
 	if acting := m.state.Acting(); changed || m.acting.Mode == Stopped {
 		at := now
-		if acting.Mode == hold.Fallback && m.leaseEnd > 0 { // nothing has gone out by the lease since it ended
+		if acting.Mode == hold.Fallback && m.leaseEnd > 0 { // nothing was sent under the lease after it expired
 			at = min(at, m.leaseEnd)
 		}
 		m.acting = acting
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -16,44 +16,44 @@
 	"larchrouter/internal/settings"
 )
 
-// Share is the members of one process, and what they are told at the start.
+// ProcessConfig configures one process of members.
 type ProcessConfig struct {
-	ControllerAddr string          `json:"player"` // address that the process reports to
-	Dir            string          `json:"dir"`    // of its members' folders
+	ControllerAddr string          `json:"player"` // address of the controller, which the process connects to
+	Dir            string          `json:"dir"`    // parent of its members' directories
 	Members        []int           `json:"members"`
-	FleetSize      int             `json:"fleet"` // members of all processes
+	FleetSize      int             `json:"fleet"` // number of members in all processes together
 	Keepers        []Keeper        `json:"keepers"`
 	Paths          [][]Path        `json:"distances"`
-	Settings       json.RawMessage `json:"settings"` // of each member's own file
+	Settings       json.RawMessage `json:"settings"` // content of each member's own settings file
 	List           discovery.List  `json:"list"`
 }
 
-// What a process is told to do.
+// Actions of a Command.
 const (
-	StartMembers = "begin" // processes of members
-	KillMembers  = "kill"  // them, without a word to anybody
-	CutRegion    = "cut"   // a region off from the others
-	RepairRegion = "mend"
+	StartMembers = "begin" // start the simulated processes of members
+	KillMembers  = "kill"  // kill members without leaving their sessions
+	CutRegion    = "cut"   // cut a region off from the others
+	RepairRegion = "mend"  // end the cut of a region
 )
 
-// Order is one of those.
+// Command tells a process to perform an action on members or a region.
 type Command struct {
 	Action  string `json:"do"`
 	Members []int  `json:"members,omitempty"`
 	Region  int    `json:"region,omitempty"`
 }
 
-// Report is what a process tells every so often.
+// Report is what a process sends to the controller at each reportInterval.
 type Report struct {
 	Transitions []Transition `json:"acts,omitempty"`
-	Bytes       int64        `json:"bytes"` // that its members have read and written so far
+	Bytes       int64        `json:"bytes"` // read and written by its members so far
 	Error       string       `json:"error,omitempty"`
 }
 
-// reportEvery is how often; a report is one line.
+// reportInterval is the time between two reports of a process; each report is one line of JSON.
 const reportInterval = 100 * time.Millisecond
 
-// process is the members of one process.
+// process runs the members of one operating-system process.
 type process struct {
 	wan     *WAN
 	members map[int]*member
@@ -62,10 +62,10 @@
 	report Report
 }
 
-// Region is where a member is: members are dealt out in turn.
+// Region returns the region of a member: members are assigned to regions in turn.
 func Region(member, regions int) int { return member % regions }
 
-// Play has this process's members do what the player says until that ends the connection.
+// RunMembers runs this process's members by the controller's commands until the controller closes the connection.
 func RunMembers(config ProcessConfig) error {
 	parsed, err := settings.Parse(config.Settings)
 	if err != nil {
@@ -80,7 +80,7 @@
 	for _, n := range config.Members {
 		m := &member{number: n, region: Region(n, len(config.Paths)), fleetSize: config.FleetSize, wan: p.wan, dir: filepath.Join(config.Dir, fmt.Sprint(n)),
 			file: fleet.File{Raw: config.Settings, Set: parsed}, report: p.recordTransition}
-		if err := json.Unmarshal(encodedList, &m.list); err != nil { // each has its own copy, as relays have
+		if err := json.Unmarshal(encodedList, &m.list); err != nil { // each member has its own copy, as relays do
 			return err
 		}
 		if err := os.MkdirAll(m.dir, 0o755); err != nil {
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// do does what the player says.
+// execute performs a command of the controller; it returns when all of its members have been started or killed.
 func (p *process) execute(command Command) {
 	switch command.Action {
 	case CutRegion, RepairRegion:
@@ -124,7 +124,7 @@
 		for _, n := range command.Members {
 			m := p.members[n]
 			if m == nil {
-				continue // another process's
+				continue // a member of another process
 			}
 			tasks.Go(func() {
 				if command.Action == KillMembers {
@@ -137,21 +137,21 @@
 	}
 }
 
-// tell notes an act for the next report.
+// recordTransition adds a transition to the next report.
 func (p *process) recordTransition(a Transition) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Transitions = append(p.report.Transitions, a)
 }
 
-// failed notes what the process itself could not do: the play then shows nothing.
+// recordError reports a failure of the process itself, which makes the whole run invalid.
 func (p *process) recordError(err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.report.Error = err.Error()
 }
 
-// reports reports every so often.
+// sendReports sends a report at each reportInterval until finished is closed or the connection fails.
 func (p *process) sendReports(controller io.Writer, finished <-chan struct{}) {
 	tick := time.NewTicker(reportInterval)
 	defer tick.Stop()
@@ -169,7 +169,7 @@
 		p.report.Transitions = nil
 		p.mu.Unlock()
 		report.Bytes = p.wan.Bytes()
-		if encoder.Encode(report) != nil { // the player is gone
+		if encoder.Encode(report) != nil { // the controller has closed the connection
 			return
 		}
 	}
--- a/internal/hollow/usage_test.go
+++ b/internal/hollow/usage_test.go
@@ -11,20 +11,20 @@
 	"larchrouter/internal/lab/proc"
 )
 
-// part is one part of a play, and what it used.
+// phase is one phase of a run, with the resources that it used.
 type phase struct {
 	name          string
 	from, to      time.Duration
-	settled       bool
-	elections     int
+	settled       bool // all changes came into effect after the phase
+	elections     int  // changes of the leading keeper
 	note          string
-	memberUsage   proc.Use // of all processes together
-	memberBytes   int64
-	keeperUsage   []proc.Use
-	keeperIOBytes []int64 // bytes that each keeper has read and written, on its disk too
+	memberUsage   proc.Use   // of all member processes together
+	memberBytes   int64      // read and written by all members together
+	keeperUsage   []proc.Use // by keeper
+	keeperIOBytes []int64    // bytes that each keeper read and wrote, on its disk too
 }
 
-// use adds what is used now, with a sign.
+// addUsage adds the present counters multiplied by sign: -1 at the start of a phase and 1 at its end.
 func (p *controller) addUsage(usage *phase, sign float64) {
 	for i, process := range p.processes {
 		if now, err := process.Usage(); err == nil {
@@ -48,7 +48,8 @@
 	}
 }
 
-// transferred is what a process has read and written, as the kernel counts it: sockets and files.
+// transferred returns the number of bytes that a process has read and written on sockets and files, as the kernel counts them.
+// It returns 0 if the counters cannot be read.
 func transferred(pid int) (sum int64) {
 	data, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", pid))
 	if err != nil {
@@ -65,7 +66,7 @@
 	return sum
 }
 
-// tell prints what a part took.
+// logPhase logs the resources that a phase used, and the times until its changes were in effect.
 func (p *controller) logPhase(result phase, verdict Verdict) {
 	latencies := hdrhistogram.New(1, 600_000, 3)
 	never := 0
@@ -80,7 +81,7 @@
 	}
 	seconds := (result.to - result.from).Seconds()
 	members := float64(p.members)
-	p.t.Logf("%s: %.0f s, %d changes, in force everywhere after %.2f s (p50), %.2f (p99), %.2f (worst), never %d", result.name, seconds, latencies.TotalCount(),
+	p.t.Logf("%s: %.0f s, %d changes, in effect everywhere after %.2f s (p50), %.2f (p99), %.2f (worst), never %d", result.name, seconds, latencies.TotalCount(),
 		float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000, float64(latencies.Max())/1000, never)
 	p.t.Logf("%s: a member %.0f B/s, %.3f %% of a core, %.2f MB, %.1f descriptors", result.name, float64(result.memberBytes)/seconds/members, result.memberUsage.CPU.Seconds()/seconds/members*100,
 		result.memberUsage.MemoryMB/members, float64(result.memberUsage.Descriptors)/members)
--- a/internal/hollow/wan.go
+++ b/internal/hollow/wan.go
@@ -11,32 +11,32 @@
 	"larchrouter/internal/lab/link"
 )
 
-// Keeper is where a keeper is.
+// Keeper gives the region and the addresses of a keeper.
 type Keeper struct {
 	Region     int    `json:"region"`
-	PublicAddr string `json:"front"` // that all are told
-	ListenAddr string `json:"http"`  // its own
+	PublicAddr string `json:"front"` // address that members, operators and other keepers use, behind a link
+	ListenAddr string `json:"http"`  // address at which the keeper listens
 }
 
-// Distance is between two regions, one way.
+// Path describes the network path between two regions, in one direction.
 type Path struct {
-	Delay    time.Duration `json:"delay"`
-	Jitter   time.Duration `json:"spread"` // by chance as much as this longer
-	LossRate float64       `json:"lost"`   // share of pieces that TCP has to send again
+	Delay    time.Duration `json:"delay"`  // least delay
+	Jitter   time.Duration `json:"spread"` // greatest random addition to the delay
+	LossRate float64       `json:"lost"`   // fraction of segments that TCP has to retransmit
 }
 
-// resentLeast is the least time after which Linux sends again what was not confirmed (TCP_RTO_MIN).
+// minRetransmitDelay is the shortest time after which Linux retransmits unacknowledged data (TCP_RTO_MIN).
 const minRetransmitDelay = 200 * time.Millisecond
 
-// WAN is the network between regions as one process sees it. Parties in one region have no distance.
+// WAN is the network between regions as one process sees it. There is no delay within a region.
 type WAN struct {
 	Net     *link.Net
 	Keepers []Keeper
-	Paths   [][]Path // by the two regions
-	bytes   atomic.Int64
+	Paths   [][]Path     // indexed by the two regions
+	bytes   atomic.Int64 // read and written by connections opened from this process
 }
 
-// NewWAN is a network without connections.
+// NewWAN returns a network without connections, whose links between regions and keepers have the delays and losses of paths.
 func NewWAN(keepers []Keeper, paths [][]Path) *WAN {
 	w := &WAN{Net: link.NewNet(history.NewClock()), Keepers: keepers, Paths: paths}
 	for r := range paths {
@@ -47,11 +47,11 @@
 	return w
 }
 
-// party is a region's members, as links know them; name is the nth keeper.
+// regionName returns the name by which links know the members of a region, keeperName that of a keeper.
 func regionName(region int) string { return fmt.Sprintf("region/%d", region) }
 func keeperName(keeper int) string { return fmt.Sprintf("keeper/%d", keeper) }
 
-// Apart puts the distance of two regions on a link between them.
+// ApplyPath gives a link the delay and loss of the path between regions a and b; it does nothing within one region.
 func (w *WAN) ApplyPath(l *link.Link, a, b int) {
 	d := w.Paths[a][b]
 	if a == b || d == (Path{}) {
@@ -61,7 +61,7 @@
 	l.Put("distance", f, f)
 }
 
-// Cut cuts a region off from the others, or mends it.
+// SetCut cuts a region off from the keepers of other regions, and its keepers from the other regions, or ends that cut.
 func (w *WAN) SetCut(region int, cut bool) {
 	for r := range w.Paths {
 		for i, k := range w.Keepers {
@@ -72,7 +72,7 @@
 	}
 }
 
-// Sever cuts a link, or mends it.
+// SetLinkCut cuts a link in both directions, or ends that cut.
 func SetLinkCut(l *link.Link, cut bool) {
 	if !cut {
 		l.Put("cut", nil, nil)
@@ -82,17 +82,18 @@
 	l.Put("cut", f, f)
 }
 
-// Bytes is what has been read and written by connections that were opened from here.
+// Bytes returns the number of bytes read and written by connections opened from this process.
 func (w *WAN) Bytes() int64 { return w.bytes.Load() }
 
-// Dial opens a connection from a region to a keeper, by the address that all are told.
+// Dial returns a dial function for members of a region; it accepts the public addresses of keepers and takes a round trip
+// for the handshake.
 func (w *WAN) Dial(region int) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		for i, k := range w.Keepers {
 			if k.PublicAddr != addr {
 				continue
 			}
-			select { // the kernel's handshake knows no distance
+			select { // the kernel's loopback handshake has no delay, so the round trip is waited for here
 			case <-ctx.Done():
 				return nil, ctx.Err()
 			case <-time.After(2 * w.Paths[region][k.Region].Delay):
@@ -103,44 +104,44 @@
 			}
 			return &conn{Conn: c, wan: w}, nil
 		}
-		return nil, fmt.Errorf("no keeper is at %s", addr)
+		return nil, fmt.Errorf("no keeper has address %s", addr)
 	}
 }
 
-// conn is one end of a link's connection as net/http wants it.
+// conn adapts one end of a link's connection to net.Conn for net/http and counts its bytes.
 type conn struct {
 	*link.Conn
 	wan *WAN
 }
 
-// Read reads what came through.
+// Read reads bytes that have passed the link.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.wan.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write sends bytes on their way.
+// Write writes bytes to the link.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.wan.bytes.Add(int64(n))
 	return n, err
 }
 
-// Close ends the connection here at once; a cut keeps the other end from hearing of it.
+// Close closes this end at once; while the link is cut, the other end is not notified.
 func (c *conn) Close() error {
 	c.Conn.SetReadDeadline(time.Now())
 	return c.Conn.Close()
 }
 
-// LocalAddr is of no interest, and has to be there.
+// LocalAddr returns an empty address; it exists only to implement net.Conn.
 func (c *conn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// RemoteAddr likewise.
+// RemoteAddr returns an empty address; it exists only to implement net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-// SetDeadline is not used by net/http's client.
+// SetDeadline sets the read deadline only; net/http's client does not call it.
 func (c *conn) SetDeadline(t time.Time) error { return c.Conn.SetReadDeadline(t) }
 
-// SetWriteDeadline is not used either: what is written goes into the link's memory.
+// SetWriteDeadline does nothing: writes go into the link's memory and net/http's client does not call it.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
