--- a/internal/capacity/check_test.go
+++ b/internal/capacity/check_test.go
@@ -1,5 +1,5 @@
-// Package capacity guards docs/CAPACITY.md: its results follow from its slopes and assumptions by its formulas, what it says of
-// an allowance follows from the result, and each benchmark that it names is in the tree. There is nothing else in it.
+// Package capacity consists of tests that check docs/CAPACITY.md: each result follows from the page's slopes and assumptions by
+// its formula, each statement about an allowance follows from the result, and each benchmark that the page names exists.
 package capacity
 
 import (
@@ -15,41 +15,43 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// The tables of the page are told apart by the first cell of their heads.
+// Kinds of tables on the page, by the first cell of their header row.
 const (
-	valuesTable       = "value"        // named values: given, or by a formula from others
-	slopesTable       = "slope"        // measured, each by a benchmark
-	rowsTable         = "row"          // what a role takes, against an allowance
-	failureTable      = "failure"      // the same while something fails; out of the order
-	orderTable        = "mechanism"    // what is missing, by how many times over
-	extrapolatedTable = "extrapolated" // slopes used far beyond what was measured
+	valuesTable       = "value"        // named values: given, or computed from others by a formula
+	slopesTable       = "slope"        // cost slopes, each measured by a benchmark
+	rowsTable         = "row"          // what a role uses, compared with an allowance
+	failureTable      = "failure"      // the same during a failure; not part of the order
+	orderTable        = "mechanism"    // missing mechanisms, ordered by how many times their rows exceed the allowance
+	extrapolatedTable = "extrapolated" // slopes used more than extrapolationFactor times beyond the measured range
 )
 
-// far is how many times a slope may be used beyond what was measured before the page has to say so.
+// extrapolationFactor is how many times beyond the measured range a slope may be used before the page has to list it as
+// extrapolated.
 const extrapolationFactor = 10
 
-// page is what the tables of the page say.
+// page holds the content of the page's tables, and the problems found in them.
 type page struct {
 	values             map[string]float64
 	slopes             map[string]bool
 	problems           []string
 	shortfalls         []shortfall
-	statedOrder        []shortfall // as stated: mechanism and times
+	statedOrder        []shortfall // as the page states it: mechanism and timesOver only
 	extrapolated       map[string]bool
-	statedExtrapolated map[string]bool // to be far
+	statedExtrapolated map[string]bool // slopes that the page lists as extrapolated
 }
 
-// row is what one mechanism is over by, as recomputed.
+// shortfall states how many times a row of a mechanism exceeds its allowance; below 1 if it doesn't.
 type shortfall struct {
 	name, mechanism string
 	timesOver       float64
 }
 
+// addProblem records a problem for the result of check.
 func (p *page) addProblem(format string, args ...any) {
 	p.problems = append(p.problems, fmt.Sprintf(format, args...))
 }
 
-// check returns what does not follow in a page. Exists tells whether a package has a benchmark.
+// check returns the inconsistencies of a page, sorted. The function exists reports whether a package has a benchmark.
 func check(text string, exists func(dir, name string) bool) []string {
 	p := &page{values: map[string]float64{}, slopes: map[string]bool{}, extrapolated: map[string]bool{}, statedExtrapolated: map[string]bool{}}
 	seen := map[string]int{}
@@ -95,7 +97,7 @@
 	return p.problems
 }
 
-// ordered checks the order of what is missing: by the most that a row of each mechanism is over.
+// checkOrder checks that the page orders the missing mechanisms by the largest excess among the rows of each.
 func (p *page) checkOrder() {
 	largest := map[string]float64{}
 	for _, r := range p.shortfalls {
@@ -107,7 +109,7 @@
 		over, ok := largest[o.mechanism]
 		switch {
 		case !ok:
-			p.addProblem("%s is in the order, and no row of an ordinary day is over for want of it", o.mechanism)
+			p.addProblem("%s is in the order, but no row of an ordinary day exceeds its allowance for lack of it", o.mechanism)
 		case !approximatelyEqual(o.timesOver, over):
 			p.addProblem("%s: %v times over in the order, by the rows %.4g", o.mechanism, o.timesOver, over)
 		case over > previous*1.01:
@@ -121,12 +123,13 @@
 	}
 }
 
-// record is a table's row, by the names of its columns.
+// tableRow gives access to the cells of a table's row by the names of the columns.
 type tableRow struct {
 	*page
 	cells, columns []string
 }
 
+// cell returns the cell in a column; a missing column is a problem.
 func (r tableRow) cell(column string) string {
 	i := slices.Index(r.columns, column)
 	if i < 0 {
@@ -136,11 +139,13 @@
 	return r.cells[i]
 }
 
+// name returns the cell in a column without its backquotes.
 func (r tableRow) name(column string) string { return strings.Trim(r.cell(column), "`") }
 
-// number reads a cell as a number.
+// number returns the cell in a column as a number.
 func (r tableRow) number(column string) float64 { return r.parse(r.cell(column)) }
 
+// parse parses a number with commas between thousands; it returns NaN and records a problem if the text is not one.
 func (r tableRow) parse(text string) float64 {
 	n, err := strconv.ParseFloat(strings.ReplaceAll(text, ",", ""), 64)
 	if err != nil {
@@ -150,7 +155,7 @@
 	return n
 }
 
-// compute is what a formula comes to.
+// compute evaluates a formula over the values defined so far; it returns NaN and records a problem if that fails.
 func (r tableRow) compute(formula string) float64 {
 	env := map[string]any{}
 	for name, v := range r.values {
@@ -170,36 +175,37 @@
 	return out.(float64)
 }
 
-// near tells whether a stated number is another to three digits.
+// approximatelyEqual reports whether a stated number equals a computed one to about three digits.
 func approximatelyEqual(stated, computed float64) bool {
 	return math.Abs(stated-computed) <= 0.006*math.Abs(computed)
 }
 
-// define names a value for the formulas that follow.
-func (r tableRow) define(name string, v float64) {
+// define makes a value available to the formulas that follow; a second definition of a name is a problem.
+func (r tableRow) define(name string, value float64) {
 	if _, ok := r.values[name]; ok {
 		r.addProblem("%s is defined twice", name)
 	}
-	r.values[name] = v
+	r.values[name] = value
 }
 
-// value takes a named value in.
+// checkValue checks a row of the table of values and defines its value.
 func (r tableRow) checkValue() {
-	v := r.number("is")
+	value := r.number("is")
 	if f := r.cell("formula"); f != "-" {
-		if n := r.compute(f); !approximatelyEqual(v, n) {
-			r.addProblem("%s is %v, and %s comes to %.4g", r.name("value"), v, f, n)
+		if n := r.compute(f); !approximatelyEqual(value, n) {
+			r.addProblem("%s is %v, and %s comes to %.4g", r.name("value"), value, f, n)
 		}
 	}
 	if r.cell("from") == "" {
 		r.addProblem("%s: it is not said where it is from", r.name("value"))
 	}
-	r.define(r.name("value"), v)
+	r.define(r.name("value"), value)
 }
 
+// benchmarkCell matches a cell that names a package's directory and a benchmark.
 var benchmarkCell = regexp.MustCompile("^`([a-z/]+)` `(Benchmark\\w+)`$")
 
-// slope takes a measured slope in.
+// checkSlope checks a row of the table of slopes and defines its slope.
 func (r tableRow) checkSlope(exists func(dir, name string) bool) {
 	name := r.name("slope")
 	r.define(name, r.number("is"))
@@ -216,7 +222,7 @@
 		r.addProblem("%s: measured from %v to %v, want two orders of magnitude", name, from, to)
 	}
 	by := r.cell("by")
-	if by == "-" { // the same at any size that was measured
+	if by == "-" { // the slope is the same at any size that was measured
 		return
 	}
 	at := r.compute(by)
@@ -230,7 +236,7 @@
 	}
 }
 
-// result checks a row; ordinary says that it is one of an ordinary day.
+// checkResult checks a row with a result; ordinary is true for a row of an ordinary day and false for one of a failure.
 func (r tableRow) checkResult(ordinary bool) {
 	name := r.cells[0]
 	computed := r.compute(r.cell("formula"))
@@ -266,13 +272,13 @@
 	}
 }
 
-// table is one of the page.
+// table is one table of the page.
 type table struct {
 	columns []string
 	rows    [][]string
 }
 
-// tables are those of a page, in their order.
+// parseTables returns the tables of a page in order.
 func parseTables(text string) (all []table) {
 	inside := false
 	for line := range strings.Lines(text) {
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -11,9 +11,10 @@
 	"testing"
 )
 
+// root is the root directory of the module.
 const root = "../.."
 
-// benchmarks are the names of all of them, by package folder and name.
+// findBenchmarks returns the set of all benchmarks in the module, by package directory and name.
 func findBenchmarks(t *testing.T) map[[2]string]bool {
 	t.Helper()
 	all := map[[2]string]bool{}
@@ -48,7 +49,8 @@
 	return all
 }
 
-// Guards against a page that drifts from its arithmetic, or from the benchmarks that its slopes are of.
+// TestCapacityPageIsConsistent guards against a page whose numbers no longer follow from its formulas, or that names benchmarks
+// that don't exist.
 func TestCapacityPageIsConsistent(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
 	if err != nil {
@@ -60,7 +62,7 @@
 	}
 }
 
-// sound is a small page in which all follows.
+// consistentPage is a small page without inconsistencies.
 const consistentPage = "| value | formula | is | unit | from |\n| --- | --- | --- | --- | --- |\n" +
 	"| `events` | - | 510,000 | /s | given |\n| `relays` | - | 2,000 | | given |\n| `each` | `events / relays` | 255 | /s | arithmetic |\n" +
 	"| `held` | - | 17e6 | messages | given |\n| `most` | - | 1 | ms | assumed |\n| `core` | - | 1,000 | ms/s | assumed |\n\n" +
@@ -77,13 +79,14 @@
 	"| mechanism | times over | what |\n| --- | --- | --- |\n| windows | 1,129 | a |\n| segments | 2 | b |\n\n" +
 	"| extrapolated | times | why |\n| --- | --- | --- |\n| `walk` | 170 | c |\n"
 
-// Guards against a check that lets pass what it is for: each way in which a page may not follow is found in one that does.
+// TestCheckReportsInconsistencies guards against a check that misses an inconsistency: each case introduces one into a consistent
+// page and expects a problem that names it.
 func TestCheckReportsInconsistencies(t *testing.T) {
 	exists := func(dir, name string) bool {
 		return dir == "choice" && name == "BenchmarkOne" || dir == "internal/relay" && name == "BenchmarkTwo"
 	}
 	if problems := check(consistentPage, exists); len(problems) > 0 {
-		t.Fatalf("a page in which all follows: %q", problems)
+		t.Fatalf("a consistent page has problems: %q", problems)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
 		"a value that is not its formula's":  {"| 255 |", "| 265 |", "each is 265"},
@@ -113,10 +116,10 @@
 		"in the order, and not missing":      {"| segments | 2 | b |", "| segments | 2 | b |\n| heirs | 10 | c |", "heirs is in the order"},
 		"a failure's result":                 {"| 10 | ms |", "| 11 | ms |", "machine: the result is 11"},
 		"a cell too few":                     {"| 63.8 | ms/s |", "| 63.8 |", "calls: 7 cells where the head has 8"},
-		"a table that is gone":               {"| failure | formula", "| gone | formula", `there is no table of kind "failure"`},
+		"a missing table":                    {"| failure | formula", "| gone | formula", `there is no table of kind "failure"`},
 	} {
 		if n := strings.Count(consistentPage, c.old); n != 1 {
-			t.Errorf("%s: %q is there %d times", name, c.old, n)
+			t.Errorf("%s: %q occurs %d times in the page, want once", name, c.old, n)
 		}
 		problems := check(strings.Replace(consistentPage, c.old, c.new, 1), exists)
 		if !strings.Contains(strings.Join(problems, "\n"), c.want) {
--- a/internal/hollow/controller_test.go
+++ b/internal/hollow/controller_test.go
@@ -83,7 +83,7 @@
 // newController starts the member processes; no member is started yet.
 func newController(t testing.TB, k *keepers, members, processes, docBytes, listSize int) *controller {
 	t.Helper()
-	p := &controller{t: t, keepers: k, members: members, current: map[int]Transition{}}
+	c := &controller{t: t, keepers: k, members: members, current: map[int]Transition{}}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -128,46 +128,46 @@
 			t.Fatal(err)
 		}
 		process := &memberProcess{Process: started, conn: conn}
-		p.processes = append(p.processes, process)
-		p.readers.Go(func() { p.readReports(process) })
+		c.processes = append(c.processes, process)
+		c.readers.Go(func() { c.readReports(process) })
 	}
-	t.Cleanup(p.stop)
-	return p
+	t.Cleanup(c.stop)
+	return c
 }
 
 // readReports records the reports of a process until its connection ends.
-func (p *controller) readReports(process *memberProcess) {
+func (c *controller) readReports(process *memberProcess) {
 	for decoder := json.NewDecoder(process.conn); ; {
 		var report Report
 		if decoder.Decode(&report) != nil {
 			return
 		}
-		p.mu.Lock()
-		process.bytes, p.transitions = report.Bytes, append(p.transitions, report.Transitions...)
+		c.mu.Lock()
+		process.bytes, c.transitions = report.Bytes, append(c.transitions, report.Transitions...)
 		for _, a := range report.Transitions {
-			p.current[a.Member] = a
+			c.current[a.Member] = a
 		}
 		if report.Error != "" {
-			p.failure = process.Name + ": " + report.Error
+			c.failure = process.Name + ": " + report.Error
 		}
-		p.mu.Unlock()
+		c.mu.Unlock()
 	}
 }
 
 // send sends a command to all member processes.
-func (p *controller) send(command Command) {
-	for _, process := range p.processes {
+func (c *controller) send(command Command) {
+	for _, process := range c.processes {
 		process.mu.Lock()
 		if err := json.NewEncoder(process.conn).Encode(command); err != nil {
-			p.t.Error(err)
+			c.t.Error(err)
 		}
 		process.mu.Unlock()
 	}
 }
 
 // stop ends the member processes, and kills those that have not ended after 10 s.
-func (p *controller) stop() {
-	for _, process := range p.processes {
+func (c *controller) stop() {
+	for _, process := range c.processes {
 		process.conn.(*net.TCPConn).CloseWrite()
 		select {
 		case <-process.Done():
@@ -176,18 +176,18 @@
 		}
 		process.conn.Close()
 	}
-	p.readers.Wait()
+	c.readers.Wait()
 }
 
 // waitUntil waits until a condition holds for all members, and reports whether it did before the timeout.
-func (p *controller) waitUntil(timeout time.Duration, condition func(Transition) bool) bool {
+func (c *controller) waitUntil(timeout time.Duration, condition func(Transition) bool) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		p.mu.Lock()
+		c.mu.Lock()
 		all := true
-		for m := range p.members {
-			all = all && condition(p.current[m])
+		for m := range c.members {
+			all = all && condition(c.current[m])
 		}
-		p.mu.Unlock()
+		c.mu.Unlock()
 		if all {
 			return true
 		}
@@ -196,39 +196,39 @@
 }
 
 // propose proposes a change that was due at a time, on behalf of the operators, and retries until the keepers accept it.
-func (p *controller) propose(due time.Duration, docBytes int) {
-	p.proposalCount++
-	doc := fmt.Appendf(nil, `{"settings":%s}`, document(p.proposalCount, docBytes))
-	for try, op := 0, 0; ; try++ {
+func (c *controller) propose(due time.Duration, docBytes int) {
+	c.proposalCount++
+	doc := fmt.Appendf(nil, `{"settings":%s}`, document(c.proposalCount, docBytes))
+	for try, operation := 0, 0; ; try++ {
 		var created api.Made
 		ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
-		err := p.keepers.client.Call(ctx, http.MethodPost, api.GenerationsPath, api.Proposal{Op: fmt.Sprintf("op-%d-%d", p.proposalCount, op), Base: p.lastProposed,
+		err := c.keepers.client.Call(ctx, http.MethodPost, api.GenerationsPath, api.Proposal{Op: fmt.Sprintf("op-%d-%d", c.proposalCount, operation), Base: c.lastProposed,
 			Doc: doc, Who: "operators", Why: "a play"}, &created)
 		cancel()
 		var refused *api.Refused
 		switch {
 		case err == nil:
-			p.mu.Lock()
-			p.proposals, p.lastProposed = append(p.proposals, ProposedChange{created.Number, due}), created.Number
-			p.mu.Unlock()
+			c.mu.Lock()
+			c.proposals, c.lastProposed = append(c.proposals, ProposedChange{created.Number, due}), created.Number
+			c.mu.Unlock()
 			return
 		case errors.As(err, &refused): // the keepers' limit of pending changes is reached; the next try is a new operation
-			op++
+			operation++
 		}
 		if time.Sleep(100 * time.Millisecond); try > 1000 {
-			p.t.Errorf("no keeper accepts the change: %v", err)
+			c.t.Errorf("no keeper accepts the change: %v", err)
 			return
 		}
 	}
 }
 
 // waitSettled waits until the newest change is in effect and all members with a session have confirmed it.
-func (p *controller) waitSettled(timeout time.Duration) bool {
+func (c *controller) waitSettled(timeout time.Duration) bool {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(200 * time.Millisecond) {
-		for _, a := range p.keepers.wan.Keepers {
+		for _, a := range c.keepers.wan.Keepers {
 			var generation api.Generation
 			ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
-			err := p.keepers.client.Ask(ctx, a.PublicAddr, http.MethodGet, fmt.Sprintf("%s/%d", api.GenerationsPath, p.lastProposed), nil, &generation)
+			err := c.keepers.client.Ask(ctx, a.PublicAddr, http.MethodGet, fmt.Sprintf("%s/%d", api.GenerationsPath, c.lastProposed), nil, &generation)
 			cancel()
 			if err == nil && generation.Stage == "in force" {
 				return true
@@ -239,11 +239,11 @@
 }
 
 // countModes counts the members by mode.
-func (p *controller) countModes() map[hold.Mode]int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (c *controller) countModes() map[hold.Mode]int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	counts := map[hold.Mode]int{}
-	for _, a := range p.current {
+	for _, a := range c.current {
 		counts[a.Mode]++
 	}
 	return counts
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -51,16 +51,16 @@
 
 // runPhase runs one phase while changes and restarts go on at the reference day's rate, and then waits until all changes are in
 // effect. Phase "rest" has neither changes nor restarts.
-func (p *controller) runPhase(name string, random *rand.Rand, do func() string) phase {
-	result := phase{name: name, from: Clock(), elections: -p.keepers.countElections()}
-	p.addUsage(&result, -1)
+func (c *controller) runPhase(name string, random *rand.Rand, do func() string) phase {
+	result := phase{name: name, from: Clock(), elections: -c.keepers.countElections()}
+	c.addUsage(&result, -1)
 	stop := make(chan struct{})
 	due := make(chan time.Duration, 1000)
 	proposalsDone := make(chan struct{})
 	go func() {
 		defer close(proposalsDone)
 		for at := range due {
-			p.propose(at, *flagDocumentBytes)
+			c.propose(at, *flagDocumentBytes)
 		}
 	}()
 	tickersDone := make(chan struct{})
@@ -68,7 +68,7 @@
 		defer close(tickersDone)
 		changes := time.NewTicker(time.Duration(float64(changeInterval) / *flagSpeed))
 		defer changes.Stop()
-		restarts := time.NewTicker(time.Duration(float64(restartInterval) / *flagSpeed * referenceFleetSize / float64(p.members)))
+		restarts := time.NewTicker(time.Duration(float64(restartInterval) / *flagSpeed * referenceFleetSize / float64(c.members)))
 		defer restarts.Stop()
 		for {
 			select {
@@ -82,9 +82,9 @@
 				if name == "rest" {
 					continue
 				}
-				restarted := []int{random.IntN(p.members)}
-				p.send(Command{Action: KillMembers, Members: restarted})
-				time.AfterFunc(restartDowntime, func() { p.send(Command{Action: StartMembers, Members: restarted}) })
+				restarted := []int{random.IntN(c.members)}
+				c.send(Command{Action: KillMembers, Members: restarted})
+				time.AfterFunc(restartDowntime, func() { c.send(Command{Action: StartMembers, Members: restarted}) })
 			}
 		}
 	}()
@@ -98,19 +98,19 @@
 	time.Sleep(max(0, *flagPhaseLength-time.Since(startedAt)))
 	close(stop)
 	<-tickersDone
-	p.addUsage(&result, 1) // usage is counted for the time with changes and restarts only
+	c.addUsage(&result, 1) // usage is counted for the time with changes and restarts only
 	result.to = Clock()
 	close(due)
 	<-proposalsDone
-	result.settled = p.waitSettled(time.Minute)
-	result.elections += p.keepers.countElections()
-	p.t.Logf("%s: %v, settled %v, %v, %d elections", name, result.note, result.settled, p.countModes(), result.elections)
+	result.settled = c.waitSettled(time.Minute)
+	result.elections += c.keepers.countElections()
+	c.t.Logf("%s: %v, settled %v, %v, %d elections", name, result.note, result.settled, c.countModes(), result.elections)
 	return result
 }
 
 // membersWhere returns the members for which a condition holds.
-func (p *controller) membersWhere(matches func(int) bool) (members []int) {
-	for m := range p.members {
+func (c *controller) membersWhere(matches func(int) bool) (members []int) {
+	for m := range c.members {
 		if matches(m) {
 			members = append(members, m)
 		}
@@ -119,25 +119,25 @@
 }
 
 // recordRecovery records that stopped or cut-off members may recover from now on.
-func (p *controller) recordRecovery(members []int) {
-	p.mu.Lock()
-	p.recoveries = append(p.recoveries, Recovery{Clock(), members})
-	p.mu.Unlock()
+func (c *controller) recordRecovery(members []int) {
+	c.mu.Lock()
+	c.recoveries = append(c.recoveries, Recovery{Clock(), members})
+	c.mu.Unlock()
 }
 
 // cutRegion cuts a region off for flagCutDuration.
-func (p *controller) cutRegion(region int) {
-	p.keepers.setCut(region, true)
-	p.send(Command{Action: CutRegion, Region: region})
+func (c *controller) cutRegion(region int) {
+	c.keepers.setCut(region, true)
+	c.send(Command{Action: CutRegion, Region: region})
 	time.Sleep(*flagCutDuration)
-	p.recordRecovery(p.membersWhere(func(m int) bool { return Region(m, 3) == region }))
-	p.send(Command{Action: RepairRegion, Region: region})
-	p.keepers.setCut(region, false)
+	c.recordRecovery(c.membersWhere(func(m int) bool { return Region(m, 3) == region }))
+	c.send(Command{Action: RepairRegion, Region: region})
+	c.keepers.setCut(region, false)
 }
 
 // phases returns the available phases by name; each function performs the phase's events and returns a note for the log.
-func (p *controller) phases() map[string]func() string {
-	k := p.keepers
+func (c *controller) phases() map[string]func() string {
+	k := c.keepers
 	return map[string]func() string{
 		"rest":  func() string { return "no changes, no restarts" },
 		"day":   func() string { return "" },
@@ -150,11 +150,11 @@
 			return keeperName(i) + " killed"
 		},
 		"rack": func() string {
-			rack := p.membersWhere(func(m int) bool { return m < max(1, p.members*referenceRackSize/referenceFleetSize) })
-			p.send(Command{Action: KillMembers, Members: rack})
+			rack := c.membersWhere(func(m int) bool { return m < max(1, c.members*referenceRackSize/referenceFleetSize) })
+			c.send(Command{Action: KillMembers, Members: rack})
 			time.Sleep(*flagRackDowntime)
-			p.recordRecovery(rack)
-			p.send(Command{Action: StartMembers, Members: rack})
+			c.recordRecovery(rack)
+			c.send(Command{Action: StartMembers, Members: rack})
 			return fmt.Sprint(len(rack), " members killed")
 		},
 		"region": func() string { // a region without the leading keeper and without the operators
@@ -162,13 +162,13 @@
 			if k.wan.Keepers[k.waitForLeader()].Region == region {
 				region = 1
 			}
-			p.cutRegion(region)
+			c.cutRegion(region)
 			return fmt.Sprint("region ", region)
 		},
 		"leading-region": func() string {
 			region := k.wan.Keepers[k.waitForLeader()].Region
 			k.operatorRegion.Store(int64((region + 1) % 3))
-			p.cutRegion(region)
+			c.cutRegion(region)
 			return fmt.Sprint("region ", region)
 		},
 	}
@@ -180,49 +180,49 @@
 func TestSimulatedFleet(t *testing.T) {
 	k := newKeepers(t, t.TempDir(), *flagKeepers, *flagLease, threeRegions())
 	k.waitForLeader()
-	p := newController(t, k, *flagMembers, *flagProcesses, *flagDocumentBytes, *flagListSize)
-	p.propose(Clock(), *flagDocumentBytes)
+	c := newController(t, k, *flagMembers, *flagProcesses, *flagDocumentBytes, *flagListSize)
+	c.propose(Clock(), *flagDocumentBytes)
 	startedAt := Clock()
-	p.send(Command{Action: StartMembers, Members: p.membersWhere(func(int) bool { return true })})
-	if !p.waitUntil(2*time.Minute, Transition.hasLease) {
-		t.Fatalf("not all members have a lease after the start: %v", p.countModes())
+	c.send(Command{Action: StartMembers, Members: c.membersWhere(func(int) bool { return true })})
+	if !c.waitUntil(2*time.Minute, Transition.hasLease) {
+		t.Fatalf("not all members have a lease after the start: %v", c.countModes())
 	}
-	t.Logf("%d members started in %.1f s", p.members, (Clock() - startedAt).Seconds())
-	p.waitSettled(time.Minute)
+	t.Logf("%d members started in %.1f s", c.members, (Clock() - startedAt).Seconds())
+	c.waitSettled(time.Minute)
 	random := rand.New(rand.NewPCG(*flagSeed, 1))
 	var results []phase
 	for _, name := range strings.Fields(*flagPhases) {
-		run := p.phases()[name]
+		run := c.phases()[name]
 		if run == nil {
 			t.Fatalf("unknown phase %q", name)
 		}
-		results = append(results, p.runPhase(name, random, run))
+		results = append(results, c.runPhase(name, random, run))
 	}
-	if !p.waitUntil(time.Minute, func(a Transition) bool { return a.Mode == hold.Alone && a.Force == p.lastProposed }) {
-		t.Errorf("not all members act by change %d alone: %v", p.lastProposed, p.countModes())
+	if !c.waitUntil(time.Minute, func(a Transition) bool { return a.Mode == hold.Alone && a.Force == c.lastProposed }) {
+		t.Errorf("not all members act by change %d alone: %v", c.lastProposed, c.countModes())
 	}
 	time.Sleep(3 * reportInterval)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.failure != "" {
-		t.Errorf("the run is invalid: %s", p.failure)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.failure != "" {
+		t.Errorf("the run is invalid: %s", c.failure)
 	}
-	verdict := Judge(p.transitions, p.proposals, p.recoveries, Clock())
+	verdict := Judge(c.transitions, c.proposals, c.recoveries, Clock())
 	for _, result := range results {
-		p.logPhase(result, verdict)
+		c.logPhase(result, verdict)
 		if !result.settled {
 			t.Errorf("%s: proposed changes are not in effect a minute after the phase", result.name)
 		}
 	}
 	for i, recoveryTime := range verdict.RecoveryTimes {
-		t.Logf("recovery %d: %d members recovered after %.2f s", i, len(p.recoveries[i].Members), recoveryTime.Seconds())
+		t.Logf("recovery %d: %d members recovered after %.2f s", i, len(c.recoveries[i].Members), recoveryTime.Seconds())
 	}
 	t.Logf("%d transitions, %.0f s by the fallback summed over all members, longest contradiction %v, three generations in use for %v", verdict.Transitions, verdict.FallbackTime.Seconds(), verdict.Contradiction, verdict.ThreeGenerations)
 	if verdict.Contradiction > 0 || verdict.ThreeGenerations > 0 {
 		t.Errorf("members contradicted each other for %v, three generations were in use for %v", verdict.Contradiction, verdict.ThreeGenerations)
 	}
 	if i := slices.Index(verdict.InEffect, -1); i >= 0 {
-		t.Errorf("change %d never came into effect everywhere", p.proposals[i].Number)
+		t.Errorf("change %d never came into effect everywhere", c.proposals[i].Number)
 	}
 	if slices.Contains(verdict.RecoveryTimes, -1) {
 		t.Error("some members never recovered")
--- a/internal/hollow/judge.go
+++ b/internal/hollow/judge.go
@@ -19,8 +19,8 @@
 	At     time.Duration // on the machine's monotonic clock, which all processes share
 	Member int
 	Mode   hold.Mode
-	Force  uint64
-	Next   uint64 // next generation while the member is joining two, else 0
+	Force  uint64 // current generation; 0 for none
+	Next   uint64 // next generation in mode Joined, in which both are used; else 0
 }
 
 // hasLease reports whether the member acts by a generation under a lease that has not expired.
@@ -28,13 +28,13 @@
 
 // ProposedChange is a change of the configuration that operators proposed.
 type ProposedChange struct {
-	Number uint64
-	At     time.Duration
+	Number uint64        // of the generation
+	At     time.Duration // on Clock, when the proposal was due
 }
 
 // Recovery names members that were stopped or cut off until At.
 type Recovery struct {
-	At      time.Duration
+	At      time.Duration // on Clock
 	Members []int
 }
 
--- a/internal/hollow/judge_test.go
+++ b/internal/hollow/judge_test.go
@@ -27,7 +27,7 @@
 		return Transition{At: at * time.Second, Member: member, Mode: Stopped}
 	}
 	proposals := []ProposedChange{{Number: 2, At: 3 * time.Second}}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		transitions []Transition
 		recoveries  []Recovery
@@ -46,10 +46,10 @@
 		{"one is stopped", []Transition{alone(1, 0, 1), alone(1, 1, 1), stopped(2, 1), alone(4, 0, 2)}, []Recovery{{8 * time.Second, []int{1}}},
 			Verdict{InEffect: []time.Duration{time.Second}, RecoveryTimes: []time.Duration{-1}}},
 	} {
-		got := Judge(c.transitions, proposals, c.recoveries, 20*time.Second)
-		if got.Contradiction != c.want.Contradiction || got.ThreeGenerations != c.want.ThreeGenerations || got.FallbackTime != c.want.FallbackTime ||
-			!slices.Equal(got.InEffect, c.want.InEffect) || !slices.Equal(got.RecoveryTimes, c.want.RecoveryTimes) || got.Transitions != len(c.transitions) {
-			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
+		got := Judge(test.transitions, proposals, test.recoveries, 20*time.Second)
+		if got.Contradiction != test.want.Contradiction || got.ThreeGenerations != test.want.ThreeGenerations || got.FallbackTime != test.want.FallbackTime ||
+			!slices.Equal(got.InEffect, test.want.InEffect) || !slices.Equal(got.RecoveryTimes, test.want.RecoveryTimes) || got.Transitions != len(test.transitions) {
+			t.Errorf("%s: %+v, want %+v", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/hollow/keepers_test.go
+++ b/internal/hollow/keepers_test.go
@@ -76,11 +76,11 @@
 	}
 	var peers []peer
 	for i := range all {
-		front := share(i, 7400)
+		frontLink := share(i, 7400)
 		mu.Lock()
-		sharedByIP[k.ip(i)], all[i].PublicAddr = front, front.Addr
+		sharedByIP[k.ip(i)], all[i].PublicAddr = frontLink, frontLink.Addr
 		mu.Unlock()
-		peers = append(peers, peer{keeperName(i), front.Addr, share(i, 7600).Addr})
+		peers = append(peers, peer{keeperName(i), frontLink.Addr, share(i, 7600).Addr})
 	}
 	for i := range all {
 		for j := range all {
--- a/internal/hollow/process.go
+++ b/internal/hollow/process.go
@@ -46,8 +46,8 @@
 // Report is what a process sends to the controller at each reportInterval.
 type Report struct {
 	Transitions []Transition `json:"acts,omitempty"`
-	Bytes       int64        `json:"bytes"` // read and written by its members so far
-	Error       string       `json:"error,omitempty"`
+	Bytes       int64        `json:"bytes"`           // read and written by its members so far
+	Error       string       `json:"error,omitempty"` // latest failure of the process itself
 }
 
 // reportInterval is the time between two reports of a process; each report is one line of JSON.
--- a/internal/hollow/usage_test.go
+++ b/internal/hollow/usage_test.go
@@ -25,25 +25,25 @@
 }
 
 // addUsage adds the present counters multiplied by sign: -1 at the start of a phase and 1 at its end.
-func (p *controller) addUsage(usage *phase, sign float64) {
-	for i, process := range p.processes {
+func (c *controller) addUsage(usage *phase, sign float64) {
+	for i, process := range c.processes {
 		if now, err := process.Usage(); err == nil {
 			usage.memberUsage.CPU += time.Duration(sign * float64(now.CPU))
 			usage.memberUsage.MemoryMB += max(0, sign) * now.MemoryMB
 			usage.memberUsage.Descriptors += int(max(0, sign)) * now.Descriptors
 		}
-		p.mu.Lock()
-		usage.memberBytes += int64(sign) * p.processes[i].bytes
-		p.mu.Unlock()
+		c.mu.Lock()
+		usage.memberBytes += int64(sign) * c.processes[i].bytes
+		c.mu.Unlock()
 	}
 	if usage.keeperUsage == nil {
-		usage.keeperUsage, usage.keeperIOBytes = make([]proc.Use, len(p.keepers.processes)), make([]int64, len(p.keepers.processes))
+		usage.keeperUsage, usage.keeperIOBytes = make([]proc.Use, len(c.keepers.processes)), make([]int64, len(c.keepers.processes))
 	}
-	for i, k := range p.keepers.processes {
+	for i, k := range c.keepers.processes {
 		if now, err := k.Usage(); err == nil {
-			usage.keeperUsage[i].CPU += time.Duration(sign * float64(p.keepers.killedCPU[i]+now.CPU))
+			usage.keeperUsage[i].CPU += time.Duration(sign * float64(c.keepers.killedCPU[i]+now.CPU))
 			usage.keeperUsage[i].MemoryMB, usage.keeperUsage[i].Descriptors = now.MemoryMB, now.Descriptors
-			usage.keeperIOBytes[i] += int64(sign) * (p.keepers.killedIOBytes[i] + transferred(k.PID))
+			usage.keeperIOBytes[i] += int64(sign) * (c.keepers.killedIOBytes[i] + transferred(k.PID))
 		}
 	}
 }
@@ -67,10 +67,10 @@
 }
 
 // logPhase logs the resources that a phase used, and the times until its changes were in effect.
-func (p *controller) logPhase(result phase, verdict Verdict) {
+func (c *controller) logPhase(result phase, verdict Verdict) {
 	latencies := hdrhistogram.New(1, 600_000, 3)
 	never := 0
-	for i, a := range p.proposals {
+	for i, a := range c.proposals {
 		switch elapsed := verdict.InEffect[i]; {
 		case a.At < result.from || a.At > result.to:
 		case elapsed < 0:
@@ -80,13 +80,13 @@
 		}
 	}
 	seconds := (result.to - result.from).Seconds()
-	members := float64(p.members)
-	p.t.Logf("%s: %.0f s, %d changes, in effect everywhere after %.2f s (p50), %.2f (p99), %.2f (worst), never %d", result.name, seconds, latencies.TotalCount(),
+	members := float64(c.members)
+	c.t.Logf("%s: %.0f s, %d changes, in effect everywhere after %.2f s (p50), %.2f (p99), %.2f (worst), never %d", result.name, seconds, latencies.TotalCount(),
 		float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000, float64(latencies.Max())/1000, never)
-	p.t.Logf("%s: a member %.0f B/s, %.3f %% of a core, %.2f MB, %.1f descriptors", result.name, float64(result.memberBytes)/seconds/members, result.memberUsage.CPU.Seconds()/seconds/members*100,
+	c.t.Logf("%s: a member %.0f B/s, %.3f %% of a core, %.2f MB, %.1f descriptors", result.name, float64(result.memberBytes)/seconds/members, result.memberUsage.CPU.Seconds()/seconds/members*100,
 		result.memberUsage.MemoryMB/members, float64(result.memberUsage.Descriptors)/members)
 	for i, k := range result.keeperUsage {
-		p.t.Logf("%s: %s %.1f %% of a core, %.0f MB, %.0f B/s with its disk, %d descriptors", result.name, keeperName(i), k.CPU.Seconds()/seconds*100, k.MemoryMB,
+		c.t.Logf("%s: %s %.1f %% of a core, %.0f MB, %.0f B/s with its disk, %d descriptors", result.name, keeperName(i), k.CPU.Seconds()/seconds*100, k.MemoryMB,
 			float64(result.keeperIOBytes[i])/seconds, k.Descriptors)
 	}
 }
--- a/internal/hollow/wan.go
+++ b/internal/hollow/wan.go
@@ -53,12 +53,12 @@
 
 // ApplyPath gives a link the delay and loss of the path between regions a and b; it does nothing within one region.
 func (w *WAN) ApplyPath(l *link.Link, a, b int) {
-	d := w.Paths[a][b]
-	if a == b || d == (Path{}) {
+	path := w.Paths[a][b]
+	if a == b || path == (Path{}) {
 		return
 	}
-	f := &link.Faults{Delay: d.Delay, Spread: d.Jitter, Resent: d.LossRate, ResentIn: max(minRetransmitDelay, 2*d.Delay+d.Jitter)}
-	l.Put("distance", f, f)
+	faults := &link.Faults{Delay: path.Delay, Spread: path.Jitter, Resent: path.LossRate, ResentIn: max(minRetransmitDelay, 2*path.Delay+path.Jitter)}
+	l.Put("distance", faults, faults)
 }
 
 // SetCut cuts a region off from the keepers of other regions, and its keepers from the other regions, or ends that cut.
@@ -78,8 +78,8 @@
 		l.Put("cut", nil, nil)
 		return
 	}
-	f := &link.Faults{Cut: true}
-	l.Put("cut", f, f)
+	faults := &link.Faults{Cut: true}
+	l.Put("cut", faults, faults)
 }
 
 // Bytes returns the number of bytes read and written by connections opened from this process.
