--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -13,7 +13,7 @@
 )
 
 var (
-	flagMembers         = flag.Int("hollow.members", 20, "number of members")
+	flagMembers         = flag.Int("hollow.members", 20, "members")
 	flagProcesses       = flag.Int("hollow.processes", 2, "number of processes that run the members")
 	flagKeepers         = flag.Int("hollow.keepers", 3, "number of keepers: 1, 3 or 5, in three regions")
 	flagLease           = flag.Duration("hollow.lease", 2*time.Second, "lease of a member's session")
