--- a/choice/turn.go
+++ b/choice/turn.go
@@ -17,8 +17,7 @@
 	maxCalls := max(1, (3*c.settings.Workers+3)/4-1)
 	sharedMax := max(1, c.settings.Workers/2)
 	// Destinations with nothing but trials go last, so that calls that may hang don't fill the
-	// slots of a small relay; a trial that is overdue for a whole window
-	// is not delayed further.
+	// slots of a small relay; a trial that is overdue for a whole window is not delayed further.
 	preferred := func(u *unit) bool {
 		return u.state != suspect || c.now-u.trialAt > c.settings.Rules.OverloadWindow
 	}
@@ -83,39 +82,39 @@
 // cancelStuck frees one slot while all are taken and a message waits for one. It cancels the oldest
 // call that has been in flight for longer than its destination's silence limit: twice that if the unit
 // has served others since, and multiplied by the number of attempts, so that slow messages are
-// served in the end. This guards against calls that nobody will ever answer. An unsafe message is
+// served in the end. This guards against calls that are never answered. An unsafe message is
 // lost by it, so its call gets twice the limit while stuck calls hold no more than half of the
 // slots. The limit is halved while more than half of Settings.MaxPending is used.
 func (c *Chooser) cancelStuck() {
 	var stuck []*call
 	for d := range c.calledDests {
 		for _, u := range d.units {
-			for _, k := range u.calls {
-				if k.cancelled {
+			for _, candidate := range u.calls {
+				if candidate.cancelled {
 					return // one at a time
 				}
 				limit := c.silenceLimit(d)
 				if c.settings.MaxPending > 0 && 2*c.pending > c.settings.MaxPending {
 					limit /= 2
 				}
-				if u.lastServed >= k.sentAt {
+				if u.lastServed >= candidate.sentAt {
 					limit *= 2
 				}
-				limit *= time.Duration(k.messages[0].attempts)
-				if c.now-k.sentAt > limit {
-					stuck = append(stuck, k)
+				limit *= time.Duration(candidate.messages[0].attempts)
+				if c.now-candidate.sentAt > limit {
+					stuck = append(stuck, candidate)
 				}
 			}
 		}
 	}
 	slices.SortStableFunc(stuck, func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) })
-	for _, k := range stuck {
-		unsafe := slices.ContainsFunc(k.messages, func(m *message) bool { return m.class.Effect == Unsafe })
-		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-k.sentAt < 2*c.silenceLimit(k.host.dest) {
+	for _, candidate := range stuck {
+		unsafe := slices.ContainsFunc(candidate.messages, func(m *message) bool { return m.class.Effect == Unsafe })
+		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-candidate.sentAt < 2*c.silenceLimit(candidate.host.dest) {
 			continue
 		}
-		k.cancelled = true
-		for _, m := range k.messages {
+		candidate.cancelled = true
+		for _, m := range candidate.messages {
 			c.emit(Cancel{m.ID, m.attempts - 1})
 		}
 		return
@@ -146,7 +145,7 @@
 		}
 		c.sendMessage(m, newCall)
 	}
-	// Further messages of a call weigh little: together they count as one more call.
+	// Further messages in a call cost the unit little: together they count as one more call.
 	weight := slices.Repeat([]time.Duration{c.now}, min(len(newCall.messages), 2))
 	u.recentSends = append(slices.DeleteFunc(u.recentSends, expired), weight...)
 	if _, warming := c.enabledAt[h.Addr]; warming {
@@ -156,13 +155,13 @@
 }
 
 // sendMessage makes a message part of a call.
-func (c *Chooser) sendMessage(m *message, k *call) {
-	m.timeout = c.timeout(m, k.host.unit)
+func (c *Chooser) sendMessage(m *message, sentCall *call) {
+	m.timeout = c.timeout(m, sentCall.host.unit)
 	c.dequeue(m)
 	m.attempts++
-	m.call = k
-	k.messages = append(k.messages, m)
-	s := Send{ID: m.ID, Host: k.host.Addr, Timeout: m.timeout}
+	m.call = sentCall
+	sentCall.messages = append(sentCall.messages, m)
+	s := Send{ID: m.ID, Host: sentCall.host.Addr, Timeout: m.timeout}
 	if m.mayHaveRun && m.class.Effect == Keyed {
 		s.Before = c.windowEnd(m)
 	}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -11,10 +11,11 @@
 	"testing"
 )
 
+// root is the root directory of the module.
 const root = "../.."
 
-// benchmarks are the names of all of them, by package folder and name.
-func benchmarks(t *testing.T) map[[2]string]bool {
+// findBenchmarks returns the set of all benchmarks in the module, by package directory and name.
+func findBenchmarks(t *testing.T) map[[2]string]bool {
 	t.Helper()
 	all := map[[2]string]bool{}
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -48,20 +49,21 @@
 	return all
 }
 
-// Guards against a page that drifts from its arithmetic, or from the benchmarks that its slopes are of.
-func TestThePageFollowsFromItsSlopes(t *testing.T) {
+// TestCapacityPageIsConsistent guards against a page whose numbers no longer follow from its formulas, or that names benchmarks
+// that don't exist.
+func TestCapacityPageIsConsistent(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "CAPACITY.md"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	known := benchmarks(t)
+	known := findBenchmarks(t)
 	for _, problem := range check(string(text), func(dir, name string) bool { return known[[2]string{dir, name}] }) {
 		t.Error(problem)
 	}
 }
 
-// sound is a small page in which all follows.
-const sound = "| value | formula | is | unit | from |\n| --- | --- | --- | --- | --- |\n" +
+// consistentPage is a small page without inconsistencies.
+const consistentPage = "| value | formula | is | unit | from |\n| --- | --- | --- | --- | --- |\n" +
 	"| `events` | - | 510,000 | /s | given |\n| `relays` | - | 2,000 | | given |\n| `each` | `events / relays` | 255 | /s | arithmetic |\n" +
 	"| `held` | - | 17e6 | messages | given |\n| `most` | - | 1 | ms | assumed |\n| `core` | - | 1,000 | ms/s | assumed |\n\n" +
 	"| slope | is | ± | unit | by | from | to | beyond | benchmark |\n| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n" +
@@ -77,13 +79,14 @@
 	"| mechanism | times over | what |\n| --- | --- | --- |\n| windows | 1,129 | a |\n| segments | 2 | b |\n\n" +
 	"| extrapolated | times | why |\n| --- | --- | --- |\n| `walk` | 170 | c |\n"
 
-// Guards against a check that lets pass what it is for: each way in which a page may not follow is found in one that does.
-func TestWhatDoesNotFollowIsFound(t *testing.T) {
+// TestCheckReportsInconsistencies guards against a check that misses an inconsistency: each case introduces one into a consistent
+// page and expects a problem that names it.
+func TestCheckReportsInconsistencies(t *testing.T) {
 	exists := func(dir, name string) bool {
 		return dir == "choice" && name == "BenchmarkOne" || dir == "internal/relay" && name == "BenchmarkTwo"
 	}
-	if problems := check(sound, exists); len(problems) > 0 {
-		t.Fatalf("a page in which all follows: %q", problems)
+	if problems := check(consistentPage, exists); len(problems) > 0 {
+		t.Fatalf("a consistent page has problems: %q", problems)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
 		"a value that is not its formula's":  {"| 255 |", "| 265 |", "each is 265"},
@@ -113,12 +116,12 @@
 		"in the order, and not missing":      {"| segments | 2 | b |", "| segments | 2 | b |\n| heirs | 10 | c |", "heirs is in the order"},
 		"a failure's result":                 {"| 10 | ms |", "| 11 | ms |", "machine: the result is 11"},
 		"a cell too few":                     {"| 63.8 | ms/s |", "| 63.8 |", "calls: 7 cells where the head has 8"},
-		"a table that is gone":               {"| failure | formula", "| gone | formula", `there is no table of kind "failure"`},
+		"a missing table":                    {"| failure | formula", "| gone | formula", `there is no table of kind "failure"`},
 	} {
-		if n := strings.Count(sound, c.old); n != 1 {
-			t.Errorf("%s: %q is there %d times", name, c.old, n)
+		if n := strings.Count(consistentPage, c.old); n != 1 {
+			t.Errorf("%s: %q occurs %d times in the page, want once", name, c.old, n)
 		}
-		problems := check(strings.Replace(sound, c.old, c.new, 1), exists)
+		problems := check(strings.Replace(consistentPage, c.old, c.new, 1), exists)
 		if !strings.Contains(strings.Join(problems, "\n"), c.want) {
 			t.Errorf("%s: found %q, want %q", name, problems, c.want)
 		}
--- a/internal/hollow/member.go
+++ b/internal/hollow/member.go
@@ -17,7 +17,8 @@
 	"larchrouter/internal/keeper/api"
 )
 
-// Clock is the machine's monotonic clock (CLOCK_MONOTONIC), which all processes share, so that what they say can be put in order.
+// Clock returns the time on the machine's monotonic clock (CLOCK_MONOTONIC). All processes share that clock, so that their
+// reports can be put in order.
 func Clock() time.Duration {
 	var ts syscall.Timespec
 	const monotonic = 1
@@ -25,115 +26,118 @@
 	return time.Duration(ts.Nano())
 }
 
-// member is a relay's part in the agreement, and nothing else of it.
+// member is the part of a relay that takes part in agreeing on the configuration, without its message paths.
 type member struct {
-	number int
-	region int
-	fleet  int // members
-	dir    string
-	file   fleet.File
-	wan    *WAN
-	list   discovery.List
-	tell   func(Act)
+	number    int
+	region    int
+	fleetSize int        // number of members in the whole fleet
+	dir       string     // of its stored state
+	file      fleet.File // its own settings file
+	wan       *WAN
+	list      discovery.List
+	report    func(Transition) // called with each transition, with mu locked
 
-	mu   sync.Mutex // in place of the relay's loop
-	kept *fleet.Member
-	last lease.Status
-	end  time.Duration // of the lease
-	wake *time.Timer   // at that time
-	stop context.CancelFunc
-	done chan struct{}
+	mu         sync.Mutex // serializes what the relay's loop does one after another
+	state      *fleet.Member
+	acting     lease.Status
+	leaseEnd   time.Duration // on Clock; 0 without a lease so far
+	leaseTimer *time.Timer   // calls update at leaseEnd
+	cancel     context.CancelFunc
+	done       chan struct{}
 }
 
-// start begins a process of the member.
+// start starts the member's simulated process; it fails if the member already runs or its state cannot be stored.
 func (m *member) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.stop != nil {
-		return fmt.Errorf("member %d runs already", m.number)
+	if m.cancel != nil {
+		return fmt.Errorf("member %d is already running", m.number)
 	}
 	k := fleet.Open(m.dir, rand.Text()[:16], m.file)
 	if err := k.RecordInstance(); err != nil {
 		return err
 	}
-	conns := &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute, DialContext: m.wan.Dial(m.region),
+	transport := &http.Transport{DisableCompression: true, IdleConnTimeout: time.Minute, DialContext: m.wan.Dial(m.region),
 		MaxIdleConnsPerHost: 2, MaxConnsPerHost: 2}
-	c := &api.Client{HTTP: &http.Client{Transport: conns}}
+	client := &api.Client{HTTP: &http.Client{Transport: transport}}
 	for _, k := range m.wan.Keepers {
-		c.Keepers = append(c.Keepers, k.Front)
+		client.Keepers = append(client.Keepers, k.PublicAddr)
 	}
-	s := &fleet.Session{Client: c, Name: fmt.Sprintf("relay/%d", m.number), Zone: fmt.Sprintf("region-%d", m.region), Seed: uint64(m.number),
-		Instance: k.Instance, PreviousInstance: k.PreviousInstance, FleetSize: func() int { return m.fleet }, Now: Clock}
-	s.HandleAnswer = func(h fleet.Answer) (have []uint64, w fleet.Reply, ok bool) { return m.hear(k, h) }
-	m.kept, m.last, m.end = k, lease.Status{Mode: Gone}, 0
-	ctx, stop := context.WithCancel(context.Background())
-	m.stop, m.done = stop, make(chan struct{})
-	m.look()
+	session := &fleet.Session{Client: client, Name: fmt.Sprintf("relay/%d", m.number), Zone: fmt.Sprintf("region-%d", m.region), Seed: uint64(m.number),
+		Instance: k.Instance, PreviousInstance: k.PreviousInstance, FleetSize: func() int { return m.fleetSize }, Now: Clock}
+	session.HandleAnswer = func(response fleet.Answer) (generations []uint64, message fleet.Reply, ok bool) {
+		return m.receive(k, response)
+	}
+	m.state, m.acting, m.leaseEnd = k, lease.Status{Mode: Stopped}, 0
+	ctx, cancel := context.WithCancel(context.Background())
+	m.cancel, m.done = cancel, make(chan struct{})
+	m.update()
 	go func() {
 		defer close(m.done)
-		s.Run(ctx)
-		conns.CloseIdleConnections()
+		session.Run(ctx)
+		transport.CloseIdleConnections()
 	}()
 	return nil
 }
 
-// kill ends the process of the member, without a word to anybody.
+// kill ends the member's simulated process without leaving its session.
 func (m *member) kill() {
 	m.mu.Lock()
-	if m.stop == nil {
+	if m.cancel == nil {
 		m.mu.Unlock()
 		return
 	}
-	stop, done := m.stop, m.done
-	m.look()
-	m.kept, m.stop = nil, nil
-	if m.wake != nil {
-		m.wake.Stop()
+	cancel, done := m.cancel, m.done
+	m.update()
+	m.state, m.cancel = nil, nil
+	if m.leaseTimer != nil {
+		m.leaseTimer.Stop()
 	}
-	m.tell(Act{At: Clock(), Member: m.number, Mode: Gone})
+	m.report(Transition{At: Clock(), Member: m.number, Mode: Stopped})
 	m.mu.Unlock()
-	stop()
+	cancel()
 	<-done
 }
 
-// hear takes in an answer of the keepers, as a relay's loop does.
-func (m *member) hear(k *fleet.Member, h fleet.Answer) (have []uint64, w fleet.Reply, ok bool) {
+// receive applies a keeper's response, as a relay's loop does, and returns the generations that the member has and the message
+// to the keepers. It returns false if the response cannot be applied or belongs to a process that was killed.
+func (m *member) receive(state *fleet.Member, response fleet.Answer) (generations []uint64, message fleet.Reply, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.kept != k { // it was killed meanwhile
+	if m.state != state { // the process was killed in the meantime
 		return nil, fleet.Reply{}, false
 	}
-	m.look() // what it acted by until now may have ended before
-	w, err := k.Receive(Clock(), h.RequestedAt, h.Standing)
-	m.look()
-	return slices.Clone(k.KnownGenerations()), w, err == nil
+	m.update() // the lease may have expired before this response
+	message, err := state.Receive(Clock(), response.RequestedAt, response.Response)
+	m.update()
+	return slices.Clone(state.KnownGenerations()), message, err == nil
 }
 
-// look has the member act by what it may act by now. The lock is held.
-func (m *member) look() {
-	if m.kept == nil {
+// update sets by what the member acts now and reports a change of that. The caller holds mu.
+func (m *member) update() {
+	if m.state == nil {
 		return
 	}
 	now := Clock()
-	_, changed := m.kept.Refresh(now)
-	if acts := m.kept.Status(); changed || m.last.Mode == Gone {
+	_, changed := m.state.Refresh(now)
+	if acting := m.state.Status(); changed || m.acting.Mode == Stopped {
 		at := now
-		if acts.Mode == lease.Fallback && m.end > 0 { // nothing has gone out by the lease since it ended
-			at = min(at, m.end)
+		if acting.Mode == lease.Fallback && m.leaseEnd > 0 { // nothing was sent under the lease after it expired
+			at = min(at, m.leaseEnd)
 		}
-		m.last = acts
-		m.tell(Act{At: at, Member: m.number, Mode: acts.Mode, Force: acts.Current, Next: acts.Next})
+		m.acting = acting
+		m.report(Transition{At: at, Member: m.number, Mode: acting.Mode, Force: acting.Current, Next: acting.Next})
 	}
-	left := m.kept.LeaseRemaining(now)
-	if end := now + left; left > 0 && end != m.end {
-		m.end = end
-		if m.wake != nil {
-			m.wake.Stop()
+	remaining := m.state.LeaseRemaining(now)
+	if leaseEnd := now + remaining; remaining > 0 && leaseEnd != m.leaseEnd {
+		m.leaseEnd = leaseEnd
+		if m.leaseTimer != nil {
+			m.leaseTimer.Stop()
 		}
-		m.wake = time.AfterFunc(left, func() {
+		m.leaseTimer = time.AfterFunc(remaining, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.look()
+			m.update()
 		})
 	}
 }
--- a/internal/hollow/wan.go
+++ b/internal/hollow/wan.go
@@ -11,136 +11,137 @@
 	"larchrouter/internal/lab/link"
 )
 
-// Keeper is where a keeper is.
+// Keeper gives the region and the addresses of a keeper.
 type Keeper struct {
-	Region int    `json:"region"`
-	Front  string `json:"front"` // that all are told
-	HTTP   string `json:"http"`  // its own
+	Region     int    `json:"region"`
+	PublicAddr string `json:"front"` // address that members, operators and other keepers use, behind a link
+	ListenAddr string `json:"http"`  // address at which the keeper listens
 }
 
-// Distance is between two regions, one way.
-type Distance struct {
-	Delay  time.Duration `json:"delay"`
-	Spread time.Duration `json:"spread"` // by chance as much as this longer
-	Lost   float64       `json:"lost"`   // share of pieces that TCP has to send again
+// Path describes the network path between two regions, in one direction.
+type Path struct {
+	Delay    time.Duration `json:"delay"`  // least delay
+	Jitter   time.Duration `json:"spread"` // greatest random addition to the delay
+	LossRate float64       `json:"lost"`   // fraction of segments that TCP has to retransmit
 }
 
-// resentLeast is the least time after which Linux sends again what was not confirmed (TCP_RTO_MIN).
-const resentLeast = 200 * time.Millisecond
+// minRetransmitDelay is the shortest time after which Linux retransmits unacknowledged data (TCP_RTO_MIN).
+const minRetransmitDelay = 200 * time.Millisecond
 
-// WAN is the network between regions as one process sees it. Parties in one region have no distance.
+// WAN is the network between regions as one process sees it. There is no delay within a region.
 type WAN struct {
-	Net       *link.Net
-	Keepers   []Keeper
-	Distances [][]Distance // by the two regions
-	bytes     atomic.Int64
+	Net     *link.Net
+	Keepers []Keeper
+	Paths   [][]Path     // indexed by the two regions
+	bytes   atomic.Int64 // read and written by connections opened from this process
 }
 
-// NewWAN is a network without connections.
-func NewWAN(keepers []Keeper, distances [][]Distance) *WAN {
-	w := &WAN{Net: link.NewNet(history.NewClock()), Keepers: keepers, Distances: distances}
-	for r := range distances {
+// NewWAN returns a network without connections, whose links between regions and keepers have the delays and losses of paths.
+func NewWAN(keepers []Keeper, paths [][]Path) *WAN {
+	w := &WAN{Net: link.NewNet(history.NewClock()), Keepers: keepers, Paths: paths}
+	for r := range paths {
 		for i, k := range keepers {
-			w.Apart(w.Net.Link(party(r), name(i)), r, k.Region)
+			w.ApplyPath(w.Net.Link(regionName(r), keeperName(i)), r, k.Region)
 		}
 	}
 	return w
 }
 
-// party is a region's members, as links know them; name is the nth keeper.
-func party(region int) string { return fmt.Sprintf("region/%d", region) }
-func name(keeper int) string  { return fmt.Sprintf("keeper/%d", keeper) }
+// regionName returns the name by which links know the members of a region, keeperName that of a keeper.
+func regionName(region int) string { return fmt.Sprintf("region/%d", region) }
+func keeperName(keeper int) string { return fmt.Sprintf("keeper/%d", keeper) }
 
-// Apart puts the distance of two regions on a link between them.
-func (w *WAN) Apart(l *link.Link, a, b int) {
-	d := w.Distances[a][b]
-	if a == b || d == (Distance{}) {
+// ApplyPath gives a link the delay and loss of the path between regions a and b; it does nothing within one region.
+func (w *WAN) ApplyPath(l *link.Link, a, b int) {
+	path := w.Paths[a][b]
+	if a == b || path == (Path{}) {
 		return
 	}
-	f := &link.Faults{Delay: d.Delay, Jitter: d.Spread, RetransmitShare: d.Lost, RetransmitDelay: max(resentLeast, 2*d.Delay+d.Spread)}
-	l.SetNamed("distance", f, f)
+	faults := &link.Faults{Delay: path.Delay, Jitter: path.Jitter, RetransmitShare: path.LossRate, RetransmitDelay: max(minRetransmitDelay, 2*path.Delay+path.Jitter)}
+	l.SetNamed("distance", faults, faults)
 }
 
-// Cut cuts a region off from the others, or mends it.
-func (w *WAN) Cut(region int, on bool) {
-	for r := range w.Distances {
+// SetCut cuts a region off from the keepers of other regions, and its keepers from the other regions, or ends that cut.
+func (w *WAN) SetCut(region int, cut bool) {
+	for r := range w.Paths {
 		for i, k := range w.Keepers {
 			if (r == region) != (k.Region == region) {
-				Sever(w.Net.Link(party(r), name(i)), on)
+				SetLinkCut(w.Net.Link(regionName(r), keeperName(i)), cut)
 			}
 		}
 	}
 }
 
-// Sever cuts a link, or mends it.
-func Sever(l *link.Link, on bool) {
-	if !on {
+// SetLinkCut cuts a link in both directions, or ends that cut.
+func SetLinkCut(l *link.Link, cut bool) {
+	if !cut {
 		l.SetNamed("cut", nil, nil)
 		return
 	}
-	f := &link.Faults{Cut: true}
-	l.SetNamed("cut", f, f)
+	faults := &link.Faults{Cut: true}
+	l.SetNamed("cut", faults, faults)
 }
 
-// Bytes is what has been read and written by connections that were opened from here.
+// Bytes returns the number of bytes read and written by connections opened from this process.
 func (w *WAN) Bytes() int64 { return w.bytes.Load() }
 
-// Dial opens a connection from a region to a keeper, by the address that all are told.
+// Dial returns a dial function for members of a region; it accepts the public addresses of keepers and takes a round trip
+// for the handshake.
 func (w *WAN) Dial(region int) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, _, addr string) (net.Conn, error) {
 		for i, k := range w.Keepers {
-			if k.Front != addr {
+			if k.PublicAddr != addr {
 				continue
 			}
-			select { // the kernel's handshake knows no distance
+			select { // the kernel's loopback handshake has no delay, so the round trip is waited for here
 			case <-ctx.Done():
 				return nil, ctx.Err()
-			case <-time.After(2 * w.Distances[region][k.Region].Delay):
+			case <-time.After(2 * w.Paths[region][k.Region].Delay):
 			}
-			c, err := w.Net.Dial(ctx, party(region), name(i), "", k.HTTP)
+			c, err := w.Net.Dial(ctx, regionName(region), keeperName(i), "", k.ListenAddr)
 			if err != nil {
 				return nil, err
 			}
 			return &conn{Conn: c, wan: w}, nil
 		}
-		return nil, fmt.Errorf("no keeper is at %s", addr)
+		return nil, fmt.Errorf("no keeper has address %s", addr)
 	}
 }
 
-// conn is one end of a link's connection as net/http wants it.
+// conn adapts one end of a link's connection to net.Conn for net/http and counts its bytes.
 type conn struct {
 	*link.Conn
 	wan *WAN
 }
 
-// Read reads what came through.
+// Read reads bytes that have passed the link.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.wan.bytes.Add(int64(n))
 	return n, err
 }
 
-// Write sends bytes on their way.
+// Write writes bytes to the link.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.wan.bytes.Add(int64(n))
 	return n, err
 }
 
-// Close ends the connection here at once; a cut keeps the other end from hearing of it.
+// Close closes this end at once; while the link is cut, the other end is not notified.
 func (c *conn) Close() error {
 	c.Conn.SetReadDeadline(time.Now())
 	return c.Conn.Close()
 }
 
-// LocalAddr is of no interest, and has to be there.
+// LocalAddr returns an empty address; it exists only to implement net.Conn.
 func (c *conn) LocalAddr() net.Addr { return &net.TCPAddr{} }
 
-// RemoteAddr likewise.
+// RemoteAddr returns an empty address; it exists only to implement net.Conn.
 func (c *conn) RemoteAddr() net.Addr { return &net.TCPAddr{} }
 
-// SetDeadline is not used by net/http's client.
+// SetDeadline sets the read deadline only; net/http's client does not call it.
 func (c *conn) SetDeadline(t time.Time) error { return c.Conn.SetReadDeadline(t) }
 
-// SetWriteDeadline is not used either: what is written goes into the link's memory.
+// SetWriteDeadline does nothing: writes go into the link's memory and net/http's client does not call it.
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
--- a/internal/lab/faults.go
+++ b/internal/lab/faults.go
@@ -181,34 +181,34 @@
 	switch f.Kind {
 	case "outage":
 		for d := range dests {
-			run.partners.Out(d, true)
-			defer run.partners.Out(d, false)
+			run.partners.SetDown(d, true)
+			defer run.partners.SetDown(d, false)
 		}
 	case "shut":
 		for d := range dests {
-			run.partners.Shut(d, time.Duration(f.For))
+			run.partners.RefuseFor(d, time.Duration(f.For))
 		}
 	case "limit":
 		for d := range dests {
-			run.partners.Limit(d, f.Part)
-			defer run.partners.Limit(d, 1/f.Part)
+			run.partners.ScaleLimit(d, f.Part)
+			defer run.partners.ScaleLimit(d, 1/f.Part)
 		}
 	case "errors", "slow", "garble":
-		setTrouble := func(fails, slow, garbles float64) func(*platform.Trouble) {
-			return func(t *platform.Trouble) {
+		setTrouble := func(fails, slow, garbles float64) func(*platform.EndpointFaults) {
+			return func(t *platform.EndpointFaults) {
 				switch f.Kind {
 				case "errors":
-					t.Fails = fails
+					t.ErrorShare = fails
 				case "slow":
-					t.Slow = slow
+					t.SlowFactor = slow
 				case "garble":
-					t.Garbles = garbles
+					t.GarbledShare = garbles
 				}
 			}
 		}
 		for _, p := range parties {
-			run.partners.Trouble(p.Name, setTrouble(f.Part, f.Part, f.Part))
-			defer run.partners.Trouble(p.Name, setTrouble(0, 1, 0))
+			run.partners.ChangeFaults(p.Name, setTrouble(f.Part, f.Part, f.Part))
+			defer run.partners.ChangeFaults(p.Name, setTrouble(0, 1, 0))
 		}
 	}
 	run.sleep(ctx, f.For)
--- a/internal/lab/faults_discovery.go
+++ b/internal/lab/faults_discovery.go
@@ -13,33 +13,33 @@
 	by := time.Duration(f.By)
 	switch f.Kind {
 	case "outage":
-		run.discovery.Down(true)
-		defer run.discovery.Down(false)
+		run.discovery.SetDown(true)
+		defer run.discovery.SetDown(false)
 	case "late-list":
-		run.discovery.Late(by)
-		defer run.discovery.Late(0)
+		run.discovery.DelayChanges(by)
+		defer run.discovery.DelayChanges(0)
 	case "slow-notices":
-		run.discovery.SlowNotices(by)
-		defer run.discovery.SlowNotices(0)
+		run.discovery.DelayNotices(by)
+		defer run.discovery.DelayNotices(0)
 	default:
-		run.discovery.Disturb(func(t *platform.ListTrouble) { setListFault(t, f.Kind, by, f.Part) })
-		defer run.discovery.Disturb(func(t *platform.ListTrouble) { setListFault(t, f.Kind, 0, 0) })
+		run.discovery.ChangeFaults(func(t *platform.ListFaults) { setListFault(t, f.Kind, by, f.Part) })
+		defer run.discovery.ChangeFaults(func(t *platform.ListFaults) { setListFault(t, f.Kind, 0, 0) })
 	}
 	run.sleep(ctx, f.For)
 }
 
 // setListFault sets the field of t that a kind of list fault stands for.
-func setListFault(t *platform.ListTrouble, kind string, delay time.Duration, share float64) {
+func setListFault(t *platform.ListFaults, kind string, delay time.Duration, share float64) {
 	switch kind {
 	case "slow-lists":
-		t.Slow = delay
+		t.Delay = delay
 	case "busy-lists":
-		t.Busy = share
+		t.RefusedShare = share
 	case "cut-lists":
-		t.Cut = share
+		t.CutShare = share
 	case "stalled-lists":
-		t.Stall = share
+		t.StalledShare = share
 	case "mute-lists":
-		t.Mute = share
+		t.UnansweredShare = share
 	}
 }
--- a/internal/lab/lab.go
+++ b/internal/lab/lab.go
@@ -33,7 +33,7 @@
 	network             *link.Net
 	partners            *platform.Partners
 	discovery           *platform.Discovery
-	loadBalancer        *platform.Front
+	loadBalancer        *platform.RelayPool
 	clients             *platform.Clients
 	strangers           *platform.Strangers
 	relays              []*relay
@@ -86,7 +86,7 @@
 		return nil, err
 	}
 	defer restoreCores()
-	run := &labRun{relayCores: relayCores, scenario: s, options: o, draw: platform.NewDraw(s), clock: history.NewClock(), loadBalancer: platform.NewFront(),
+	run := &labRun{relayCores: relayCores, scenario: s, options: o, draw: platform.NewDraw(s), clock: history.NewClock(), loadBalancer: platform.NewRelayPool(),
 		checker: rules.New(), activeFaults: map[string]int{}, rand: rand.New(rand.NewPCG(s.Seed, 0x4d))}
 	if o.Draw != nil {
 		run.draw = o.Draw
@@ -119,8 +119,8 @@
 	run.partners = platform.NewPartners(env)
 	run.discovery = platform.NewDiscovery(env, run.partners)
 	run.clients = platform.NewClients(env, run.loadBalancer)
-	run.discovery.Noticed = run.clients.Noticed
-	run.strangers = &platform.Strangers{Env: env, Front: run.loadBalancer, Source: run.addrs.strangerIP()}
+	run.discovery.OnNotice = run.clients.HandleNotice
+	run.strangers = &platform.Strangers{Env: env, Relays: run.loadBalancer, Source: run.addrs.strangerIP()}
 	if err := run.openSharedEndpoints(); err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 		shutdowns.Wait()
 		run.clients.Close()
 		run.network.Close()
-		run.discovery.Settle()
+		run.discovery.AwaitOutcomes()
 		run.record(history.Event{Kind: history.End})
 		run.mu.Lock()
 		run.recorderClosed = true
--- a/internal/lab/machine_loss.go
+++ b/internal/lab/machine_loss.go
@@ -141,7 +141,7 @@
 				ctx, cancel := context.WithTimeout(ctx, time.Second)
 				defer cancel()
 				requestedAt := run.clock.Now()
-				if figures, err := platform.Figures(ctx, admin); err == nil {
+				if figures, err := platform.Metrics(ctx, admin); err == nil {
 					run.record(history.Event{Kind: history.Metrics, Relay: r.name, Proc: r.name, CompleteAt: requestedAt, Values: figures})
 				}
 			}()
--- a/internal/lab/machine_test.go
+++ b/internal/lab/machine_test.go
@@ -46,7 +46,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	var pids []int
 	dir := t.TempDir()
-	o := Options{Root: t.TempDir(), RunDirParent: dir, RelayCommand: "echo $$ >> pids; exec " + self, Env: []string{standin.Env + "="},
+	o := Options{Root: t.TempDir(), RunDirParent: dir, RelayCommand: "echo $$ >> pids; exec " + self, Env: []string{standin.FlawEnv + "="},
 		OnProgress: func(Progress) { cancel() }}
 	if _, err := Run(ctx, parseScenario(t, "duration = \"1h\"\n[fleet]\nrelays = 2"), o); err != nil {
 		t.Fatal(err)
@@ -78,7 +78,7 @@
 		void bool
 	}{{Lateness{1, 49, 300}, false}, {Lateness{1, 51, 300}, true}} {
 		s := scenario.Default()
-		run := &labRun{scenario: s, checker: rules.New(), network: link.NewNet(history.NewClock()), clients: platform.NewClients(platform.Env{Scenario: s}, platform.NewFront())}
+		run := &labRun{scenario: s, checker: rules.New(), network: link.NewNet(history.NewClock()), clients: platform.NewClients(platform.Env{Scenario: s}, platform.NewRelayPool())}
 		if r := run.result(c.late); (r.VoidReason != "") != c.void {
 			t.Errorf("%+v: the reason for a void run is %q", c.late, r.VoidReason)
 		}
--- a/internal/lab/operate.go
+++ b/internal/lab/operate.go
@@ -64,7 +64,7 @@
 	if !disabled { // the relay may send to it from now on, even before it answers
 		r.run.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: detail})
 	}
-	status, err := platform.ByHand(ctx, admin, endpoint, disabled)
+	status, err := platform.SetDisabled(ctx, admin, endpoint, disabled)
 	if disabled {
 		r.run.record(history.Event{Kind: history.OperatorCall, Relay: r.name, Endpoint: endpoint, Detail: detail, Status: status})
 	}
--- a/internal/lab/platform/control.go
+++ b/internal/lab/platform/control.go
@@ -7,18 +7,19 @@
 	"larchrouter/internal/lab/link"
 )
 
-// Out takes destinations down, each with all its endpoints: they reset what they have and refuse what comes.
-func (p *Partners) Out(dest int, down bool) {
+// SetDown starts or ends an outage of a destination. During an outage all its endpoints reset their connections and refuse new
+// ones. After it the destination is in slow start.
+func (p *Partners) SetDown(dest int, down bool) {
 	d := p.dests[dest]
 	d.mu.Lock()
-	d.out = down
+	d.down = down
 	kind := history.DestDown
 	if !down {
 		kind = history.DestUp
-		d.comeBack(time.Now())
+		d.startCold(time.Now())
 	} else {
-		d.fallen = false
-		for _, e := range d.eps {
+		d.collapsed = false
+		for _, e := range d.endpoints {
 			for _, j := range e.waiting {
 				go j.done()
 			}
@@ -30,7 +31,7 @@
 	if down {
 		f = &link.Faults{Refused: true}
 	}
-	for _, e := range d.eps {
+	for _, e := range d.endpoints {
 		for _, l := range p.Net.Links(func(string) bool { return true }, func(to string) bool { return to == e.name }) {
 			l.SetNamed("outage", f, nil)
 			if down {
@@ -41,52 +42,52 @@
 	p.Record(history.Event{At: p.Clock.Now(), Kind: kind, Dest: dest, Detail: "outage"})
 }
 
-// Shut has a destination turn all away for a time, after which it is cold.
-func (p *Partners) Shut(dest int, length time.Duration) {
+// RefuseFor has a destination refuse all calls for a time, after which it is in slow start.
+func (p *Partners) RefuseFor(dest int, length time.Duration) {
 	d := p.dests[dest]
 	d.mu.Lock()
-	d.shut = time.Now().Add(length)
+	d.shutUntil = time.Now().Add(length)
 	d.mu.Unlock()
 	p.Record(history.Event{At: p.Clock.Now(), Kind: history.DestDown, Dest: dest, Detail: "shut"})
 	time.AfterFunc(length, func() {
 		d.mu.Lock()
-		d.comeBack(time.Now())
+		d.startCold(time.Now())
 		d.mu.Unlock()
 		p.Record(history.Event{At: p.Clock.Now(), Kind: history.DestUp, Dest: dest, Detail: "shut"})
 	})
 }
 
-// Trouble is what is wrong with an endpoint.
-type Trouble struct {
-	Fails   float64 // share of its calls
-	Slow    float64 // they take so many times as long
-	Garbles float64 // share of the answers to calls that ran that cannot be read
+// EndpointFaults describes the faults of an endpoint.
+type EndpointFaults struct {
+	ErrorShare   float64 // share of its calls that fail
+	SlowFactor   float64 // factor by which calls take longer; 1 for none
+	GarbledShare float64 // share of the answers to executed calls that cannot be parsed
 }
 
-// Trouble changes what is wrong with an endpoint.
-func (p *Partners) Trouble(name string, change func(*Trouble)) {
-	e := p.eps[name]
-	e.of.mu.Lock()
-	defer e.of.mu.Unlock()
-	change(&e.trouble)
+// ChangeFaults applies a change to the faults of an endpoint.
+func (p *Partners) ChangeFaults(name string, change func(*EndpointFaults)) {
+	e := p.endpoints[name]
+	e.dest.mu.Lock()
+	defer e.dest.mu.Unlock()
+	change(&e.faults)
 }
 
-// Limit changes what a destination takes from all relays together by a factor.
-func (p *Partners) Limit(dest int, factor float64) {
+// ScaleLimit multiplies the rate limit of a destination, which is shared by all relays, by a factor.
+func (p *Partners) ScaleLimit(dest int, factor float64) {
 	d := p.dests[dest]
 	d.mu.Lock()
 	d.allow(time.Now())
 	d.Rate *= factor
-	d.tokens = min(d.tokens, d.burst())
+	d.tokens = min(d.tokens, d.burstCalls())
 	rate := d.Rate
 	d.mu.Unlock()
 	p.Record(history.Event{At: p.Clock.Now(), Kind: history.DestRateChanged, Dest: dest, Values: map[string]float64{"rate": rate}})
 }
 
-// Drained has an endpoint turn away what comes, for it has been given up.
-func (p *Partners) Drained(name string) {
-	e := p.eps[name]
-	e.of.mu.Lock()
-	defer e.of.mu.Unlock()
-	e.refuses = true
+// SetDrained has an endpoint refuse all further calls, as one does that is decommissioned.
+func (p *Partners) SetDrained(name string) {
+	e := p.endpoints[name]
+	e.dest.mu.Lock()
+	defer e.dest.mu.Unlock()
+	e.drained = true
 }
--- a/internal/lab/platform/endpoint.go
+++ b/internal/lab/platform/endpoint.go
@@ -9,38 +9,38 @@
 	"larchrouter/internal/lab/link"
 )
 
-// endpoint is one machine of a destination.
+// endpoint is one server of a destination.
 type endpoint struct {
-	name, id string // endpoint/3 in scenario and history, s-3 on the list
-	of       *partner
-	workers  int
-	busy     int
-	waiting  []*job
-	conns    int
-	refuses  bool // it has drained
-	trouble  Trouble
-	applied  map[string]time.Time // keys that took effect
-	report   string
-	reported time.Time
+	name, id       string // for example endpoint/3 in scenario and history, and s-3 in the list
+	dest           *destination
+	workers        int    // calls that it executes at the same time
+	busy           int    // calls in execution
+	waiting        []*job // queued calls, in order of arrival
+	conns          int    // open connections
+	drained        bool   // it refuses all calls because it is decommissioned
+	faults         EndpointFaults
+	appliedKeys    map[string]time.Time // idempotency keys of executed messages, with their times
+	loadReport     string               // latest X-Load header, with its line end
+	loadReportedAt time.Time
 }
 
-// job is a call that an endpoint has taken.
+// job is a call that an endpoint has received.
 type job struct {
-	call   int64
-	relay  string
-	conn   *link.Conn
-	many   bool
-	ids    []string
-	keys   []string
-	weight float64
-	done   func() // once
+	call  int64
+	relay string
+	conn  *link.Conn
+	batch bool // a call with several messages
+	ids   []string
+	keys  []string
+	cost  float64 // relative to a call with a single message
+	done  func()  // must be called once, when the call has ended
 }
 
 func (e *endpoint) serve(relay string, c *link.Conn) {
-	d := e.of
-	time.Sleep(time.Duration(d.all.Draw.Handshake * float64(time.Second)))
+	d := e.dest
+	time.Sleep(time.Duration(d.partners.Draw.Handshake * float64(time.Second)))
 	d.mu.Lock()
-	over := e.conns >= d.Conns
+	overLimit := e.conns >= d.Conns
 	e.conns++
 	d.mu.Unlock()
 	defer func() {
@@ -48,66 +48,66 @@
 		e.conns--
 		d.mu.Unlock()
 	}()
-	const idle = 10 * time.Second
-	c.SetReadDeadline(time.Now().Add(idle))
+	const idleTimeout = 10 * time.Second
+	c.SetReadDeadline(time.Now().Add(idleTimeout))
 	var call int64
-	requests(c, maxBody, func(a *asked) bool {
+	serveRequests(c, maxBodyBytes, func(a *request) bool {
 		c.SetReadDeadline(time.Time{})
 		ended := make(chan struct{})
-		call = e.take(relay, a, over, func() { close(ended) })
+		call = e.receive(relay, a, overLimit, func() { close(ended) })
 		select {
-		case <-ended: // the answer is written at the front, or there will be none
-		case <-c.PeerClosed(): // whether the relay still waits is known at the front alone
-			d.all.Record(history.Event{At: c.PeerClosedAt(), Kind: history.CallAbandoned, Relay: relay, Call: call})
+		case <-ended: // the answer has been written to the relay, or there will be none
+		case <-c.PeerClosed(): // the relay has closed the connection
+			d.partners.Record(history.Event{At: c.PeerClosedAt(), Kind: history.CallAbandoned, Relay: relay, Call: call})
 			return false
 		}
-		c.SetReadDeadline(time.Now().Add(idle))
-		return !over
+		c.SetReadDeadline(time.Now().Add(idleTimeout))
+		return !overLimit
 	})
-	if at := c.PeerClosedAt(); at > 0 && call > 0 { // perhaps as the last answer came, and without having read it
-		d.all.Record(history.Event{At: at, Kind: history.CallAbandoned, Relay: relay, Call: call})
+	if at := c.PeerClosedAt(); at > 0 && call > 0 { // the relay may have closed the connection while the last answer arrived, without having read it
+		d.partners.Record(history.Event{At: at, Kind: history.CallAbandoned, Relay: relay, Call: call})
 	}
 }
 
-// take decides what becomes of a call, as it comes. One on a connection too many is turned away.
-func (e *endpoint) take(relay string, a *asked, over bool, done func()) (call int64) {
-	d, p := e.of, e.of.all
-	j := &job{call: p.calls.Add(1), relay: relay, conn: a.conn, done: done, weight: 1}
+// receive handles an arriving call: it executes, queues or refuses it. Calls on a connection over the limit are refused with 503.
+func (e *endpoint) receive(relay string, a *request, overLimit bool, done func()) (call int64) {
+	d, p := e.dest, e.dest.partners
+	j := &job{call: p.calls.Add(1), relay: relay, conn: a.conn, done: done, cost: 1}
 	bodies := [][]byte{a.body}
 	var err error
 	switch {
 	case a.Method == "POST" && a.URL.Path == "/receive":
 		j.ids, j.keys = []string{a.Header.Get("X-Request-Id")}, []string{a.Header.Get("Idempotency-Key")}
 		if j.ids[0] == "" {
-			err = fmt.Errorf("a call without id")
+			err = fmt.Errorf("call without X-Request-Id")
 		}
 	case a.Method == "POST" && a.URL.Path == "/receive-many":
-		j.many = true
-		j.ids, j.keys, bodies, err = frames(a.body)
-		j.weight += d.ItemCost * float64(len(j.ids)-1)
+		j.batch = true
+		j.ids, j.keys, bodies, err = parseFrames(a.body)
+		j.cost += d.ItemCost * float64(len(j.ids)-1)
 	default:
-		err = fmt.Errorf("%s %s", a.Method, a.URL.Path)
+		err = fmt.Errorf("unexpected request %s %s", a.Method, a.URL.Path)
 	}
 	if err != nil {
 		p.Record(history.Event{At: p.Clock.Now(), Kind: history.InvalidCall, Relay: relay, Endpoint: e.name, Text: err.Error()})
 		e.answer(j, 400, 0)
 		return j.call
 	}
-	came := history.Event{At: p.Clock.Now(), Kind: history.CallReceived, Relay: relay, Call: j.call, IDs: j.ids, Endpoint: e.name, Dest: d.Number,
-		BegunAt: a.begun, CompleteAt: a.whole, Agreed: a.Header.Get("X-Agreed")}
+	event := history.Event{At: p.Clock.Now(), Kind: history.CallReceived, Relay: relay, Call: j.call, IDs: j.ids, Endpoint: e.name, Dest: d.Number,
+		BegunAt: a.firstByteAt, CompleteAt: a.lastByteAt, Agreed: a.Header.Get("X-Agreed")}
 	for i, b := range bodies {
-		came.BodySums = append(came.BodySums, Sum(append([]byte(j.keys[i]+"\n"), b...)))
+		event.BodySums = append(event.BodySums, Checksum(append([]byte(j.keys[i]+"\n"), b...)))
 	}
-	p.Record(came)
-	if j.many && len(j.ids) > p.Draw.Kinds[d.Kind].PerCall {
+	p.Record(event)
+	if j.batch && len(j.ids) > p.Draw.Kinds[d.Kind].PerCall {
 		e.answer(j, 413, 0)
 		return j.call
 	}
 	d.mu.Lock()
 	now := time.Now()
-	d.count(relay, now)
+	d.countArrival(relay, now)
 	status, wait := 503, time.Duration(0)
-	if !over {
+	if !overLimit {
 		status, wait = e.admit(j, now)
 	}
 	if status != 0 {
@@ -116,7 +116,7 @@
 		return j.call
 	}
 	if e.busy < e.workers {
-		e.begin(j)
+		e.start(j)
 	} else {
 		e.waiting = append(e.waiting, j)
 	}
@@ -124,50 +124,50 @@
 	return j.call
 }
 
-// begin starts on a call. The lock is held.
-func (e *endpoint) begin(j *job) {
-	d := e.of
+// start starts to execute a call. The destination's lock must be held.
+func (e *endpoint) start(j *job) {
+	d := e.dest
 	e.busy++
-	takes := d.Median * math.Exp(d.Sigma*d.rand.NormFloat64()) * d.slow * e.trouble.Slow / d.warmth(time.Now()) * j.weight
-	time.AfterFunc(time.Duration(takes*float64(time.Second)), func() { e.finish(j) })
+	seconds := d.Median * math.Exp(d.Sigma*d.rand.NormFloat64()) * d.slowFactor * e.faults.SlowFactor / d.warmShare(time.Now()) * j.cost
+	time.AfterFunc(time.Duration(seconds*float64(time.Second)), func() { e.finish(j) })
 }
 
-// finish ends a call that has run, and starts on the next.
+// finish ends the execution of a call, answers it, and starts the next one in the queue.
 func (e *endpoint) finish(j *job) {
-	d := e.of
+	d := e.dest
 	now := time.Now()
 	d.mu.Lock()
 	e.busy--
 	if len(e.waiting) > 0 && e.busy < e.workers {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		e.begin(next)
+		e.start(next)
 	}
-	if d.out || d.fallen { // its machine went down under it
+	if d.down || d.collapsed { // the destination failed during the call
 		d.mu.Unlock()
 		j.done()
 		return
 	}
-	status, failed := 200, max(d.fails, e.trouble.Fails)
-	if d.rand.Float64() < max(d.all.Draw.Error, failed) {
+	status, failed := 200, max(d.errorShare, e.faults.ErrorShare)
+	if d.rand.Float64() < max(d.partners.Draw.Error, failed) {
 		status = 500
 	} else {
 		for _, key := range j.keys {
 			if key != "" {
-				e.applied[key] = now
+				e.appliedKeys[key] = now
 			}
 		}
-		if len(e.applied) > 4096 {
-			for key, at := range e.applied {
+		if len(e.appliedKeys) > 4096 {
+			for key, at := range e.appliedKeys {
 				if now.Sub(at) > time.Minute {
-					delete(e.applied, key)
+					delete(e.appliedKeys, key)
 				}
 			}
 		}
 	}
 	d.mu.Unlock()
 	if status == 200 {
-		d.all.Record(history.Event{At: d.all.Clock.At(now), Kind: history.CallTookEffect, Call: j.call})
+		d.partners.Record(history.Event{At: d.partners.Clock.At(now), Kind: history.CallTookEffect, Call: j.call})
 	}
 	e.answer(j, status, 0)
 }
--- a/internal/lab/platform/notices.go
+++ b/internal/lab/platform/notices.go
@@ -9,17 +9,17 @@
 	"larchrouter/internal/lab/history"
 )
 
-// The platform's part that takes notices.
+// The receiver of notices.
 
-// SlowNotices has the answer to each call with notices come so much later. What the call says is taken at once.
-func (d *Discovery) SlowNotices(by time.Duration) {
+// DelayNotices sets the delay of answers to calls with notices. The notices themselves are processed without delay.
+func (d *Discovery) DelayNotices(delay time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = by
+	d.noticeDelay = delay
 }
 
-// notices takes the ends of messages, also while discovery is down.
-func (d *Discovery) notices(relay string, a *asked) bool {
+// serveNotices receives notices, also during an outage of discovery. It answers 400 if any of them is malformed.
+func (d *Discovery) serveNotices(relay string, a *request) bool {
 	type notice struct {
 		ID     string `json:"id"`
 		Status string `json:"status"`
@@ -38,16 +38,16 @@
 		all = append(all, n)
 	}
 	for _, n := range all {
-		d.Record(history.Event{At: a.whole, Kind: history.NoticeReceived, Relay: relay, ID: n.ID, Detail: n.Status, WaitMs: n.Again})
-		if d.Noticed != nil {
-			d.Noticed(n.ID, n.Status, time.Duration(n.Again)*time.Millisecond)
+		d.Record(history.Event{At: a.lastByteAt, Kind: history.NoticeReceived, Relay: relay, ID: n.ID, Detail: n.Status, WaitMs: n.Again})
+		if d.OnNotice != nil {
+			d.OnNotice(n.ID, n.Status, time.Duration(n.Again)*time.Millisecond)
 		}
 	}
 	d.mu.Lock()
-	slow := d.slow
+	delay := d.noticeDelay
 	d.mu.Unlock()
 	select {
-	case <-time.After(slow):
+	case <-time.After(delay):
 	case <-a.conn.PeerClosed():
 	}
 	return respond(a.conn, http.StatusNoContent, "", nil, nil) == nil
--- a/internal/lab/platform/notices_test.go
+++ b/internal/lab/platform/notices_test.go
@@ -9,7 +9,7 @@
 	"larchrouter/internal/lab/history"
 )
 
-// Guards against a slow platform that answers at once, or that takes a notice no sooner than it answers.
+// Guards against a delay of notices that does not delay the answer, or that also delays the processing of the notice.
 func TestSlowNotices(t *testing.T) {
 	env := newEnv(t, nil)
 	d := NewDiscovery(env.Env, NewPartners(env.Env))
@@ -17,10 +17,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	taken := make(chan struct{}, 1)
-	d.Noticed = func(string, string, time.Duration) { taken <- struct{}{} }
+	noticed := make(chan struct{}, 1)
+	d.OnNotice = func(string, string, time.Duration) { noticed <- struct{}{} }
 	const slow = 200 * time.Millisecond
-	d.SlowNotices(slow)
+	d.DelayNotices(slow)
 	answered := make(chan time.Time, 1)
 	begin := time.Now()
 	go func() {
@@ -30,11 +30,11 @@
 		}
 		answered <- time.Now()
 	}()
-	<-taken
+	<-noticed
 	if env.count(history.NoticeReceived) != 1 {
-		t.Error("the notice is not recorded as it comes")
+		t.Error("the notice is not recorded on arrival")
 	}
 	if at := <-answered; at.Sub(begin) < slow {
-		t.Errorf("it was answered after %v, want %v", at.Sub(begin), slow)
+		t.Errorf("answered after %v, want at least %v", at.Sub(begin), slow)
 	}
 }
--- a/internal/lab/platform/partner.go
+++ b/internal/lab/platform/partner.go
@@ -14,86 +14,87 @@
 	"larchrouter/internal/lab/scenario"
 )
 
-// Env is what all parties of a run share.
+// Env holds what all emulated parties of a run share.
 type Env struct {
 	Clock    *history.Clock
 	Record   func(history.Event)
 	Net      *link.Net
 	Scenario *scenario.Scenario
 	Draw     *Draw
-	ClientIP func(n int) string // where the nth client connects from; nil for anywhere
+	ClientIP func(n int) string // source address of the nth client; nil for any
 }
 
-// Sum is what the history keeps of a body.
-func Sum(body []byte) string {
+// Checksum returns the checksum by which the history identifies a body.
+func Checksum(body []byte) string {
 	h := fnv.New64a()
 	h.Write(body)
 	return fmt.Sprintf("%016x", h.Sum64())
 }
 
-// Partners are all destinations with their endpoints.
+// Partners holds all destinations with their endpoints.
 type Partners struct {
 	Env
-	dests []*partner
-	eps   map[string]*endpoint
-	calls atomic.Int64
+	dests     []*destination
+	endpoints map[string]*endpoint
+	calls     atomic.Int64
 }
 
-// partner is one destination: limit, outages and coldness are of all its endpoints together.
-type partner struct {
+// destination is the state of one destination. Rate limit, outages and slow start apply to all its endpoints together.
+type destination struct {
 	*Dest
-	all *Partners
+	partners *Partners
 
-	mu       sync.Mutex
-	rand     *rand.Rand
-	eps      []*endpoint
-	tokens   float64
-	filled   time.Time
-	span     time.Time // when the span that runs began
-	counted  float64
-	shut     time.Time // until when it turns all away
-	fails    float64   // share of calls that fail
-	slow     float64   // calls take so many times as long
-	out      bool      // no endpoint answers
-	warmFrom time.Time // came back cold then; zero for warm
-	fallen   bool
-	arrivals []arrival // while cold
+	mu          sync.Mutex
+	rand        *rand.Rand
+	endpoints   []*endpoint
+	tokens      float64   // calls in the token bucket
+	tokensAt    time.Time // when tokens was last updated
+	windowStart time.Time // start of the current fixed window
+	windowCalls float64   // calls counted in the current fixed window
+	shutUntil   time.Time // time until which it refuses all calls
+	errorShare  float64   // share of calls that fail
+	slowFactor  float64   // factor by which calls take longer
+	down        bool      // an outage: no endpoint answers
+	coldSince   time.Time // start of slow start; zero if there is none
+	collapsed   bool      // overloaded during slow start; it refuses all calls until an outage resets it
+	arrivals    []arrival // recent calls, during slow start
 }
 
-// NewPartners makes the destinations of a draw.
+// NewPartners creates the destinations of a draw, with their endpoints.
 func NewPartners(env Env) *Partners {
-	p := &Partners{Env: env, eps: map[string]*endpoint{}}
+	p := &Partners{Env: env, endpoints: map[string]*endpoint{}}
 	for i := range env.Draw.Dests {
-		d := &partner{Dest: &env.Draw.Dests[i], all: p, rand: rand.New(rand.NewPCG(env.Scenario.Seed, 0x100+uint64(i))),
-			slow: 1, filled: time.Now(), span: time.Now()}
-		d.tokens = d.burst()
+		d := &destination{Dest: &env.Draw.Dests[i], partners: p, rand: rand.New(rand.NewPCG(env.Scenario.Seed, 0x100+uint64(i))),
+			slowFactor: 1, tokensAt: time.Now(), windowStart: time.Now()}
+		d.tokens = d.burstCalls()
 		p.dests = append(p.dests, d)
 	}
 	for i := range env.Scenario.Platform.Destinations * env.Scenario.Platform.Endpoints {
 		d := p.dests[i%len(p.dests)]
-		e := &endpoint{name: fmt.Sprintf("endpoint/%d", i), id: fmt.Sprintf("s-%d", i), of: d, trouble: Trouble{Slow: 1}, applied: map[string]time.Time{}}
-		e.workers = max(1, int(math.Round(d.Capacity*d.mean())))
-		d.eps = append(d.eps, e)
-		p.eps[e.name] = e
+		e := &endpoint{name: fmt.Sprintf("endpoint/%d", i), id: fmt.Sprintf("s-%d", i), dest: d, faults: EndpointFaults{SlowFactor: 1}, appliedKeys: map[string]time.Time{}}
+		e.workers = max(1, int(math.Round(d.Capacity*d.meanSeconds())))
+		d.endpoints = append(d.endpoints, e)
+		p.endpoints[e.name] = e
 	}
 	return p
 }
 
-// mean is the mean time of a call in seconds.
-func (d *Dest) mean() float64 { return d.Median * math.Exp(d.Sigma*d.Sigma/2) }
+// meanSeconds returns the mean duration of a call in seconds.
+func (d *Dest) meanSeconds() float64 { return d.Median * math.Exp(d.Sigma*d.Sigma/2) }
 
-// burst is how many calls a plain rate lets through at once.
-func (d *Dest) burst() float64 { return max(1, d.Rate/4) }
+// burstCalls returns the size of the token bucket of a destination without a fixed window, in calls.
+func (d *Dest) burstCalls() float64 { return max(1, d.Rate/4) }
 
-// Serve lets a relay reach an endpoint at an address of their own.
+// Serve starts serving an endpoint to one relay at an address for this pair, and returns that address.
 func (p *Partners) Serve(relay, name, addr string) (string, error) {
-	e := p.eps[name]
+	e := p.endpoints[name]
 	return p.Net.Serve(relay, name, addr, func(c *link.Conn) { e.serve(relay, c) })
 }
 
-// ServeAll lets all relays reach an endpoint at one address.
+// ServeAll starts serving an endpoint to all relays at one address, and returns that address. The function who names the
+// relay with a source address.
 func (p *Partners) ServeAll(name, addr string, who func(ip string) string) (string, error) {
-	e := p.eps[name]
+	e := p.endpoints[name]
 	o, err := p.Net.ServeParty(name, addr, who, func(c *link.Conn) { e.serve(c.Peer(), c) })
 	if err != nil {
 		return "", err
@@ -101,5 +102,5 @@
 	return o.Addr, nil
 }
 
-// ID is the name of an endpoint on the list.
-func ID(name string) string { return "s-" + name[len("endpoint/"):] }
+// ListedID returns the id that an endpoint has in the list, given its name in scenario and history.
+func ListedID(name string) string { return "s-" + name[len("endpoint/"):] }
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -37,8 +37,8 @@
 	}
 	loadCtx, endLoad := context.WithTimeout(ctx, time.Duration(run.scenario.Duration))
 	defer endLoad()
-	parts.Go(func() { run.clients.Play(loadCtx) })
-	parts.Go(func() { run.strangers.Play(loadCtx) })
+	parts.Go(func() { run.clients.Submit(loadCtx) })
+	parts.Go(func() { run.strangers.Connect(loadCtx) })
 	go run.watchRelays(ctx, startedAt, checks)
 	parts.Wait()
 	maxWait := time.Duration(run.scenario.Load.Deadline) + 8*time.Second
--- a/internal/lab/relay.go
+++ b/internal/lab/relay.go
@@ -70,7 +70,7 @@
 				return nil, err
 			}
 		}
-		run.discovery.Reach(r.name, p.Name, addr)
+		run.discovery.SetAddr(r.name, p.Name, addr)
 	}
 	discovery, err := run.discovery.Serve(r.name, ip+":0")
 	if err != nil {
@@ -165,7 +165,7 @@
 	}
 	r.process, r.adminAddr = p, admin
 	r.run.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: p.PID, Detail: "ready"})
-	r.run.loadBalancer.Use(r.name, true)
+	r.run.loadBalancer.SetUsable(r.name, true)
 	return nil
 }
 
@@ -214,7 +214,7 @@
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if r.processCount == processCount || r.process == nil { // it was not restarted meanwhile
-			r.run.loadBalancer.Use(r.name, false)
+			r.run.loadBalancer.SetUsable(r.name, false)
 		}
 	})
 }
--- a/internal/lab/restart.go
+++ b/internal/lab/restart.go
@@ -53,11 +53,11 @@
 		return nil
 	}
 	r.run.record(history.Event{Kind: history.ProcessChanged, Proc: r.name, PID: r.process.PID, Detail: "term"})
-	leave := time.AfterFunc(newConnsAfterTerm, func() { r.run.loadBalancer.Leave(r.name) })
+	leave := time.AfterFunc(newConnsAfterTerm, func() { r.run.loadBalancer.SetLeaving(r.name) })
 	r.process.Terminate(killAfter)
 	r.process = nil
 	leave.Stop()
-	r.run.loadBalancer.Use(r.name, false)
+	r.run.loadBalancer.SetUsable(r.name, false)
 	return r.restartAfter(ctx, max(downtime, minRestartDelay))
 }
 
@@ -82,8 +82,8 @@
 	return r.run.suspend(ctx, r.name, &r.mu, &r.process, &r.paused, duration)
 }
 
-// suspend stops a process with SIGSTOP for the given time and continues it. Mu guards process and paused; it is not held
-// meanwhile.
+// suspend stops a process with SIGSTOP for the given time and continues it. The lock mu guards process and paused; it is not
+// held meanwhile.
 func (run *labRun) suspend(ctx context.Context, name string, mu *sync.Mutex, process **proc.Process, paused *bool, duration time.Duration) error {
 	mu.Lock()
 	p := *process
@@ -135,7 +135,7 @@
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	requestedAt := r.run.clock.Now()
-	metrics, err := platform.Figures(ctx, admin)
+	metrics, err := platform.Metrics(ctx, admin)
 	if err != nil {
 		row.State = "silent"
 		return row
--- a/internal/lab/result.go
+++ b/internal/lab/result.go
@@ -24,7 +24,7 @@
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) == nil {
 		r.LabCPUSeconds = float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e9
 	}
-	if behind := run.clients.Behind(); behind > maxLoadLag {
+	if behind := run.clients.MaxLag(); behind > maxLoadLag {
 		r.VoidReason = fmt.Sprintf("the machine is too busy for this load: messages were handed in up to %.1f s late", behind.Seconds())
 	}
 	if lateness.P99 > float64(maxLateness.Milliseconds()) {
--- a/internal/lab/steps.go
+++ b/internal/lab/steps.go
@@ -48,10 +48,10 @@
 		run.setListedRate(parties, limit)
 	case "drain":
 		for _, p := range parties {
-			run.discovery.Set(p.Name, "leaving", func() {
+			run.discovery.SetState(p.Name, "leaving", func() {
 				time.AfterFunc(drainTime, func() {
-					run.partners.Drained(p.Name)
-					run.discovery.Set(p.Name, "left", nil)
+					run.partners.SetDrained(p.Name)
+					run.discovery.SetState(p.Name, "left", nil)
 				})
 			})
 		}
@@ -74,7 +74,7 @@
 func (run *labRun) setListedRate(parties []scenario.Party, rate float64) {
 	for _, p := range parties {
 		if p.Kind() == "endpoint" {
-			run.discovery.Weigh(p.Name, rate)
+			run.discovery.SetWeight(p.Name, rate)
 		}
 	}
 }
--- a/internal/relay/agreement.go
+++ b/internal/relay/agreement.go
@@ -66,18 +66,18 @@
 }
 
 // handleKeeperAnswer applies an answer of the keepers in the loop, and returns what to reply.
-func (r *Relay) handleKeeperAnswer(heard fleet.Answer) (have []uint64, reply fleet.Reply, ok bool) {
+func (r *Relay) handleKeeperAnswer(answer fleet.Answer) (have []uint64, reply fleet.Reply, ok bool) {
 	if r.replication != nil {
-		r.replication.owner.UpdateOwned(heard.Standing.OwnedGroups)
+		r.replication.owner.UpdateOwned(answer.Response.OwnedGroups)
 	}
 	done := make(chan struct{})
 	r.post(func() {
 		defer close(done)
-		if r.nextProcess != nil { // the next process speaks for the relay
+		if r.nextProcess != nil { // the next process answers the keepers for this relay
 			return
 		}
 		var err error
-		if reply, err = r.fleetConfig.Receive(r.now(), heard.RequestedAt, heard.Standing); err != nil {
+		if reply, err = r.fleetConfig.Receive(r.now(), answer.RequestedAt, answer.Response); err != nil {
 			slog.Warn("answer of the keepers rejected", "err", err, "remedy", remedy.Of(err))
 		}
 		r.refreshAgreed()
--- a/internal/relay/backlog_load.go
+++ b/internal/relay/backlog_load.go
@@ -16,7 +16,7 @@
 // Loading messages from the backlog on disk, by way of the journal, to the Chooser.
 
 // minLoadDelay is the least time between two checks for messages that cannot be loaded yet. It is part of what
-// lastLook allows for.
+// latestEndLead allows for.
 const minLoadDelay = 5 * time.Millisecond
 
 // loadFromBacklog loads messages from disk: those whose deadline is close, which the Chooser ends, and the oldest
@@ -128,7 +128,7 @@
 			slog.Error("cannot decode a message on disk", "err", err, "remedy", remedy.Of(err))
 			unpacked = &journal.Entry{ID: message.ID, Dest: message.Dest, Due: message.Due}
 		}
-		journaled := r.journal.Entry(message.ID) != nil // then the journal decides
+		journaled := r.journal.Entry(message.ID) != nil // if so, the journal's record of it applies
 		if !journaled {
 			records = append(records, journal.Record{Op: journal.OpAccepted, Entry: unpacked})
 		}
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -66,7 +66,7 @@
 		err = os.WriteFile(name, text, 0o600)
 	}
 	if server.Folder = string(text); err != nil || server.Folder == "" || len(server.Folder) > maxNameBytes {
-		return nil, &DiskError{name, errors.Join(err, errors.New("the name of the folder is missing or too long"))}
+		return nil, &DiskError{name, errors.Join(err, errors.New("no name of the folder"))}
 	}
 	entries, err := os.ReadDir(server.dir)
 	if err != nil {
