--- a/internal/relay/backlog_faults_test.go
+++ b/internal/relay/backlog_faults_test.go
@@ -28,7 +28,7 @@
 	return f.store.Put(ms...)
 }
 
-func (f *faultyStore) Out(dest int, places ...uint64) error {
+func (f *faultyStore) Remove(dest int, places ...uint64) error {
 	if f.beforeOut != nil {
 		f.beforeOut()
 	}
--- a/internal/replication/cleanup.go
+++ b/internal/replication/cleanup.go
@@ -17,7 +17,7 @@
 	defer s.mu.Unlock()
 	c := s.copies[request.Group]
 	if c == nil {
-		return BatchResponse{Stamp: s.stamp()}, nil
+		return BatchResponse{Stamp: s.currentStamp()}, nil
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -27,7 +27,7 @@
 	if err := s.remove(request.Group, c); err != nil {
 		return nil, err
 	}
-	return BatchResponse{Stamp: s.stamp()}, nil
+	return BatchResponse{Stamp: s.currentStamp()}, nil
 }
 
 // Sweep removes the copies of groups that are missing in listed, the groups that the keepers list this relay as a replica of,
--- a/internal/replication/replica.go
+++ b/internal/replication/replica.go
@@ -143,7 +143,7 @@
 }
 
 // stamp returns the stamp of an answer that is sent now.
-func (s *ReplicaServer) stamp() Stamp { return Stamp{steady.UnixMilli(), s.Folder} }
+func (s *ReplicaServer) currentStamp() Stamp { return Stamp{steady.UnixMilli(), s.Folder} }
 
 // Len returns the number of stored copies.
 func (s *ReplicaServer) Len() int {
@@ -182,7 +182,7 @@
 		next, changed, err := c.accept(batch)
 		var missing *state.MissingRecordsError
 		if !errors.As(err, &missing) || !missing.Whole || batch.Whole || time.Now().After(deadline) {
-			return BatchResponse{next, s.stamp()}, err
+			return BatchResponse{next, s.currentStamp()}, err
 		}
 		select {
 		case <-changed: // the missing records may have arrived
@@ -247,7 +247,7 @@
 		}
 		c.state = updated
 	}
-	answer := PromiseResponse{Copy: updated, Stamp: s.stamp()}
+	answer := PromiseResponse{Copy: updated, Stamp: s.currentStamp()}
 	if request.WantCopy && updated.ContentWriter != "" {
 		answer.Records = c.journal.GroupRecords(request.Group)
 	}
--- a/internal/replication/serve.go
+++ b/internal/replication/serve.go
@@ -35,7 +35,7 @@
 		}
 		status, answer := http.StatusOK, any(nil)
 		if err != nil {
-			status, answer = http.StatusBadRequest, Problem{Error: "the call cannot be read: " + err.Error(), Stamp: s.stamp()}
+			status, answer = http.StatusBadRequest, Problem{Error: "the call cannot be read: " + err.Error(), Stamp: s.currentStamp()}
 		} else if answer, err = serve(req.Context(), request); err != nil {
 			status, answer = s.problemFor(err)
 		}
@@ -52,7 +52,7 @@
 
 // problemFor returns the HTTP status and the body that report an error.
 func (s *ReplicaServer) problemFor(err error) (status int, problem Problem) {
-	problem = Problem{Error: err.Error(), Remedy: remedy.Of(err), Stamp: s.stamp()}
+	problem = Problem{Error: err.Error(), Remedy: remedy.Of(err), Stamp: s.currentStamp()}
 	var refused *RefusedError
 	switch {
 	case errors.As(err, &problem.Fenced), errors.As(err, &problem.MissingRecords):
