--- a/choice/health.go
+++ b/choice/health.go
@@ -52,7 +52,8 @@
 func (c *Chooser) trialDelay(u *unit) time.Duration {
 	window := c.settings.Rules.OverloadWindow
 	budget, _ := c.coldBudget(u, 0)
-	spread := 1.0 // headroom for random coincidence; 1 where shares are below half a call, which rarely coincide
+	// spread is the headroom for chance: 1 where shares are below half a call, which rarely coincide.
+	spread := 1.0
 	if budget >= 0.5 {
 		spread += 2 / math.Sqrt(budget*float64(c.settings.Fleet))
 	}
--- a/choice/turn.go
+++ b/choice/turn.go
@@ -109,8 +109,10 @@
 	}
 	slices.SortStableFunc(stuck, func(a, b *call) int { return cmp.Compare(a.sentAt, b.sentAt) })
 	for _, candidate := range stuck {
-		unsafe := slices.ContainsFunc(candidate.messages, func(m *message) bool { return m.class.Effect == Unsafe })
-		if unsafe && 2*len(stuck) <= c.settings.Workers && c.now-candidate.sentAt < 2*c.silenceLimit(candidate.host.dest) {
+		unsafe := slices.ContainsFunc(candidate.messages,
+			func(m *message) bool { return m.class.Effect == Unsafe })
+		if unsafe && 2*len(stuck) <= c.settings.Workers &&
+			c.now-candidate.sentAt < 2*c.silenceLimit(candidate.host.dest) {
 			continue
 		}
 		candidate.cancelled = true
